--- a/internal/expertmap/content.go
+++ b/internal/expertmap/content.go
@@ -29,12 +29,12 @@
 	return c.maps[0], true
 }
 
-// ContentOnWay tells that what was just sent needs that many ticks to reach all participants. Until then nobody is asked again: the question would overtake the
+// AwaitTransfer tells that what was just sent needs that many ticks to reach all participants. Until then nobody is asked again: the question would overtake the
 // content, and everyone would be sent it a second time while the first is on its way.
-func (c *Coordinator) ContentOnWay(ticks int) { c.onWay = max(c.onWay, c.ticks+ticks) }
+func (c *Coordinator) AwaitTransfer(ticks int) { c.onWay = max(c.onWay, c.ticks+ticks) }
 
-// ContentAgain returns how often the ballot has sent content again to who lacked it.
-func (c *Coordinator) ContentAgain() int { return c.again }
+// ContentResends returns how often the ballot has sent content again to who lacked it.
+func (c *Coordinator) ContentResends() int { return c.again }
 
 // learn keeps each map once.
 func (c *Coordinator) learn(maps []Map) {
@@ -50,7 +50,7 @@
 	if p == nil || r.Ballot != c.ballot || c.phase != staging || p.answered {
 		return nil
 	}
-	p.lacks, p.known = true, r.Known
+	p.lacks, p.known = true, r.KnownMaps
 	c.again++
 	return []Envelope{{To: p.addr, Message: c.message(p)}}
 }
@@ -83,7 +83,7 @@
 
 // hasUnjoined reports whether some rank of the participant has no map.
 func (p peer) hasUnjoined() bool {
-	return slices.ContainsFunc(p.ranks, func(r Status) bool { return !r.Joined() })
+	return slices.ContainsFunc(p.ranks, func(r Status) bool { return !r.HasMap() })
 }
 
 // toStage returns the maps that the ranks have to load: the proposed one, or in
@@ -104,7 +104,7 @@
 // coordinator waits, maps that were sent again filled its link, and the orders to arm and
 // to commit waited behind them.
 func (c *Coordinator) stage(p *peer) *Stage {
-	s := &Stage{Ballot: c.ballot, Incarnation: p.incarnation, Join: c.recovering}
+	s := &Stage{Ballot: c.ballot, Incarnation: p.incarnation, OnlyRanksWithoutMap: c.recovering}
 	if c.recovering && !p.hasUnjoined() {
 		return s
 	}
--- a/internal/expertmap/coordinator.go
+++ b/internal/expertmap/coordinator.go
@@ -37,20 +37,20 @@
 	// Participants are all participants of the group. One left out breaks the
 	// protocol's safety.
 	Participants []Address
-	// After is the highest ballot that the agent knows of; its own participant's
+	// LastKnownBallot is the highest ballot that the agent knows of; its own participant's
 	// promise saves a refused first attempt. Default zero.
-	After Ballot
+	LastKnownBallot Ballot
 	// RetryTicks is the number of ticks after which a message without an answer
 	// is sent again. Default 1.
 	RetryTicks int
-	// HeldTicks is the same in the rounds in which ranks may hold, from arming on. Default
+	// PausedRetryTicks is the same in the rounds in which ranks may hold, from arming on. Default
 	// RetryTicks.
-	HeldTicks int
-	// HeardTicks is the number of ticks of a round after which all participants are asked
+	PausedRetryTicks int
+	// KeepaliveTicks is the number of ticks of a round after which all participants are asked
 	// again, those that have answered too. They may hold, and start a recovery of their own
 	// once they have heard nothing for their patience, which supersedes the ballot that they
 	// wait for: it has to be well below that. Default 20.
-	HeardTicks int
+	KeepaliveTicks int
 	// DeadlineTicks is the number of ticks after which a round that hasn't been
 	// answered by all is given up. It doesn't apply to commit, abort and release, which
 	// go on until answered or superseded. Default 50.
@@ -59,19 +59,19 @@
 	// armed one; it should cover a round trip to all participants. Default 16. With
 	// one, Own is armed before the others are asked: see [Coordinator.SetArmAhead].
 	ArmAhead uint64
-	// Own is the participant on the coordinator's host, which it reaches at once.
-	Own Address
+	// LocalParticipant is the participant on the coordinator's host, which it reaches at once.
+	LocalParticipant Address
 }
 
 func (c Config) withDefaults() Config {
 	if c.RetryTicks == 0 {
 		c.RetryTicks = 1
 	}
-	if c.HeldTicks == 0 {
-		c.HeldTicks = c.RetryTicks
+	if c.PausedRetryTicks == 0 {
+		c.PausedRetryTicks = c.RetryTicks
 	}
-	if c.HeardTicks == 0 {
-		c.HeardTicks = 20
+	if c.KeepaliveTicks == 0 {
+		c.KeepaliveTicks = 20
 	}
 	if c.DeadlineTicks == 0 {
 		c.DeadlineTicks = 50
@@ -103,12 +103,12 @@
 	Committing
 	aborting
 	releasing
-	// Rounds is how many there are.
-	Rounds
+	// RoundCount is how many there are.
+	RoundCount
 )
 
 // roundNames are the names used in logs.
-var roundNames = [Rounds]string{"idle", "promise", "fetch", "stage", "arm", "commit", "abort", "release"}
+var roundNames = [RoundCount]string{"idle", "promise", "fetch", "stage", "arm", "commit", "abort", "release"}
 
 // String returns the form used in logs.
 func (r Round) String() string { return roundNames[r] }
@@ -145,7 +145,7 @@
 	content []Map
 	found   finding
 	// decided is the map to commit, once known.
-	decided Present
+	decided CurrentMap
 	// recovering: this ballot closes what another one left open.
 	recovering bool
 	armStep    uint64
@@ -162,7 +162,7 @@
 	if cfg.ID == 0 || len(cfg.Participants) == 0 {
 		return nil, errors.New("a coordinator needs an ID and participants")
 	}
-	return &Coordinator{cfg: cfg.withDefaults(), counter: cfg.After.Counter}, nil
+	return &Coordinator{cfg: cfg.withDefaults(), counter: cfg.LastKnownBallot.Counter}, nil
 }
 
 // Start takes a new ballot, with a proposal or (nil) only to settle what is
@@ -203,8 +203,8 @@
 // Ballot returns the present or last ballot; it is also the proposal's version.
 func (c *Coordinator) Ballot() Ballot { return c.ballot }
 
-// Present returns the map that the group was found or decided to use.
-func (c *Coordinator) Present() Present { return c.decided }
+// CurrentMap returns the map that the group was found or decided to use.
+func (c *Coordinator) CurrentMap() CurrentMap { return c.decided }
 
 // Tick sends again what hasn't been answered and gives up at the deadline.
 func (c *Coordinator) Tick() []Envelope {
@@ -231,7 +231,7 @@
 		return false
 	}
 	since := c.ticks - c.onWay
-	return since > 0 && since%c.cfg.HeardTicks == 0
+	return since > 0 && since%c.cfg.KeepaliveTicks == 0
 }
 
 // isDue reports whether it is time to send again what wasn't answered. While weights are
@@ -240,7 +240,7 @@
 func (c *Coordinator) isDue() bool {
 	since, every := c.ticks-c.onWay, c.cfg.RetryTicks
 	if c.phase >= Arming {
-		every = c.cfg.HeldTicks
+		every = c.cfg.PausedRetryTicks
 	}
 	if since <= 0 || since%every != 0 {
 		return false
@@ -298,12 +298,12 @@
 // says. The incarnation is taken once a ballot, from the promise.
 func (c *Coordinator) take(p *peer, m Message) bool {
 	switch {
-	case c.phase == promising && m.Promised != nil && m.Promised.Ballot == c.ballot && !m.Promised.IsFetch:
+	case c.phase == promising && m.Promised != nil && m.Promised.Ballot == c.ballot && !m.Promised.HasRequestedMaps:
 		p.incarnation = m.Promised.Incarnation
 		p.ranks = m.Promised.Ranks
-		p.known = m.Promised.Known
+		p.known = m.Promised.KnownMaps
 		return true
-	case c.phase == fetching && m.Promised != nil && m.Promised.Ballot == c.ballot && m.Promised.IsFetch:
+	case c.phase == fetching && m.Promised != nil && m.Promised.Ballot == c.ballot && m.Promised.HasRequestedMaps:
 		c.learn(m.Promised.Maps)
 		return true
 	case c.phase == staging && m.Staged != nil:
@@ -326,7 +326,7 @@
 	if r.Ballot != c.ballot || c.phase == idle {
 		return nil
 	}
-	if r.Reason == ReasonStep && (c.phase != Arming || r.Started < c.armStep) {
+	if r.Reason == ReasonStep && (c.phase != Arming || r.LastStartedStep < c.armStep) {
 		// An arm at an earlier step came late, or twice.
 		return nil
 	}
@@ -336,7 +336,7 @@
 	case !late:
 		return c.finish(OutcomeSuperseded)
 	case c.phase == Arming && c.alone && r.Reason == ReasonStep:
-		c.armStep = r.Started + 1
+		c.armStep = r.LastStartedStep + 1
 		return c.send()
 	case c.phase == Arming:
 		return c.enter(aborting)
@@ -388,7 +388,7 @@
 // enter begins a round.
 func (c *Coordinator) enter(p Round) []Envelope {
 	c.phase = p
-	c.alone = p == Arming && c.cfg.ArmAhead == 1 && c.peer(c.cfg.Own) != nil
+	c.alone = p == Arming && c.cfg.ArmAhead == 1 && c.peer(c.cfg.LocalParticipant) != nil
 	c.ticks, c.onWay = 0, 0
 	for i := range c.peers {
 		c.peers[i].answered, c.peers[i].lacks = p == fetching && !c.isSource(&c.peers[i]), false
@@ -413,7 +413,7 @@
 	var out []Envelope
 	for i := range c.peers {
 		p := &c.peers[i]
-		if !isAsked(p) || c.alone && p.addr != c.cfg.Own {
+		if !isAsked(p) || c.alone && p.addr != c.cfg.LocalParticipant {
 			continue
 		}
 		out = append(out, Envelope{To: p.addr, Message: c.message(p)})
@@ -430,16 +430,16 @@
 		if p.answered {
 			return Message{Promise: &Promise{Ballot: b}}
 		}
-		return Message{Promise: &Promise{Ballot: b, Wanted: c.wanted()}}
+		return Message{Promise: &Promise{Ballot: b, RequestedMaps: c.wanted()}}
 	case staging:
 		return Message{Stage: c.stage(p)}
 	case Arming:
 		return Message{Arm: &Arm{Ballot: b, Incarnation: inc, Version: b, Step: c.armStep}}
 	case Committing:
-		return Message{Commit: &Commit{Ballot: b, Incarnation: inc, Present: c.decided}}
+		return Message{Commit: &Commit{Ballot: b, Incarnation: inc, Current: c.decided}}
 	case aborting:
-		return Message{Abort: &Abort{Ballot: b, Incarnation: inc, Present: c.found.present.Installed.Version}}
+		return Message{Abort: &Abort{Ballot: b, Incarnation: inc, Current: c.found.present.Installed.Version}}
 	default:
-		return Message{Release: &Release{Ballot: b, Incarnation: inc, Present: c.found.present.Installed.Version}}
+		return Message{Release: &Release{Ballot: b, Incarnation: inc, Current: c.found.present.Installed.Version}}
 	}
 }
--- a/internal/expertmap/decide.go
+++ b/internal/expertmap/decide.go
@@ -42,9 +42,9 @@
 	return c.enter(staging)
 }
 
-func (c *Coordinator) proposed(step uint64) Present {
-	return Present{
-		Installed: Installed{Version: c.ballot, From: step},
+func (c *Coordinator) proposed(step uint64) CurrentMap {
+	return CurrentMap{
+		Installed: Installed{Version: c.ballot, FromStep: step},
 		Base:      c.decided.Installed.Version,
 	}
 }
--- a/internal/expertmap/delta.go
+++ b/internal/expertmap/delta.go
@@ -17,8 +17,8 @@
 	// Layers gives, by layer, pairs of numbers for each slot that has another expert: how
 	// many slots lie between it and the one before (or the first), and the expert.
 	Layers [][]uint16 `cbor:"4,keyasint"`
-	// Sum is the digest of the whole map: a base with other content is noticed.
-	Sum uint64 `cbor:"5,keyasint"`
+	// Checksum is the digest of the whole map: a base with other content is noticed.
+	Checksum uint64 `cbor:"5,keyasint"`
 }
 
 // Align returns next with the experts of each rank in such an order that those which it
@@ -73,7 +73,7 @@
 	}
 	d := &Delta{
 		Base: base.Version, Version: next.Version, SlotsPerRank: next.SlotsPerRank,
-		Layers: make([][]uint16, len(next.Layers)), Sum: next.sum(),
+		Layers: make([][]uint16, len(next.Layers)), Checksum: next.sum(),
 	}
 	for l := range next.Layers {
 		last := -1
@@ -106,7 +106,7 @@
 			out.Layers[l][slot] = pairs[1]
 		}
 	}
-	return out, out.sum() == d.Sum
+	return out, out.sum() == d.Checksum
 }
 
 // sum is the digest of a map's content.
--- a/internal/expertmap/delta_test.go
+++ b/internal/expertmap/delta_test.go
@@ -114,7 +114,7 @@
 	sent := c.Step(2, refused)
 	require.Len(t, sent, 1)
 	require.Equal(t, Address(2), sent[0].To)
-	require.True(t, p.Step(0, sent[0].Message).Work)
+	require.True(t, p.Step(0, sent[0].Message).HasWork)
 	require.Equal(t, OutcomeRunning, c.Outcome())
 }
 
@@ -131,7 +131,7 @@
 		p.promised = c.Ballot()
 		p.maps.keep(base)
 		c.Step(Address(i), Message{Promised: &Promised{
-			Ballot: c.Ballot(), Incarnation: p.incarnation, Known: []Version{v1}, Ranks: []Status{{Active: Installed{Version: v1}}},
+			Ballot: c.Ballot(), Incarnation: p.incarnation, KnownMaps: []Version{v1}, Ranks: []Status{{Active: Installed{Version: v1}}},
 		}})
 	}
 	again := c.Tick()
@@ -140,7 +140,7 @@
 	require.Len(t, sent, 1)
 	require.NotNil(t, sent[0].Message.Stage.Delta)
 	require.Empty(t, sent[0].Message.Stage.Maps)
-	require.True(t, parts[0].Step(0, sent[0].Message).Work)
+	require.True(t, parts[0].Step(0, sent[0].Message).HasWork)
 
 	// The other one has a map of that version with other content.
 	parts[1].maps.keep(Map{Version: v1, SlotsPerRank: 2, Layers: [][]uint16{{5, 6, 7, 8}}})
@@ -149,7 +149,7 @@
 	sent = c.Step(1, parts[1].Step(0, sent[0].Message).Reply.Message)
 	require.Len(t, sent, 1)
 	require.Len(t, sent[0].Message.Stage.Maps, 1)
-	require.True(t, parts[1].Step(0, sent[0].Message).Work)
+	require.True(t, parts[1].Step(0, sent[0].Message).HasWork)
 }
 
 // While weights are loaded participants are asked again at longer and longer intervals; in
@@ -180,7 +180,7 @@
 	require.NoError(t, err)
 	c.Start(&Proposal{Map: Map{SlotsPerRank: 1}})
 	require.Len(t, c.Step(0, Message{Promised: &Promised{Ballot: c.Ballot(), Ranks: []Status{{}}}}), 1)
-	c.ContentOnWay(20)
+	c.AwaitTransfer(20)
 	for range 21 {
 		require.Empty(t, c.Tick())
 	}
@@ -215,7 +215,7 @@
 			require.Len(t, sent[0].Message.Stage.Maps, 1)
 			out = p.Step(0, sent[0].Message)
 		}
-		require.True(t, out.Work)
+		require.True(t, out.HasWork)
 		m, ok := p.Map(c.Ballot())
 		require.True(t, ok)
 		require.Equal(t, [][]uint16{{1, 9, 3, 4}}, m.Layers)
@@ -225,7 +225,7 @@
 // While ranks may hold, those that have not answered are asked again sooner: each message
 // lost there makes all streams of the group wait.
 func TestRanksThatMayHoldAreAskedAgainSooner(t *testing.T) {
-	c, err := NewCoordinator(Config{ID: 5, Participants: []Address{0}, RetryTicks: 8, HeldTicks: 3, DeadlineTicks: 100})
+	c, err := NewCoordinator(Config{ID: 5, Participants: []Address{0}, RetryTicks: 8, PausedRetryTicks: 3, DeadlineTicks: 100})
 	require.NoError(t, err)
 	first := func() int {
 		for n := 1; ; n++ {
@@ -247,7 +247,7 @@
 // Ranks that wait for a ballot hear of it for as long as it lasts, also once they have
 // answered: they would begin recoveries of their own, each of which supersedes another.
 func TestWhoHasAnsweredHearsOfTheBallotWhileOneIsMissing(t *testing.T) {
-	c, err := NewCoordinator(Config{ID: 5, Participants: []Address{0, 1}, RetryTicks: 8, HeldTicks: 8, HeardTicks: 20})
+	c, err := NewCoordinator(Config{ID: 5, Participants: []Address{0, 1}, RetryTicks: 8, PausedRetryTicks: 8, KeepaliveTicks: 20})
 	require.NoError(t, err)
 	heard := func(ticks int) (n int) {
 		for range ticks {
--- a/internal/expertmap/directed_test.go
+++ b/internal/expertmap/directed_test.go
@@ -9,7 +9,7 @@
 
 // loaded is a rank in the middle of step 5 with map v1 in use and v2 loaded.
 func loaded() Status {
-	return Status{Step: 5, Active: Installed{Version: v1, From: 1}, Maps: []Map{{Version: v1}, {Version: v2}}}
+	return Status{Step: 5, Active: Installed{Version: v1, FromStep: 1}, Maps: []Map{{Version: v1}, {Version: v2}}}
 }
 
 var (
@@ -21,7 +21,7 @@
 // ask has a participant with one engine carry out a request.
 func ask(p *Participant, e *fakeEngine, m Message) Message {
 	out := p.Step(0, m)
-	for out.Work {
+	for out.HasWork {
 		for _, o := range out.Orders {
 			e.do(o)
 		}
@@ -56,25 +56,25 @@
 func TestStaleCoordinatorIsRefused(t *testing.T) {
 	p, e := armed(t)
 	require.NotNil(t, ask(p, e, Message{Promise: &Promise{Ballot: v3}}).Promised)
-	commit := Message{Commit: &Commit{v2, 7, Present{Installed: Installed{v2, 6}}}}
+	commit := Message{Commit: &Commit{v2, 7, CurrentMap{Installed: Installed{v2, 6}}}}
 	for _, m := range []Message{{Promise: &Promise{Ballot: v2}}, {Arm: &Arm{v2, 7, v2, 6}}, commit, {Abort: &Abort{Ballot: v2, Incarnation: 7}}} {
 		refused := ask(p, e, m).Refused
 		require.NotNil(t, refused)
 		require.Equal(t, ReasonBallot, refused.Reason)
 		require.Equal(t, v3, refused.Promised)
 	}
-	require.True(t, e.status.Uncommitted())
+	require.True(t, e.status.HasUncommittedChange())
 }
 
 func TestRestartedParticipantHoldsUntilTheNextBallot(t *testing.T) {
 	_, e := armed(t)
 	p := NewParticipant(8, 5, Map{})
-	commit := Message{Commit: &Commit{v2, 7, Present{Installed: Installed{v2, 6}}}}
+	commit := Message{Commit: &Commit{v2, 7, CurrentMap{Installed: Installed{v2, 6}}}}
 	require.Equal(t, ReasonIncarnation, reason(ask(p, e, commit)))
 	// The late duplicate of a promise must not open the way for the late commit.
 	require.NotNil(t, ask(p, e, Message{Promise: &Promise{Ballot: v2}}).Promised)
 	require.Equal(t, ReasonIncarnation, reason(ask(p, e, commit)))
-	require.True(t, e.status.Uncommitted())
+	require.True(t, e.status.HasUncommittedChange())
 }
 
 func TestLateArmDoesNotUndoAbort(t *testing.T) {
@@ -189,7 +189,7 @@
 			w.sendAll(h, h.coord.Tick())
 			continue
 		}
-		if h.part.Observe(h.statuses()) {
+		if h.part.RecoveryDue(h.statuses()) {
 			w.newCoordinator(h, 10)
 			w.sendAll(h, h.coord.Start(nil))
 		}
@@ -277,7 +277,7 @@
 	for _, e := range w.engines {
 		require.Equal(t, w.engines[0].status.Armed.Step, e.status.Armed.Step)
 	}
-	old := &Refused{Ballot: w.hosts[0].coord.Ballot(), Reason: ReasonStep, Started: 1}
+	old := &Refused{Ballot: w.hosts[0].coord.Ballot(), Reason: ReasonStep, LastStartedStep: 1}
 	require.Empty(t, w.hosts[0].coord.Step(0, Message{Refused: old}))
 	require.Equal(t, OutcomeRunning, w.hosts[0].coord.Outcome(), "an old refusal ends nothing")
 }
@@ -294,7 +294,7 @@
 	p, e := promised(t, v3)
 	out := p.Step(0, Message{Stage: &Stage{Ballot: v3, Incarnation: 7, Maps: []Map{{Version: v3}}}})
 	work := func() *Envelope {
-		for out.Work {
+		for out.HasWork {
 			for _, o := range out.Orders {
 				e.do(o)
 			}
@@ -315,9 +315,9 @@
 func TestRequestThatCameMeanwhileIsJudgedAtItsTurn(t *testing.T) {
 	p, e := armed(t)
 	out := p.Step(0, Message{Abort: &Abort{Ballot: v2, Incarnation: 7}})
-	require.True(t, out.Work)
+	require.True(t, out.HasWork)
 	require.Equal(t, Output{}, p.Step(0, Message{Arm: &Arm{v2, 7, v2, 6}}))
-	for out.Work {
+	for out.HasWork {
 		for _, o := range out.Orders {
 			e.do(o)
 		}
--- a/internal/expertmap/engine.go
+++ b/internal/expertmap/engine.go
@@ -21,8 +21,8 @@
 type Installed struct {
 	// Version is the map in use, or zero while the engine has none.
 	Version Version `cbor:"1,keyasint"`
-	// From is the step from which the group uses it.
-	From uint64 `cbor:"2,keyasint"`
+	// FromStep is the step from which the group uses it.
+	FromStep uint64 `cbor:"2,keyasint"`
 }
 
 // Change is a map that an engine is armed with.
@@ -51,22 +51,22 @@
 	Armed *Change `cbor:"3,keyasint,omitempty"`
 	// Maps are the maps whose weights are loaded, the active one among them.
 	Maps []Map `cbor:"4,keyasint,omitempty"`
-	// Holding says that the engine is not armed and yet won't start some step before
+	// Paused says that the engine is not armed and yet won't start some step before
 	// Release: what an abort leaves behind at engines of type Holder.
-	Holding bool `cbor:"5,keyasint,omitempty"`
+	Paused bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Joined reports whether the engine has a map and may start steps.
-func (s Status) Joined() bool { return !s.Active.Version.IsZero() }
+// HasMap reports whether the engine has a map and may start steps.
+func (s Status) HasMap() bool { return !s.Active.Version.IsZero() }
 
-// Uncommitted reports whether the engine will hold at the armed step.
-func (s Status) Uncommitted() bool { return s.Armed != nil && !s.Armed.Committed }
+// HasUncommittedChange reports whether the engine will hold at the armed step.
+func (s Status) HasUncommittedChange() bool { return s.Armed != nil && !s.Armed.Committed }
 
 // Committed returns the newest map that the engine will use without a further
 // order, and its first step.
 func (s Status) Committed() Installed {
 	if s.Armed != nil && s.Armed.Committed {
-		return Installed{Version: s.Armed.Version, From: s.Armed.Step}
+		return Installed{Version: s.Armed.Version, FromStep: s.Armed.Step}
 	}
 	return s.Active
 }
@@ -131,12 +131,12 @@
 	Abort(ctx context.Context, b Ballot) error
 }
 
-// Holder is an Engine that holds by an order apart from the one that arms it, so that
+// Releaser is an Engine that holds by an order apart from the one that arms it, so that
 // it may be left holding without a change. Such an engine goes on holding at Abort: it
 // may start the step only once no rank of the group is armed, which Release tells. An
 // order that was given up on and is carried out late finds the engine holding until
 // then.
-type Holder interface {
+type Releaser interface {
 	// Release lets an engine go on that holds without being armed.
 	Release(ctx context.Context, b Ballot) error
 }
@@ -155,9 +155,9 @@
 
 // Order is one call to make to one engine.
 type Order struct {
-	// Engine is the index of the engine at this participant.
-	Engine int
-	Kind   OrderKind
+	// EngineIndex is the index of the engine at this participant.
+	EngineIndex int
+	Kind        OrderKind
 	// Ballot is that of the request.
 	Ballot Ballot
 	// Change is set for OrderArm.
@@ -178,7 +178,7 @@
 	case OrderAbort:
 		return e.Abort(ctx, o.Ballot)
 	case OrderRelease:
-		if h, ok := e.(Holder); ok {
+		if h, ok := e.(Releaser); ok {
 			return h.Release(ctx, o.Ballot)
 		}
 		return nil
--- a/internal/expertmap/engine_test.go
+++ b/internal/expertmap/engine_test.go
@@ -35,7 +35,7 @@
 	case OrderCommit:
 		e.commit(o.Ballot)
 	case OrderAbort:
-		if e.status.Uncommitted() && !o.Ballot.Less(e.status.Armed.Ballot) {
+		if e.status.HasUncommittedChange() && !o.Ballot.Less(e.status.Armed.Ballot) {
 			e.status.Armed = nil
 		}
 	}
@@ -60,7 +60,7 @@
 		return
 	case !e.status.Active.Version.Less(c.Version):
 		return
-	case e.status.Joined() && c.Step <= e.status.Step:
+	case e.status.HasMap() && c.Step <= e.status.Step:
 		return
 	}
 	c.Committed = false
@@ -69,12 +69,12 @@
 
 func (e *fakeEngine) commit(b Ballot) {
 	a := e.status.Armed
-	if !e.status.Uncommitted() || a.Ballot != b {
+	if !e.status.HasUncommittedChange() || a.Ballot != b {
 		return
 	}
 	a.Committed = true
 	switch {
-	case e.status.Joined():
+	case e.status.HasMap():
 	case a.Base.IsZero():
 		e.activate()
 	default:
@@ -83,7 +83,7 @@
 }
 
 func (e *fakeEngine) activate() {
-	e.status.Active = Installed{Version: e.status.Armed.Version, From: e.status.Armed.Step}
+	e.status.Active = Installed{Version: e.status.Armed.Version, FromStep: e.status.Armed.Step}
 	e.status.Armed = nil
 	e.status.Maps = slices.DeleteFunc(slices.Clone(e.status.Maps), func(m Map) bool {
 		return m.Version != e.status.Active.Version
@@ -93,7 +93,7 @@
 // start begins the next step unless the engine has no map or holds.
 func (e *fakeEngine) start() bool {
 	next := e.finished + 1
-	if e.running || !e.status.Joined() {
+	if e.running || !e.status.HasMap() {
 		return false
 	}
 	if a := e.status.Armed; a != nil && a.Step <= next {
--- a/internal/expertmap/message.go
+++ b/internal/expertmap/message.go
@@ -32,8 +32,8 @@
 // Promise asks a participant to refuse all lower ballots and to tell its state.
 type Promise struct {
 	Ballot Ballot `cbor:"1,keyasint"`
-	// Wanted lists the maps that the answer has to contain.
-	Wanted []Version `cbor:"3,keyasint,omitempty"`
+	// RequestedMaps lists the maps that the answer has to contain.
+	RequestedMaps []Version `cbor:"3,keyasint,omitempty"`
 }
 
 // Promised answers Promise.
@@ -45,11 +45,11 @@
 	Ranks []Status `cbor:"3,keyasint"`
 	// Maps are those that were wanted and that the participant knows.
 	Maps []Map `cbor:"4,keyasint,omitempty"`
-	// Known lists the maps whose content the participant knows.
-	Known []Version `cbor:"5,keyasint,omitempty"`
-	// IsFetch tells that maps were wanted: a repeated answer to a promise says nothing of
+	// KnownMaps lists the maps whose content the participant knows.
+	KnownMaps []Version `cbor:"5,keyasint,omitempty"`
+	// HasRequestedMaps tells that maps were wanted: a repeated answer to a promise says nothing of
 	// maps.
-	IsFetch bool `cbor:"6,keyasint,omitempty"`
+	HasRequestedMaps bool `cbor:"6,keyasint,omitempty"`
 }
 
 // header is what each request after the promise carries.
@@ -66,9 +66,9 @@
 	// Maps is the content of the maps to load, Delta that of one of them. A request that
 	// is sent again has neither: content goes out once, unless it is asked for.
 	Maps []Map `cbor:"3,keyasint,omitempty"`
-	// Join says that the maps are only for ranks that have none.
-	Join  bool   `cbor:"4,keyasint,omitempty"`
-	Delta *Delta `cbor:"5,keyasint,omitempty"`
+	// OnlyRanksWithoutMap says that the maps are only for ranks that have none.
+	OnlyRanksWithoutMap bool   `cbor:"4,keyasint,omitempty"`
+	Delta               *Delta `cbor:"5,keyasint,omitempty"`
 	// Versions are the maps to load.
 	Versions []Version `cbor:"6,keyasint,omitempty"`
 }
@@ -98,8 +98,8 @@
 type Commit struct {
 	Ballot      Ballot `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Present is the decision.
-	Present Present `cbor:"3,keyasint"`
+	// Current is the decision.
+	Current CurrentMap `cbor:"3,keyasint"`
 }
 
 // Committed says that all ranks of the participant have committed.
@@ -111,10 +111,10 @@
 type Abort struct {
 	Ballot      Ballot `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Present is the newest committed map. A newer one that an engine is armed with is
+	// Current is the newest committed map. A newer one that an engine is armed with is
 	// dropped although the engine would not hold any more: it was let go by an order of
 	// an earlier ballot that came late.
-	Present Version `cbor:"3,keyasint"`
+	Current Version `cbor:"3,keyasint"`
 }
 
 // Aborted says that no rank of the participant is armed uncommitted.
@@ -126,8 +126,8 @@
 type Release struct {
 	Ballot      Ballot `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Present is as in Abort.
-	Present Version `cbor:"3,keyasint"`
+	// Current is as in Abort.
+	Current Version `cbor:"3,keyasint"`
 }
 
 // Released says that no rank of the participant holds.
@@ -159,10 +159,10 @@
 	// Promised is the highest ballot that the participant knows.
 	Promised Ballot `cbor:"2,keyasint"`
 	Reason   Reason `cbor:"3,keyasint"`
-	// Started is the last step that a rank has begun; it is known with ReasonStep.
-	Started uint64 `cbor:"4,keyasint,omitempty"`
-	// Known lists the maps whose content the participant knows, with ReasonContent.
-	Known []Version `cbor:"5,keyasint,omitempty"`
+	// LastStartedStep is the last step that a rank has begun; it is known with ReasonStep.
+	LastStartedStep uint64 `cbor:"4,keyasint,omitempty"`
+	// KnownMaps lists the maps whose content the participant knows, with ReasonContent.
+	KnownMaps []Version `cbor:"5,keyasint,omitempty"`
 }
 
 // header returns the ballot and incarnation of a request that follows a
@@ -183,15 +183,15 @@
 	return header{}, false
 }
 
-// Detach returns the request without the participant's incarnation, and that: what is
+// WithoutIncarnation returns the request without the participant's incarnation, and that: what is
 // left is the same for all participants that are asked the same.
-func (m Message) Detach() (Message, uint64) {
+func (m Message) WithoutIncarnation() (Message, uint64) {
 	h, _ := m.header()
-	return m.Attach(0), h.incarnation
+	return m.WithIncarnation(0), h.incarnation
 }
 
-// Attach returns a copy of the request for a participant's incarnation.
-func (m Message) Attach(incarnation uint64) Message {
+// WithIncarnation returns a copy of the request for a participant's incarnation.
+func (m Message) WithIncarnation(incarnation uint64) Message {
 	switch {
 	case m.Stage != nil:
 		c := *m.Stage
@@ -231,11 +231,11 @@
 type Multicast struct {
 	// Message has no incarnation.
 	Message Message
-	To      []Receiver
+	To      []Recipient
 }
 
-// Receiver is a participant, and the incarnation that it promised in.
-type Receiver struct {
+// Recipient is a participant, and the incarnation that it promised in.
+type Recipient struct {
 	Address     Address
 	Incarnation uint64
 }
@@ -244,11 +244,11 @@
 func Multicasts(all []Envelope) []Multicast {
 	var out []Multicast
 	for _, e := range all {
-		body, incarnation := e.Message.Detach()
-		to := Receiver{Address: e.To, Incarnation: incarnation}
+		body, incarnation := e.Message.WithoutIncarnation()
+		to := Recipient{Address: e.To, Incarnation: incarnation}
 		i := slices.IndexFunc(out, func(m Multicast) bool { return m.Message.isAlike(body) })
 		if i < 0 {
-			out = append(out, Multicast{Message: body, To: []Receiver{to}})
+			out = append(out, Multicast{Message: body, To: []Recipient{to}})
 			continue
 		}
 		out[i].To = append(out[i].To, to)
--- a/internal/expertmap/participant.go
+++ b/internal/expertmap/participant.go
@@ -44,11 +44,11 @@
 
 // Output is what a participant wants done.
 type Output struct {
-	// Work asks the agent to execute the orders in turn, then to read the
+	// HasWork asks the agent to execute the orders in turn, then to read the
 	// status of every engine and to call [Participant.Done]. The orders may be
 	// empty.
-	Work   bool
-	Orders []Order
+	HasWork bool
+	Orders  []Order
 	// Reply is to be sent if not nil.
 	Reply *Envelope
 }
@@ -80,7 +80,7 @@
 	m, ok := p.complete(m)
 	if !ok {
 		out := p.refuse(from, m, ReasonContent)
-		out.Reply.Message.Refused.Known = p.known()
+		out.Reply.Message.Refused.KnownMaps = p.known()
 		return out
 	}
 	r := &request{from: from, msg: m}
@@ -152,7 +152,7 @@
 // begin works on a request, in place of one that waits.
 func (p *Participant) begin(r *request) Output {
 	p.current, p.isWaiting = r, false
-	return Output{Work: true}
+	return Output{HasWork: true}
 }
 
 // Tick looks again whether the request that waits can be answered now.
@@ -207,7 +207,7 @@
 	switch {
 	case reason != 0:
 		refusal := p.refusal(r, reason)
-		refusal.Message.Refused.Started = lastStep(ranks)
+		refusal.Message.Refused.LastStartedStep = lastStep(ranks)
 		return p.finish(refusal)
 	case len(orders) == 0:
 		return p.finish(p.answer(r, ranks))
@@ -216,7 +216,7 @@
 	}
 	r.rounds++
 	r.last = orders
-	return Output{Work: true, Orders: orders}
+	return Output{HasWork: true, Orders: orders}
 }
 
 // wait leaves the current request to the next tick, unless another one has come.
@@ -247,7 +247,7 @@
 	var m Message
 	switch {
 	case r.msg.Promise != nil:
-		m.Promised = p.promise(ranks, r.msg.Promise.Wanted)
+		m.Promised = p.promise(ranks, r.msg.Promise.RequestedMaps)
 	case r.msg.Stage != nil:
 		m.Staged = &Staged{Ballot: b, Step: lastStep(ranks)}
 	case r.msg.Arm != nil:
@@ -286,7 +286,7 @@
 
 // promise returns the state of the ranks, and the maps that are wanted.
 func (p *Participant) promise(ranks []Status, wanted []Version) *Promised {
-	out := &Promised{Ballot: p.promised, Incarnation: p.incarnation, Known: p.known(), IsFetch: len(wanted) > 0}
+	out := &Promised{Ballot: p.promised, Incarnation: p.incarnation, KnownMaps: p.known(), HasRequestedMaps: len(wanted) > 0}
 	for _, v := range wanted {
 		if m, ok := p.Map(v); ok {
 			out.Maps = append(out.Maps, m)
@@ -308,12 +308,12 @@
 	return &Envelope{To: r.from, Message: Message{Refused: refused}}
 }
 
-// Observe takes the status of every engine once a tick. It returns true when
+// RecoveryDue takes the status of every engine once a tick. It returns true when
 // the ranks wait for a decision (a change is armed but not committed, or an
 // engine has no map) and no coordinator has been heard for the patience; the
 // agent should then start a recovery, and agents should draw different
 // patiences so that they don't start together.
-func (p *Participant) Observe(ranks []Status) bool {
+func (p *Participant) RecoveryDue(ranks []Status) bool {
 	if !waiting(ranks) {
 		p.quiet = 0
 		return false
@@ -324,7 +324,7 @@
 
 func waiting(ranks []Status) bool {
 	for _, r := range ranks {
-		if r.Uncommitted() || r.Holding || !r.Joined() {
+		if r.HasUncommittedChange() || r.Paused || !r.HasMap() {
 			return true
 		}
 	}
--- a/internal/expertmap/plan.go
+++ b/internal/expertmap/plan.go
@@ -11,7 +11,7 @@
 			return nil, reason
 		}
 		for _, o := range more {
-			o.Engine = i
+			o.EngineIndex = i
 			orders = append(orders, o)
 		}
 	}
@@ -39,7 +39,7 @@
 // planPromise arms an armed engine again under the new ballot, so that a commit
 // of the old ballot still on its way to the engine is refused there.
 func planPromise(m *Promise, r Status) []Order {
-	if !r.Uncommitted() || r.Armed.Ballot == m.Ballot {
+	if !r.HasUncommittedChange() || r.Armed.Ballot == m.Ballot {
 		return nil
 	}
 	c := *r.Armed
@@ -48,7 +48,7 @@
 }
 
 func planStage(m *Stage, r Status) []Order {
-	if m.Join && r.Joined() {
+	if m.OnlyRanksWithoutMap && r.HasMap() {
 		return nil
 	}
 	var orders []Order
@@ -62,13 +62,13 @@
 }
 
 func planArm(m *Arm, r Status) ([]Order, Reason) {
-	armed := r.Uncommitted() && r.Armed.Version == m.Version && r.Armed.Ballot == m.Ballot
+	armed := r.HasUncommittedChange() && r.Armed.Version == m.Version && r.Armed.Ballot == m.Ballot
 	switch {
 	case armed && r.Armed.Step != m.Step:
 		return nil, ReasonStep
 	case armed, r.Committed().Version == m.Version:
 		return nil, 0
-	case !r.Joined(), !r.loaded(m.Version):
+	case !r.HasMap(), !r.loaded(m.Version):
 		return nil, ReasonState
 	case m.Step <= r.Step:
 		return nil, ReasonStep
@@ -78,24 +78,24 @@
 }
 
 func planCommit(m *Commit, r Status) ([]Order, Reason) {
-	target := m.Present.Installed
-	armed := r.Uncommitted() && r.Armed.Version == target.Version && r.Armed.Ballot == m.Ballot
+	target := m.Current.Installed
+	armed := r.HasUncommittedChange() && r.Armed.Version == target.Version && r.Armed.Ballot == m.Ballot
 	switch {
 	case r.Committed().Version == target.Version:
 		return nil, 0
 	case armed:
 		return []Order{{Kind: OrderCommit, Ballot: m.Ballot}}, 0
-	case r.Joined(), !r.loaded(target.Version):
+	case r.HasMap(), !r.loaded(target.Version):
 		return nil, ReasonState
-	case !m.Present.Base.IsZero() && !r.loaded(m.Present.Base):
+	case !m.Current.Base.IsZero() && !r.loaded(m.Current.Base):
 		return nil, ReasonState
 	}
-	c := Change{Version: target.Version, Ballot: m.Ballot, Step: target.From, Base: m.Present.Base}
+	c := Change{Version: target.Version, Ballot: m.Ballot, Step: target.FromStep, Base: m.Current.Base}
 	return []Order{{Kind: OrderArm, Change: c}}, 0
 }
 
 func planAbort(m *Abort, r Status) []Order {
-	if !r.mustDrop(m.Present) {
+	if !r.mustDrop(m.Current) {
 		return nil
 	}
 	return []Order{{Kind: OrderAbort, Ballot: m.Ballot}}
@@ -104,9 +104,9 @@
 // planRelease drops a change first that a late order has armed since the abort.
 func planRelease(m *Release, r Status) []Order {
 	switch {
-	case r.mustDrop(m.Present):
+	case r.mustDrop(m.Current):
 		return []Order{{Kind: OrderAbort, Ballot: m.Ballot}}
-	case r.Holding:
+	case r.Paused:
 		return []Order{{Kind: OrderRelease, Ballot: m.Ballot}}
 	}
 	return nil
--- a/internal/expertmap/protocol_test.go
+++ b/internal/expertmap/protocol_test.go
@@ -22,7 +22,7 @@
 		case OutcomeChanged:
 			return h.coord.Ballot(), n
 		default:
-			base = h.coord.Present().Installed.Version
+			base = h.coord.CurrentMap().Installed.Version
 			w.propose(h, base)
 		}
 	}
--- a/internal/expertmap/resolve.go
+++ b/internal/expertmap/resolve.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Present is the map that a group uses, as a coordinator has found or decided
+// CurrentMap is the map that a group uses, as a coordinator has found or decided
 // it.
-type Present struct {
+type CurrentMap struct {
 	// Installed is the newest committed map. Its version is zero for a group
 	// without any map.
 	Installed Installed `cbor:"1,keyasint"`
@@ -15,7 +15,7 @@
 
 // finding is what the states of all ranks of a group say together.
 type finding struct {
-	present Present
+	present CurrentMap
 	// holding: a rank holds without being armed.
 	holding bool
 	// abort: a rank is armed with a change that no rank has committed, or holds
@@ -33,7 +33,7 @@
 // given every rank of the group: one rank left out may be the one that has
 // committed.
 func resolve(ranks []Status) finding {
-	f := finding{holding: slices.ContainsFunc(ranks, func(r Status) bool { return r.Holding })}
+	f := finding{holding: slices.ContainsFunc(ranks, func(r Status) bool { return r.Paused })}
 	for _, r := range ranks {
 		if c := f.committed(r); f.present.Installed.Version.Less(c.Version) {
 			f.present.Installed = c
@@ -58,14 +58,14 @@
 // add takes one rank's state into account, given the newest committed map.
 func (f *finding) add(r Status) {
 	newest := f.present.Installed.Version
-	isAhead := r.Uncommitted() && r.Armed.Version != newest
-	if r.Holding || isAhead || f.holding && r.mustDrop(newest) {
+	isAhead := r.HasUncommittedChange() && r.Armed.Version != newest
+	if r.Paused || isAhead || f.holding && r.mustDrop(newest) {
 		f.abort = true
 	}
-	if !r.Joined() || f.committed(r).Version != newest {
+	if !r.HasMap() || f.committed(r).Version != newest {
 		f.behind = true
 	}
-	if r.Joined() && r.Active.Version != newest {
+	if r.HasMap() && r.Active.Version != newest {
 		f.present.Base = r.Active.Version
 	}
 }
--- a/internal/expertmap/world_test.go
+++ b/internal/expertmap/world_test.go
@@ -66,7 +66,7 @@
 
 func (w *world) restartAgent(h *fakeHost) {
 	if len(h.orders) > 0 {
-		w.late = append(w.late, lateOrder{h.engines[h.orders[0].Engine], h.orders[0]})
+		w.late = append(w.late, lateOrder{h.engines[h.orders[0].EngineIndex], h.orders[0]})
 	}
 	// Patiences differ, so that recoveries don't start together.
 	h.part = NewParticipant(w.nextUnique(), 5+5*int(h.addr), w.first)
@@ -76,7 +76,7 @@
 }
 
 func (w *world) newCoordinator(h *fakeHost, ahead uint64) {
-	cfg := Config{ID: w.nextUnique(), ArmAhead: ahead, Own: h.addr, DeadlineTicks: 8, After: h.part.Promised()}
+	cfg := Config{ID: w.nextUnique(), ArmAhead: ahead, LocalParticipant: h.addr, DeadlineTicks: 8, LastKnownBallot: h.part.Promised()}
 	for _, o := range w.hosts {
 		cfg.Participants = append(cfg.Participants, o.addr)
 	}
@@ -113,7 +113,7 @@
 		w.net = append(w.net, packet{from: h.addr, to: o.Reply.To, msg: o.Reply.Message, reply: true})
 		w.sent++
 	}
-	if o.Work {
+	if o.HasWork {
 		h.work = true
 		h.orders = o.Orders
 	}
@@ -127,7 +127,7 @@
 		return
 	}
 	if len(h.orders) > 0 {
-		h.engines[h.orders[0].Engine].do(h.orders[0])
+		h.engines[h.orders[0].EngineIndex].do(h.orders[0])
 		h.orders = h.orders[1:]
 		return
 	}
@@ -167,7 +167,7 @@
 // state left that a step could differ from: the group starts anew.
 func (w *world) restartEngine(e *fakeEngine) {
 	e.restart()
-	if slices.ContainsFunc(w.engines, func(o *fakeEngine) bool { return o.status.Joined() }) {
+	if slices.ContainsFunc(w.engines, func(o *fakeEngine) bool { return o.status.HasMap() }) {
 		return
 	}
 	clear(w.used)
--- a/internal/group/coordinate.go
+++ b/internal/group/coordinate.go
@@ -72,11 +72,11 @@
 	}
 	r.members = make(map[expertmap.Address]string, len(members))
 	cfg := expertmap.Config{
-		ID: r.cfg.Unique(), After: r.participant.Promised(), Own: r.address, RetryTicks: retryTicks, HeldTicks: r.heldTicks(),
-		HeardTicks: basePatience / 2,
+		ID: r.cfg.Unique(), LastKnownBallot: r.participant.Promised(), LocalParticipant: r.address, RetryTicks: retryTicks, PausedRetryTicks: r.heldTicks(),
+		KeepaliveTicks: basePatience / 2,
 	}
 	if r.cfg.Start != nil {
-		cfg.After.Counter = max(cfg.After.Counter, r.cfg.Start())
+		cfg.LastKnownBallot.Counter = max(cfg.LastKnownBallot.Counter, r.cfg.Start())
 	}
 	for _, m := range members {
 		r.members[expertmap.Address(m.FirstRank)] = m.Address
@@ -139,9 +139,9 @@
 	if outcome == expertmap.OutcomeRunning {
 		return
 	}
-	version := r.coordinator.Present().Installed.Version
+	version := r.coordinator.CurrentMap().Installed.Version
 	step := r.coordinator.ArmedStep()
-	r.counters.again.Inc(int64(r.coordinator.ContentAgain()))
+	r.counters.again.Inc(int64(r.coordinator.ContentResends()))
 	r.counters.sent.Inc(int64(r.rounds.bytes))
 	r.counters.repeated.Inc(int64(r.rounds.repeated))
 	r.coordinator = nil
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -247,7 +247,7 @@
 		r.counters.dropped.Inc(1)
 		return
 	}
-	in.message = in.message.Attach(m.Incarnation)
+	in.message = in.message.WithIncarnation(m.Incarnation)
 	r.push(in)
 }
 
@@ -322,7 +322,7 @@
 	if o.Reply != nil {
 		r.reply(o.Reply)
 	}
-	if !o.Work {
+	if !o.HasWork {
 		return
 	}
 	r.isWorking = true
@@ -332,7 +332,7 @@
 // carryOut gives the orders to the engines and reads their states.
 func (r *Runner) carryOut(ctx context.Context, orders []expertmap.Order) statuses {
 	for _, o := range orders {
-		if err := o.Execute(ctx, r.cfg.Ranks[o.Engine]); err != nil {
+		if err := o.Execute(ctx, r.cfg.Ranks[o.EngineIndex]); err != nil {
 			// The order may or may not have been taken; the states show it.
 			r.cfg.Log.Debug("engine refused an order", "error", err)
 		}
@@ -375,7 +375,7 @@
 			"pass_ms", r.pace.mean().Milliseconds())
 	}
 	r.pace.observe(s.ranks[0].Step, now)
-	if r.participant.Observe(s.ranks) && r.coordinator == nil {
+	if r.participant.RecoveryDue(s.ranks) && r.coordinator == nil {
 		r.gather(ctx, intent{isRecovery: true})
 	}
 }
--- a/internal/group/plan.go
+++ b/internal/group/plan.go
@@ -27,7 +27,7 @@
 	if r.address != 0 || shape == nil || r.coordinator != nil {
 		return
 	}
-	if len(r.ranks) > 0 && r.ranks[0].Joined() {
+	if len(r.ranks) > 0 && r.ranks[0].HasMap() {
 		r.planner.Learn(r.ranks[0].Active.Version, r.participant.Map, shape)
 	}
 	if r.planner.IsComplete(shape) {
@@ -58,7 +58,7 @@
 		return expertmap.Map{}, false
 	}
 	s := r.ranks[0]
-	if !s.Joined() || s.Armed != nil {
+	if !s.HasMap() || s.Armed != nil {
 		return expertmap.Map{}, false
 	}
 	for _, m := range s.Maps {
--- a/internal/group/relay.go
+++ b/internal/group/relay.go
@@ -75,7 +75,7 @@
 	}
 	if stage := m.Message.Stage; stage != nil && (stage.Delta != nil || len(stage.Maps) > 0) {
 		r.sentContent(len(data), len(targets))
-		isAgain = r.rounds.isContentAgain(r.coordinator.ContentAgain())
+		isAgain = r.rounds.isContentAgain(r.coordinator.ContentResends())
 	}
 	r.rounds.sent(len(branches), cost(request, branches), isAgain)
 	r.post(request, branches, m.Message.Stage != nil)
@@ -102,7 +102,7 @@
 	if shape := r.cfg.Shape(); shape != nil {
 		ticks += int(planner.CopyTime(shape) / tickInterval)
 	}
-	r.coordinator.ContentOnWay(ticks)
+	r.coordinator.AwaitTransfer(ticks)
 }
 
 // contentTicks returns how many ticks a message of that many bytes needs to reach all
--- a/internal/group/rounds.go
+++ b/internal/group/rounds.go
@@ -15,7 +15,7 @@
 	// round is the one that runs, since began.
 	round expertmap.Round
 	began time.Time
-	took  [expertmap.Rounds]time.Duration
+	took  [expertmap.RoundCount]time.Duration
 	// messages and bytes are those sent to other hosts, repeated the bytes of what was asked or
 	// sent again, which are not among bytes.
 	messages, bytes, repeated int
--- a/internal/group/size_test.go
+++ b/internal/group/size_test.go
@@ -95,7 +95,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, e := range g.ranks {
-		if e.state.HeldStep == g.step+1 {
+		if e.state.PauseStep == g.step+1 {
 			return
 		}
 	}
@@ -163,17 +163,17 @@
 		for set := range o.Experts {
 			e.next = append(e.next, o.Experts[set][s.Rank])
 		}
-	case rank.Hold:
+	case rank.Pause:
 		if o.Step <= s.Step {
 			return fmt.Errorf("step %d has begun", o.Step)
 		}
-		s.HeldStep = o.Step
+		s.PauseStep = o.Step
 	case rank.Arm:
 		s.ArmedVersion, s.ArmedStep = o.Version, o.Step
 	case rank.Disarm:
 		s.ArmedVersion, s.ArmedStep = 0, 0
-	case rank.Go:
-		s.HeldStep = 0
+	case rank.Resume:
+		s.PauseStep = 0
 	}
 	return nil
 }
@@ -245,7 +245,7 @@
 		Members: func(context.Context) ([]wire.GroupMember, error) { return a.list, nil },
 		Shape:   func() *wire.GroupShape { return shape },
 		Unique:  func() uint64 { return unique },
-		First:   rank.FirstMap(len(a.g.ranks), int(shape.SlotsPerRank), int(shape.Layers), int(shape.Experts)),
+		First:   rank.InitialMap(len(a.g.ranks), int(shape.SlotsPerRank), int(shape.Layers), int(shape.Experts)),
 		Log:     slog.New(slog.DiscardHandler), Metrics: a.metrics[i], PlanInterval: 100 * time.Millisecond, ArmAhead: 16,
 	})
 	ctx, stop := context.WithCancel(a.ctx)
@@ -381,7 +381,7 @@
 func TestFirstHostSettlesAtOnceWhatItLeftOpen(t *testing.T) {
 	g := newEngines(&wire.GroupShape{Ranks: 8, Experts: 64, Layers: 2, SlotsPerRank: 9})
 	for _, e := range g.ranks {
-		e.state.HeldStep, e.state.Sequence = 1, 1
+		e.state.PauseStep, e.state.Sequence = 1, 1
 	}
 	began := time.Now()
 	startAgents(t, g, func(_ int, m wire.Message) bool {
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -184,7 +184,7 @@
 		Shape:        func() *wire.GroupShape { return shape },
 		Unique:       func() uint64 { return unique(r.Rank) },
 		Start:        ballotNow,
-		First:        rank.FirstMap(r.Size, int(shape.SlotsPerRank), int(shape.Layers), int(shape.Experts)),
+		First:        rank.InitialMap(r.Size, int(shape.SlotsPerRank), int(shape.Layers), int(shape.Experts)),
 		LinkRate:     a.n.set.LinkRate,
 		Load:         a.load,
 		LateStep:     a.lateStep,
@@ -264,10 +264,10 @@
 // agent is away, or waits for one that is cut off. It says so when that begins and ends.
 func (a *agentRole) noteProgress(r rank.Report, now time.Time) bool {
 	wasStalled := a.progress.isStalled
-	isStalled := a.progress.observe(r.Step, r.Running+r.Waiting > 0, r.HeldStep == r.Step+1, now)
+	isStalled := a.progress.observe(r.Step, r.Running+r.Waiting > 0, r.PauseStep == r.Step+1, now)
 	if isStalled != wasStalled {
 		a.n.log.Warn("progress of the group has changed", "rank", r.Rank, "stalled", isStalled, "step", r.Step,
-			"held", r.HeldStep, "running", r.Running, "waiting", r.Waiting)
+			"held", r.PauseStep, "running", r.Running, "waiting", r.Waiting)
 	}
 	return isStalled
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -187,7 +187,7 @@
 func TestPlanOfANewEpochNeedsOneInterval(t *testing.T) {
 	const ranks = 129
 	shape := &wire.GroupShape{Ranks: ranks, Experts: 72, Layers: 4, SlotsPerRank: 8}
-	first := rank.FirstMap(ranks, 8, 4, 72)
+	first := rank.InitialMap(ranks, 8, 4, 72)
 	find := func(v expertmap.Version) (expertmap.Map, bool) { return first, v == first.Version }
 	p := New(nil)
 	for r := range ReportsAtOnce {
--- a/internal/rank/rank.go
+++ b/internal/rank/rank.go
@@ -39,8 +39,8 @@
 	Prepared uint64
 	// ArmedVersion is the version that the engine changes to at ArmedStep; 0 if none.
 	ArmedVersion, ArmedStep uint64
-	// HeldStep is the pass that the engine won't begin before it is told; 0 if none.
-	HeldStep uint64
+	// PauseStep is the pass that the engine won't begin before it is told; 0 if none.
+	PauseStep uint64
 	// Running and Waiting are the requests at the engine.
 	Running, Waiting int
 	// Pace is over 1 where the engine is slow.
@@ -58,9 +58,9 @@
 	Arm
 	// Disarm takes an Arm back.
 	Disarm
-	// Hold stops the engine before a step, Go lets it begin that step.
-	Hold
-	Go
+	// Pause stops the engine before a step, Go lets it begin that step.
+	Pause
+	Resume
 )
 
 // Order is one order to an engine.
@@ -113,9 +113,9 @@
 // firstMap is the ballot of the map that every group starts with: below all others.
 var firstMap = expertmap.Ballot{Counter: 1}
 
-// FirstMap returns the map that a group begins with: each expert is on one rank, dealt to
+// InitialMap returns the map that a group begins with: each expert is on one rank, dealt to
 // the ranks in turn, and the slots that are left are empty.
-func FirstMap(ranks, slots, sets, experts int) expertmap.Map {
+func InitialMap(ranks, slots, sets, experts int) expertmap.Map {
 	m := expertmap.Map{Version: firstMap, SlotsPerRank: slots, Layers: make([][]uint16, sets)}
 	for set := range m.Layers {
 		m.Layers[set] = make([]uint16, ranks*slots)
@@ -216,10 +216,10 @@
 			ballot = e.armed
 		}
 		s.Armed = &expertmap.Change{
-			Version: version, Ballot: ballot, Step: r.ArmedStep, Committed: r.HeldStep == 0,
+			Version: version, Ballot: ballot, Step: r.ArmedStep, Committed: r.PauseStep == 0,
 		}
 	}
-	s.Holding = r.HeldStep != 0 && r.ArmedVersion == 0
+	s.Paused = r.PauseStep != 0 && r.ArmedVersion == 0
 	if r.Prepared != 0 {
 		m := expertmap.Map{Version: Ballot(r.Prepared)}
 		if e.prepared.Version == m.Version {
@@ -290,7 +290,7 @@
 func (e *Engine) Arm(ctx context.Context, c expertmap.Change) error {
 	return e.inState(ctx, func(r Report) error {
 		version := Version(c.Version)
-		if r.ArmedVersion == version && r.ArmedStep == c.Step && r.HeldStep == c.Step {
+		if r.ArmedVersion == version && r.ArmedStep == c.Step && r.PauseStep == c.Step {
 			e.armed = c.Ballot
 			return nil
 		}
@@ -309,13 +309,13 @@
 // hold lets the engine hold before a change's step, and returns its state then. The caller
 // holds mu.
 func (e *Engine) hold(ctx context.Context, r Report, c expertmap.Change) (Report, error) {
-	if r.HeldStep == c.Step {
+	if r.PauseStep == c.Step {
 		return r, nil
 	}
 	// An order without an answer may have been taken: the state tells.
-	orderErr := e.order(ctx, r, c.Ballot, Order{Operation: Hold, Step: c.Step})
+	orderErr := e.order(ctx, r, c.Ballot, Order{Operation: Pause, Step: c.Step})
 	r, err := e.report(ctx)
-	if err == nil && r.HeldStep != c.Step {
+	if err == nil && r.PauseStep != c.Step {
 		err = errors.Wrap(orElse(orderErr), "rank: hold")
 	}
 	return r, err
@@ -333,10 +333,10 @@
 func (e *Engine) Commit(ctx context.Context, b expertmap.Ballot) error {
 	return e.inState(ctx, func(r Report) error {
 		s := e.status(r)
-		if s.Armed == nil || s.Armed.Ballot != b || r.HeldStep != r.ArmedStep {
+		if s.Armed == nil || s.Armed.Ballot != b || r.PauseStep != r.ArmedStep {
 			return errors.New("rank: not armed under this ballot")
 		}
-		return e.order(ctx, r, b, Order{Operation: Go, Step: r.HeldStep})
+		return e.order(ctx, r, b, Order{Operation: Resume, Step: r.PauseStep})
 	})
 }
 
@@ -353,9 +353,9 @@
 // Release implements expertmap.Holder.
 func (e *Engine) Release(ctx context.Context, b expertmap.Ballot) error {
 	return e.inState(ctx, func(r Report) error {
-		if r.HeldStep == 0 || r.ArmedVersion != 0 {
+		if r.PauseStep == 0 || r.ArmedVersion != 0 {
 			return nil
 		}
-		return e.order(ctx, r, b, Order{Operation: Go, Step: r.HeldStep})
+		return e.order(ctx, r, b, Order{Operation: Resume, Step: r.PauseStep})
 	})
 }
--- a/internal/rank/rank_test.go
+++ b/internal/rank/rank_test.go
@@ -104,7 +104,7 @@
 	require.False(t, w.group.mixed)
 	for _, e := range w.group.engines {
 		require.NotZero(t, e.state.Map)
-		require.Zero(t, e.state.HeldStep)
+		require.Zero(t, e.state.PauseStep)
 	}
 	require.Equal(t, expertmap.OutcomeChanged, w.agents[1].coordinator.Outcome())
 }
@@ -139,7 +139,7 @@
 	require.NoError(t, engine.Stage(t.Context(), m))
 	require.NoError(t, engine.Arm(t.Context(), expertmap.Change{Version: m.Version, Ballot: m.Version, Step: 5}))
 	require.NoError(t, engine.Commit(t.Context(), m.Version))
-	require.Zero(t, e.state.HeldStep)
+	require.Zero(t, e.state.PauseStep)
 	require.Equal(t, Version(m.Version), e.state.ArmedVersion)
 	require.EqualValues(t, 4, e.state.Sequence)
 	require.Len(t, e.late, 4)
@@ -221,7 +221,7 @@
 	}
 	first.lose = func() bool { return false }
 	require.Len(t, first.late, mostSends)
-	require.Equal(t, Go, first.late[0].Operation)
+	require.Equal(t, Resume, first.late[0].Operation)
 	w.net = nil
 	w.restart(0)
 	w.restart(1)
@@ -248,7 +248,7 @@
 	w.calm()
 	require.False(t, w.group.mixed)
 	require.Zero(t, first.state.ArmedVersion)
-	require.Zero(t, second.state.HeldStep)
+	require.Zero(t, second.state.PauseStep)
 }
 
 // A coordinator dies while it aborts, and an order to go on from before it comes late: a
@@ -263,7 +263,7 @@
 		w.net = w.net[1:]
 		w.deliver(p)
 	}
-	late := Order{Operation: Go, Epoch: 1, Expect: first.state.Sequence, Step: first.state.HeldStep}
+	late := Order{Operation: Resume, Epoch: 1, Expect: first.state.Sequence, Step: first.state.PauseStep}
 	w.net = nil
 	w.restart(0)
 	w.start(1, false)
@@ -280,6 +280,6 @@
 	w.settle()
 	require.False(t, w.group.mixed)
 	require.Zero(t, first.state.ArmedVersion)
-	require.Zero(t, second.state.HeldStep)
+	require.Zero(t, second.state.PauseStep)
 	require.Zero(t, first.state.Map)
 }
--- a/internal/rank/world_test.go
+++ b/internal/rank/world_test.go
@@ -39,7 +39,7 @@
 func (g *simGroup) pass() bool {
 	next := g.step + 1
 	for _, e := range g.engines {
-		if e.state.HeldStep == next {
+		if e.state.PauseStep == next {
 			return false
 		}
 	}
@@ -83,10 +83,10 @@
 		s.ArmedVersion, s.ArmedStep = o.Version, o.Step
 	case o.Operation == Disarm && s.ArmedVersion == o.Version:
 		s.ArmedVersion, s.ArmedStep = 0, 0
-	case o.Operation == Hold && o.Step > s.Step && s.HeldStep == 0:
-		s.HeldStep = o.Step
-	case o.Operation == Go && s.HeldStep == o.Step:
-		s.HeldStep = 0
+	case o.Operation == Pause && o.Step > s.Step && s.PauseStep == 0:
+		s.PauseStep = o.Step
+	case o.Operation == Resume && s.PauseStep == o.Step:
+		s.PauseStep = 0
 	default:
 		return errRefused
 	}
@@ -142,7 +142,7 @@
 func (w *simWorld) start(i int, propose bool) {
 	w.unique++
 	a := w.agents[i]
-	cfg := expertmap.Config{ID: w.unique, After: a.participant.Promised(), ArmAhead: 2, DeadlineTicks: 6}
+	cfg := expertmap.Config{ID: w.unique, LastKnownBallot: a.participant.Promised(), ArmAhead: 2, DeadlineTicks: 6}
 	for _, other := range w.agents {
 		cfg.Participants = append(cfg.Participants, other.address)
 	}
@@ -182,7 +182,7 @@
 		if o.Reply != nil {
 			w.net = append(w.net, packet{from: a.address, to: o.Reply.To, isReply: true, message: o.Reply.Message})
 		}
-		if !o.Work {
+		if !o.HasWork {
 			return
 		}
 		for _, order := range o.Orders {
--- a/test/standin/ranks.go
+++ b/test/standin/ranks.go
@@ -91,7 +91,7 @@
 	defer g.mu.Unlock()
 	r := g.report
 	for _, e := range g.ranks {
-		r.Armed = append(r.Armed, e.status.Uncommitted())
+		r.Armed = append(r.Armed, e.status.HasUncommittedChange())
 	}
 	if r.Steps > 0 {
 		r.Skew = g.skewSum / float64(r.Steps)
@@ -128,7 +128,7 @@
 
 func (e *rankEngine) mayStart(step uint64) bool {
 	s := e.status
-	return s.Joined() && !(s.Uncommitted() && step >= s.Armed.Step)
+	return s.HasMap() && !(s.HasUncommittedChange() && step >= s.Armed.Step)
 }
 
 func (e *rankEngine) start(step uint64) {
@@ -137,7 +137,7 @@
 	if a == nil || !a.Committed || step < a.Step {
 		return
 	}
-	e.status.Active = expertmap.Installed{Version: a.Version, From: a.Step}
+	e.status.Active = expertmap.Installed{Version: a.Version, FromStep: a.Step}
 	e.status.Armed = nil
 	e.drop(func(v expertmap.Version) bool { return v != a.Version })
 	e.tokens = nil
@@ -284,7 +284,7 @@
 		a.Ballot = c.Ballot
 	case e.loaded(c.Version) == nil, !c.Base.IsZero() && e.loaded(c.Base) == nil:
 		w.WriteHeader(http.StatusConflict)
-	case e.status.Joined() && (c.Step <= e.status.Step || !e.status.Active.Version.Less(c.Version)):
+	case e.status.HasMap() && (c.Step <= e.status.Step || !e.status.Active.Version.Less(c.Version)):
 		w.WriteHeader(http.StatusConflict)
 	default:
 		e.status.Armed = &c
@@ -299,13 +299,13 @@
 		return
 	}
 	switch {
-	case e.status.Joined():
+	case e.status.HasMap():
 		a.Committed = true
 	case !a.Base.IsZero():
 		e.status.Active = expertmap.Installed{Version: a.Base}
 		a.Committed = true
 	default:
-		e.status.Active = expertmap.Installed{Version: a.Version, From: a.Step}
+		e.status.Active = expertmap.Installed{Version: a.Version, FromStep: a.Step}
 		e.status.Armed = nil
 	}
 }
