--- a/internal/expertmap/ballot.go
+++ b/internal/expertmap/ballot.go
@@ -5,9 +5,11 @@
 	"fmt"
 )
 
-// Ballot orders coordinators. The zero value is lower than each ballot in use.
+// Ballot numbers one attempt of a coordinator, as in Paxos: participants refuse every ballot
+// lower than the highest one that they have promised. The zero value is lower than any ballot in
+// use.
 type Ballot struct {
-	// Counter grows with each attempt of any coordinator.
+	// Counter is raised by each attempt above the highest counter that its coordinator knows of.
 	Counter uint64 `cbor:"1,keyasint"`
 	// Coordinator breaks ties. It must be unique for each start of a
 	// coordinator (random, not the host's number), because a restarted
@@ -15,7 +17,7 @@
 	Coordinator uint64 `cbor:"2,keyasint"`
 }
 
-// Version names a map: the ballot that proposed it. Zero means no map.
+// Version identifies a map by the ballot that proposed it. Zero means no map.
 type Version = Ballot
 
 // Compare returns -1, 0 or 1 as b is lower than, equal to or higher than o.
@@ -29,10 +31,10 @@
 // Less reports whether b is lower than o.
 func (b Ballot) Less(o Ballot) bool { return b.Compare(o) < 0 }
 
-// IsZero reports whether b is no ballot at all.
+// IsZero reports whether b is the zero value, which means no ballot.
 func (b Ballot) IsZero() bool { return b == Ballot{} }
 
-// String returns the form used in logs.
+// String returns the ballot as "counter.coordinator", the form used in logs.
 func (b Ballot) String() string { return fmt.Sprintf("%d.%x", b.Counter, b.Coordinator) }
 
 // maxBallot returns the higher of two ballots.
--- a/internal/expertmap/bench_test.go
+++ b/internal/expertmap/bench_test.go
@@ -7,37 +7,38 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkChange runs full changes of a group of 128 ranks on 16 hosts in
-// memory; the map itself is empty.
+// BenchmarkChange measures whole map changes, from promise to commit, of a simulated group with
+// 128 ranks on 16 hosts. The maps have no layers.
 func BenchmarkChange(b *testing.B) {
-	w := newWorld(16, 8)
-	w.newCoordinator(w.hosts[0], 100)
-	base, _ := w.change(w.hosts[0])
+	sim := newSimulation(16, 8)
+	sim.newCoordinator(sim.hosts[0], 100)
+	base, _ := sim.changeMap(sim.hosts[0])
 	require.False(b, base.IsZero())
-	w.sent = 0
+	sim.sentMessages = 0
 	b.ResetTimer()
 	for range b.N {
-		require.Equal(b, OutcomeChanged, w.changeFrom(base))
-		base = w.hosts[0].coord.Ballot()
+		require.Equal(b, OutcomeChanged, sim.changeMapFrom(base))
+		base = sim.hosts[0].coordinator.Ballot()
 		b.StopTimer()
-		// Leave the armed step behind.
+		// Run past the armed step, so that the next change starts from the new map.
 		for range 220 {
-			w.enginesWork(w.engines)
+			sim.runEngines(sim.engines)
 		}
 		b.StartTimer()
 	}
-	b.ReportMetric(float64(w.sent)/float64(b.N), "messages/change")
+	b.ReportMetric(float64(sim.sentMessages)/float64(b.N), "messages/change")
 }
 
-// changeFrom runs one ballot whose weights are loaded at once.
-func (w *world) changeFrom(base Version) Outcome {
-	h := w.hosts[0]
-	w.propose(h, base)
-	w.drainTo(func(Message) bool { return false })
-	return h.coord.Outcome()
+// changeMapFrom runs one ballot that proposes a map planned on base. All weights load at once.
+func (sim *simulation) changeMapFrom(base Version) Outcome {
+	h := sim.hosts[0]
+	sim.propose(h, base)
+	sim.deliverExcept(func(Message) bool { return false })
+	return h.coordinator.Outcome()
 }
 
-// BenchmarkStageSize measures the encoded stage message, the only large one.
+// BenchmarkStageSize reports the encoded size of a stage message, which carries a map and is the
+// only large message of a change.
 func BenchmarkStageSize(b *testing.B) {
 	m := Map{SlotsPerRank: 1}
 	for range 58 {
@@ -48,18 +49,19 @@
 			l[s] = uint16(s % 64)
 		}
 	}
-	var raw []byte
+	var encoded []byte
 	for range b.N {
-		raw, _ = cbor.Marshal(Message{Stage: &Stage{Ballot: v3, Incarnation: 1 << 60, Maps: []Map{m}}})
+		encoded, _ = cbor.Marshal(Message{Stage: &Stage{Ballot: v3, Incarnation: 1 << 60, Maps: []Map{m}}})
 	}
-	b.ReportMetric(float64(len(raw)), "bytes")
+	b.ReportMetric(float64(len(encoded)), "bytes")
 }
 
+// Guards against rounds that need more than one request and one answer per host.
 func TestMessagesPerChange(t *testing.T) {
-	w := newWorld(16, 8)
-	w.newCoordinator(w.hosts[0], 100)
-	base, _ := w.change(w.hosts[0])
-	w.sent = 0
-	require.Equal(t, OutcomeChanged, w.changeFrom(base))
-	require.Equal(t, 4*2*len(w.hosts), w.sent, "four rounds, each asked and answered once a host")
+	sim := newSimulation(16, 8)
+	sim.newCoordinator(sim.hosts[0], 100)
+	base, _ := sim.changeMap(sim.hosts[0])
+	sim.sentMessages = 0
+	require.Equal(t, OutcomeChanged, sim.changeMapFrom(base))
+	require.Equal(t, 4*2*len(sim.hosts), sim.sentMessages, "four rounds, with one request and one answer per host in each")
 }
--- a/internal/expertmap/content.go
+++ b/internal/expertmap/content.go
@@ -2,118 +2,125 @@
 
 import "slices"
 
-// prepare brings the proposal into its final form.
-func (c *Coordinator) prepare() {
+// prepareProposal sets the version of the proposed map and, if another map is known, the order of
+// its slots and its delta from that map.
+func (c *Coordinator) prepareProposal() {
 	c.delta, c.content = nil, nil
 	if c.proposal == nil {
 		return
 	}
 	next := c.proposal.Map
 	next.Version = c.ballot
-	if base, ok := c.basis(); ok {
+	if base, ok := c.deltaBase(); ok {
 		next = Align(base, next)
 		c.delta = Diff(base, next)
 	}
 	c.proposal = &Proposal{Base: c.proposal.Base, Map: next}
 }
 
-// basis returns the map that the proposal is told as a difference from: the one that it
-// was planned on, or any other that is known where its content is not.
-func (c *Coordinator) basis() (Map, bool) {
-	if m, ok := library(c.maps).find(c.proposal.Base); ok {
+// deltaBase returns the map from which the proposal is sent as a delta: the map that the proposal
+// was planned on, or any other known map if the content of that one is unknown.
+func (c *Coordinator) deltaBase() (Map, bool) {
+	if m, ok := mapCache(c.knownMaps).find(c.proposal.Base); ok {
 		return m, true
 	}
-	if len(c.maps) == 0 {
+	if len(c.knownMaps) == 0 {
 		return Map{}, false
 	}
-	return c.maps[0], true
+	return c.knownMaps[0], true
 }
 
-// AwaitTransfer tells that what was just sent needs that many ticks to reach all participants. Until then nobody is asked again: the question would overtake the
-// content, and everyone would be sent it a second time while the first is on its way.
-func (c *Coordinator) AwaitTransfer(ticks int) { c.onWay = max(c.onWay, c.ticks+ticks) }
+// AwaitTransfer tells the coordinator that the content just sent needs up to the given number of
+// ticks to reach all participants. Until then no request is sent again, and the round's deadline
+// is put off: a repeated request could arrive before the content, and the participants would then
+// ask for the same content a second time.
+func (c *Coordinator) AwaitTransfer(ticks int) { c.transferEnd = max(c.transferEnd, c.ticks+ticks) }
 
-// ContentResends returns how often the ballot has sent content again to who lacked it.
-func (c *Coordinator) ContentResends() int { return c.again }
+// ContentResends returns how often this ballot has sent map content again to a participant that
+// lacked it.
+func (c *Coordinator) ContentResends() int { return c.resends }
 
-// learn keeps each map once.
-func (c *Coordinator) learn(maps []Map) {
+// addMaps adds maps to the known ones, each version once.
+func (c *Coordinator) addMaps(maps []Map) {
 	for _, m := range maps {
-		if _, ok := library(c.maps).find(m.Version); !ok {
-			c.maps = append(c.maps, m)
+		if _, ok := mapCache(c.knownMaps).find(m.Version); !ok {
+			c.knownMaps = append(c.knownMaps, m)
 		}
 	}
 }
 
-// lacking sends a participant the content that it asks for.
-func (c *Coordinator) lacking(p *peer, r *Refused) []Envelope {
-	if p == nil || r.Ballot != c.ballot || c.phase != staging || p.answered {
+// resendContent repeats the stage request, with the content of its maps, to a participant that
+// has answered that it lacks the content.
+func (c *Coordinator) resendContent(p *peer, r *Refused) []Envelope {
+	if p == nil || r.Ballot != c.ballot || c.round != staging || p.answered {
 		return nil
 	}
-	p.lacks, p.known = true, r.KnownMaps
-	c.again++
+	p.needsContent, p.knownMaps = true, r.KnownMaps
+	c.resends++
 	return []Envelope{{To: p.addr, Message: c.message(p)}}
 }
 
-// wanted are the maps that a rank without any has to load and whose content isn't known
-// here.
-func (c *Coordinator) wanted() []Version {
-	if !slices.ContainsFunc(c.peers, peer.hasUnjoined) {
+// missingMaps returns the versions of the maps that ranks without a map have to load and whose
+// content the coordinator doesn't know.
+func (c *Coordinator) missingMaps() []Version {
+	if !slices.ContainsFunc(c.peers, peer.hasRankWithoutMap) {
 		return nil
 	}
 	var out []Version
 	for _, v := range []Version{c.decided.Installed.Version, c.decided.Base} {
-		if _, ok := library(c.maps).find(v); !ok && !v.IsZero() {
+		if _, ok := mapCache(c.knownMaps).find(v); !ok && !v.IsZero() {
 			out = append(out, v)
 		}
 	}
 	return out
 }
 
-// isSource reports whether a participant is one that the wanted maps are asked of: the
-// first that knows them, or all where none does, until the deadline.
-func (c *Coordinator) isSource(p *peer) bool {
-	wanted := c.wanted()
-	knows := func(o peer) bool {
-		return !slices.ContainsFunc(wanted, func(v Version) bool { return !slices.Contains(o.known, v) })
+// isMapSource reports whether participant p is asked for the missing maps. Only the first
+// participant that has all of them is asked, or every participant if none has them all. The fetch
+// round lasts until its deadline at most.
+func (c *Coordinator) isMapSource(p *peer) bool {
+	missing := c.missingMaps()
+	hasAll := func(o peer) bool {
+		return !slices.ContainsFunc(missing, func(v Version) bool { return !slices.Contains(o.knownMaps, v) })
 	}
-	first := slices.IndexFunc(c.peers, knows)
+	first := slices.IndexFunc(c.peers, hasAll)
 	return first < 0 || c.peers[first].addr == p.addr
 }
 
-// hasUnjoined reports whether some rank of the participant has no map.
-func (p peer) hasUnjoined() bool {
+// hasRankWithoutMap reports whether some rank of the participant has no map, as after a restart
+// of its engine.
+func (p peer) hasRankWithoutMap() bool {
 	return slices.ContainsFunc(p.ranks, func(r Status) bool { return !r.HasMap() })
 }
 
-// toStage returns the maps that the ranks have to load: the proposed one, or in
-// recovery the present ones.
-func (c *Coordinator) toStage() []Map {
-	present := c.decided.Installed.Version
-	if c.recovering && present != c.ballot {
-		return slices.DeleteFunc(slices.Clone(c.maps), func(m Map) bool {
-			return m.Version != present && m.Version != c.decided.Base
+// mapsToStage returns the maps that the ranks have to load: the proposed map, or in recovery the
+// group's current map and the one before it.
+func (c *Coordinator) mapsToStage() []Map {
+	current := c.decided.Installed.Version
+	if c.recovering && current != c.ballot {
+		return slices.DeleteFunc(slices.Clone(c.knownMaps), func(m Map) bool {
+			return m.Version != current && m.Version != c.decided.Base
 		})
 	}
 	return []Map{c.proposal.Map}
 }
 
-// stage returns the stage round's message. In recovery only a participant with
-// a rank without a map gets maps; for the others the message only confirms. Content is
-// sent once, and again to those who ask for it: where copying takes longer than a
-// coordinator waits, maps that were sent again filled its link, and the orders to arm and
-// to commit waited behind them.
-func (c *Coordinator) stage(p *peer) *Stage {
+// stageMessage returns the stage request for participant p. In recovery it names maps only if p
+// has a rank without a map; otherwise it only confirms the promise. Map content is sent once, and
+// again only to participants that ask for it: while ranks needed longer to copy weights than the
+// coordinator waits for an answer, repeated content filled the coordinator's link, and the arm
+// and commit requests queued behind it.
+func (c *Coordinator) stageMessage(p *peer) *Stage {
 	s := &Stage{Ballot: c.ballot, Incarnation: p.incarnation, OnlyRanksWithoutMap: c.recovering}
-	if c.recovering && !p.hasUnjoined() {
+	if c.recovering && !p.hasRankWithoutMap() {
 		return s
 	}
 	for _, m := range c.content {
 		s.Versions = append(s.Versions, m.Version)
 	}
 	switch {
-	case c.isRepeated() && !p.lacks:
-	case c.delta != nil && !c.recovering && slices.Contains(p.known, c.delta.Base):
+	case c.isRetry() && !p.needsContent:
+	case c.delta != nil && !c.recovering && slices.Contains(p.knownMaps, c.delta.Base):
 		s.Delta = c.delta
 	default:
 		s.Maps = c.content
--- a/internal/expertmap/coordinator.go
+++ b/internal/expertmap/coordinator.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// Outcome is how a coordinator's ballot ended.
+// Outcome is the result of a coordinator's ballot.
 type Outcome uint8
 
 const (
@@ -15,17 +15,18 @@
 	OutcomeRunning Outcome = iota
 	// OutcomeChanged means that all ranks have committed the proposed map.
 	OutcomeChanged
-	// OutcomeSettled means that nothing is open any more and the proposal, if any,
+	// OutcomeSettled means that no unfinished change is left and that the proposal, if any,
 	// wasn't tried; it may be proposed again.
 	OutcomeSettled
-	// OutcomeAborted means that the proposal was given up and no rank is armed.
+	// OutcomeAborted means that the proposed change was aborted and no rank is armed.
 	OutcomeAborted
-	// OutcomeStale means that the proposal was made for another map than the present.
+	// OutcomeStale means that the proposal was planned on a map that isn't the group's current
+	// one.
 	OutcomeStale
-	// OutcomeSuperseded means that another ballot, or a participant's restart, ended
-	// this one. What the ballot has begun is left to the next ballot.
+	// OutcomeSuperseded means that another ballot, or the restart of a participant, ended this
+	// ballot. The next ballot completes or aborts the change that this one has begun.
 	OutcomeSuperseded
-	// OutcomeTimedOut means that some participant didn't answer before anything was
+	// OutcomeTimedOut means that some participant didn't answer in time, before any rank was
 	// armed.
 	OutcomeTimedOut
 )
@@ -34,32 +35,35 @@
 type Config struct {
 	// ID must be unique for each start of a coordinator; see [Ballot].
 	ID uint64
-	// Participants are all participants of the group. One left out breaks the
-	// protocol's safety.
+	// Participants lists every participant of the group. If one is missing, the protocol is
+	// unsafe.
 	Participants []Address
-	// LastKnownBallot is the highest ballot that the agent knows of; its own participant's
-	// promise saves a refused first attempt. Default zero.
+	// LastKnownBallot is the highest ballot that the agent knows of; the coordinator starts above
+	// it. With the promise of the agent's own participant, the first attempt isn't refused by
+	// that participant. Default zero.
 	LastKnownBallot Ballot
-	// RetryTicks is the number of ticks after which a message without an answer
-	// is sent again. Default 1.
+	// RetryTicks is the number of ticks after which an unanswered request is sent again. Default
+	// 1.
 	RetryTicks int
-	// PausedRetryTicks is the same in the rounds in which ranks may hold, from arming on. Default
-	// RetryTicks.
+	// PausedRetryTicks replaces RetryTicks in the rounds in which ranks may be paused: arming and
+	// all later ones. Default RetryTicks.
 	PausedRetryTicks int
-	// KeepaliveTicks is the number of ticks of a round after which all participants are asked
-	// again, those that have answered too. They may hold, and start a recovery of their own
-	// once they have heard nothing for their patience, which supersedes the ballot that they
-	// wait for: it has to be well below that. Default 20.
+	// KeepaliveTicks is the interval, in ticks of a round, at which its request is sent to all
+	// participants, also to those that have answered. The ranks of a participant may be paused,
+	// and if it hears nothing for its recovery delay (see [NewParticipant]) it starts a recovery,
+	// which supersedes the ballot that it waits for. The interval must be well below that delay.
+	// Default 20.
 	KeepaliveTicks int
-	// DeadlineTicks is the number of ticks after which a round that hasn't been
-	// answered by all is given up. It doesn't apply to commit, abort and release, which
-	// go on until answered or superseded. Default 50.
+	// DeadlineTicks is the number of ticks after which a round is given up if some participant
+	// hasn't answered. It doesn't apply to commit, abort and release, which are repeated until
+	// answered or superseded. Default 50.
 	DeadlineTicks int
-	// ArmAhead is the number of steps between the last started step and the
-	// armed one; it should cover a round trip to all participants. Default 16. With
-	// one, Own is armed before the others are asked: see [Coordinator.SetArmAhead].
+	// ArmAhead is the number of steps between the last started step and the step at which the map
+	// changes; it should cover a round trip to all participants. Default 16. With 1,
+	// LocalParticipant is armed before the others are asked: see [Coordinator.SetArmAhead].
 	ArmAhead uint64
-	// LocalParticipant is the participant on the coordinator's host, which it reaches at once.
+	// LocalParticipant is the participant on the coordinator's own host, which messages reach
+	// without delay.
 	LocalParticipant Address
 }
 
@@ -82,15 +86,16 @@
 	return c
 }
 
-// Proposal is a map to change to.
+// Proposal asks for a change to a new map.
 type Proposal struct {
-	// Base is the version that the map was planned on; zero for the first map.
+	// Base is the version of the map that the new one was planned on; zero for a group that has
+	// no map yet.
 	Base Version
 	// Map is the new map. Its version is set by the coordinator.
 	Map Map
 }
 
-// Round is the round of messages that a coordinator is in.
+// Round is a round of the protocol: one request to every participant, and their answers.
 type Round uint8
 
 const (
@@ -98,63 +103,67 @@
 	promising
 	fetching
 	staging
-	// Arming and Committing are the rounds in which ranks may hold.
+	// Arming and Committing are the rounds of a change in which ranks may be paused.
 	Arming
 	Committing
 	aborting
 	releasing
-	// RoundCount is how many there are.
+	// RoundCount is the number of rounds, idle included.
 	RoundCount
 )
 
-// roundNames are the names used in logs.
+// roundNames are the rounds' names in logs.
 var roundNames = [RoundCount]string{"idle", "promise", "fetch", "stage", "arm", "commit", "abort", "release"}
 
-// String returns the form used in logs.
+// String returns the round's name in logs.
 func (r Round) String() string { return roundNames[r] }
 
-// peer is what a coordinator knows of one participant in its ballot.
+// peer is what the coordinator knows about one participant in the current ballot.
 type peer struct {
 	addr        Address
 	incarnation uint64
 	ranks       []Status
 	step        uint64
 	answered    bool
-	// known are the maps whose content it knows.
-	known []Version
-	// lacks: it has asked for the content of the maps to stage.
-	lacks bool
+	// knownMaps lists the maps whose content the participant has.
+	knownMaps []Version
+	// needsContent is set once the participant has asked for the content of the maps to stage.
+	needsContent bool
 }
 
-// Coordinator runs one ballot at a time, for a change or for recovery. It
-// isn't safe for concurrent use. Any number of coordinators may run at once.
+// Coordinator runs one ballot at a time, either to change the map or to recover from an
+// unfinished change. It isn't safe for concurrent use. Any number of coordinators may run in a
+// group at once.
 type Coordinator struct {
 	cfg     Config
 	counter uint64
 	ballot  Ballot
-	phase   Round
+	round   Round
 	outcome Outcome
 	ticks   int
 
-	proposal *Proposal
-	peers    []peer
-	maps     []Map
-	// delta is the proposal as its difference from a map that is known, nil where none is;
-	// content are the maps that are staged.
+	proposal  *Proposal
+	peers     []peer
+	knownMaps []Map
+	// delta is the proposed map as its difference from a known map, nil if there is none. content
+	// holds the maps that are staged.
 	delta   *Delta
 	content []Map
-	found   finding
-	// decided is the map to commit, once known.
+	state   groupState
+	// decided is the map that the group uses as far as known: the one found in the promises, or
+	// the proposed one once it may be committed.
 	decided CurrentMap
-	// recovering: this ballot closes what another one left open.
+	// recovering is set when this ballot completes or aborts an unfinished change, or gives a
+	// group its first map.
 	recovering bool
 	armStep    uint64
-	// alone: only Own has been asked to arm so far.
-	alone bool
-	// onWay is the tick of the round by which its content has reached everyone.
-	onWay int
-	// again counts the content sent again in this ballot.
-	again int
+	// armsLocalOnly is set while only LocalParticipant has been asked to arm.
+	armsLocalOnly bool
+	// transferEnd is the tick of the round by which the content sent in it has reached all
+	// participants.
+	transferEnd int
+	// resends counts how often this ballot has sent content again.
+	resends int
 }
 
 // NewCoordinator returns an idle coordinator.
@@ -165,116 +174,120 @@
 	return &Coordinator{cfg: cfg.withDefaults(), counter: cfg.LastKnownBallot.Counter}, nil
 }
 
-// Start takes a new ballot, with a proposal or (nil) only to settle what is
-// open. Known are maps whose content is known here: participants that know one of them too,
-// that which the proposal was planned on before others, get the difference only. Start
-// gives up a running ballot, which is safe at any point.
+// Start begins a new ballot, either with a proposal or, if p is nil, only to complete or abort an
+// unfinished change. known are maps whose content the coordinator has. A participant that has one
+// of them too is sent only the difference from it; the map that the proposal was planned on is
+// preferred. Start abandons a running ballot, which is safe at any point.
 func (c *Coordinator) Start(p *Proposal, known ...Map) []Envelope {
 	c.counter++
 	c.ballot = Ballot{Counter: c.counter, Coordinator: c.cfg.ID}
 	c.proposal = p
-	c.maps = slices.Clone(known)
-	c.prepare()
+	c.knownMaps = slices.Clone(known)
+	c.prepareProposal()
 	c.outcome = OutcomeRunning
 	c.recovering = false
-	c.again = 0
+	c.resends = 0
 	c.peers = c.peers[:0]
 	for _, a := range c.cfg.Participants {
 		c.peers = append(c.peers, peer{addr: a})
 	}
-	return c.enter(promising)
+	return c.enterRound(promising)
 }
 
-// SetArmAhead changes how many steps ahead a change is armed, from the next time on. One
-// is the very next step: it may begin before the round of messages ends, so Own alone is
-// armed at first, and the group waits for it before that step. If the step has begun, Own
-// is asked for the next one; no other participant knows of a step by then.
+// SetArmAhead changes [Config.ArmAhead] from the next arm round on. With 1, the change is armed
+// for the very next step, which may start before the arm round ends. LocalParticipant is
+// therefore armed alone at first: once its ranks are armed, the whole group waits for them before
+// that step. If they have already started the step, LocalParticipant is asked to arm the step
+// after it; no other participant has been told a step by then.
 func (c *Coordinator) SetArmAhead(steps uint64) { c.cfg.ArmAhead = max(steps, 1) }
 
 // Round returns the round that the coordinator is in.
-func (c *Coordinator) Round() Round { return c.phase }
+func (c *Coordinator) Round() Round { return c.round }
 
-// ArmedStep returns the step at which the last change was armed, 0 before the first.
+// ArmedStep returns the step for which the last change was armed, 0 before the first change.
 func (c *Coordinator) ArmedStep() uint64 { return c.armStep }
 
 // Outcome returns how the ballot ended, or OutcomeRunning.
 func (c *Coordinator) Outcome() Outcome { return c.outcome }
 
-// Ballot returns the present or last ballot; it is also the proposal's version.
+// Ballot returns the current or last ballot, which is also the version of the proposed map.
 func (c *Coordinator) Ballot() Ballot { return c.ballot }
 
-// CurrentMap returns the map that the group was found or decided to use.
+// CurrentMap returns the map that the group uses, as found or decided by this ballot.
 func (c *Coordinator) CurrentMap() CurrentMap { return c.decided }
 
-// Tick sends again what hasn't been answered and gives up at the deadline.
+// Tick tells the coordinator that one tick has passed. It sends unanswered requests again, and
+// gives up the round at its deadline.
 func (c *Coordinator) Tick() []Envelope {
-	if c.phase == idle {
+	if c.round == idle {
 		return nil
 	}
 	c.ticks++
-	if c.ticks >= c.cfg.DeadlineTicks+c.onWay && c.phase < Committing {
+	if c.ticks >= c.cfg.DeadlineTicks+c.transferEnd && c.round < Committing {
 		return c.giveUp()
 	}
-	if c.isHeard() {
+	if c.isKeepaliveDue() {
 		return c.sendAll()
 	}
-	if !c.isDue() {
+	if !c.isRetryDue() {
 		return nil
 	}
 	return c.send()
 }
 
-// isHeard reports whether it is time that all hear of the ballot. Nobody waits for one that
-// loads the weights of a change.
-func (c *Coordinator) isHeard() bool {
-	if c.phase == staging && !c.recovering {
+// isKeepaliveDue reports whether the request has to be sent to all participants again; see
+// [Config.KeepaliveTicks]. It never is while ranks load the weights for a change: no rank is
+// paused then.
+func (c *Coordinator) isKeepaliveDue() bool {
+	if c.round == staging && !c.recovering {
 		return false
 	}
-	since := c.ticks - c.onWay
-	return since > 0 && since%c.cfg.KeepaliveTicks == 0
+	elapsed := c.ticks - c.transferEnd
+	return elapsed > 0 && elapsed%c.cfg.KeepaliveTicks == 0
 }
 
-// isDue reports whether it is time to send again what wasn't answered. While weights are
-// loaded, each time takes twice as long as the one before: loading takes what it takes, and
-// asking does not speed it up.
-func (c *Coordinator) isDue() bool {
-	since, every := c.ticks-c.onWay, c.cfg.RetryTicks
-	if c.phase >= Arming {
-		every = c.cfg.PausedRetryTicks
+// isRetryDue reports whether unanswered requests have to be sent again. While weights are
+// loading, the time between two retries doubles each time, because asking again doesn't speed up
+// the loading.
+func (c *Coordinator) isRetryDue() bool {
+	elapsed, interval := c.ticks-c.transferEnd, c.cfg.RetryTicks
+	if c.round >= Arming {
+		interval = c.cfg.PausedRetryTicks
 	}
-	if since <= 0 || since%every != 0 {
+	if elapsed <= 0 || elapsed%interval != 0 {
 		return false
 	}
-	return c.phase != staging || bits.OnesCount(uint(since/every)) == 1
+	return c.round != staging || bits.OnesCount(uint(elapsed/interval)) == 1
 }
 
-// isRepeated reports whether the round's requests have been sent before.
-func (c *Coordinator) isRepeated() bool { return c.ticks > 0 }
+// isRetry reports whether the requests of this round have been sent before.
+func (c *Coordinator) isRetry() bool { return c.ticks > 0 }
 
-// giveUp ends a round that wasn't answered by all. After arming it must abort:
-// this ballot has sent no commit, and the participants refuse lower ones.
+// giveUp ends a round that not all participants have answered in time. A change that may be armed
+// is aborted. That is safe: this ballot has sent no commit, and the participants refuse lower
+// ballots.
 func (c *Coordinator) giveUp() []Envelope {
-	if c.phase == Arming {
-		return c.enter(aborting)
+	if c.round == Arming {
+		return c.enterRound(aborting)
 	}
 	return c.finish(OutcomeTimedOut)
 }
 
-// Step takes an answer of a participant.
+// Step handles an answer from a participant.
 func (c *Coordinator) Step(from Address, m Message) []Envelope {
 	p := c.peer(from)
 	if m.Refused != nil && m.Refused.Reason == ReasonContent {
-		return c.lacking(p, m.Refused)
+		return c.resendContent(p, m.Refused)
 	}
 	if m.Refused != nil {
-		return c.refused(m.Refused)
+		return c.handleRefusal(m.Refused)
 	}
-	if p == nil || p.answered || !c.take(p, m) {
+	if p == nil || p.answered || !c.acceptReply(p, m) {
 		return nil
 	}
 	p.answered = true
-	if c.alone {
-		c.alone = false
+	if c.armsLocalOnly {
+		c.armsLocalOnly = false
 		return c.send()
 	}
 	for i := range c.peers {
@@ -294,85 +307,87 @@
 	return nil
 }
 
-// take reports whether the message answers the present round, and keeps what it
-// says. The incarnation is taken once a ballot, from the promise.
-func (c *Coordinator) take(p *peer, m Message) bool {
+// acceptReply reports whether a message answers the current round, and stores its content. The
+// incarnation is taken once per ballot, from the promise.
+func (c *Coordinator) acceptReply(p *peer, m Message) bool {
 	switch {
-	case c.phase == promising && m.Promised != nil && m.Promised.Ballot == c.ballot && !m.Promised.HasRequestedMaps:
+	case c.round == promising && m.Promised != nil && m.Promised.Ballot == c.ballot && !m.Promised.HasRequestedMaps:
 		p.incarnation = m.Promised.Incarnation
 		p.ranks = m.Promised.Ranks
-		p.known = m.Promised.KnownMaps
+		p.knownMaps = m.Promised.KnownMaps
 		return true
-	case c.phase == fetching && m.Promised != nil && m.Promised.Ballot == c.ballot && m.Promised.HasRequestedMaps:
-		c.learn(m.Promised.Maps)
+	case c.round == fetching && m.Promised != nil && m.Promised.Ballot == c.ballot && m.Promised.HasRequestedMaps:
+		c.addMaps(m.Promised.Maps)
 		return true
-	case c.phase == staging && m.Staged != nil:
+	case c.round == staging && m.Staged != nil:
 		p.step = m.Staged.Step
 		return m.Staged.Ballot == c.ballot
-	case c.phase == Arming && m.Armed != nil:
+	case c.round == Arming && m.Armed != nil:
 		return m.Armed.Ballot == c.ballot && m.Armed.Step == c.armStep
-	case c.phase == Committing && m.Committed != nil:
+	case c.round == Committing && m.Committed != nil:
 		return m.Committed.Ballot == c.ballot
-	case c.phase == aborting && m.Aborted != nil:
+	case c.round == aborting && m.Aborted != nil:
 		return m.Aborted.Ballot == c.ballot
-	case c.phase == releasing && m.Released != nil:
+	case c.round == releasing && m.Released != nil:
 		return m.Released.Ballot == c.ballot
 	}
 	return false
 }
 
-// refused ends the ballot, or aborts a change armed too late.
-func (c *Coordinator) refused(r *Refused) []Envelope {
-	if r.Ballot != c.ballot || c.phase == idle {
+// handleRefusal ends the ballot, or aborts a change if some rank had already started the step to
+// arm.
+func (c *Coordinator) handleRefusal(r *Refused) []Envelope {
+	if r.Ballot != c.ballot || c.round == idle {
 		return nil
 	}
-	if r.Reason == ReasonStep && (c.phase != Arming || r.LastStartedStep < c.armStep) {
-		// An arm at an earlier step came late, or twice.
+	if r.Reason == ReasonStep && (c.round != Arming || r.LastStartedStep < c.armStep) {
+		// The refusal is for an arm request of an earlier step that was delayed or duplicated.
 		return nil
 	}
 	c.counter = max(c.counter, r.Promised.Counter)
-	late := r.Reason == ReasonStep || r.Reason == ReasonState
+	isAboutRankState := r.Reason == ReasonStep || r.Reason == ReasonState
 	switch {
-	case !late:
+	case !isAboutRankState:
 		return c.finish(OutcomeSuperseded)
-	case c.phase == Arming && c.alone && r.Reason == ReasonStep:
+	case c.round == Arming && c.armsLocalOnly && r.Reason == ReasonStep:
 		c.armStep = r.LastStartedStep + 1
 		return c.send()
-	case c.phase == Arming:
-		return c.enter(aborting)
-	case c.phase == aborting, c.phase == releasing:
-		// A late answer to an arm.
+	case c.round == Arming:
+		return c.enterRound(aborting)
+	case c.round == aborting, c.round == releasing:
+		// The refusal is a delayed answer to an arm request.
 		return nil
 	}
 	return c.finish(OutcomeSuperseded)
 }
 
-// advance goes to the next round after all have answered.
+// advance starts the next round, once all participants have answered the current one.
 func (c *Coordinator) advance() []Envelope {
-	switch c.phase {
+	switch c.round {
 	case promising:
-		return c.resolve()
+		return c.decide()
 	case fetching:
-		return c.enter(staging)
+		return c.enterRound(staging)
 	case staging:
-		return c.staged()
+		return c.afterStaging()
 	case Arming:
-		c.decided = c.proposed(c.armStep)
-		return c.enter(Committing)
+		c.decided = c.proposedMap(c.armStep)
+		return c.enterRound(Committing)
 	case aborting:
-		return c.enter(releasing)
+		return c.enterRound(releasing)
 	case releasing:
-		if c.recovering && c.found.behind {
-			return c.enter(Committing)
+		if c.recovering && c.state.isBehind {
+			return c.enterRound(Committing)
 		}
-		return c.finish(c.ended(OutcomeAborted))
+		return c.finish(c.finalOutcome(OutcomeAborted))
 	default:
-		return c.finish(c.ended(OutcomeChanged))
+		return c.finish(c.finalOutcome(OutcomeChanged))
 	}
 }
 
-// ended returns the outcome of a ballot that has done all rounds.
-func (c *Coordinator) ended(o Outcome) Outcome {
+// finalOutcome returns the outcome of a ballot that has completed all its rounds: o, or
+// OutcomeSettled for a recovery that left the group with the map of another ballot.
+func (c *Coordinator) finalOutcome(o Outcome) Outcome {
 	if c.recovering && c.decided.Installed.Version != c.ballot {
 		return OutcomeSettled
 	}
@@ -380,40 +395,40 @@
 }
 
 func (c *Coordinator) finish(o Outcome) []Envelope {
-	c.phase = idle
+	c.round = idle
 	c.outcome = o
 	return nil
 }
 
-// enter begins a round.
-func (c *Coordinator) enter(p Round) []Envelope {
-	c.phase = p
-	c.alone = p == Arming && c.cfg.ArmAhead == 1 && c.peer(c.cfg.LocalParticipant) != nil
-	c.ticks, c.onWay = 0, 0
+// enterRound starts a round and returns its requests.
+func (c *Coordinator) enterRound(round Round) []Envelope {
+	c.round = round
+	c.armsLocalOnly = round == Arming && c.cfg.ArmAhead == 1 && c.peer(c.cfg.LocalParticipant) != nil
+	c.ticks, c.transferEnd = 0, 0
 	for i := range c.peers {
-		c.peers[i].answered, c.peers[i].lacks = p == fetching && !c.isSource(&c.peers[i]), false
+		c.peers[i].answered, c.peers[i].needsContent = round == fetching && !c.isMapSource(&c.peers[i]), false
 	}
-	if p == staging {
-		c.content = c.toStage()
+	if round == staging {
+		c.content = c.mapsToStage()
 	}
 	return c.send()
 }
 
-// send asks everyone who hasn't answered the present round.
+// send sends the round's request to the participants that haven't answered it.
 func (c *Coordinator) send() []Envelope {
-	return c.ask(func(p *peer) bool { return !p.answered })
+	return c.sendTo(func(p *peer) bool { return !p.answered })
 }
 
-// sendAll asks everyone, whether they have answered or not.
+// sendAll sends the round's request to all participants, also to those that have answered it.
 func (c *Coordinator) sendAll() []Envelope {
-	return c.ask(func(*peer) bool { return true })
+	return c.sendTo(func(*peer) bool { return true })
 }
 
-func (c *Coordinator) ask(isAsked func(*peer) bool) []Envelope {
+func (c *Coordinator) sendTo(include func(*peer) bool) []Envelope {
 	var out []Envelope
 	for i := range c.peers {
 		p := &c.peers[i]
-		if !isAsked(p) || c.alone && p.addr != c.cfg.LocalParticipant {
+		if !include(p) || c.armsLocalOnly && p.addr != c.cfg.LocalParticipant {
 			continue
 		}
 		out = append(out, Envelope{To: p.addr, Message: c.message(p)})
@@ -422,24 +437,24 @@
 }
 
 func (c *Coordinator) message(p *peer) Message {
-	b, inc := c.ballot, p.incarnation
-	switch c.phase {
+	b, incarnation := c.ballot, p.incarnation
+	switch c.round {
 	case promising:
 		return Message{Promise: &Promise{Ballot: b}}
 	case fetching:
 		if p.answered {
 			return Message{Promise: &Promise{Ballot: b}}
 		}
-		return Message{Promise: &Promise{Ballot: b, RequestedMaps: c.wanted()}}
+		return Message{Promise: &Promise{Ballot: b, RequestedMaps: c.missingMaps()}}
 	case staging:
-		return Message{Stage: c.stage(p)}
+		return Message{Stage: c.stageMessage(p)}
 	case Arming:
-		return Message{Arm: &Arm{Ballot: b, Incarnation: inc, Version: b, Step: c.armStep}}
+		return Message{Arm: &Arm{Ballot: b, Incarnation: incarnation, Version: b, Step: c.armStep}}
 	case Committing:
-		return Message{Commit: &Commit{Ballot: b, Incarnation: inc, Current: c.decided}}
+		return Message{Commit: &Commit{Ballot: b, Incarnation: incarnation, Current: c.decided}}
 	case aborting:
-		return Message{Abort: &Abort{Ballot: b, Incarnation: inc, Current: c.found.present.Installed.Version}}
+		return Message{Abort: &Abort{Ballot: b, Incarnation: incarnation, Current: c.state.current.Installed.Version}}
 	default:
-		return Message{Release: &Release{Ballot: b, Incarnation: inc, Current: c.found.present.Installed.Version}}
+		return Message{Release: &Release{Ballot: b, Incarnation: incarnation, Current: c.state.current.Installed.Version}}
 	}
 }
--- a/internal/expertmap/decide.go
+++ b/internal/expertmap/decide.go
@@ -1,34 +1,34 @@
 package expertmap
 
-// resolve decides on the states of all ranks. Nothing is done about the
-// decision before the stage round has confirmed the promises.
-func (c *Coordinator) resolve() []Envelope {
+// decide chooses the next round from the states of all ranks. No rank is told to arm, commit or
+// abort before the stage round has confirmed the promises.
+func (c *Coordinator) decide() []Envelope {
 	var ranks []Status
 	for i := range c.peers {
 		ranks = append(ranks, c.peers[i].ranks...)
 	}
-	c.found = resolve(ranks)
-	c.decided = c.found.present
-	present := c.decided.Installed.Version
+	c.state = evaluateRanks(ranks)
+	c.decided = c.state.current
+	current := c.decided.Installed.Version
 	switch {
-	case present.IsZero():
+	case current.IsZero():
 		return c.bootstrap()
-	case c.found.open():
+	case c.state.needsRecovery():
 		c.recovering = true
-		if len(c.wanted()) > 0 {
-			return c.enter(fetching)
+		if len(c.missingMaps()) > 0 {
+			return c.enterRound(fetching)
 		}
-		return c.enter(staging)
+		return c.enterRound(staging)
 	case c.proposal == nil:
 		return c.finish(OutcomeSettled)
-	case c.proposal.Base != present:
+	case c.proposal.Base != current:
 		return c.finish(OutcomeStale)
 	}
-	return c.enter(staging)
+	return c.enterRound(staging)
 }
 
-// bootstrap gives the proposed map to a group without any. No rank can start a
-// step, so nothing has to be armed ahead.
+// bootstrap gives the proposed map to a group that has none. No rank of such a group can start a
+// step, so the map doesn't have to be armed for a later step.
 func (c *Coordinator) bootstrap() []Envelope {
 	if c.proposal == nil {
 		return c.finish(OutcomeSettled)
@@ -37,30 +37,30 @@
 		return c.finish(OutcomeStale)
 	}
 	c.recovering = true
-	c.decided = c.proposed(0)
-	c.found.behind = true
-	return c.enter(staging)
+	c.decided = c.proposedMap(0)
+	c.state.isBehind = true
+	return c.enterRound(staging)
 }
 
-func (c *Coordinator) proposed(step uint64) CurrentMap {
+func (c *Coordinator) proposedMap(step uint64) CurrentMap {
 	return CurrentMap{
 		Installed: Installed{Version: c.ballot, FromStep: step},
 		Base:      c.decided.Installed.Version,
 	}
 }
 
-// staged goes on after the weights are loaded and the promises confirmed.
-func (c *Coordinator) staged() []Envelope {
+// afterStaging starts the next round once the weights are loaded and the promises are confirmed.
+func (c *Coordinator) afterStaging() []Envelope {
 	switch {
-	case c.recovering && c.found.abort:
-		return c.enter(aborting)
+	case c.recovering && c.state.mustAbort:
+		return c.enterRound(aborting)
 	case c.recovering:
-		return c.enter(Committing)
+		return c.enterRound(Committing)
 	}
-	var last uint64
+	var lastStarted uint64
 	for i := range c.peers {
-		last = max(last, c.peers[i].step)
+		lastStarted = max(lastStarted, c.peers[i].step)
 	}
-	c.armStep = last + c.cfg.ArmAhead
-	return c.enter(Arming)
+	c.armStep = lastStarted + c.cfg.ArmAhead
+	return c.enterRound(Arming)
 }
--- a/internal/expertmap/delta.go
+++ b/internal/expertmap/delta.go
@@ -6,25 +6,28 @@
 	"slices"
 )
 
-// Delta is a map as its difference from another one: a change moves a few of the experts of
-// a large group, so it is a fraction of the map.
+// Delta encodes a map as its difference from another map. A change moves only a few experts of a
+// large group, so a delta has a fraction of the map's size.
 type Delta struct {
-	// Base is the map that the delta was taken from.
+	// Base is the version of the map that the delta was computed from.
 	Base Version `cbor:"1,keyasint"`
-	// Version is the map that it stands for.
+	// Version is the version of the resulting map.
 	Version      Version `cbor:"2,keyasint"`
 	SlotsPerRank int     `cbor:"3,keyasint"`
-	// Layers gives, by layer, pairs of numbers for each slot that has another expert: how
-	// many slots lie between it and the one before (or the first), and the expert.
+	// Layers lists the slots whose expert changes, by layer, as pairs of numbers: how many
+	// unchanged slots lie between this slot and the previous changed one (or the start of the
+	// layer), and the new expert.
 	Layers [][]uint16 `cbor:"4,keyasint"`
-	// Checksum is the digest of the whole map: a base with other content is noticed.
+	// Checksum is the checksum of the whole resulting map. It reveals a base with different
+	// content.
 	Checksum uint64 `cbor:"5,keyasint"`
 }
 
-// Align returns next with the experts of each rank in such an order that those which it
-// has in base stay in their slots. A map means the same in any order.
+// Align returns next with the experts of each rank reordered so that those which the rank has in
+// base too keep their slots. The order of the experts within a rank has no meaning; keeping it
+// makes the delta small.
 func Align(base, next Map) Map {
-	if !haveOneShape(base, next) {
+	if !haveSameShape(base, next) {
 		return next
 	}
 	out := Map{Version: next.Version, SlotsPerRank: next.SlotsPerRank, Layers: make([][]uint16, len(next.Layers))}
@@ -37,24 +40,25 @@
 	return out
 }
 
-// alignRank moves the experts of one rank and layer to their slots in base.
+// alignRank reorders the experts of one rank and layer so that those which are also in base keep
+// their slots.
 func alignRank(base, slots []uint16) {
-	fresh := slices.Clone(slots)
+	remaining := slices.Clone(slots)
 	isKept := make([]bool, len(slots))
 	for s, expert := range base {
-		if i := slices.Index(fresh, expert); i >= 0 {
+		if i := slices.Index(remaining, expert); i >= 0 {
 			slots[s], isKept[s] = expert, true
-			fresh = slices.Delete(fresh, i, i+1)
+			remaining = slices.Delete(remaining, i, i+1)
 		}
 	}
 	for s := range slots {
 		if !isKept[s] {
-			slots[s], fresh = fresh[0], fresh[1:]
+			slots[s], remaining = remaining[0], remaining[1:]
 		}
 	}
 }
 
-func haveOneShape(a, b Map) bool {
+func haveSameShape(a, b Map) bool {
 	if a.SlotsPerRank != b.SlotsPerRank || a.SlotsPerRank <= 0 || len(a.Layers) != len(b.Layers) {
 		return false
 	}
@@ -66,30 +70,31 @@
 	return true
 }
 
-// Diff returns next as a delta, nil where the maps don't have one shape.
+// Diff returns the delta from base to next, or nil if the maps differ in their number of layers
+// or slots.
 func Diff(base, next Map) *Delta {
-	if !haveOneShape(base, next) {
+	if !haveSameShape(base, next) {
 		return nil
 	}
 	d := &Delta{
 		Base: base.Version, Version: next.Version, SlotsPerRank: next.SlotsPerRank,
-		Layers: make([][]uint16, len(next.Layers)), Checksum: next.sum(),
+		Layers: make([][]uint16, len(next.Layers)), Checksum: next.checksum(),
 	}
 	for l := range next.Layers {
-		last := -1
+		lastSlot := -1
 		for s, expert := range next.Layers[l] {
 			if expert == base.Layers[l][s] {
 				continue
 			}
-			d.Layers[l] = append(d.Layers[l], uint16(s-last-1), expert)
-			last = s
+			d.Layers[l] = append(d.Layers[l], uint16(s-lastSlot-1), expert)
+			lastSlot = s
 		}
 	}
 	return d
 }
 
-// Apply returns the map that the delta stands for, and whether base was the map that it
-// was taken from.
+// Apply returns the map that results from applying the delta to base, and whether base has the
+// content that the delta was computed from.
 func (d *Delta) Apply(base Map) (Map, bool) {
 	out := Map{Version: d.Version, SlotsPerRank: d.SlotsPerRank, Layers: make([][]uint16, len(base.Layers))}
 	if base.SlotsPerRank != d.SlotsPerRank || len(base.Layers) != len(d.Layers) {
@@ -106,40 +111,40 @@
 			out.Layers[l][slot] = pairs[1]
 		}
 	}
-	return out, out.sum() == d.Checksum
+	return out, out.checksum() == d.Checksum
 }
 
-// sum is the digest of a map's content.
-func (m Map) sum() uint64 {
+// checksum returns a hash of the map's content, without its version.
+func (m Map) checksum() uint64 {
 	h := fnv.New64a()
 	var word [2]byte
-	put := func(n uint16) {
+	writeUint16 := func(n uint16) {
 		binary.BigEndian.PutUint16(word[:], n)
 		_, _ = h.Write(word[:])
 	}
-	put(uint16(m.SlotsPerRank))
+	writeUint16(uint16(m.SlotsPerRank))
 	for _, layer := range m.Layers {
-		put(uint16(len(layer)))
+		writeUint16(uint16(len(layer)))
 		for _, expert := range layer {
-			put(expert)
+			writeUint16(expert)
 		}
 	}
 	return h.Sum64()
 }
 
-// hasContent tells a map from a bare version.
+// hasContent distinguishes a map with content from one that holds only a version.
 func (m Map) hasContent() bool { return m.SlotsPerRank > 0 }
 
-// mostMaps is how many maps a participant remembers: the one in use, the one before, and
-// those of two changes that were given up.
-const mostMaps = 4
+// maxCachedMaps is how many maps a participant keeps: the map in use, the one before it, and
+// those of two aborted changes.
+const maxCachedMaps = 4
 
-// library remembers the maps that were seen last, the latest at the end.
-type library []Map
+// mapCache holds the most recently seen maps, the latest at the end.
+type mapCache []Map
 
-// find returns a map that is remembered.
-func (l library) find(v Version) (Map, bool) {
-	for _, m := range l {
+// find returns the map with the given version.
+func (c mapCache) find(v Version) (Map, bool) {
+	for _, m := range c {
 		if m.Version == v {
 			return m, true
 		}
@@ -147,27 +152,27 @@
 	return Map{}, false
 }
 
-// keep remembers a map in place of the one that was seen longest ago.
-func (l *library) keep(m Map) {
+// add stores a map as the latest one and evicts the oldest one if the cache is full.
+func (c *mapCache) add(m Map) {
 	if !m.hasContent() {
 		return
 	}
-	l.drop(m.Version)
-	*l = append(*l, m)
-	if len(*l) > mostMaps {
-		*l = slices.Delete(*l, 0, 1)
+	c.remove(m.Version)
+	*c = append(*c, m)
+	if len(*c) > maxCachedMaps {
+		*c = slices.Delete(*c, 0, 1)
 	}
 }
 
-// drop forgets a map.
-func (l *library) drop(v Version) {
-	*l = slices.DeleteFunc(*l, func(m Map) bool { return m.Version == v })
+// remove deletes the map with the given version.
+func (c *mapCache) remove(v Version) {
+	*c = slices.DeleteFunc(*c, func(m Map) bool { return m.Version == v })
 }
 
-// versions lists what is remembered.
-func (l library) versions() []Version {
+// versions lists the versions of the cached maps.
+func (c mapCache) versions() []Version {
 	var out []Version
-	for _, m := range l {
+	for _, m := range c {
 		out = append(out, m.Version)
 	}
 	return out
--- a/internal/expertmap/delta_test.go
+++ b/internal/expertmap/delta_test.go
@@ -10,7 +10,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// drawMap draws a map with empty slots and experts that stand in any order.
+// drawMap draws a map whose ranks may hold an expert twice, in any order, and may have empty
+// slots.
 func drawMap(t *rapid.T, name string, layers, ranks, slots int) Map {
 	m := Map{SlotsPerRank: slots}
 	for range layers {
@@ -20,25 +21,25 @@
 	return m
 }
 
-// sets returns the experts by layer and rank, in order.
-func (m Map) sets() [][]uint16 {
+// sortedExperts returns the sorted experts of each layer and rank.
+func (m Map) sortedExperts() [][]uint16 {
 	var out [][]uint16
 	for _, layer := range m.Layers {
-		for part := range slices.Chunk(layer, m.SlotsPerRank) {
-			out = append(out, slices.Sorted(slices.Values(part)))
+		for rank := range slices.Chunk(layer, m.SlotsPerRank) {
+			out = append(out, slices.Sorted(slices.Values(rank)))
 		}
 	}
 	return out
 }
 
-// All ranks make the same map of a delta, with the experts that were planned.
-func TestDeltaStandsForTheMap(t *testing.T) {
+// Guards against a delta that doesn't reproduce the planned map, after encoding, on every rank.
+func TestDeltaRestoresPlannedMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers, ranks, slots := rapid.IntRange(1, 4).Draw(t, "layers"), rapid.IntRange(1, 6).Draw(t, "ranks"), rapid.IntRange(1, 5).Draw(t, "slots")
 		base, planned := drawMap(t, "base", layers, ranks, slots), drawMap(t, "next", layers, ranks, slots)
 		base.Version, planned.Version = v1, v2
 		next := Align(base, planned)
-		require.Equal(t, planned.sets(), next.sets())
+		require.Equal(t, planned.sortedExperts(), next.sortedExperts())
 		data, err := wire.Marshal(Diff(base, next))
 		require.NoError(t, err)
 		var d Delta
@@ -49,19 +50,22 @@
 
 		other := drawMap(t, "other", layers, ranks, slots)
 		if got, ok := d.Apply(other); ok {
-			require.Equal(t, next.Layers, got.Layers, "another base is noticed, or makes no difference")
+			require.Equal(t, next.Layers, got.Layers, "a different base is detected, or gives the same map")
 		}
 	})
 }
 
-// Only what changes is sent, whatever order the planner lists a rank's experts in.
-func TestDeltaIsAsSmallAsTheChange(t *testing.T) {
+// Guards against deltas that list unchanged experts only because the planner listed the experts
+// of a rank in another order.
+func TestDeltaContainsOnlyMovedExperts(t *testing.T) {
 	base := Map{Version: v1, SlotsPerRank: 3, Layers: [][]uint16{{1, 2, 3, 4, 5, 6}}}
 	next := Align(base, Map{Version: v2, SlotsPerRank: 3, Layers: [][]uint16{{3, 9, 1, 6, 5, 4}}})
 	require.Equal(t, [][]uint16{{1, 9}}, Diff(base, next).Layers)
 }
 
-func TestDeltaNeedsOneShape(t *testing.T) {
+// Guards against a delta between maps of different shape, and against an index out of range when a
+// malformed delta is applied.
+func TestDeltaRejectsMapsOfDifferentShape(t *testing.T) {
 	base := Map{Version: v1, SlotsPerRank: 2, Layers: [][]uint16{{1, 2}}}
 	for _, next := range []Map{
 		{SlotsPerRank: 1, Layers: [][]uint16{{1, 2}}}, {SlotsPerRank: 2}, {SlotsPerRank: 2, Layers: [][]uint16{{1, 2, 3, 4}}},
@@ -70,112 +74,113 @@
 	}
 	d := Delta{Base: v1, Version: v2, SlotsPerRank: 2, Layers: [][]uint16{{7, 1}}}
 	_, ok := d.Apply(base)
-	require.False(t, ok, "a slot that the map has not")
+	require.False(t, ok, "the slot is outside the layer")
 }
 
-// Engines may have more maps loaded than a participant remembers; the one in use stays.
-func TestMapInUseIsRemembered(t *testing.T) {
+// Engines may have more maps loaded than a participant caches. Guards against evicting the map in
+// use.
+func TestMapInUseStaysCached(t *testing.T) {
 	r := Status{Active: Installed{Version: v1}}
-	for n := range uint64(2 * mostMaps) {
+	for n := range uint64(2 * maxCachedMaps) {
 		r.Maps = append(r.Maps, Map{Version: Ballot{Counter: n + 1, Coordinator: 1}, SlotsPerRank: 1})
 	}
 	p := NewParticipant(7, 5, Map{})
-	p.remember([]Status{r})
-	require.Len(t, p.maps, mostMaps)
+	p.cacheMaps([]Status{r})
+	require.Len(t, p.cache, maxCachedMaps)
 	_, ok := p.Map(v1)
 	require.True(t, ok)
 }
 
-// A participant that did not get the content of a map asks for it; nobody else gets it
-// again.
-func TestContentIsSentAgainOnlyToWhoLacksIt(t *testing.T) {
-	w := newWorld(3, 1)
-	w.newCoordinator(w.hosts[0], 10)
-	base, _ := w.change(w.hosts[0])
-	c := w.hosts[0].coord
+// Guards against sending map content again with every retry, when only a participant that reports
+// its lack needs it.
+func TestContentIsResentOnlyOnRequest(t *testing.T) {
+	sim := newSimulation(3, 1)
+	sim.newCoordinator(sim.hosts[0], 10)
+	base, _ := sim.changeMap(sim.hosts[0])
+	c := sim.hosts[0].coordinator
 	c.Start(&Proposal{Base: base, Map: Map{SlotsPerRank: 1}})
 	var stages []Envelope
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		promised := Message{Promised: &Promised{Ballot: c.Ballot(), Incarnation: 7, Ranks: []Status{{Active: Installed{Version: base}}}}}
 		stages = c.Step(h.addr, promised)
 	}
 	require.Len(t, stages, 3)
 	require.Len(t, stages[0].Message.Stage.Maps, 1)
-	again := c.Tick()
-	require.Len(t, again, 3)
-	for _, e := range again {
+	retries := c.Tick()
+	require.Len(t, retries, 3)
+	for _, e := range retries {
 		require.Empty(t, e.Message.Stage.Maps)
 		require.Equal(t, []Version{c.Ballot()}, e.Message.Stage.Versions)
 	}
 	p := NewParticipant(7, 5, Map{})
 	p.promised = c.Ballot()
-	refused := p.Step(0, again[2].Message).Reply.Message
-	require.Equal(t, ReasonContent, refused.Refused.Reason)
-	sent := c.Step(2, refused)
-	require.Len(t, sent, 1)
-	require.Equal(t, Address(2), sent[0].To)
-	require.True(t, p.Step(0, sent[0].Message).HasWork)
+	refusal := p.Step(0, retries[2].Message).Reply.Message
+	require.Equal(t, ReasonContent, refusal.Refused.Reason)
+	resent := c.Step(2, refusal)
+	require.Len(t, resent, 1)
+	require.Equal(t, Address(2), resent[0].To)
+	require.True(t, p.Step(0, resent[0].Message).HasWork)
 	require.Equal(t, OutcomeRunning, c.Outcome())
 }
 
-// On a busy group requests are passed on later than the coordinator waits, and many
-// participants ask for content at once. Those that know the map that was planned on get
-// the difference then too; the whole map is for those that can't make it of that.
-func TestWhoLacksContentGetsTheDifferenceWhereItCan(t *testing.T) {
+// On a busy group, requests are forwarded later than the coordinator waits, and many participants
+// then ask for the content at once. Guards against sending all of them the whole map: those that
+// know the base map must get the delta, and only those that can't apply it the whole map.
+func TestResentContentIsDeltaWhenBaseIsKnown(t *testing.T) {
 	base := Map{Version: v1, SlotsPerRank: 2, Layers: [][]uint16{{1, 2, 3, 4}}}
 	c, err := NewCoordinator(Config{ID: 5, Participants: []Address{0, 1}})
 	require.NoError(t, err)
 	c.Start(&Proposal{Base: v1, Map: Map{SlotsPerRank: 2, Layers: [][]uint16{{1, 9, 3, 4}}}}, base)
-	parts := []*Participant{NewParticipant(7, 5, Map{}), NewParticipant(8, 5, Map{})}
-	for i, p := range parts {
+	participants := []*Participant{NewParticipant(7, 5, Map{}), NewParticipant(8, 5, Map{})}
+	for i, p := range participants {
 		p.promised = c.Ballot()
-		p.maps.keep(base)
+		p.cache.add(base)
 		c.Step(Address(i), Message{Promised: &Promised{
 			Ballot: c.Ballot(), Incarnation: p.incarnation, KnownMaps: []Version{v1}, Ranks: []Status{{Active: Installed{Version: v1}}},
 		}})
 	}
-	again := c.Tick()
-	require.Len(t, again, 2)
-	sent := c.Step(0, parts[0].Step(0, again[0].Message).Reply.Message)
-	require.Len(t, sent, 1)
-	require.NotNil(t, sent[0].Message.Stage.Delta)
-	require.Empty(t, sent[0].Message.Stage.Maps)
-	require.True(t, parts[0].Step(0, sent[0].Message).HasWork)
+	retries := c.Tick()
+	require.Len(t, retries, 2)
+	resent := c.Step(0, participants[0].Step(0, retries[0].Message).Reply.Message)
+	require.Len(t, resent, 1)
+	require.NotNil(t, resent[0].Message.Stage.Delta)
+	require.Empty(t, resent[0].Message.Stage.Maps)
+	require.True(t, participants[0].Step(0, resent[0].Message).HasWork)
 
-	// The other one has a map of that version with other content.
-	parts[1].maps.keep(Map{Version: v1, SlotsPerRank: 2, Layers: [][]uint16{{5, 6, 7, 8}}})
-	sent = c.Step(1, parts[1].Step(0, again[1].Message).Reply.Message)
-	require.NotNil(t, sent[0].Message.Stage.Delta)
-	sent = c.Step(1, parts[1].Step(0, sent[0].Message).Reply.Message)
-	require.Len(t, sent, 1)
-	require.Len(t, sent[0].Message.Stage.Maps, 1)
-	require.True(t, parts[1].Step(0, sent[0].Message).HasWork)
+	// The other participant has a map of that version with different content.
+	participants[1].cache.add(Map{Version: v1, SlotsPerRank: 2, Layers: [][]uint16{{5, 6, 7, 8}}})
+	resent = c.Step(1, participants[1].Step(0, retries[1].Message).Reply.Message)
+	require.NotNil(t, resent[0].Message.Stage.Delta)
+	resent = c.Step(1, participants[1].Step(0, resent[0].Message).Reply.Message)
+	require.Len(t, resent, 1)
+	require.Len(t, resent[0].Message.Stage.Maps, 1)
+	require.True(t, participants[1].Step(0, resent[0].Message).HasWork)
 }
 
-// While weights are loaded participants are asked again at longer and longer intervals; in
-// the rounds in which ranks may hold, always at the same.
-func TestLoadingIsAskedForLessAndLess(t *testing.T) {
+// Guards against retries at a fixed interval while weights load: asking more often doesn't load
+// them sooner. In rounds in which ranks may be paused, the interval must stay fixed.
+func TestStageRetriesBackOff(t *testing.T) {
 	c, err := NewCoordinator(Config{ID: 5, Participants: []Address{0}, RetryTicks: 2, DeadlineTicks: 100})
 	require.NoError(t, err)
-	sent := func() (at []int) {
+	retryTicks := func() (ticks []int) {
 		for tick := 1; tick <= 20; tick++ {
 			if len(c.Tick()) > 0 {
-				at = append(at, tick)
+				ticks = append(ticks, tick)
 			}
 		}
-		return at
+		return ticks
 	}
 	c.Start(&Proposal{Base: v1, Map: Map{SlotsPerRank: 1}})
 	c.Step(0, Message{Promised: &Promised{Ballot: c.Ballot(), Incarnation: 7, Ranks: []Status{{Active: Installed{Version: v1}}}}})
-	require.Equal(t, []int{2, 4, 8, 16}, sent())
+	require.Equal(t, []int{2, 4, 8, 16}, retryTicks())
 	c.Step(0, Message{Staged: &Staged{Ballot: c.Ballot()}})
 	require.Equal(t, Arming, c.Round())
-	require.Equal(t, []int{2, 4, 6, 8, 10, 12, 14, 16, 18, 20}, sent())
+	require.Equal(t, []int{2, 4, 6, 8, 10, 12, 14, 16, 18, 20}, retryTicks())
 }
 
-// Content that needs long on a slow link is neither asked for nor sent again before it can
-// be there.
-func TestNobodyIsAskedAgainWhileContentIsOnItsWay(t *testing.T) {
+// Guards against asking for an answer, or sending content again, before large content can have
+// arrived over a slow link.
+func TestNoRetryDuringContentTransfer(t *testing.T) {
 	c, err := NewCoordinator(Config{ID: 5, Participants: []Address{0}, RetryTicks: 2, DeadlineTicks: 10})
 	require.NoError(t, err)
 	c.Start(&Proposal{Map: Map{SlotsPerRank: 1}})
@@ -192,9 +197,10 @@
 	require.Equal(t, 30, c.ticks)
 }
 
-// A participant that has just started gets the first change of its group as a difference
-// from the map that all groups begin with; one whose rule is another gets the whole.
-func TestFirstChangeIsADifferenceFromTheFirstMap(t *testing.T) {
+// A participant that has just started must get the first change of its group as a delta from the
+// initial map that all agents know. Guards also against a participant that computes another
+// initial map and applies the delta to it: it must get the whole map.
+func TestFirstChangeIsSentAsDelta(t *testing.T) {
 	first := Map{Version: v1, SlotsPerRank: 2, Layers: [][]uint16{{1, 2, 3, 4}}}
 	other := Map{Version: v1, SlotsPerRank: 2, Layers: [][]uint16{{4, 3, 2, 1}}}
 	for _, known := range []Map{first, other} {
@@ -222,12 +228,12 @@
 	}
 }
 
-// While ranks may hold, those that have not answered are asked again sooner: each message
-// lost there makes all streams of the group wait.
-func TestRanksThatMayHoldAreAskedAgainSooner(t *testing.T) {
+// Guards against slow retries while ranks may be paused: each message lost in that time makes all
+// streams of the group wait.
+func TestRetriesAreFasterWhileRanksMayPause(t *testing.T) {
 	c, err := NewCoordinator(Config{ID: 5, Participants: []Address{0}, RetryTicks: 8, PausedRetryTicks: 3, DeadlineTicks: 100})
 	require.NoError(t, err)
-	first := func() int {
+	ticksUntilRetry := func() int {
 		for n := 1; ; n++ {
 			if len(c.Tick()) > 0 {
 				return n
@@ -236,20 +242,21 @@
 	}
 	base := Map{Version: v1, SlotsPerRank: 1, Layers: [][]uint16{{1}}}
 	c.Start(&Proposal{Base: v1, Map: Map{SlotsPerRank: 1, Layers: [][]uint16{{2}}}}, base)
-	require.Equal(t, 8, first())
+	require.Equal(t, 8, ticksUntilRetry())
 	c.Step(0, Message{Promised: &Promised{Ballot: c.Ballot(), Ranks: []Status{{Active: Installed{Version: v1}}}}})
-	require.Equal(t, 8, first())
+	require.Equal(t, 8, ticksUntilRetry())
 	c.Step(0, Message{Staged: &Staged{Ballot: c.Ballot()}})
 	require.Equal(t, Arming, c.Round())
-	require.Equal(t, 3, first())
+	require.Equal(t, 3, ticksUntilRetry())
 }
 
-// Ranks that wait for a ballot hear of it for as long as it lasts, also once they have
-// answered: they would begin recoveries of their own, each of which supersedes another.
-func TestWhoHasAnsweredHearsOfTheBallotWhileOneIsMissing(t *testing.T) {
+// Guards against participants that have answered and then hear nothing more, while another
+// participant hasn't answered yet. If their ranks wait for the ballot, they would start
+// recoveries, each of which supersedes another ballot.
+func TestAnsweredParticipantsGetKeepalives(t *testing.T) {
 	c, err := NewCoordinator(Config{ID: 5, Participants: []Address{0, 1}, RetryTicks: 8, PausedRetryTicks: 8, KeepaliveTicks: 20})
 	require.NoError(t, err)
-	heard := func(ticks int) (n int) {
+	keepalives := func(ticks int) (n int) {
 		for range ticks {
 			for _, e := range c.Tick() {
 				if e.To == 0 {
@@ -259,20 +266,20 @@
 		}
 		return n
 	}
-	both := func(m Message) {
+	answerFromBoth := func(m Message) {
 		c.Step(0, m)
 		c.Step(1, m)
 	}
 	base := Map{Version: v1, SlotsPerRank: 1, Layers: [][]uint16{{1, 2}}}
 	c.Start(&Proposal{Base: v1, Map: Map{SlotsPerRank: 1, Layers: [][]uint16{{2, 1}}}}, base)
-	both(Message{Promised: &Promised{Ballot: c.Ballot(), Ranks: []Status{{Active: Installed{Version: v1}}}}})
+	answerFromBoth(Message{Promised: &Promised{Ballot: c.Ballot(), Ranks: []Status{{Active: Installed{Version: v1}}}}})
 	c.Step(0, Message{Staged: &Staged{Ballot: c.Ballot()}})
-	require.Zero(t, heard(40), "nobody waits while weights are loaded")
+	require.Zero(t, keepalives(40), "no rank waits while weights are loading")
 	c.Step(1, Message{Staged: &Staged{Ballot: c.Ballot()}})
 	c.Step(0, Message{Armed: &Armed{Ballot: c.Ballot(), Step: c.ArmedStep()}})
-	require.Equal(t, 2, heard(40), "arming")
+	require.Equal(t, 2, keepalives(40), "arming")
 	c.Step(1, Message{Armed: &Armed{Ballot: c.Ballot(), Step: c.ArmedStep()}})
 	require.Equal(t, Committing, c.Round())
 	c.Step(0, Message{Committed: &Committed{Ballot: c.Ballot()}})
-	require.Equal(t, 10, heard(200), "committing goes on until all have answered")
+	require.Equal(t, 10, keepalives(200), "commits are sent until all have answered")
 }
--- a/internal/expertmap/directed_test.go
+++ b/internal/expertmap/directed_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// loaded is a rank in the middle of step 5 with map v1 in use and v2 loaded.
-func loaded() Status {
+// statusWithTwoMaps returns the status of a rank in the middle of step 5, with map v1 in use and
+// v2 loaded.
+func statusWithTwoMaps() Status {
 	return Status{Step: 5, Active: Installed{Version: v1, FromStep: 1}, Maps: []Map{{Version: v1}, {Version: v2}}}
 }
 
@@ -18,14 +19,15 @@
 	v3 = Ballot{Counter: 3, Coordinator: 2}
 )
 
-// ask has a participant with one engine carry out a request.
-func ask(p *Participant, e *fakeEngine, m Message) Message {
+// execute passes a request to a participant with one engine, and executes its orders. It returns
+// the reply.
+func execute(p *Participant, e *fakeEngine, m Message) Message {
 	out := p.Step(0, m)
 	for out.HasWork {
 		for _, o := range out.Orders {
-			e.do(o)
+			e.execute(o)
 		}
-		out = p.Done([]Status{e.copied()}, nil)
+		out = p.Done([]Status{e.snapshot()}, nil)
 	}
 	if out.Reply == nil {
 		return Message{}
@@ -33,32 +35,34 @@
 	return out.Reply.Message
 }
 
-// reason returns why a request was refused, or zero.
-func reason(m Message) Reason {
+// reasonOf returns the reason of a refusal, or zero for any other message.
+func reasonOf(m Message) Reason {
 	if m.Refused == nil {
 		return 0
 	}
 	return m.Refused.Reason
 }
 
-func promised(t *testing.T, b Ballot) (*Participant, *fakeEngine) {
-	p, e := NewParticipant(7, 5, Map{}), &fakeEngine{status: loaded()}
-	require.NotNil(t, ask(p, e, Message{Promise: &Promise{Ballot: b}}).Promised)
+func participantWithPromise(t *testing.T, b Ballot) (*Participant, *fakeEngine) {
+	p, e := NewParticipant(7, 5, Map{}), &fakeEngine{status: statusWithTwoMaps()}
+	require.NotNil(t, execute(p, e, Message{Promise: &Promise{Ballot: b}}).Promised)
 	return p, e
 }
 
-func armed(t *testing.T) (*Participant, *fakeEngine) {
-	p, e := promised(t, v2)
-	require.NotNil(t, ask(p, e, Message{Arm: &Arm{v2, 7, v2, 6}}).Armed)
+func armedParticipant(t *testing.T) (*Participant, *fakeEngine) {
+	p, e := participantWithPromise(t, v2)
+	require.NotNil(t, execute(p, e, Message{Arm: &Arm{v2, 7, v2, 6}}).Armed)
 	return p, e
 }
 
+// Guards against a participant that, after promising a higher ballot, still follows the coordinator
+// of the lower one.
 func TestStaleCoordinatorIsRefused(t *testing.T) {
-	p, e := armed(t)
-	require.NotNil(t, ask(p, e, Message{Promise: &Promise{Ballot: v3}}).Promised)
+	p, e := armedParticipant(t)
+	require.NotNil(t, execute(p, e, Message{Promise: &Promise{Ballot: v3}}).Promised)
 	commit := Message{Commit: &Commit{v2, 7, CurrentMap{Installed: Installed{v2, 6}}}}
 	for _, m := range []Message{{Promise: &Promise{Ballot: v2}}, {Arm: &Arm{v2, 7, v2, 6}}, commit, {Abort: &Abort{Ballot: v2, Incarnation: 7}}} {
-		refused := ask(p, e, m).Refused
+		refused := execute(p, e, m).Refused
 		require.NotNil(t, refused)
 		require.Equal(t, ReasonBallot, refused.Reason)
 		require.Equal(t, v3, refused.Promised)
@@ -66,262 +70,278 @@
 	require.True(t, e.status.HasUncommittedChange())
 }
 
-func TestRestartedParticipantHoldsUntilTheNextBallot(t *testing.T) {
-	_, e := armed(t)
+// Guards against a commit that is accepted by a participant that has restarted since its promise and
+// doesn't know any more which ballots it has promised.
+func TestRestartedParticipantRefusesOldBallot(t *testing.T) {
+	_, e := armedParticipant(t)
 	p := NewParticipant(8, 5, Map{})
 	commit := Message{Commit: &Commit{v2, 7, CurrentMap{Installed: Installed{v2, 6}}}}
-	require.Equal(t, ReasonIncarnation, reason(ask(p, e, commit)))
-	// The late duplicate of a promise must not open the way for the late commit.
-	require.NotNil(t, ask(p, e, Message{Promise: &Promise{Ballot: v2}}).Promised)
-	require.Equal(t, ReasonIncarnation, reason(ask(p, e, commit)))
+	require.Equal(t, ReasonIncarnation, reasonOf(execute(p, e, commit)))
+	// A delayed duplicate of the promise must not make the participant accept the delayed commit.
+	require.NotNil(t, execute(p, e, Message{Promise: &Promise{Ballot: v2}}).Promised)
+	require.Equal(t, ReasonIncarnation, reasonOf(execute(p, e, commit)))
 	require.True(t, e.status.HasUncommittedChange())
 }
 
+// Guards against a delayed arm request that arms a rank again after the abort of its ballot.
 func TestLateArmDoesNotUndoAbort(t *testing.T) {
-	p, e := armed(t)
-	require.NotNil(t, ask(p, e, Message{Abort: &Abort{Ballot: v2, Incarnation: 7}}).Aborted)
-	require.Equal(t, ReasonState, reason(ask(p, e, Message{Arm: &Arm{v2, 7, v2, 6}})))
+	p, e := armedParticipant(t)
+	require.NotNil(t, execute(p, e, Message{Abort: &Abort{Ballot: v2, Incarnation: 7}}).Aborted)
+	require.Equal(t, ReasonState, reasonOf(execute(p, e, Message{Arm: &Arm{v2, 7, v2, 6}})))
 	require.Nil(t, e.status.Armed)
 }
 
-func TestArmIsRefusedAtAStartedStep(t *testing.T) {
-	p, e := promised(t, v2)
-	require.Equal(t, ReasonStep, reason(ask(p, e, Message{Arm: &Arm{v2, 7, v2, 5}})))
+// Guards against a change of map in a step that has already started.
+func TestArmAtStartedStepIsRefused(t *testing.T) {
+	p, e := participantWithPromise(t, v2)
+	require.Equal(t, ReasonStep, reasonOf(execute(p, e, Message{Arm: &Arm{v2, 7, v2, 5}})))
 	require.Nil(t, e.status.Armed)
 }
 
-// drain delivers all packets but commits, while the engines start no step.
-func (w *world) drain() []packet {
-	return w.drainTo(func(m Message) bool { return m.Commit != nil })
+// deliverAllButCommits delivers all packets except commits, and returns those. The engines start
+// no step.
+func (sim *simulation) deliverAllButCommits() []packet {
+	return sim.deliverExcept(func(m Message) bool { return m.Commit != nil })
 }
 
-// drainTo delivers all packets but those to hold back, which it returns.
-func (w *world) drainTo(hold func(Message) bool) (held []packet) {
-	for len(w.net) > 0 {
-		if hold(w.net[0].msg) {
-			held = append(held, w.net[0])
-			w.net = w.net[1:]
+// deliverExcept delivers all packets except those that isKept selects, and returns those.
+func (sim *simulation) deliverExcept(isKept func(Message) bool) (kept []packet) {
+	for len(sim.network) > 0 {
+		if isKept(sim.network[0].msg) {
+			kept = append(kept, sim.network[0])
+			sim.network = sim.network[1:]
 			continue
 		}
-		w.deliver(0)
-		w.agentsWork()
+		sim.deliver(0)
+		sim.finishAgentWork()
 	}
-	return held
+	return kept
 }
 
-// Rank 0 promises ballot 3, restarts, forgets it and promises ballot 2, which
-// then arms everyone. When ranks 1 and 2 promise ballot 3 too, its coordinator
-// has all promises, and has seen no commit; yet ballot 2 can still commit.
-func TestPromisesAreConfirmedBeforeTheyCount(t *testing.T) {
-	w := newWorld(3, 1)
-	w.newCoordinator(w.hosts[0], 10)
-	v, _ := w.change(w.hosts[0])
+// Rank 0 promises ballot 3, restarts, forgets the promise and promises ballot 2, which then arms
+// every rank. When ranks 1 and 2 promise ballot 3 too, the coordinator of ballot 3 has all
+// promises and has seen no commit, although ballot 2 can still commit. Guards against a
+// coordinator that acts on such promises without confirming them.
+func TestPromisesAreConfirmedBeforeUse(t *testing.T) {
+	sim := newSimulation(3, 1)
+	sim.newCoordinator(sim.hosts[0], 10)
+	v, _ := sim.changeMap(sim.hosts[0])
 	require.False(t, v.IsZero())
-	w.newCoordinator(w.hosts[1], 1)
-	w.newCoordinator(w.hosts[2], 1)
-	w.drain()
-	w.propose(w.hosts[1], v)
-	lower := w.net
-	w.net = nil
-	w.sendAll(w.hosts[2], w.hosts[2].coord.Start(nil))
-	higher := slices.Clone(w.net[1:])
-	w.net = w.net[:1]
-	w.drain()
-	w.restartAgent(w.hosts[0])
-	w.net = lower
-	commits := w.drain()
-	require.Len(t, commits, 3, "ballot 2 has armed all")
-	w.net = higher
-	w.drain()
-	w.net = commits
-	w.round()
+	sim.newCoordinator(sim.hosts[1], 1)
+	sim.newCoordinator(sim.hosts[2], 1)
+	sim.deliverAllButCommits()
+	sim.propose(sim.hosts[1], v)
+	lower := sim.network
+	sim.network = nil
+	sim.sendAll(sim.hosts[2], sim.hosts[2].coordinator.Start(nil))
+	higher := slices.Clone(sim.network[1:])
+	sim.network = sim.network[:1]
+	sim.deliverAllButCommits()
+	sim.restartAgent(sim.hosts[0])
+	sim.network = lower
+	commits := sim.deliverAllButCommits()
+	require.Len(t, commits, 3, "ballot 2 has armed all ranks")
+	sim.network = higher
+	sim.deliverAllButCommits()
+	sim.network = commits
+	sim.runRound()
 	for range 6 {
-		w.enginesWork(w.engines)
-		require.NoError(t, w.err)
+		sim.runEngines(sim.engines)
+		require.NoError(t, sim.err)
 	}
-	w.recovered(t)
+	sim.requireRecovery(t)
 }
 
-// The coordinator dies after each possible number of deliveries of one change;
-// another agent notices by itself and brings the group on.
-func TestAnotherAgentRecoversWhereverTheCoordinatorDies(t *testing.T) {
+// The coordinator dies after each possible number of message deliveries of one change. Guards
+// against a group that then stays paused: another agent has to notice by itself and recover.
+func TestAnotherAgentRecoversAfterCoordinatorDeath(t *testing.T) {
 	for deliveries := range 4 * 2 * 3 {
-		w := newWorld(3, 2)
-		w.newCoordinator(w.hosts[0], 10)
-		v, _ := w.change(w.hosts[0])
-		w.net = nil
-		w.newCoordinator(w.hosts[0], 1)
-		w.propose(w.hosts[0], v)
+		sim := newSimulation(3, 2)
+		sim.newCoordinator(sim.hosts[0], 10)
+		v, _ := sim.changeMap(sim.hosts[0])
+		sim.network = nil
+		sim.newCoordinator(sim.hosts[0], 1)
+		sim.propose(sim.hosts[0], v)
 		for range deliveries {
-			w.deliver(0)
-			w.agentsWork()
+			sim.deliver(0)
+			sim.finishAgentWork()
 		}
-		w.hosts[0].coord = nil
-		before := w.engines[0].finished
+		sim.hosts[0].coordinator = nil
+		before := sim.engines[0].finishedStep
 		for range 40 {
-			w.round()
-			w.observe()
+			sim.runRound()
+			sim.startDueRecoveries()
 		}
-		for i, e := range w.engines {
-			require.Greater(t, e.finished, before+10, "rank %d, %d deliveries", i, deliveries)
-			require.Equal(t, w.engines[0].status.Active.Version, e.status.Active.Version)
+		for i, e := range sim.engines {
+			require.Greater(t, e.finishedStep, before+10, "rank %d, %d deliveries", i, deliveries)
+			require.Equal(t, sim.engines[0].status.Active.Version, e.status.Active.Version)
 		}
-		require.NoError(t, w.err)
+		require.NoError(t, sim.err)
 	}
 }
 
-// agentsWork finishes the work of all agents, with weights loaded at once.
-func (w *world) agentsWork() {
-	for _, h := range w.hosts {
-		for h.work {
+// finishAgentWork runs all agents until they have no work left. Weights load at once.
+func (sim *simulation) finishAgentWork() {
+	for _, h := range sim.hosts {
+		for h.hasWork {
 			for _, e := range h.engines {
 				e.loadAll()
 			}
-			w.agentWork(h)
+			sim.runAgent(h)
 		}
 	}
 }
 
-// observe lets each agent start a recovery where its participant says so.
-func (w *world) observe() {
-	for _, h := range w.hosts {
-		if h.coord != nil {
-			w.sendAll(h, h.coord.Tick())
+// startDueRecoveries ticks the coordinators, and starts a recovery on each other host whose
+// participant reports that one is due.
+func (sim *simulation) startDueRecoveries() {
+	for _, h := range sim.hosts {
+		if h.coordinator != nil {
+			sim.sendAll(h, h.coordinator.Tick())
 			continue
 		}
-		if h.part.RecoveryDue(h.statuses()) {
-			w.newCoordinator(h, 10)
-			w.sendAll(h, h.coord.Start(nil))
+		if h.participant.RecoveryDue(h.statuses()) {
+			sim.newCoordinator(h, 10)
+			sim.sendAll(h, h.coordinator.Start(nil))
 		}
 	}
 }
 
-// staged brings a proposal of host 0, to be armed at the next step, up to the arm that is
-// sent to that host alone.
-func staged(t *testing.T) *world {
+// proposeUntilLocalArm proposes a change on host 0, to be armed for the next step, and runs it
+// until the arm request is in transit. That request goes to host 0 alone.
+func proposeUntilLocalArm(t *testing.T) *simulation {
 	t.Helper()
-	w := newWorld(3, 1)
-	w.newCoordinator(w.hosts[0], 10)
-	v, _ := w.change(w.hosts[0])
+	sim := newSimulation(3, 1)
+	sim.newCoordinator(sim.hosts[0], 10)
+	v, _ := sim.changeMap(sim.hosts[0])
 	require.False(t, v.IsZero())
-	w.newCoordinator(w.hosts[0], 1)
-	w.propose(w.hosts[0], v)
+	sim.newCoordinator(sim.hosts[0], 1)
+	sim.propose(sim.hosts[0], v)
 	isArm := func(m Message) bool { return m.Arm != nil }
 	for range 5 {
-		arms := w.drainTo(isArm)
-		w.net = append(w.net, arms...)
+		arms := sim.deliverExcept(isArm)
+		sim.network = append(sim.network, arms...)
 		if len(arms) > 0 {
 			break
 		}
-		w.enginesWorkWithoutSteps()
-		w.sendAll(w.hosts[0], w.hosts[0].coord.Tick())
+		sim.loadWeights()
+		sim.sendAll(sim.hosts[0], sim.hosts[0].coordinator.Tick())
 	}
-	require.Len(t, w.net, 1, "only the own participant is asked")
-	require.Equal(t, Address(0), w.net[0].to)
-	return w
+	require.Len(t, sim.network, 1, "only the local participant is asked")
+	require.Equal(t, Address(0), sim.network[0].to)
+	return sim
 }
 
-// enginesWorkWithoutSteps loads what is staged.
-func (w *world) enginesWorkWithoutSteps() {
-	for _, e := range w.engines {
+// loadWeights finishes loading the staged maps.
+func (sim *simulation) loadWeights() {
+	for _, e := range sim.engines {
 		e.loadAll()
 	}
 }
 
-// steps lets all engines begin and end some steps.
-func (w *world) steps(n int) {
+// runSteps lets all engines start and finish up to n steps.
+func (sim *simulation) runSteps(n int) {
 	for range 2 * n {
-		w.enginesWork(w.engines)
+		sim.runEngines(sim.engines)
 	}
 }
 
-func TestNextStepIsArmedAtTheOwnRankFirst(t *testing.T) {
-	w := staged(t)
-	step := w.net[0].msg.Arm.Step
-	w.deliver(0)
-	w.agentsWork()
-	require.NotNil(t, w.engines[0].status.Armed)
-	w.steps(5)
-	require.Less(t, w.engines[0].status.Step, step, "the armed rank waits")
-	w.drain()
+// Guards against a step that starts on the old map while the other ranks are still being armed for
+// it: the armed local rank has to stop the whole group.
+func TestNextStepIsArmedAtLocalRankFirst(t *testing.T) {
+	sim := proposeUntilLocalArm(t)
+	step := sim.network[0].msg.Arm.Step
+	sim.deliver(0)
+	sim.finishAgentWork()
+	require.NotNil(t, sim.engines[0].status.Armed)
+	sim.runSteps(5)
+	require.Less(t, sim.engines[0].status.Step, step, "the armed rank pauses before the step")
+	sim.deliverAllButCommits()
 }
 
-func TestAnswerOfAnotherStepArmsNobodyElse(t *testing.T) {
-	w := staged(t)
-	c := w.hosts[0].coord
-	step := w.net[0].msg.Arm.Step
+// Guards against arming the other ranks after a delayed answer for another step, when the local rank
+// isn't armed for this step.
+func TestReplyForOtherStepDoesNotContinueArming(t *testing.T) {
+	sim := proposeUntilLocalArm(t)
+	c := sim.hosts[0].coordinator
+	step := sim.network[0].msg.Arm.Step
 	require.Empty(t, c.Step(0, Message{Armed: &Armed{Ballot: c.Ballot(), Step: step + 1}}))
 	require.Len(t, c.Step(0, Message{Armed: &Armed{Ballot: c.Ballot(), Step: step}}), 2)
 }
 
-func TestOwnRankThatCameTooLateIsAskedForTheNextStep(t *testing.T) {
-	w := staged(t)
-	w.steps(3)
-	began := w.engines[0].status.Step
-	require.GreaterOrEqual(t, began, w.net[0].msg.Arm.Step)
-	commits := w.drain()
+// Guards against an abort whenever the local rank has started the step before it could be armed: the
+// step after it must be armed then, on all ranks.
+func TestLateLocalArmMovesToNextStep(t *testing.T) {
+	sim := proposeUntilLocalArm(t)
+	sim.runSteps(3)
+	started := sim.engines[0].status.Step
+	require.GreaterOrEqual(t, started, sim.network[0].msg.Arm.Step)
+	commits := sim.deliverAllButCommits()
 	require.Len(t, commits, 3)
-	for _, e := range w.engines {
-		require.Equal(t, began+1, e.status.Armed.Step)
+	for _, e := range sim.engines {
+		require.Equal(t, started+1, e.status.Armed.Step)
 	}
 }
 
-// The message to the own rank comes twice, and the refusal of the first makes way for a
-// later step that reaches the rank: whatever comes when, all ranks are armed at one step.
-func TestRepeatedArmOfTheOwnRankLeavesOneStep(t *testing.T) {
-	w := staged(t)
-	w.net = append(w.net, w.net[0])
-	w.steps(3)
-	commits := w.drain()
+// The arm request to the local participant arrives twice. After the first is refused, the
+// participant is armed for a later step. Guards against ranks that are armed for different steps,
+// whatever the order of the messages.
+func TestRepeatedLocalArmKeepsOneStep(t *testing.T) {
+	sim := proposeUntilLocalArm(t)
+	sim.network = append(sim.network, sim.network[0])
+	sim.runSteps(3)
+	commits := sim.deliverAllButCommits()
 	require.Len(t, commits, 3)
-	for _, e := range w.engines {
-		require.Equal(t, w.engines[0].status.Armed.Step, e.status.Armed.Step)
+	for _, e := range sim.engines {
+		require.Equal(t, sim.engines[0].status.Armed.Step, e.status.Armed.Step)
 	}
-	old := &Refused{Ballot: w.hosts[0].coord.Ballot(), Reason: ReasonStep, LastStartedStep: 1}
-	require.Empty(t, w.hosts[0].coord.Step(0, Message{Refused: old}))
-	require.Equal(t, OutcomeRunning, w.hosts[0].coord.Outcome(), "an old refusal ends nothing")
+	old := &Refused{Ballot: sim.hosts[0].coordinator.Ballot(), Reason: ReasonStep, LastStartedStep: 1}
+	require.Empty(t, sim.hosts[0].coordinator.Step(0, Message{Refused: old}))
+	require.Equal(t, OutcomeRunning, sim.hosts[0].coordinator.Outcome(), "an old refusal doesn't end the ballot")
 }
 
+// Guards against a second arm request that moves an armed rank to another step.
 func TestArmedRankRefusesAnotherStep(t *testing.T) {
-	p, e := armed(t)
-	require.Equal(t, ReasonStep, reason(ask(p, e, Message{Arm: &Arm{v2, 7, v2, 7}})))
+	p, e := armedParticipant(t)
+	require.Equal(t, ReasonStep, reasonOf(execute(p, e, Message{Arm: &Arm{v2, 7, v2, 7}})))
 	require.EqualValues(t, 6, e.status.Armed.Step)
 }
 
-// Where weights load for longer than a message takes, the answer must not cost the
-// coordinator a message a tick: its link would be full of maps.
-func TestRequestThatWaitsIsAnsweredWithoutBeingSentAgain(t *testing.T) {
-	p, e := promised(t, v3)
+// Guards against a stage request that must be sent again, once a tick, until slow weights are
+// loaded: such requests would fill the coordinator's link with maps.
+func TestWaitingRequestIsAnsweredOnTick(t *testing.T) {
+	p, e := participantWithPromise(t, v3)
 	out := p.Step(0, Message{Stage: &Stage{Ballot: v3, Incarnation: 7, Maps: []Map{{Version: v3}}}})
 	work := func() *Envelope {
 		for out.HasWork {
 			for _, o := range out.Orders {
-				e.do(o)
+				e.execute(o)
 			}
-			out = p.Done([]Status{e.copied()}, nil)
+			out = p.Done([]Status{e.snapshot()}, nil)
 		}
 		return out.Reply
 	}
 	require.Nil(t, work())
 	out = p.Tick()
-	require.Nil(t, work(), "the weights still load")
+	require.Nil(t, work(), "the weights are still loading")
 	e.loadAll()
 	out = p.Tick()
 	require.NotNil(t, work().Message.Staged)
 	require.Equal(t, Output{}, p.Tick())
 }
 
-// A request that came while another one was in work is judged again when its turn comes.
-func TestRequestThatCameMeanwhileIsJudgedAtItsTurn(t *testing.T) {
-	p, e := armed(t)
+// A request that arrived while another one was in progress must be checked again when its turn
+// comes. Guards against an arm that is accepted after the abort of the same ballot.
+func TestQueuedRequestIsCheckedAgain(t *testing.T) {
+	p, e := armedParticipant(t)
 	out := p.Step(0, Message{Abort: &Abort{Ballot: v2, Incarnation: 7}})
 	require.True(t, out.HasWork)
 	require.Equal(t, Output{}, p.Step(0, Message{Arm: &Arm{v2, 7, v2, 6}}))
 	for out.HasWork {
 		for _, o := range out.Orders {
-			e.do(o)
+			e.execute(o)
 		}
-		out = p.Done([]Status{e.copied()}, nil)
+		out = p.Done([]Status{e.snapshot()}, nil)
 	}
 	require.NotNil(t, out.Reply.Message.Aborted)
 	require.Nil(t, e.status.Armed)
--- a/internal/expertmap/engine_test.go
+++ b/internal/expertmap/engine_test.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// fakeEngine is a model engine as the Engine interface describes it, with the
-// group's lock-step.
+// fakeEngine is an in-memory model engine that follows the rules of the Engine interface. The
+// engines of a group run in lockstep.
 type fakeEngine struct {
-	status   Status
-	running  bool
-	finished uint64
-	loading  []Map
-	stalled  bool
+	status       Status
+	inStep       bool
+	finishedStep uint64
+	loading      []Map
+	stalled      bool
 }
 
 func (e *fakeEngine) loadAll() {
@@ -20,13 +20,13 @@
 	e.loading = nil
 }
 
-// restart loses everything but the group's step, which the engines agree on
-// among themselves; a step that hasn't finished is void.
+// restart loses the engine's state, except for the number of the last finished step, on which the
+// engines agree among themselves. A step that hasn't finished is discarded.
 func (e *fakeEngine) restart() {
-	*e = fakeEngine{status: Status{Step: e.finished}, finished: e.finished}
+	*e = fakeEngine{status: Status{Step: e.finishedStep}, finishedStep: e.finishedStep}
 }
 
-func (e *fakeEngine) do(o Order) {
+func (e *fakeEngine) execute(o Order) {
 	switch o.Kind {
 	case OrderStage:
 		e.stage(*o.Map)
@@ -43,7 +43,7 @@
 
 func (e *fakeEngine) stage(m Map) {
 	same := func(o Map) bool { return o.Version == m.Version }
-	if !e.status.loaded(m.Version) && !slices.ContainsFunc(e.loading, same) {
+	if !e.status.hasLoaded(m.Version) && !slices.ContainsFunc(e.loading, same) {
 		e.loading = append(e.loading, m)
 	}
 }
@@ -56,7 +56,7 @@
 	case a != nil && a.Version == c.Version && a.Step == c.Step:
 		a.Ballot = c.Ballot
 		return
-	case !e.status.loaded(c.Version), !c.Base.IsZero() && !e.status.loaded(c.Base):
+	case !e.status.hasLoaded(c.Version), !c.Base.IsZero() && !e.status.hasLoaded(c.Base):
 		return
 	case !e.status.Active.Version.Less(c.Version):
 		return
@@ -90,10 +90,11 @@
 	})
 }
 
-// start begins the next step unless the engine has no map or holds.
-func (e *fakeEngine) start() bool {
-	next := e.finished + 1
-	if e.running || !e.status.HasMap() {
+// startStep starts the next step and reports whether it did: an engine without a map and a paused
+// engine don't.
+func (e *fakeEngine) startStep() bool {
+	next := e.finishedStep + 1
+	if e.inStep || !e.status.HasMap() {
 		return false
 	}
 	if a := e.status.Armed; a != nil && a.Step <= next {
@@ -103,12 +104,12 @@
 		e.activate()
 	}
 	e.status.Step = next
-	e.running = true
+	e.inStep = true
 	return true
 }
 
-// copied returns the status as a reader gets it.
-func (e *fakeEngine) copied() Status {
+// snapshot returns a copy of the status that doesn't change with the engine.
+func (e *fakeEngine) snapshot() Status {
 	s := e.status
 	s.Maps = slices.Clone(s.Maps)
 	if s.Armed != nil {
--- a/internal/expertmap/message.go
+++ b/internal/expertmap/message.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Address names a participant or a coordinator of a group; it is the agent's
-// host number.
+// Address identifies a participant or a coordinator of a group. It is the number of the agent's
+// host.
 type Address uint32
 
-// Message is exactly one of its fields.
+// Message is a union: exactly one of its fields is set.
 type Message struct {
 	Promise   *Promise   `cbor:"1,keyasint,omitempty"`
 	Promised  *Promised  `cbor:"2,keyasint,omitempty"`
@@ -23,64 +23,68 @@
 	Released  *Released  `cbor:"13,keyasint,omitempty"`
 }
 
-// Envelope is a message to send.
+// Envelope is a message and the address to send it to.
 type Envelope struct {
 	To      Address
 	Message Message
 }
 
-// Promise asks a participant to refuse all lower ballots and to tell its state.
+// Promise asks a participant to refuse all lower ballots from now on, and to report the state of
+// its ranks.
 type Promise struct {
 	Ballot Ballot `cbor:"1,keyasint"`
-	// RequestedMaps lists the maps that the answer has to contain.
+	// RequestedMaps lists the maps whose content the answer has to contain.
 	RequestedMaps []Version `cbor:"3,keyasint,omitempty"`
 }
 
 // Promised answers Promise.
 type Promised struct {
 	Ballot Ballot `cbor:"1,keyasint"`
-	// Incarnation is the start of the participant that gave the promise.
+	// Incarnation identifies the run of the participant, from one restart to the next, in which
+	// it gave the promise.
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Ranks is the state of each engine, without maps.
+	// Ranks holds the status of each engine, without its Maps.
 	Ranks []Status `cbor:"3,keyasint"`
-	// Maps are those that were wanted and that the participant knows.
+	// Maps holds those of the requested maps that the participant has.
 	Maps []Map `cbor:"4,keyasint,omitempty"`
-	// KnownMaps lists the maps whose content the participant knows.
+	// KnownMaps lists the maps whose content the participant has.
 	KnownMaps []Version `cbor:"5,keyasint,omitempty"`
-	// HasRequestedMaps tells that maps were wanted: a repeated answer to a promise says nothing of
-	// maps.
+	// HasRequestedMaps tells that the request asked for maps. It tells this answer apart from a
+	// repeated answer to a plain promise, which has no maps even if the participant knows them.
 	HasRequestedMaps bool `cbor:"6,keyasint,omitempty"`
 }
 
-// header is what each request after the promise carries.
+// header holds the fields that every request after the promise carries.
 type header struct {
 	ballot      Ballot
 	incarnation uint64
 }
 
-// Stage asks for the maps' weights to be loaded. It also confirms the promise,
-// and names no maps where nothing has to be loaded.
+// Stage asks a participant to load the weights of maps. It also confirms the promise, and names
+// no maps if nothing has to be loaded.
 type Stage struct {
 	Ballot      Ballot `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Maps is the content of the maps to load, Delta that of one of them. A request that
-	// is sent again has neither: content goes out once, unless it is asked for.
+	// Maps holds the content of the maps to load; Delta holds that of one of them as a
+	// difference. A repeated request has neither: content is sent once, unless the participant
+	// asks for it.
 	Maps []Map `cbor:"3,keyasint,omitempty"`
-	// OnlyRanksWithoutMap says that the maps are only for ranks that have none.
+	// OnlyRanksWithoutMap tells that only ranks without a map have to load the maps.
 	OnlyRanksWithoutMap bool   `cbor:"4,keyasint,omitempty"`
 	Delta               *Delta `cbor:"5,keyasint,omitempty"`
-	// Versions are the maps to load.
+	// Versions lists the maps to load.
 	Versions []Version `cbor:"6,keyasint,omitempty"`
 }
 
-// Staged says that all weights are loaded and the promise still holds.
+// Staged tells that all weights are loaded and that the promise is still valid.
 type Staged struct {
 	Ballot Ballot `cbor:"1,keyasint"`
-	// Step is the last step started by any of the ranks.
+	// Step is the last step that any rank of the participant has started.
 	Step uint64 `cbor:"2,keyasint"`
 }
 
-// Arm asks the ranks to hold at a step ahead.
+// Arm asks the ranks to switch to a map at a coming step, and to pause before that step until the
+// commit.
 type Arm struct {
 	Ballot      Ballot  `cbor:"1,keyasint"`
 	Incarnation uint64  `cbor:"2,keyasint"`
@@ -88,80 +92,81 @@
 	Step        uint64  `cbor:"4,keyasint"`
 }
 
-// Armed says that all ranks of the participant are armed.
+// Armed tells that all ranks of the participant are armed.
 type Armed struct {
 	Ballot Ballot `cbor:"1,keyasint"`
 	Step   uint64 `cbor:"2,keyasint"`
 }
 
-// Commit tells that the group uses a map.
+// Commit tells the ranks which map the group uses.
 type Commit struct {
 	Ballot      Ballot `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Current is the decision.
+	// Current is the map that the ballot has decided on.
 	Current CurrentMap `cbor:"3,keyasint"`
 }
 
-// Committed says that all ranks of the participant have committed.
+// Committed tells that all ranks of the participant have committed.
 type Committed struct {
 	Ballot Ballot `cbor:"1,keyasint"`
 }
 
-// Abort tells the ranks to drop a change that isn't committed.
+// Abort tells the ranks to remove a change that isn't committed.
 type Abort struct {
 	Ballot      Ballot `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Current is the newest committed map. A newer one that an engine is armed with is
-	// dropped although the engine would not hold any more: it was let go by an order of
-	// an earlier ballot that came late.
+	// Current is the version of the newest committed map. If an engine is armed with a newer one,
+	// that change is removed even if the engine would no longer pause for it: a delayed order of
+	// an earlier ballot has resumed the engine.
 	Current Version `cbor:"3,keyasint"`
 }
 
-// Aborted says that no rank of the participant is armed uncommitted.
+// Aborted tells that no rank of the participant is armed with an uncommitted change.
 type Aborted struct {
 	Ballot Ballot `cbor:"1,keyasint"`
 }
 
-// Release tells the ranks to go on: no rank of the group is armed uncommitted.
+// Release tells paused ranks to resume: no rank of the group is armed with an uncommitted change
+// any more.
 type Release struct {
 	Ballot      Ballot `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Current is as in Abort.
+	// Current is the version of the newest committed map, as in Abort.
 	Current Version `cbor:"3,keyasint"`
 }
 
-// Released says that no rank of the participant holds.
+// Released tells that no rank of the participant is paused.
 type Released struct {
 	Ballot Ballot `cbor:"1,keyasint"`
 }
 
-// Reason says why a participant refuses.
+// Reason tells why a participant refuses a request.
 type Reason uint8
 
 const (
-	// ReasonBallot: a higher ballot has been promised.
+	// ReasonBallot: the participant has promised a higher ballot.
 	ReasonBallot Reason = iota + 1
 	// ReasonIncarnation: the participant has restarted since its promise.
 	ReasonIncarnation
-	// ReasonStep: a rank has already started the step to arm at, or is armed at another.
+	// ReasonStep: a rank has already started the step to arm, or is armed for another step.
 	ReasonStep
-	// ReasonState: a rank has no map, or not the state that the order assumes;
-	// a new ballot has to look first.
+	// ReasonState: a rank has no map, or isn't in the state that the request assumes. A new
+	// ballot has to collect the states of all ranks first.
 	ReasonState
-	// ReasonContent: the participant does not know the content of a map to load.
+	// ReasonContent: the participant doesn't have the content of a map to load.
 	ReasonContent
 )
 
-// Refused answers any request.
+// Refused is the negative answer to any request.
 type Refused struct {
-	// Ballot is that of the refused request.
+	// Ballot is the ballot of the refused request.
 	Ballot Ballot `cbor:"1,keyasint"`
-	// Promised is the highest ballot that the participant knows.
+	// Promised is the highest ballot that the participant knows of.
 	Promised Ballot `cbor:"2,keyasint"`
 	Reason   Reason `cbor:"3,keyasint"`
-	// LastStartedStep is the last step that a rank has begun; it is known with ReasonStep.
+	// LastStartedStep is the last step that a rank has started. It is set with ReasonStep.
 	LastStartedStep uint64 `cbor:"4,keyasint,omitempty"`
-	// KnownMaps lists the maps whose content the participant knows, with ReasonContent.
+	// KnownMaps lists the maps whose content the participant has. It is set with ReasonContent.
 	KnownMaps []Version `cbor:"5,keyasint,omitempty"`
 }
 
@@ -183,14 +188,14 @@
 	return header{}, false
 }
 
-// WithoutIncarnation returns the request without the participant's incarnation, and that: what is
-// left is the same for all participants that are asked the same.
+// WithoutIncarnation returns a copy of the request without the participant's incarnation, and the
+// incarnation. Requests that ask several participants for the same thing are equal without it.
 func (m Message) WithoutIncarnation() (Message, uint64) {
 	h, _ := m.header()
 	return m.WithIncarnation(0), h.incarnation
 }
 
-// WithIncarnation returns a copy of the request for a participant's incarnation.
+// WithIncarnation returns a copy of the request that carries the incarnation of a participant.
 func (m Message) WithIncarnation(incarnation uint64) Message {
 	switch {
 	case m.Stage != nil:
@@ -217,9 +222,9 @@
 	return m
 }
 
-// isAlike reports whether two requests of one round ask the same, apart from the
-// incarnation: only those that stage may differ, in the content that they carry.
-func (m Message) isAlike(o Message) bool {
+// hasSameContent reports whether two requests of one round are equal, apart from the incarnation.
+// Only stage requests can differ, in the map content that they carry.
+func (m Message) hasSameContent(o Message) bool {
 	if m.Stage == nil || o.Stage == nil {
 		return true
 	}
@@ -229,24 +234,24 @@
 
 // Multicast is one request to several participants.
 type Multicast struct {
-	// Message has no incarnation.
+	// Message is the request without an incarnation.
 	Message Message
 	To      []Recipient
 }
 
-// Recipient is a participant, and the incarnation that it promised in.
+// Recipient is a participant and the incarnation in which it gave its promise.
 type Recipient struct {
 	Address     Address
 	Incarnation uint64
 }
 
-// Multicasts puts requests of one round together that ask the same.
+// Multicasts groups the requests of one round that are equal apart from the incarnation.
 func Multicasts(all []Envelope) []Multicast {
 	var out []Multicast
 	for _, e := range all {
 		body, incarnation := e.Message.WithoutIncarnation()
 		to := Recipient{Address: e.To, Incarnation: incarnation}
-		i := slices.IndexFunc(out, func(m Multicast) bool { return m.Message.isAlike(body) })
+		i := slices.IndexFunc(out, func(m Multicast) bool { return m.Message.hasSameContent(body) })
 		if i < 0 {
 			out = append(out, Multicast{Message: body, To: []Recipient{to}})
 			continue
@@ -256,7 +261,7 @@
 	return out
 }
 
-// ballot returns the ballot of any request.
+// ballot returns the ballot of a request.
 func (m Message) ballot() Ballot {
 	if m.Promise != nil {
 		return m.Promise.Ballot
--- a/internal/expertmap/participant.go
+++ b/internal/expertmap/participant.go
@@ -2,136 +2,136 @@
 
 import "slices"
 
-// maxRounds bounds the rounds of orders for one request; the longest, a commit
-// at an engine without a map, takes two.
-const maxRounds = 4
+// maxOrderRounds limits how often orders are given to the engines for one request. The longest
+// sequence, a commit at an engine without a map, takes two rounds.
+const maxOrderRounds = 4
 
-// request is a message in work.
+// request is a request in progress.
 type request struct {
-	from   Address
-	msg    Message
-	rounds int
-	// last are the orders given in the last round.
-	last []Order
+	from        Address
+	msg         Message
+	orderRounds int
+	// lastOrders are the orders of the last round.
+	lastOrders []Order
 }
 
-// Participant speaks for the ranks of one host. It isn't safe for concurrent
-// use. It works on one request at a time. A request that can't be answered yet
-// (weights are still loading, an engine gave no answer) waits for
-// [Participant.Tick], so that the coordinator need not send it again.
+// Participant acts for the ranks of one host. It isn't safe for concurrent use. It handles one
+// request at a time. A request that can't be answered yet, because weights are still loading or
+// an engine gave no answer, is kept and tried again at each [Participant.Tick], so the
+// coordinator doesn't have to send it again.
 type Participant struct {
-	incarnation uint64
-	patience    int
-	quiet       int
+	incarnation   uint64
+	recoveryTicks int
+	silentTicks   int
 
-	// promised never falls within an incarnation.
+	// promised never decreases within an incarnation, which is one run of the agent.
 	promised Ballot
-	// first is the map that every group begins with, empty where no rule gives it; maps are
-	// those whose content was seen last.
-	first Map
-	maps  library
+	// initialMap is the map that every group starts with, empty if the agents share no rule for
+	// it. cache holds the maps whose content was seen most recently.
+	initialMap Map
+	cache      mapCache
 
-	// aborted forbids to arm again under the promised ballot, so that a late
-	// Arm doesn't undo an Abort.
+	// aborted forbids arming again under the promised ballot, so that a delayed Arm doesn't undo
+	// an Abort.
 	aborted bool
 
-	// current is the request in work. While it waits for Tick, isWaiting is set; otherwise
-	// the agent is at work for it, and next is what came meanwhile.
-	current   *request
-	isWaiting bool
-	next      *request
+	// current is the request in progress. Either awaitsTick is set and the request is tried again
+	// at the next Tick, or the agent is executing its orders; queued is the last request that
+	// arrived in that time.
+	current    *request
+	awaitsTick bool
+	queued     *request
 }
 
-// Output is what a participant wants done.
+// Output is what a participant asks its agent to do.
 type Output struct {
-	// HasWork asks the agent to execute the orders in turn, then to read the
-	// status of every engine and to call [Participant.Done]. The orders may be
-	// empty.
+	// HasWork asks the agent to execute the orders in sequence, then to read the status of every
+	// engine and to pass it to [Participant.Done]. The list of orders may be empty.
 	HasWork bool
 	Orders  []Order
-	// Reply is to be sent if not nil.
+	// Reply is the answer to send, or nil.
 	Reply *Envelope
 }
 
-// NewParticipant returns a participant that has promised nothing. The
-// incarnation must be unique for each start (random). Patience is the number of
-// ticks for which Observe waits. First is the map that every group begins with by a rule
-// that all participants know; without content where there is no such rule. It is never
-// forgotten, so the first change of a group is sent as a difference, like any other. Where
-// the rule is wrong, the differences are larger and as true: they only need a map that all
-// know alike.
-func NewParticipant(incarnation uint64, patience int, first Map) *Participant {
-	return &Participant{incarnation: incarnation, patience: patience, first: first}
+// NewParticipant returns a participant that hasn't promised any ballot. The incarnation must be
+// unique for each start (random). recoveryTicks is the recovery delay: the number of ticks
+// without word from a coordinator after which RecoveryDue reports true. initialMap is the map
+// that every group starts with, by a rule that all participants share, or a map without content
+// if there is no such rule. It is never evicted, so the first change of a group can be sent as a
+// delta, like any later one. If the rule doesn't give the map that the group really started with,
+// the deltas are larger but still correct: they only need a map that all participants know alike.
+func NewParticipant(incarnation uint64, recoveryTicks int, initialMap Map) *Participant {
+	return &Participant{incarnation: incarnation, recoveryTicks: recoveryTicks, initialMap: initialMap}
 }
 
 // Promised returns the highest ballot that the participant has promised.
 func (p *Participant) Promised() Ballot { return p.promised }
 
-// Step takes a request of a coordinator.
+// Step handles a request from a coordinator.
 func (p *Participant) Step(from Address, m Message) Output {
-	if reason := p.check(m); reason != 0 {
+	if reason := p.refusalReason(m); reason != 0 {
 		return p.refuse(from, m, reason)
 	}
-	p.quiet = 0
+	p.silentTicks = 0
 	if m.Promise != nil && p.promised.Less(m.Promise.Ballot) {
 		p.promised = m.Promise.Ballot
 		p.aborted = false
 	}
-	m, ok := p.complete(m)
+	m, ok := p.fillContent(m)
 	if !ok {
 		out := p.refuse(from, m, ReasonContent)
-		out.Reply.Message.Refused.KnownMaps = p.known()
+		out.Reply.Message.Refused.KnownMaps = p.knownVersions()
 		return out
 	}
 	r := &request{from: from, msg: m}
-	if p.current != nil && !p.isWaiting {
-		p.next = r
+	if p.current != nil && !p.awaitsTick {
+		p.queued = r
 		return Output{}
 	}
-	return p.begin(r)
+	return p.start(r)
 }
 
-// Map returns a map that the participant remembers.
+// Map returns the map with the given version, if its content is cached or it is the initial map.
 func (p *Participant) Map(v Version) (Map, bool) {
-	if p.first.hasContent() && p.first.Version == v {
-		return p.first, true
+	if p.initialMap.hasContent() && p.initialMap.Version == v {
+		return p.initialMap, true
 	}
-	return p.maps.find(v)
+	return p.cache.find(v)
 }
 
-// forget drops a map that is not the one that others mean.
-func (p *Participant) forget(v Version) {
-	p.maps.drop(v)
-	if p.first.Version == v {
-		p.first = Map{}
+// removeMap forgets a map whose content turned out to differ from that of other participants.
+func (p *Participant) removeMap(v Version) {
+	p.cache.remove(v)
+	if p.initialMap.Version == v {
+		p.initialMap = Map{}
 	}
 }
 
-// known lists the maps whose content the participant knows.
-func (p *Participant) known() []Version {
-	out := p.maps.versions()
-	if p.first.hasContent() && !slices.Contains(out, p.first.Version) {
-		out = append(out, p.first.Version)
+// knownVersions lists the maps whose content the participant has.
+func (p *Participant) knownVersions() []Version {
+	out := p.cache.versions()
+	if p.initialMap.hasContent() && !slices.Contains(out, p.initialMap.Version) {
+		out = append(out, p.initialMap.Version)
 	}
 	return out
 }
 
-// complete gives a request to stage the content of its maps, from what it carries and
-// what is remembered. It reports whether all is known.
-func (p *Participant) complete(m Message) (Message, bool) {
+// fillContent completes a stage request with the content of its maps, taken from the request and
+// from the cache. It reports whether the content of all maps is known.
+func (p *Participant) fillContent(m Message) (Message, bool) {
 	if m.Stage == nil {
 		return m, true
 	}
 	for _, content := range m.Stage.Maps {
-		p.maps.keep(content)
+		p.cache.add(content)
 	}
 	if d := m.Stage.Delta; d != nil {
 		base, _ := p.Map(d.Base)
 		if content, ok := d.Apply(base); ok {
-			p.maps.keep(content)
+			p.cache.add(content)
 		} else {
-			// What is remembered is not the map that the coordinator means.
-			p.forget(d.Base)
+			// The cached map has other content than the coordinator's map of this version.
+			p.removeMap(d.Base)
 		}
 	}
 	full := *m.Stage
@@ -149,22 +149,22 @@
 	return Message{Stage: &full}, true
 }
 
-// begin works on a request, in place of one that waits.
-func (p *Participant) begin(r *request) Output {
-	p.current, p.isWaiting = r, false
+// start begins to handle a request. It replaces a request that awaits a tick.
+func (p *Participant) start(r *request) Output {
+	p.current, p.awaitsTick = r, false
 	return Output{HasWork: true}
 }
 
-// Tick looks again whether the request that waits can be answered now.
+// Tick tries again to answer the request that awaits a tick, if there is one.
 func (p *Participant) Tick() Output {
-	if p.current == nil || !p.isWaiting {
+	if p.current == nil || !p.awaitsTick {
 		return Output{}
 	}
-	return p.begin(&request{from: p.current.from, msg: p.current.msg})
+	return p.start(&request{from: p.current.from, msg: p.current.msg})
 }
 
-// check returns why a request is refused, or zero.
-func (p *Participant) check(m Message) Reason {
+// refusalReason returns why a request has to be refused, or zero.
+func (p *Participant) refusalReason(m Message) Reason {
 	if m.Promise != nil {
 		if m.Promise.Ballot.Less(p.promised) {
 			return ReasonBallot
@@ -185,8 +185,9 @@
 	return 0
 }
 
-// Done takes the status of every engine after the orders of the last output
-// have been given. An error (some engine didn't answer) lets the request wait.
+// Done continues the current request with the status of every engine, read after the orders of
+// the last output were executed. After an error, which means that some engine didn't answer, the
+// request is tried again at the next Tick.
 func (p *Participant) Done(ranks []Status, err error) Output {
 	r := p.current
 	if r == nil {
@@ -196,10 +197,10 @@
 		return p.finish(nil)
 	}
 	if err != nil {
-		return p.wait()
+		return p.waitForTick()
 	}
-	p.remember(ranks)
-	if high := highest(ranks); p.promised.Less(high) {
+	p.cacheMaps(ranks)
+	if high := highestBallot(ranks); p.promised.Less(high) {
 		p.promised = high
 		return p.finish(p.refusal(r, ReasonBallot))
 	}
@@ -211,43 +212,42 @@
 		return p.finish(refusal)
 	case len(orders) == 0:
 		return p.finish(p.answer(r, ranks))
-	case r.rounds == maxRounds || slices.Equal(orders, r.last):
-		return p.wait()
+	case r.orderRounds == maxOrderRounds || slices.Equal(orders, r.lastOrders):
+		return p.waitForTick()
 	}
-	r.rounds++
-	r.last = orders
+	r.orderRounds++
+	r.lastOrders = orders
 	return Output{HasWork: true, Orders: orders}
 }
 
-// wait leaves the current request to the next tick, unless another one has come.
-func (p *Participant) wait() Output {
-	if p.next != nil {
+// waitForTick keeps the current request for the next Tick, unless another request is queued.
+func (p *Participant) waitForTick() Output {
+	if p.queued != nil {
 		return p.finish(nil)
 	}
-	p.isWaiting = true
+	p.awaitsTick = true
 	return Output{}
 }
 
-// finish ends the current request and begins the one that came meanwhile, if it is
-// still allowed.
+// finish ends the current request and starts the queued one, if it is still allowed.
 func (p *Participant) finish(reply *Envelope) Output {
-	next := p.next
-	p.current, p.next = nil, nil
-	if next == nil || p.check(next.msg) != 0 {
+	next := p.queued
+	p.current, p.queued = nil, nil
+	if next == nil || p.refusalReason(next.msg) != 0 {
 		return Output{Reply: reply}
 	}
-	out := p.begin(next)
+	out := p.start(next)
 	out.Reply = reply
 	return out
 }
 
-// answer returns the reply to a request that has been carried out.
+// answer returns the reply to a request that the ranks have carried out.
 func (p *Participant) answer(r *request, ranks []Status) *Envelope {
 	b := p.promised
 	var m Message
 	switch {
 	case r.msg.Promise != nil:
-		m.Promised = p.promise(ranks, r.msg.Promise.RequestedMaps)
+		m.Promised = p.promisedReply(ranks, r.msg.Promise.RequestedMaps)
 	case r.msg.Stage != nil:
 		m.Staged = &Staged{Ballot: b, Step: lastStep(ranks)}
 	case r.msg.Arm != nil:
@@ -263,31 +263,31 @@
 	return &Envelope{To: r.from, Message: m}
 }
 
-// remember keeps the maps that the engines have, those in use or armed as the latest:
-// engines may have more than are remembered.
-func (p *Participant) remember(ranks []Status) {
-	var all, first library
+// cacheMaps caches the maps that the engines have loaded. Those in use or armed are added last:
+// engines may have more maps loaded than the cache holds, and these must not be evicted.
+func (p *Participant) cacheMaps(ranks []Status) {
+	var loaded, inUse mapCache
 	for _, r := range ranks {
-		all = append(all, r.Maps...)
+		loaded = append(loaded, r.Maps...)
 	}
 	for _, r := range ranks {
-		for _, v := range r.inUse() {
-			if m, ok := all.find(v); ok {
-				first = append(first, m)
-			} else if m, ok := p.maps.find(v); ok {
-				first = append(first, m)
+		for _, v := range r.mapsInUse() {
+			if m, ok := loaded.find(v); ok {
+				inUse = append(inUse, m)
+			} else if m, ok := p.cache.find(v); ok {
+				inUse = append(inUse, m)
 			}
 		}
 	}
-	for _, m := range append(all, first...) {
-		p.maps.keep(m)
+	for _, m := range append(loaded, inUse...) {
+		p.cache.add(m)
 	}
 }
 
-// promise returns the state of the ranks, and the maps that are wanted.
-func (p *Participant) promise(ranks []Status, wanted []Version) *Promised {
-	out := &Promised{Ballot: p.promised, Incarnation: p.incarnation, KnownMaps: p.known(), HasRequestedMaps: len(wanted) > 0}
-	for _, v := range wanted {
+// promisedReply returns the state of the ranks and the content of the requested maps.
+func (p *Participant) promisedReply(ranks []Status, requested []Version) *Promised {
+	out := &Promised{Ballot: p.promised, Incarnation: p.incarnation, KnownMaps: p.knownVersions(), HasRequestedMaps: len(requested) > 0}
+	for _, v := range requested {
 		if m, ok := p.Map(v); ok {
 			out.Maps = append(out.Maps, m)
 		}
@@ -308,21 +308,20 @@
 	return &Envelope{To: r.from, Message: Message{Refused: refused}}
 }
 
-// RecoveryDue takes the status of every engine once a tick. It returns true when
-// the ranks wait for a decision (a change is armed but not committed, or an
-// engine has no map) and no coordinator has been heard for the patience; the
-// agent should then start a recovery, and agents should draw different
-// patiences so that they don't start together.
+// RecoveryDue takes the status of every engine, once a tick. It returns true if the ranks wait
+// for a decision (an engine is paused, armed with an uncommitted change, or without a map) and no
+// coordinator has been heard from for the recovery delay. The agent should then start a recovery.
+// Agents should use different delays, so that they don't all start one at the same time.
 func (p *Participant) RecoveryDue(ranks []Status) bool {
-	if !waiting(ranks) {
-		p.quiet = 0
+	if !awaitDecision(ranks) {
+		p.silentTicks = 0
 		return false
 	}
-	p.quiet++
-	return p.quiet > p.patience
+	p.silentTicks++
+	return p.silentTicks > p.recoveryTicks
 }
 
-func waiting(ranks []Status) bool {
+func awaitDecision(ranks []Status) bool {
 	for _, r := range ranks {
 		if r.HasUncommittedChange() || r.Paused || !r.HasMap() {
 			return true
@@ -331,10 +330,10 @@
 	return false
 }
 
-func highest(ranks []Status) Ballot {
+func highestBallot(ranks []Status) Ballot {
 	var b Ballot
 	for _, r := range ranks {
-		b = maxBallot(b, r.highest())
+		b = maxBallot(b, r.highestBallot())
 	}
 	return b
 }
--- a/internal/expertmap/plan.go
+++ b/internal/expertmap/plan.go
@@ -1,16 +1,16 @@
 package expertmap
 
-// plan returns the orders that bring the engines nearer to what the request
-// asks, none when they are there, or the reason to refuse. It is called again
-// with the new states after the orders have been given.
+// plan returns the orders that bring the engines closer to what the request asks for, none if
+// they have reached it, or the reason to refuse. It is called again with the new states after the
+// orders have been executed.
 func plan(m Message, ranks []Status) ([]Order, Reason) {
 	var orders []Order
 	for i, r := range ranks {
-		more, reason := planRank(m, r)
+		rankOrders, reason := planRank(m, r)
 		if reason != 0 {
 			return nil, reason
 		}
-		for _, o := range more {
+		for _, o := range rankOrders {
 			o.EngineIndex = i
 			orders = append(orders, o)
 		}
@@ -36,8 +36,8 @@
 	return nil, ReasonState
 }
 
-// planPromise arms an armed engine again under the new ballot, so that a commit
-// of the old ballot still on its way to the engine is refused there.
+// planPromise arms an armed engine again under the new ballot, so that the engine refuses a
+// commit of the old ballot that is still in transit.
 func planPromise(m *Promise, r Status) []Order {
 	if !r.HasUncommittedChange() || r.Armed.Ballot == m.Ballot {
 		return nil
@@ -53,7 +53,7 @@
 	}
 	var orders []Order
 	for i := range m.Maps {
-		if r.loaded(m.Maps[i].Version) {
+		if r.hasLoaded(m.Maps[i].Version) {
 			continue
 		}
 		orders = append(orders, Order{Kind: OrderStage, Ballot: m.Ballot, Map: &m.Maps[i]})
@@ -62,13 +62,13 @@
 }
 
 func planArm(m *Arm, r Status) ([]Order, Reason) {
-	armed := r.HasUncommittedChange() && r.Armed.Version == m.Version && r.Armed.Ballot == m.Ballot
+	isArmed := r.HasUncommittedChange() && r.Armed.Version == m.Version && r.Armed.Ballot == m.Ballot
 	switch {
-	case armed && r.Armed.Step != m.Step:
+	case isArmed && r.Armed.Step != m.Step:
 		return nil, ReasonStep
-	case armed, r.Committed().Version == m.Version:
+	case isArmed, r.Committed().Version == m.Version:
 		return nil, 0
-	case !r.HasMap(), !r.loaded(m.Version):
+	case !r.HasMap(), !r.hasLoaded(m.Version):
 		return nil, ReasonState
 	case m.Step <= r.Step:
 		return nil, ReasonStep
@@ -79,15 +79,15 @@
 
 func planCommit(m *Commit, r Status) ([]Order, Reason) {
 	target := m.Current.Installed
-	armed := r.HasUncommittedChange() && r.Armed.Version == target.Version && r.Armed.Ballot == m.Ballot
+	isArmed := r.HasUncommittedChange() && r.Armed.Version == target.Version && r.Armed.Ballot == m.Ballot
 	switch {
 	case r.Committed().Version == target.Version:
 		return nil, 0
-	case armed:
+	case isArmed:
 		return []Order{{Kind: OrderCommit, Ballot: m.Ballot}}, 0
-	case r.HasMap(), !r.loaded(target.Version):
+	case r.HasMap(), !r.hasLoaded(target.Version):
 		return nil, ReasonState
-	case !m.Current.Base.IsZero() && !r.loaded(m.Current.Base):
+	case !m.Current.Base.IsZero() && !r.hasLoaded(m.Current.Base):
 		return nil, ReasonState
 	}
 	c := Change{Version: target.Version, Ballot: m.Ballot, Step: target.FromStep, Base: m.Current.Base}
@@ -95,16 +95,16 @@
 }
 
 func planAbort(m *Abort, r Status) []Order {
-	if !r.mustDrop(m.Current) {
+	if !r.mustDropChange(m.Current) {
 		return nil
 	}
 	return []Order{{Kind: OrderAbort, Ballot: m.Ballot}}
 }
 
-// planRelease drops a change first that a late order has armed since the abort.
+// planRelease first removes a change that a delayed order has armed since the abort.
 func planRelease(m *Release, r Status) []Order {
 	switch {
-	case r.mustDrop(m.Current):
+	case r.mustDropChange(m.Current):
 		return []Order{{Kind: OrderAbort, Ballot: m.Ballot}}
 	case r.Paused:
 		return []Order{{Kind: OrderRelease, Ballot: m.Ballot}}
--- a/internal/expertmap/protocol_test.go
+++ b/internal/expertmap/protocol_test.go
@@ -9,167 +9,174 @@
 	"pgregory.net/rapid"
 )
 
-// change runs ballots of one coordinator without faults until a proposal is in
-// force, and returns the number of rounds.
-func (w *world) change(h *fakeHost) (Version, int) {
+// changeMap runs ballots of one coordinator, without faults, until the group has changed to a
+// proposed map. It returns the version of the map and the number of rounds.
+func (sim *simulation) changeMap(h *fakeHost) (Version, int) {
 	base := Version{}
-	w.propose(h, base)
+	sim.propose(h, base)
 	for n := range 200 {
-		w.round()
-		w.sendAll(h, h.coord.Tick())
-		switch h.coord.Outcome() {
+		sim.runRound()
+		sim.sendAll(h, h.coordinator.Tick())
+		switch h.coordinator.Outcome() {
 		case OutcomeRunning:
 		case OutcomeChanged:
-			return h.coord.Ballot(), n
+			return h.coordinator.Ballot(), n
 		default:
-			base = h.coord.CurrentMap().Installed.Version
-			w.propose(h, base)
+			base = h.coordinator.CurrentMap().Installed.Version
+			sim.propose(h, base)
 		}
 	}
 	return Version{}, 200
 }
 
-// recovered requires that one coordinator brings the group on after the faults.
-func (w *world) recovered(t require.TestingT) {
-	for _, h := range w.hosts {
-		h.coord = nil
+// requireRecovery ends the faults, and requires that one coordinator can then change the map and
+// that every rank makes progress.
+func (sim *simulation) requireRecovery(t require.TestingT) {
+	for _, h := range sim.hosts {
+		h.coordinator = nil
 		for _, e := range h.engines {
 			e.stalled = false
 		}
 	}
-	h := w.hosts[0]
-	w.newCoordinator(h, 10)
-	v, _ := w.change(h)
-	require.False(t, v.IsZero(), "no change after the faults: outcome %d", h.coord.Outcome())
-	before := w.engines[0].finished
+	h := sim.hosts[0]
+	sim.newCoordinator(h, 10)
+	v, _ := sim.changeMap(h)
+	require.False(t, v.IsZero(), "no change after the faults: outcome %d", h.coordinator.Outcome())
+	before := sim.engines[0].finishedStep
 	for range 10 {
-		w.round()
+		sim.runRound()
 	}
-	for i, e := range w.engines {
+	for i, e := range sim.engines {
 		require.Equal(t, v, e.status.Active.Version, "rank %d", i)
-		require.Greater(t, e.finished, before, "rank %d stands still", i)
+		require.Greater(t, e.finishedStep, before, "rank %d makes no progress", i)
 	}
-	require.NoError(t, w.err)
+	require.NoError(t, sim.err)
 }
 
-// act does one random action. The weights let a change take some thirty actions
-// and a fault come about once in a change.
-func (w *world) act(r *rand.Rand, ahead uint64) {
-	h := w.hosts[r.IntN(len(w.hosts))]
+// randomAction performs one random action. The weights are such that a change takes about thirty
+// actions and about one fault occurs per change.
+func (sim *simulation) randomAction(r *rand.Rand, armAhead uint64) {
+	h := sim.hosts[r.IntN(len(sim.hosts))]
 	switch n := r.IntN(400); {
 	case n < 160:
-		w.deliverSome(r)
+		sim.deliverRandom(r)
 	case n < 260:
-		for _, o := range w.hosts {
-			w.agentWork(o)
+		for _, o := range sim.hosts {
+			sim.runAgent(o)
 		}
 	case n < 300:
-		w.agentWork(h)
+		sim.runAgent(h)
 	case n < 330:
-		w.enginesWork(w.engines)
+		sim.runEngines(sim.engines)
 	case n < 345:
-		w.enginesWork(h.engines)
+		sim.runEngines(h.engines)
 	case n < 383:
-		w.coordinatorAction(r, ahead)
+		sim.coordinatorAction(r, armAhead)
 	case n < 388:
-		w.packetFault(r)
+		sim.packetFault(r)
 	case n < 390:
-		w.restartAgent(h)
+		sim.restartAgent(h)
 	case n < 391:
-		w.restartEngine(h.engines[r.IntN(len(h.engines))])
+		sim.restartEngine(h.engines[r.IntN(len(h.engines))])
 	case n < 392:
 		h.engines[0].stalled = true
 	case n < 396:
-		for _, e := range w.engines {
+		for _, e := range sim.engines {
 			e.stalled = false
 		}
-	case len(w.late) > 0:
-		w.late[0].engine.do(w.late[0].order)
-		w.late = w.late[1:]
+	case len(sim.lateOrders) > 0:
+		sim.lateOrders[0].engine.execute(sim.lateOrders[0].order)
+		sim.lateOrders = sim.lateOrders[1:]
 	}
 }
 
-// deliverSome delivers packets in any order.
-func (w *world) deliverSome(r *rand.Rand) {
-	for range 1 + r.IntN(2*len(w.hosts)) {
-		if len(w.net) == 0 {
+// deliverRandom delivers a random number of packets in random order.
+func (sim *simulation) deliverRandom(r *rand.Rand) {
+	for range 1 + r.IntN(2*len(sim.hosts)) {
+		if len(sim.network) == 0 {
 			return
 		}
-		w.deliver(r.IntN(len(w.net)))
+		sim.deliver(r.IntN(len(sim.network)))
 	}
 }
 
-// packetFault loses or doubles a packet, or loses all on their way.
-func (w *world) packetFault(r *rand.Rand) {
-	if len(w.net) == 0 {
+// packetFault drops or duplicates a random packet, or drops all packets in transit.
+func (sim *simulation) packetFault(r *rand.Rand) {
+	if len(sim.network) == 0 {
 		return
 	}
-	i := r.IntN(len(w.net))
+	i := r.IntN(len(sim.network))
 	switch r.IntN(5) {
 	case 0:
-		w.net = nil
+		sim.network = nil
 	case 1, 2:
-		w.net = append(w.net[:i], w.net[i+1:]...)
+		sim.network = append(sim.network[:i], sim.network[i+1:]...)
 	default:
-		w.net = append(w.net, w.net[i])
+		sim.network = append(sim.network, sim.network[i])
 	}
 }
 
-// coordinatorAction ticks a coordinator, or starts one at one of two hosts.
-func (w *world) coordinatorAction(r *rand.Rand, ahead uint64) {
-	h := w.hosts[0]
+// coordinatorAction starts, ticks or kills the coordinator on one of two hosts, mostly on the
+// first.
+func (sim *simulation) coordinatorAction(r *rand.Rand, armAhead uint64) {
+	h := sim.hosts[0]
 	if r.IntN(10) == 0 {
-		h = w.hosts[1]
+		h = sim.hosts[1]
 	}
-	dice := r.IntN(30)
+	roll := r.IntN(30)
 	switch {
-	case h.coord == nil:
-		w.newCoordinator(h, ahead)
-	case h.coord.phase != idle && dice == 0:
-		h.coord = nil
+	case h.coordinator == nil:
+		sim.newCoordinator(h, armAhead)
+	case h.coordinator.round != idle && roll == 0:
+		h.coordinator = nil
 		return
-	case h.coord.phase != idle:
-		w.sendAll(h, h.coord.Tick())
+	case h.coordinator.round != idle:
+		sim.sendAll(h, h.coordinator.Tick())
 		return
-	case h.coord.Outcome() == OutcomeSuperseded && dice > 10:
+	case h.coordinator.Outcome() == OutcomeSuperseded && roll > 10:
 		return
 	}
-	w.propose(h, w.engines[0].status.Committed().Version)
+	sim.propose(h, sim.engines[0].status.Committed().Version)
 }
 
-// groupShape draws hosts and ranks per host, mostly few.
-func groupShape(t *rapid.T) (hosts, ranks int) {
-	shapes := [][2]int{{2, 1}, {3, 1}, {2, 2}, {4, 1}, {5, 1}, {3, 3}, {8, 1}, {16, 8}, {32, 1}, {63, 1}, {128, 1}}
-	s := rapid.SampledFrom(shapes).Draw(t, "shape")
-	return s[0], s[1]
+// drawGroupSize draws the number of hosts and of ranks per host, which is mostly small.
+func drawGroupSize(t *rapid.T) (hosts, ranks int) {
+	sizes := [][2]int{{2, 1}, {3, 1}, {2, 2}, {4, 1}, {5, 1}, {3, 3}, {8, 1}, {16, 8}, {32, 1}, {63, 1}, {128, 1}}
+	size := rapid.SampledFrom(sizes).Draw(t, "shape")
+	return size[0], size[1]
 }
 
-func TestOneMapInEachStepUnderFaults(t *testing.T) {
+// Guards against two ranks that run the same step with different maps while messages are lost,
+// duplicated and reordered and agents and engines restart, and against a group that stays paused
+// once the faults have ended.
+func TestAllRanksUseOneMapPerStepUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(groupShape(t))
-		w.newCoordinator(w.hosts[0], 10)
-		w.change(w.hosts[0])
-		// rapid favours small numbers, which would favour the first actions.
+		sim := newSimulation(drawGroupSize(t))
+		sim.newCoordinator(sim.hosts[0], 10)
+		sim.changeMap(sim.hosts[0])
+		// rapid draws small numbers more often than large ones, so the first cases of
+		// randomAction would be chosen too often.
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), rapid.Uint64().Draw(t, "stream")))
-		ahead := rapid.Uint64Range(1, 3).Draw(t, "ahead")
+		armAhead := rapid.Uint64Range(1, 3).Draw(t, "ahead")
 		for range rapid.IntRange(100, 1500).Draw(t, "actions") {
-			w.act(r, ahead)
-			require.NoError(t, w.err)
+			sim.randomAction(r, armAhead)
+			require.NoError(t, sim.err)
 		}
-		w.recovered(t)
+		sim.requireRecovery(t)
 	})
 }
 
-func TestMessagesSurviveCBOR(t *testing.T) {
-	in := Message{Promised: &Promised{
+// Guards against fields that are lost or changed when a message is encoded.
+func TestMessageCBORRoundTrip(t *testing.T) {
+	message := Message{Promised: &Promised{
 		Ballot:      Ballot{Counter: 3, Coordinator: 9},
 		Incarnation: 7,
 		Ranks:       []Status{{Step: 5, Armed: &Change{Step: 8, Committed: true}}},
 		Maps:        []Map{{SlotsPerRank: 2, Layers: [][]uint16{{1, 2}}}},
 	}}
-	raw, err := cbor.Marshal(in)
+	encoded, err := cbor.Marshal(message)
 	require.NoError(t, err)
-	var out Message
-	require.NoError(t, cbor.Unmarshal(raw, &out))
-	require.Equal(t, in, out)
+	var decoded Message
+	require.NoError(t, cbor.Unmarshal(encoded, &decoded))
+	require.Equal(t, message, decoded)
 }
--- a/internal/expertmap/resolve.go
+++ b/internal/expertmap/resolve.go
@@ -8,64 +8,62 @@
 	// Installed is the newest committed map. Its version is zero for a group
 	// without any map.
 	Installed Installed `cbor:"1,keyasint"`
-	// Base is the map in use before Installed.From; zero if no rank uses it
-	// any more.
+	// Base is the map in use before Installed.FromStep; zero if no rank uses it any more.
 	Base Version `cbor:"2,keyasint"`
 }
 
-// finding is what the states of all ranks of a group say together.
-type finding struct {
-	present CurrentMap
-	// holding: a rank holds without being armed.
-	holding bool
-	// abort: a rank is armed with a change that no rank has committed, or holds
-	// without one.
-	abort bool
-	// behind: a rank has no map, or hasn't committed the present one.
-	behind bool
+// groupState summarises the states of all ranks of a group.
+type groupState struct {
+	current CurrentMap
+	// paused: some rank is paused without being armed.
+	paused bool
+	// mustAbort: some rank is armed with a change that no rank has committed, or is paused
+	// without being armed.
+	mustAbort bool
+	// isBehind: some rank has no map, or hasn't committed the group's newest committed map.
+	isBehind bool
 }
 
-// open reports whether there is anything to recover.
-func (f finding) open() bool { return f.abort || f.behind }
+// needsRecovery reports whether an unfinished change has to be completed or aborted.
+func (g groupState) needsRecovery() bool { return g.mustAbort || g.isBehind }
 
-// resolve applies the rule of recovery to the states of all ranks: if one has
-// committed a map, all have to; if none has, the change is aborted. It must be
-// given every rank of the group: one rank left out may be the one that has
-// committed.
-func resolve(ranks []Status) finding {
-	f := finding{holding: slices.ContainsFunc(ranks, func(r Status) bool { return r.Paused })}
+// evaluateRanks applies the recovery rule to the states of all ranks: if any rank has committed a
+// map, all ranks have to commit it; if none has, the change is aborted. It needs the state of
+// every rank of the group, because a missing rank may be the one that has committed.
+func evaluateRanks(ranks []Status) groupState {
+	g := groupState{paused: slices.ContainsFunc(ranks, func(r Status) bool { return r.Paused })}
 	for _, r := range ranks {
-		if c := f.committed(r); f.present.Installed.Version.Less(c.Version) {
-			f.present.Installed = c
+		if c := g.committedMap(r); g.current.Installed.Version.Less(c.Version) {
+			g.current.Installed = c
 		}
 	}
 	for _, r := range ranks {
-		f.add(r)
+		g.addRank(r)
 	}
-	return f
+	return g
 }
 
-// committed returns what counts as committed at a rank. Where some rank holds without
-// being armed, it was never armed or has begun to abort: the change ahead of the others
-// is not committed, whatever an order that came late has made of it.
-func (f finding) committed(r Status) Installed {
-	if f.holding {
+// committedMap returns the map that counts as committed at a rank. If some rank is paused without
+// being armed, that rank was never armed or its abort has begun. The change that other ranks are
+// armed with then isn't committed, even if a delayed order has made it look so.
+func (g groupState) committedMap(r Status) Installed {
+	if g.paused {
 		return r.Active
 	}
 	return r.Committed()
 }
 
-// add takes one rank's state into account, given the newest committed map.
-func (f *finding) add(r Status) {
-	newest := f.present.Installed.Version
-	isAhead := r.HasUncommittedChange() && r.Armed.Version != newest
-	if r.Paused || isAhead || f.holding && r.mustDrop(newest) {
-		f.abort = true
+// addRank adds the state of one rank to the summary, given the newest committed map.
+func (g *groupState) addRank(r Status) {
+	newest := g.current.Installed.Version
+	hasOpenChange := r.HasUncommittedChange() && r.Armed.Version != newest
+	if r.Paused || hasOpenChange || g.paused && r.mustDropChange(newest) {
+		g.mustAbort = true
 	}
-	if !r.HasMap() || f.committed(r).Version != newest {
-		f.behind = true
+	if !r.HasMap() || g.committedMap(r).Version != newest {
+		g.isBehind = true
 	}
 	if r.HasMap() && r.Active.Version != newest {
-		f.present.Base = r.Active.Version
+		g.current.Base = r.Active.Version
 	}
 }
--- a/internal/expertmap/world_test.go
+++ b/internal/expertmap/world_test.go
@@ -6,212 +6,217 @@
 	"github.com/pkg/errors"
 )
 
-// packet is a message on its way.
+// packet is a message in transit.
 type packet struct {
 	from, to Address
 	msg      Message
-	// reply goes to the coordinator of the host, anything else to its participant.
+	// reply is set on answers, which go to the coordinator of the host. Anything else goes to the
+	// participant.
 	reply bool
 }
 
-// lateOrder is an order that a dead agent left on its way to the engine.
+// lateOrder is an order that a dead agent left in transit to the engine.
 type lateOrder struct {
 	engine *fakeEngine
 	order  Order
 }
 
-// fakeHost is an agent with its engines.
+// fakeHost is an agent and the engines of its host.
 type fakeHost struct {
-	addr    Address
-	part    *Participant
-	coord   *Coordinator
-	engines []*fakeEngine
-	work    bool
-	orders  []Order
-}
-
-// world is a group under a scheduler that the test drives.
-type world struct {
-	hosts   []*fakeHost
-	engines []*fakeEngine
-	net     []packet
-	late    []lateOrder
-	unique  uint64
-	sent    int
-	// first is the map that agents know without being told, if it has content.
-	first Map
-	// used is the map of each step that has begun on some rank and wasn't void.
-	used map[uint64]Version
-	err  error
-}
-
-func newWorld(hosts, ranksPerHost int) *world {
-	w := &world{used: map[uint64]Version{}}
+	addr        Address
+	participant *Participant
+	coordinator *Coordinator
+	engines     []*fakeEngine
+	hasWork     bool
+	orders      []Order
+}
+
+// simulation is a group of hosts, engines and messages whose progress is scheduled by the test.
+type simulation struct {
+	hosts        []*fakeHost
+	engines      []*fakeEngine
+	network      []packet
+	lateOrders   []lateOrder
+	lastID       uint64
+	sentMessages int
+	// initialMap is the map that agents know from the start without a message. It may have no
+	// content.
+	initialMap Map
+	// mapByStep records the map that each finished step ran with.
+	mapByStep map[uint64]Version
+	err       error
+}
+
+func newSimulation(hosts, ranksPerHost int) *simulation {
+	sim := &simulation{mapByStep: map[uint64]Version{}}
 	for i := range hosts {
 		h := &fakeHost{addr: Address(i)}
 		for range ranksPerHost {
 			h.engines = append(h.engines, &fakeEngine{})
 		}
-		w.engines = append(w.engines, h.engines...)
-		w.hosts = append(w.hosts, h)
-		w.restartAgent(h)
+		sim.engines = append(sim.engines, h.engines...)
+		sim.hosts = append(sim.hosts, h)
+		sim.restartAgent(h)
 	}
-	return w
+	return sim
 }
 
-func (w *world) nextUnique() uint64 {
-	w.unique++
-	return w.unique
+func (sim *simulation) nextID() uint64 {
+	sim.lastID++
+	return sim.lastID
 }
 
-func (w *world) restartAgent(h *fakeHost) {
+func (sim *simulation) restartAgent(h *fakeHost) {
 	if len(h.orders) > 0 {
-		w.late = append(w.late, lateOrder{h.engines[h.orders[0].EngineIndex], h.orders[0]})
+		sim.lateOrders = append(sim.lateOrders, lateOrder{h.engines[h.orders[0].EngineIndex], h.orders[0]})
 	}
-	// Patiences differ, so that recoveries don't start together.
-	h.part = NewParticipant(w.nextUnique(), 5+5*int(h.addr), w.first)
-	h.coord = nil
-	h.work = false
+	// The recovery delays differ, so that the agents don't start recoveries at the same time.
+	h.participant = NewParticipant(sim.nextID(), 5+5*int(h.addr), sim.initialMap)
+	h.coordinator = nil
+	h.hasWork = false
 	h.orders = nil
 }
 
-func (w *world) newCoordinator(h *fakeHost, ahead uint64) {
-	cfg := Config{ID: w.nextUnique(), ArmAhead: ahead, LocalParticipant: h.addr, DeadlineTicks: 8, LastKnownBallot: h.part.Promised()}
-	for _, o := range w.hosts {
+func (sim *simulation) newCoordinator(h *fakeHost, ahead uint64) {
+	cfg := Config{ID: sim.nextID(), ArmAhead: ahead, LocalParticipant: h.addr, DeadlineTicks: 8, LastKnownBallot: h.participant.Promised()}
+	for _, o := range sim.hosts {
 		cfg.Participants = append(cfg.Participants, o.addr)
 	}
-	h.coord, _ = NewCoordinator(cfg)
+	h.coordinator, _ = NewCoordinator(cfg)
 }
 
-// propose starts a ballot with a map planned on the base.
-func (w *world) propose(h *fakeHost, base Version) {
-	w.sendAll(h, h.coord.Start(&Proposal{Base: base, Map: Map{SlotsPerRank: 1}}))
+// propose starts a ballot that proposes a map without layers, planned on base.
+func (sim *simulation) propose(h *fakeHost, base Version) {
+	sim.sendAll(h, h.coordinator.Start(&Proposal{Base: base, Map: Map{SlotsPerRank: 1}}))
 }
 
-func (w *world) sendAll(h *fakeHost, out []Envelope) {
+func (sim *simulation) sendAll(h *fakeHost, out []Envelope) {
 	for _, e := range out {
-		w.net = append(w.net, packet{from: h.addr, to: e.To, msg: e.Message})
+		sim.network = append(sim.network, packet{from: h.addr, to: e.To, msg: e.Message})
 	}
-	w.sent += len(out)
+	sim.sentMessages += len(out)
 }
 
-// deliver takes packet i off the net.
-func (w *world) deliver(i int) {
-	p := w.net[i]
-	w.net = slices.Delete(w.net, i, i+1)
-	h := w.hosts[p.to]
+// deliver takes packet i from the network and hands it to its recipient.
+func (sim *simulation) deliver(i int) {
+	p := sim.network[i]
+	sim.network = slices.Delete(sim.network, i, i+1)
+	h := sim.hosts[p.to]
 	switch {
 	case !p.reply:
-		w.output(h, h.part.Step(p.from, p.msg))
-	case h.coord != nil:
-		w.sendAll(h, h.coord.Step(p.from, p.msg))
+		sim.handleOutput(h, h.participant.Step(p.from, p.msg))
+	case h.coordinator != nil:
+		sim.sendAll(h, h.coordinator.Step(p.from, p.msg))
 	}
 }
 
-func (w *world) output(h *fakeHost, o Output) {
+func (sim *simulation) handleOutput(h *fakeHost, o Output) {
 	if o.Reply != nil {
-		w.net = append(w.net, packet{from: h.addr, to: o.Reply.To, msg: o.Reply.Message, reply: true})
-		w.sent++
+		sim.network = append(sim.network, packet{from: h.addr, to: o.Reply.To, msg: o.Reply.Message, reply: true})
+		sim.sentMessages++
 	}
 	if o.HasWork {
-		h.work = true
+		h.hasWork = true
 		h.orders = o.Orders
 	}
 }
 
-// agentWork does one order, or reads the engines when all are done. Without work it
-// looks at what waits.
-func (w *world) agentWork(h *fakeHost) {
-	if !h.work {
-		w.output(h, h.part.Tick())
+// runAgent executes one order of the agent, or reads the status of its engines once all orders
+// are executed. Without work, it ticks the participant.
+func (sim *simulation) runAgent(h *fakeHost) {
+	if !h.hasWork {
+		sim.handleOutput(h, h.participant.Tick())
 		return
 	}
 	if len(h.orders) > 0 {
-		h.engines[h.orders[0].EngineIndex].do(h.orders[0])
+		h.engines[h.orders[0].EngineIndex].execute(h.orders[0])
 		h.orders = h.orders[1:]
 		return
 	}
-	h.work = false
-	w.output(h, h.part.Done(h.statuses(), nil))
+	h.hasWork = false
+	sim.handleOutput(h, h.participant.Done(h.statuses(), nil))
 }
 
 func (h *fakeHost) statuses() []Status {
 	var out []Status
 	for _, e := range h.engines {
-		out = append(out, e.copied())
+		out = append(out, e.snapshot())
 	}
 	return out
 }
 
-// engineWork finishes or starts a step where the lock-step allows it.
-func (w *world) engineWork(e *fakeEngine) {
-	for _, o := range w.engines {
-		waits := !e.running && o.finished < e.finished
-		joins := e.running && o.finished < e.status.Step && !(o.running && o.status.Step == e.status.Step)
-		if waits || joins {
+// runEngine finishes the current step or starts the next one, if the lockstep of the group allows
+// it.
+func (sim *simulation) runEngine(e *fakeEngine) {
+	for _, o := range sim.engines {
+		waitsForFinish := !e.inStep && o.finishedStep < e.finishedStep
+		waitsForStart := e.inStep && o.finishedStep < e.status.Step && !(o.inStep && o.status.Step == e.status.Step)
+		if waitsForFinish || waitsForStart {
 			return
 		}
 	}
-	if e.running {
-		e.running = false
-		e.finished = e.status.Step
-		w.used[e.finished] = e.status.Active.Version
+	if e.inStep {
+		e.inStep = false
+		e.finishedStep = e.status.Step
+		sim.mapByStep[e.finishedStep] = e.status.Active.Version
 		return
 	}
-	if e.start() {
-		w.checkStep(e)
+	if e.startStep() {
+		sim.checkStep(e)
 	}
 }
 
-// restartEngine loses one engine. Once all have lost their maps there is no
-// state left that a step could differ from: the group starts anew.
-func (w *world) restartEngine(e *fakeEngine) {
+// restartEngine restarts one engine, which loses its map. Once all engines have lost their maps,
+// no earlier step is left that a new one could contradict, so the group starts from scratch.
+func (sim *simulation) restartEngine(e *fakeEngine) {
 	e.restart()
-	if slices.ContainsFunc(w.engines, func(o *fakeEngine) bool { return o.status.HasMap() }) {
+	if slices.ContainsFunc(sim.engines, func(o *fakeEngine) bool { return o.status.HasMap() }) {
 		return
 	}
-	clear(w.used)
-	for _, o := range w.engines {
-		o.finished, o.status.Step = 0, 0
+	clear(sim.mapByStep)
+	for _, o := range sim.engines {
+		o.finishedStep, o.status.Step = 0, 0
 	}
 }
 
-// checkStep compares the step that a rank begins with all others that have
-// begun or ended it.
-func (w *world) checkStep(e *fakeEngine) {
+// checkStep compares the map of the step that a rank starts with the maps of all ranks that have
+// started or finished the same step.
+func (sim *simulation) checkStep(e *fakeEngine) {
 	v := e.status.Active.Version
-	if done, ok := w.used[e.status.Step]; ok && done != v {
-		w.fail(e, done)
+	if done, ok := sim.mapByStep[e.status.Step]; ok && done != v {
+		sim.recordMismatch(e, done)
 	}
-	for _, o := range w.engines {
-		if o.running && o.status.Step == e.status.Step && o.status.Active.Version != v {
-			w.fail(e, o.status.Active.Version)
+	for _, o := range sim.engines {
+		if o.inStep && o.status.Step == e.status.Step && o.status.Active.Version != v {
+			sim.recordMismatch(e, o.status.Active.Version)
 		}
 	}
 }
 
-func (w *world) fail(e *fakeEngine, other Version) {
-	w.err = errors.Errorf("step %d runs on maps %v and %v", e.status.Step, e.status.Active.Version, other)
+func (sim *simulation) recordMismatch(e *fakeEngine, other Version) {
+	sim.err = errors.Errorf("step %d runs on maps %v and %v", e.status.Step, e.status.Active.Version, other)
 }
 
-// round is one turn of everything without faults.
-func (w *world) round() {
-	for n := len(w.net); n > 0; n-- {
-		w.deliver(0)
+// runRound delivers all messages and runs all agents and engines, without faults.
+func (sim *simulation) runRound() {
+	for n := len(sim.network); n > 0; n-- {
+		sim.deliver(0)
 	}
-	for _, h := range w.hosts {
-		for h.work {
-			w.agentWork(h)
+	for _, h := range sim.hosts {
+		for h.hasWork {
+			sim.runAgent(h)
 		}
 	}
-	// A stage is answered once the weights are loaded, so it is asked twice.
-	w.enginesWork(w.engines)
-	w.enginesWork(w.engines)
+	// One run of the engines starts a step and the other one finishes it. A stage request is
+	// answered only after the engines have loaded the weights, when its participant is asked
+	// again.
+	sim.runEngines(sim.engines)
+	sim.runEngines(sim.engines)
 }
 
-func (w *world) enginesWork(engines []*fakeEngine) {
+func (sim *simulation) runEngines(engines []*fakeEngine) {
 	for _, e := range engines {
 		e.loadAll()
-		w.engineWork(e)
+		sim.runEngine(e)
 	}
 }
