--- a/internal/rank/load.go
+++ b/internal/rank/load.go
@@ -6,11 +6,11 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// Load returns what the rank's requests chose since the last call, and the experts that
-// it holds.
+// Load returns how often the rank's requests chose each expert since the last call, and which
+// experts the rank has.
 func (e *Engine) Load(ctx context.Context) (wire.RankLoad, error) {
 	var out wire.RankLoad
-	err := e.inState(ctx, func(r Report) error {
+	err := e.withReport(ctx, func(r Report) error {
 		if err := e.readExperts(ctx, r.Map); err != nil {
 			return err
 		}
@@ -18,38 +18,40 @@
 		if err != nil {
 			return err
 		}
-		out = wire.RankLoad{Version: e.heldMap, Held: e.held, Pace: r.Pace, Picks: e.since(counts)}
+		out = wire.RankLoad{Version: e.expertsVersion, Held: e.experts, Pace: r.Pace, Picks: e.countsSinceLast(counts)}
 		return nil
 	})
 	return out, err
 }
 
-// readExperts reads which experts the rank holds, unless those of the version are known.
-// The caller holds mu.
+// readExperts reads which experts the rank has under the given map version, unless they are
+// already known. The caller holds mu.
 func (e *Engine) readExperts(ctx context.Context, version uint64) error {
-	if e.known && e.heldMap == version {
+	if e.expertsKnown && e.expertsVersion == version {
 		return nil
 	}
 	var err error
-	e.heldMap, e.held, err = e.client.Experts(ctx)
-	e.known = err == nil
+	e.expertsVersion, e.experts, err = e.client.Experts(ctx)
+	e.expertsKnown = err == nil
 	return err
 }
 
-// since returns the counts of each set since the last call. The caller holds mu.
-func (e *Engine) since(counts []uint64) [][]uint32 {
-	out := make([][]uint32, e.sets)
-	if e.sets == 0 || len(counts)%e.sets != 0 {
+// countsSinceLast returns, by layer set, how often each expert was chosen since the last call. A
+// count below the last one means that the engine has started counting again from zero. The caller
+// holds mu.
+func (e *Engine) countsSinceLast(counts []uint64) [][]uint32 {
+	out := make([][]uint32, e.layerSets)
+	if e.layerSets == 0 || len(counts)%e.layerSets != 0 {
 		return out
 	}
-	per := len(counts) / e.sets
+	expertsPerSet := len(counts) / e.layerSets
 	for i, n := range counts {
-		before := uint64(0)
-		if i < len(e.picks) && e.picks[i] <= n {
-			before = e.picks[i]
+		previous := uint64(0)
+		if i < len(e.lastCounts) && e.lastCounts[i] <= n {
+			previous = e.lastCounts[i]
 		}
-		out[i/per] = append(out[i/per], uint32(n-before))
+		out[i/expertsPerSet] = append(out[i/expertsPerSet], uint32(n-previous))
 	}
-	e.picks = counts
+	e.lastCounts = counts
 	return out
 }
--- a/internal/rank/load_test.go
+++ b/internal/rank/load_test.go
@@ -8,29 +8,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// brokenReads fails some reads of the experts, after a part of the answer.
-type brokenReads struct {
+// failingClient returns an error and only a part of the answer from Experts while isFailing is
+// set.
+type failingClient struct {
 	*simEngine
-	isBroken bool
+	isFailing bool
 }
 
-func (e *brokenReads) Experts(context.Context) (uint64, [][]uint16, error) {
-	if e.isBroken {
-		return e.state.Map, nil, errors.New("the answer broke off")
+func (e *failingClient) Experts(context.Context) (uint64, [][]uint16, error) {
+	if e.isFailing {
+		return e.state.Map, nil, errors.New("connection lost")
 	}
 	return e.state.Map, [][]uint16{{uint16(e.state.Map)}}, nil
 }
 
-// A read of the experts that fails is made again; what came of it is not taken for all.
-func TestExpertsAreReadAgainAfterAFailure(t *testing.T) {
-	c := &brokenReads{simEngine: newGroup(1).engines[0]}
+// Guards against taking the part of the experts that came before a failed read for all of them:
+// the next Load must read them again.
+func TestExpertsAreReadAgainAfterFailure(t *testing.T) {
+	c := &failingClient{simEngine: newGroup(1).engines[0]}
 	engine := New(c, 1, 1)
 	_, err := engine.Load(t.Context())
 	require.NoError(t, err)
-	c.state.Map, c.isBroken = 5, true
+	c.state.Map, c.isFailing = 5, true
 	_, err = engine.Load(t.Context())
 	require.Error(t, err)
-	c.isBroken = false
+	c.isFailing = false
 	l, err := engine.Load(t.Context())
 	require.NoError(t, err)
 	require.Equal(t, [][]uint16{{5}}, l.Held)
--- a/internal/rank/rank.go
+++ b/internal/rank/rank.go
@@ -1,10 +1,10 @@
-// Package rank lets the expert-map protocol speak to an engine that takes numbered
-// orders: it prepares maps by an integer version, arms one at a step, and holds before a
-// step until it is told to go on.
+// Package rank connects the expert map protocol to an engine that takes numbered orders and knows
+// a map by an integer version. The engine prepares a map (loads its experts), is armed to switch
+// to it at a step, and pauses before that step until it is told to resume.
 //
-// Every order expects the number of orders that the engine has begun, so of an order
-// that got no answer and the one that is sent in its place only one is carried out, and
-// one that is carried out late refuses itself once the engine has begun another.
+// Every order states how many orders the engine must have started before it. If an order gets no
+// answer and is sent again, the engine therefore executes only one of the two, and it refuses a
+// delayed order once it has started another one.
 package rank
 
 import (
@@ -17,175 +17,186 @@
 	"github.com/sassafraspost/sassafraspost/internal/expertmap"
 )
 
-// Report is an engine's state.
+// Report is the state that an engine reports about itself.
 type Report struct {
-	// Group is the group that the engine belongs to, empty if none; Rank its place among
-	// Size. A group that has formed anew has a new Epoch.
+	// Group is the name of the group that the engine belongs to, empty if none. Epoch changes
+	// whenever the group forms again. Rank is the engine's index among the Size engines of the
+	// group.
 	Group string
 	Epoch uint64
 	Rank  int
 	Size  int
-	// Born is when the engine started, in Unix milliseconds; 0 where it does not say.
+	// Born is the time at which the engine started, in Unix milliseconds; 0 if the engine doesn't
+	// report it.
 	Born int64
-	// IsOpen tells that the group serves.
+	// IsOpen tells that the group accepts requests.
 	IsOpen bool
-	// Sequence counts the orders that the engine has begun.
+	// Sequence counts the orders that the engine has started.
 	Sequence uint64
-	// Step is the last pass begun.
+	// Step is the last step, one forward pass of the group, that the engine has started.
 	Step uint64
-	// Map is the version in use, 0 the one that every group starts with.
+	// Map is the version of the map in use; 0 is the map that every group starts with.
 	Map uint64
-	// Prepared is the version whose experts are loaded, 0 if none.
+	// Prepared is the version whose experts are loaded besides those in use, 0 if none.
 	Prepared uint64
-	// ArmedVersion is the version that the engine changes to at ArmedStep; 0 if none.
+	// ArmedVersion is the version to which the engine switches at ArmedStep; 0 if none.
 	ArmedVersion, ArmedStep uint64
-	// PauseStep is the pass that the engine won't begin before it is told; 0 if none.
+	// PauseStep is the step that the engine doesn't start until it is told to resume; 0 if none.
 	PauseStep uint64
-	// Running and Waiting are the requests at the engine.
+	// Running and Waiting count the requests that the engine runs and has queued.
 	Running, Waiting int
-	// Pace is over 1 where the engine is slow.
+	// Pace is the engine's time per step divided by its usual one; above 1 means slow.
 	Pace float64
 }
 
-// Operation names an order.
+// Operation is the kind of an order.
 type Operation uint8
 
-// The orders.
+// The kinds of orders.
 const (
-	// Prepare loads a map's experts.
+	// Prepare loads the experts of a map.
 	Prepare Operation = iota + 1
-	// Arm changes to a prepared version at a step.
+	// Arm makes the engine switch to a prepared version at a step.
 	Arm
-	// Disarm takes an Arm back.
+	// Disarm cancels an Arm.
 	Disarm
-	// Pause stops the engine before a step, Go lets it begin that step.
+	// Pause makes the engine stop before a step; Resume lets it start that step.
 	Pause
 	Resume
 )
 
-// Order is one order to an engine.
+// Order is an order to an engine.
 type Order struct {
 	Operation Operation
-	// Epoch is that of the group in which the order holds.
+	// Epoch is the epoch of the group for which the order is valid.
 	Epoch uint64
-	// Expect is the Sequence that the engine must have.
+	// Expect is the value that the engine's Sequence must have.
 	Expect uint64
-	// Fence is never below that of an earlier order.
+	// Fence is the fencing token. It never decreases from one order to the next.
 	Fence uint64
-	// Version is for Prepare, Arm and Disarm, Step for Arm, Hold and Go.
+	// Version is set for Prepare, Arm and Disarm; Step for Arm, Pause and Resume.
 	Version, Step uint64
-	// Experts are for Prepare, by set and rank.
+	// Experts is set for Prepare: the experts by layer set and rank. A layer set is a set of
+	// model layers that share one placement of experts.
 	Experts [][][]uint16
 }
 
-// Client reaches an engine. Each call returns soon.
+// Client gives access to an engine. Each call returns soon.
 type Client interface {
 	Report(ctx context.Context) (Report, error)
-	// Picks returns how often the rank's requests chose each expert since the engine
-	// started, set after set.
+	// Picks returns how often the rank's requests have chosen each expert since the engine
+	// started, one layer set after the other.
 	Picks(ctx context.Context) (epoch uint64, counts []uint64, err error)
-	// Experts returns the version in use and the rank's experts by set.
+	// Experts returns the version of the map in use and the rank's experts by layer set.
 	Experts(ctx context.Context) (version uint64, experts [][]uint16, err error)
-	// Order gives an order. After an error it may have been taken, or may be later; of an
-	// order that got no answer before ctx ended the error is ErrUnanswered.
+	// Order sends an order. If it returns an error, the order may have been executed or may still
+	// be. The error is ErrUnanswered if no answer came before ctx ended.
 	Order(ctx context.Context, o Order) error
 }
 
-// ErrUnanswered tells that an order got no answer: it was lost, or is carried out later.
+// ErrUnanswered tells that an order got no answer. It may be lost, executed, or still in transit.
 var ErrUnanswered = errors.New("rank: the engine did not answer the order")
 
 const (
-	// answerTime is how long an answer to an order is waited for. An engine on the own
-	// host gives it within a few milliseconds or not at all, and while a rank holds,
-	// every request of the group waits.
-	answerTime = 15 * time.Millisecond
-	// mostSends is how often an order is sent at once; after that the coordinator asks
-	// again.
-	mostSends = 5
+	// orderTimeout is how long to wait for the answer to an order. An engine on the same host
+	// answers within a few milliseconds or not at all, and while a rank is paused, every request
+	// of the group waits.
+	orderTimeout = 15 * time.Millisecond
+	// maxSends is how often one call sends an order that gets no answer. After that, the
+	// coordinator asks again.
+	maxSends = 5
 )
 
-// idBits is how many bits of a version name its coordinator; the counter has the rest.
-const idBits = 16
+// coordinatorBits is how many low bits of a version hold the coordinator; the others hold the
+// counter.
+const coordinatorBits = 16
 
-// MaxCoordinator is the highest coordinator that a version can name.
-const MaxCoordinator = 1<<idBits - 1
+// MaxCoordinator is the highest coordinator number that fits into a version.
+const MaxCoordinator = 1<<coordinatorBits - 1
 
-// firstMap is the ballot of the map that every group starts with: below all others.
-var firstMap = expertmap.Ballot{Counter: 1}
+// initialBallot is the ballot of the map that every group starts with. It is lower than all other
+// ballots.
+var initialBallot = expertmap.Ballot{Counter: 1}
 
-// InitialMap returns the map that a group begins with: each expert is on one rank, dealt to
-// the ranks in turn, and the slots that are left are empty.
-func InitialMap(ranks, slots, sets, experts int) expertmap.Map {
-	m := expertmap.Map{Version: firstMap, SlotsPerRank: slots, Layers: make([][]uint16, sets)}
+// InitialMap returns the map that a group starts with. Each expert is on one rank: the experts
+// are assigned to the ranks round-robin. The remaining slots are empty.
+func InitialMap(ranks, slots, layerSets, experts int) expertmap.Map {
+	m := expertmap.Map{Version: initialBallot, SlotsPerRank: slots, Layers: make([][]uint16, layerSets)}
 	for set := range m.Layers {
 		m.Layers[set] = make([]uint16, ranks*slots)
-		for s := range m.Layers[set] {
-			m.Layers[set][s] = NoExpert
+		for slot := range m.Layers[set] {
+			m.Layers[set][slot] = NoExpert
 		}
-		for e := 0; e < experts && e/ranks < slots; e++ {
-			m.Layers[set][e%ranks*slots+e/ranks] = uint16(e)
+		for expert := 0; expert < experts && expert/ranks < slots; expert++ {
+			m.Layers[set][expert%ranks*slots+expert/ranks] = uint16(expert)
 		}
 	}
 	return m
 }
 
-// Ballot returns the ballot that a version stands for.
+// Ballot returns the ballot that an integer version encodes.
 func Ballot(version uint64) expertmap.Ballot {
 	if version == 0 {
-		return firstMap
+		return initialBallot
 	}
-	return expertmap.Ballot{Counter: version >> idBits, Coordinator: version & MaxCoordinator}
+	return expertmap.Ballot{Counter: version >> coordinatorBits, Coordinator: version & MaxCoordinator}
 }
 
-// Version returns the integer that stands for a ballot, in the same order.
+// Version encodes a ballot as an integer. Versions compare like their ballots.
 func Version(b expertmap.Ballot) uint64 {
-	if b == firstMap {
+	if b == initialBallot {
 		return 0
 	}
-	return b.Counter<<idBits | b.Coordinator&MaxCoordinator
+	return b.Counter<<coordinatorBits | b.Coordinator&MaxCoordinator
 }
 
-// Engine is one rank in one epoch of its group. It implements expertmap.Engine,
-// expertmap.Holder and the reports of load. It remembers under which ballot the engine
-// was armed last; a new Engine takes the version's own, and is armed again by the next
-// promise.
+// Engine is one rank in one epoch of its group. It implements expertmap.Engine and
+// expertmap.Releaser, and reports the load of the rank's experts. It keeps in memory under which
+// ballot the engine was armed last. A new Engine assumes the ballot that the armed version
+// encodes; the next promise then arms the engine again.
 type Engine struct {
-	client Client
-	epoch  uint64
-	sets   int
+	client    Client
+	epoch     uint64
+	layerSets int
 
 	// mu serialises the orders and guards the fields below.
-	mu       sync.Mutex
-	armed    expertmap.Ballot
-	prepared expertmap.Map
-	picks    []uint64
-	held     [][]uint16
-	heldMap  uint64
-	known    bool
+	mu sync.Mutex
+	// armedBallot is the ballot under which the engine was armed last.
+	armedBallot expertmap.Ballot
+	preparedMap expertmap.Map
+	// lastCounts are the counts that Load has read last.
+	lastCounts []uint64
+	// experts are the rank's experts by layer set under the map expertsVersion, as last read.
+	// expertsKnown tells that the read was complete.
+	experts        [][]uint16
+	expertsVersion uint64
+	expertsKnown   bool
 }
 
-// New returns the engine behind a client, for one epoch of its group, with that many
-// sets of layers.
-func New(c Client, epoch uint64, sets int) *Engine {
-	return &Engine{client: c, epoch: epoch, sets: sets}
+// New returns the Engine that sends its orders to a client. It is valid for one epoch of its
+// group. layerSets is the number of layer sets in the group's map; see [Order.Experts].
+func New(c Client, epoch uint64, layerSets int) *Engine {
+	return &Engine{client: c, epoch: epoch, layerSets: layerSets}
 }
 
-// ErrEpoch tells that the group has formed anew.
-var ErrEpoch = errors.New("rank: the group has formed anew")
+// ErrEpoch tells that the group is in another epoch than the Engine, or accepts no requests.
+var ErrEpoch = errors.New("rank: the group is in another epoch or not open")
 
-// inState calls f with the engine's state, alone.
-func (e *Engine) inState(ctx context.Context, f func(r Report) error) error {
+// withReport calls f with the engine's current report. It holds mu meanwhile, so no other order
+// is sent.
+func (e *Engine) withReport(ctx context.Context, f func(r Report) error) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r, err := e.report(ctx)
+	r, err := e.checkedReport(ctx)
 	if err != nil {
 		return err
 	}
 	return f(r)
 }
 
-// report reads the state, in the epoch of this Engine only.
-func (e *Engine) report(ctx context.Context) (Report, error) {
+// checkedReport reads the engine's report. It returns ErrEpoch if the group has formed again or
+// accepts no requests.
+func (e *Engine) checkedReport(ctx context.Context) (Report, error) {
 	r, err := e.client.Report(ctx)
 	if err != nil {
 		return r, err
@@ -199,21 +210,21 @@
 // Status implements expertmap.Engine.
 func (e *Engine) Status(ctx context.Context) (expertmap.Status, error) {
 	var out expertmap.Status
-	err := e.inState(ctx, func(r Report) error {
+	err := e.withReport(ctx, func(r Report) error {
 		out = e.status(r)
 		return nil
 	})
 	return out, err
 }
 
-// status translates a report. The caller holds mu.
+// status translates a report into the state that the protocol uses. The caller holds mu.
 func (e *Engine) status(r Report) expertmap.Status {
 	s := expertmap.Status{Step: r.Step, Active: expertmap.Installed{Version: Ballot(r.Map)}}
 	if r.ArmedVersion != 0 {
 		version := Ballot(r.ArmedVersion)
 		ballot := version
-		if version.Less(e.armed) {
-			ballot = e.armed
+		if version.Less(e.armedBallot) {
+			ballot = e.armedBallot
 		}
 		s.Armed = &expertmap.Change{
 			Version: version, Ballot: ballot, Step: r.ArmedStep, Committed: r.PauseStep == 0,
@@ -222,107 +233,109 @@
 	s.Paused = r.PauseStep != 0 && r.ArmedVersion == 0
 	if r.Prepared != 0 {
 		m := expertmap.Map{Version: Ballot(r.Prepared)}
-		if e.prepared.Version == m.Version {
-			m = e.prepared
+		if e.preparedMap.Version == m.Version {
+			m = e.preparedMap
 		}
 		s.Maps = append(s.Maps, m)
 	}
 	return s
 }
 
-// order gives an order that fits the state r, and repeats it while it gets no answer and
-// the engine has begun no order since r. The caller holds mu.
-func (e *Engine) order(ctx context.Context, r Report, fence expertmap.Ballot, o Order) error {
+// sendOrder sends an order that is based on the report r. While it gets no answer and the engine
+// hasn't started any order since r, it sends the order again, up to maxSends times. The caller
+// holds mu.
+func (e *Engine) sendOrder(ctx context.Context, r Report, fence expertmap.Ballot, o Order) error {
 	o.Epoch = e.epoch
 	o.Expect = r.Sequence
 	o.Fence = fence.Counter
 	var err error
-	for range mostSends {
-		if err = e.send(ctx, o); !errors.Is(err, ErrUnanswered) {
+	for range maxSends {
+		if err = e.sendOnce(ctx, o); !errors.Is(err, ErrUnanswered) {
 			return err
 		}
-		now, unread := e.report(ctx)
-		if unread != nil || now.Sequence != o.Expect {
+		current, reportErr := e.checkedReport(ctx)
+		if reportErr != nil || current.Sequence != o.Expect {
 			return err
 		}
 	}
 	return err
 }
 
-// send gives an order once.
-func (e *Engine) send(ctx context.Context, o Order) error {
-	ctx, cancel := context.WithTimeout(ctx, answerTime)
+// sendOnce sends an order once and waits for its answer for up to orderTimeout.
+func (e *Engine) sendOnce(ctx context.Context, o Order) error {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	return e.client.Order(ctx, o)
 }
 
 // Stage implements expertmap.Engine.
 func (e *Engine) Stage(ctx context.Context, m expertmap.Map) error {
-	return e.inState(ctx, func(r Report) error {
-		e.prepared = m
-		return e.order(ctx, r, m.Version, Order{Operation: Prepare, Version: Version(m.Version), Experts: expertsOf(m)})
+	return e.withReport(ctx, func(r Report) error {
+		e.preparedMap = m
+		return e.sendOrder(ctx, r, m.Version, Order{Operation: Prepare, Version: Version(m.Version), Experts: expertsByLayerSet(m)})
 	})
 }
 
-// expertsOf returns a map's experts by set and rank.
-func expertsOf(m expertmap.Map) [][][]uint16 {
+// expertsByLayerSet returns the experts of a map by layer set and rank.
+func expertsByLayerSet(m expertmap.Map) [][][]uint16 {
 	out := make([][][]uint16, len(m.Layers))
 	for set, slots := range m.Layers {
 		for first := 0; first < len(slots); first += m.SlotsPerRank {
-			// A rank without experts has an empty list, not none.
-			list := make([]uint16, 0, m.SlotsPerRank)
-			for _, x := range slots[first : first+m.SlotsPerRank] {
-				if x != NoExpert {
-					list = append(list, x)
+			// A rank without experts gets an empty experts, not nil.
+			experts := make([]uint16, 0, m.SlotsPerRank)
+			for _, expert := range slots[first : first+m.SlotsPerRank] {
+				if expert != NoExpert {
+					experts = append(experts, expert)
 				}
 			}
-			out[set] = append(out[set], list)
+			out[set] = append(out[set], experts)
 		}
 	}
 	return out
 }
 
-// NoExpert stands in a slot of a map that is empty.
+// NoExpert marks an empty slot of a map.
 const NoExpert uint16 = 1<<16 - 1
 
-// Arm implements expertmap.Engine: the engine holds before the step first, and is armed
-// at it then.
+// Arm implements expertmap.Engine. It pauses the engine before the step first and then arms it at
+// that step.
 func (e *Engine) Arm(ctx context.Context, c expertmap.Change) error {
-	return e.inState(ctx, func(r Report) error {
+	return e.withReport(ctx, func(r Report) error {
 		version := Version(c.Version)
 		if r.ArmedVersion == version && r.ArmedStep == c.Step && r.PauseStep == c.Step {
-			e.armed = c.Ballot
+			e.armedBallot = c.Ballot
 			return nil
 		}
 		if r.ArmedVersion != 0 {
-			return errors.New("rank: armed otherwise")
+			return errors.New("rank: engine is armed with another change")
 		}
-		r, err := e.hold(ctx, r, c)
+		r, err := e.pauseBefore(ctx, r, c)
 		if err != nil {
 			return err
 		}
-		e.armed = c.Ballot
-		return e.order(ctx, r, c.Ballot, Order{Operation: Arm, Version: version, Step: c.Step})
+		e.armedBallot = c.Ballot
+		return e.sendOrder(ctx, r, c.Ballot, Order{Operation: Arm, Version: version, Step: c.Step})
 	})
 }
 
-// hold lets the engine hold before a change's step, and returns its state then. The caller
-// holds mu.
-func (e *Engine) hold(ctx context.Context, r Report, c expertmap.Change) (Report, error) {
+// pauseBefore pauses the engine before a change's step and returns the report after that. The
+// caller holds mu.
+func (e *Engine) pauseBefore(ctx context.Context, r Report, c expertmap.Change) (Report, error) {
 	if r.PauseStep == c.Step {
 		return r, nil
 	}
-	// An order without an answer may have been taken: the state tells.
-	orderErr := e.order(ctx, r, c.Ballot, Order{Operation: Pause, Step: c.Step})
-	r, err := e.report(ctx)
+	// If the order got no answer, it may still have been executed: the report shows it.
+	orderErr := e.sendOrder(ctx, r, c.Ballot, Order{Operation: Pause, Step: c.Step})
+	r, err := e.checkedReport(ctx)
 	if err == nil && r.PauseStep != c.Step {
-		err = errors.Wrap(orElse(orderErr), "rank: hold")
+		err = errors.Wrap(orNotInForce(orderErr), "rank: pause")
 	}
 	return r, err
 }
 
-// orElse returns err, or an error that says that the state is another one.
-func orElse(err error) error {
+// orNotInForce returns err, or, if err is nil, an error that tells that the engine isn't in the
+// expected state.
+func orNotInForce(err error) error {
 	if err != nil {
 		return err
 	}
@@ -331,31 +344,31 @@
 
 // Commit implements expertmap.Engine.
 func (e *Engine) Commit(ctx context.Context, b expertmap.Ballot) error {
-	return e.inState(ctx, func(r Report) error {
+	return e.withReport(ctx, func(r Report) error {
 		s := e.status(r)
 		if s.Armed == nil || s.Armed.Ballot != b || r.PauseStep != r.ArmedStep {
 			return errors.New("rank: not armed under this ballot")
 		}
-		return e.order(ctx, r, b, Order{Operation: Resume, Step: r.PauseStep})
+		return e.sendOrder(ctx, r, b, Order{Operation: Resume, Step: r.PauseStep})
 	})
 }
 
-// Abort implements expertmap.Engine. The engine goes on holding.
+// Abort implements expertmap.Engine. The engine stays paused until Release.
 func (e *Engine) Abort(ctx context.Context, b expertmap.Ballot) error {
-	return e.inState(ctx, func(r Report) error {
+	return e.withReport(ctx, func(r Report) error {
 		if r.ArmedVersion == 0 {
 			return nil
 		}
-		return e.order(ctx, r, b, Order{Operation: Disarm, Version: r.ArmedVersion})
+		return e.sendOrder(ctx, r, b, Order{Operation: Disarm, Version: r.ArmedVersion})
 	})
 }
 
-// Release implements expertmap.Holder.
+// Release implements expertmap.Releaser.
 func (e *Engine) Release(ctx context.Context, b expertmap.Ballot) error {
-	return e.inState(ctx, func(r Report) error {
+	return e.withReport(ctx, func(r Report) error {
 		if r.PauseStep == 0 || r.ArmedVersion != 0 {
 			return nil
 		}
-		return e.order(ctx, r, b, Order{Operation: Resume, Step: r.PauseStep})
+		return e.sendOrder(ctx, r, b, Order{Operation: Resume, Step: r.PauseStep})
 	})
 }
--- a/internal/rank/rank_test.go
+++ b/internal/rank/rank_test.go
@@ -11,170 +11,175 @@
 	"github.com/sassafraspost/sassafraspost/internal/expertmap"
 )
 
-// Whatever is lost, late, repeated or restarted, no pass begins on two maps; and once
-// things are calm a coordinator brings the group going again.
-func TestNoPassBeginsOnTwoMaps(t *testing.T) {
+// Guards against a step that starts with two different maps, whatever is lost, delayed, repeated
+// or restarted, and against a group that stays paused: once the faults have ended, a coordinator
+// has to get it running again.
+func TestNoStepRunsOnTwoMaps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.IntRange(2, 4).Draw(t, "ranks"))
+		sim := newSimulation(rapid.IntRange(2, 4).Draw(t, "ranks"))
 		isLossy := rapid.Bool().Draw(t, "lossy")
-		for _, e := range w.group.engines {
-			e.lose = func() bool { return isLossy && rapid.IntRange(0, 5).Draw(t, "lose") == 0 }
+		for _, e := range sim.group.engines {
+			e.losesNext = func() bool { return isLossy && rapid.IntRange(0, 5).Draw(t, "lose") == 0 }
 		}
 		for range rapid.IntRange(100, 900).Draw(t, "actions") {
-			w.act(t)
-			if w.group.mixed {
-				t.Fatal("a pass has begun on two maps")
+			sim.randomAction(t)
+			if sim.group.hasMixedMaps {
+				t.Fatal("a step has started with two maps")
 			}
 		}
 		isLossy = false
-		for _, a := range w.agents {
+		for _, a := range sim.agents {
 			a.coordinator = nil
 		}
-		w.settle()
-		if w.group.mixed {
-			t.Fatal("a pass has begun on two maps while things settled")
+		sim.finishRecovery()
+		if sim.group.hasMixedMaps {
+			t.Fatal("a step has started with two maps during the recovery")
 		}
-		before := w.group.step
-		w.calm()
-		if w.group.step == before {
-			t.Fatalf("the group holds: %+v", w.group.engines[0].state)
+		before := sim.group.step
+		sim.runWithoutFaults()
+		if sim.group.step == before {
+			t.Fatalf("the group stays paused: %+v", sim.group.engines[0].state)
 		}
 	})
 }
 
-// act makes one random thing happen.
-func (w *simWorld) act(t *rapid.T) {
-	agent := rapid.IntRange(0, len(w.agents)-1).Draw(t, "agent")
+// randomAction performs one random action.
+func (sim *simulation) randomAction(t *rapid.T) {
+	agent := rapid.IntRange(0, len(sim.agents)-1).Draw(t, "agent")
 	switch rapid.IntRange(0, 79).Draw(t, "action") {
 	case 0, 1:
-		w.start(agent, true)
+		sim.startCoordinator(agent, true)
 	case 2:
-		w.start(agent, false)
+		sim.startCoordinator(agent, false)
 	case 3:
-		if rapid.Bool().Draw(t, "ghost") {
-			ghost := *w.agents[agent]
-			w.ghosts[ghost.address] = &ghost
+		if rapid.Bool().Draw(t, "stale agent") {
+			stale := *sim.agents[agent]
+			sim.staleAgents[stale.address] = &stale
 		}
-		w.restart(agent)
+		sim.restart(agent)
 	case 4, 5, 6, 7, 8:
-		w.group.pass()
+		sim.group.startStep()
 	case 9, 10, 11:
-		e := w.group.engines[agent]
-		if n := len(e.late); n > 0 {
+		e := sim.group.engines[agent]
+		if n := len(e.lateOrders); n > 0 {
 			i := rapid.IntRange(0, n-1).Draw(t, "late")
-			_ = e.carryOut(e.late[i])
-			e.late = slices.Delete(e.late, i, i+1)
+			_ = e.execute(e.lateOrders[i])
+			e.lateOrders = slices.Delete(e.lateOrders, i, i+1)
 		}
 	case 12, 13, 14:
-		w.tick()
+		sim.tickCoordinators()
 	default:
-		w.someMessage(t)
+		sim.handleRandomMessage(t)
 	}
 }
 
-// someMessage delivers, repeats or loses one of the messages on their way.
-func (w *simWorld) someMessage(t *rapid.T) {
-	if len(w.net) == 0 {
+// handleRandomMessage delivers, duplicates or drops one of the messages in transit. It may also
+// deliver it to the stale agent of its host.
+func (sim *simulation) handleRandomMessage(t *rapid.T) {
+	if len(sim.network) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, min(len(w.net)-1, 5)).Draw(t, "message")
-	p := w.net[i]
+	i := rapid.IntRange(0, min(len(sim.network)-1, 5)).Draw(t, "message")
+	p := sim.network[i]
 	switch rapid.IntRange(0, 29).Draw(t, "fate") {
 	case 0:
-		w.net = slices.Delete(w.net, i, i+1)
+		sim.network = slices.Delete(sim.network, i, i+1)
 	case 1:
-		w.deliver(p)
+		sim.deliver(p)
 	case 2, 3, 4:
-		w.net = slices.Delete(w.net, i, i+1)
-		if ghost := w.ghosts[p.to]; ghost != nil && !p.isReply {
-			w.work(ghost, ghost.participant.Step(p.from, p.message))
+		sim.network = slices.Delete(sim.network, i, i+1)
+		if stale := sim.staleAgents[p.to]; stale != nil && !p.isReply {
+			sim.handleOutput(stale, stale.participant.Step(p.from, p.message))
 			return
 		}
-		w.deliver(p)
+		sim.deliver(p)
 	default:
-		w.net = slices.Delete(w.net, i, i+1)
-		w.deliver(p)
+		sim.network = slices.Delete(sim.network, i, i+1)
+		sim.deliver(p)
 	}
 }
 
-func TestChangeGoesThrough(t *testing.T) {
-	w := newWorld(3)
-	w.start(1, true)
-	w.calm()
-	require.False(t, w.group.mixed)
-	for _, e := range w.group.engines {
+// Guards against a change without faults that doesn't complete, or leaves a rank paused.
+func TestMapChangeCompletes(t *testing.T) {
+	sim := newSimulation(3)
+	sim.startCoordinator(1, true)
+	sim.runWithoutFaults()
+	require.False(t, sim.group.hasMixedMaps)
+	for _, e := range sim.group.engines {
 		require.NotZero(t, e.state.Map)
 		require.Zero(t, e.state.PauseStep)
 	}
-	require.Equal(t, expertmap.OutcomeChanged, w.agents[1].coordinator.Outcome())
+	require.Equal(t, expertmap.OutcomeChanged, sim.agents[1].coordinator.Outcome())
 }
 
-// An order that got no answer and is carried out after its repeat has no effect.
-func TestLateOrderRefusesItself(t *testing.T) {
+// Guards against an order that got no answer and is executed after its repetition: the engine
+// must refuse it.
+func TestLateOrderIsRefused(t *testing.T) {
 	g := newGroup(1)
 	e := g.engines[0]
-	lost := 1
-	e.lose = func() bool { lost--; return lost >= 0 }
+	lossesLeft := 1
+	e.losesNext = func() bool { lossesLeft--; return lossesLeft >= 0 }
 	engine := New(e, 1, 1)
 	m := expertmap.Map{Version: expertmap.Ballot{Counter: 7, Coordinator: 3}, SlotsPerRank: 1, Layers: [][]uint16{{0}}}
 	require.NoError(t, engine.Stage(t.Context(), m))
-	require.Len(t, e.late, 1)
+	require.Len(t, e.lateOrders, 1)
 	c := expertmap.Change{Version: m.Version, Ballot: m.Version, Step: 5}
 	require.NoError(t, engine.Arm(t.Context(), c))
 	require.NoError(t, engine.Commit(t.Context(), m.Version))
 	before := e.state
-	require.Error(t, e.carryOut(e.late[0]))
+	require.Error(t, e.execute(e.lateOrders[0]))
 	require.Equal(t, before, e.state)
 }
 
-// While a rank holds its whole group waits, so an order that got no answer is given
-// again by the same call.
-func TestUnansweredOrderIsRepeatedAtOnce(t *testing.T) {
+// Guards against leaving the repetition of an unanswered order to the coordinator: while a rank
+// is paused its whole group waits, so the same call has to send the order again.
+func TestUnansweredOrderIsRetried(t *testing.T) {
 	g := newGroup(1)
 	e := g.engines[0]
 	engine := New(e, 1, 1)
 	m := expertmap.Map{Version: expertmap.Ballot{Counter: 7, Coordinator: 3}, SlotsPerRank: 1, Layers: [][]uint16{{0}}}
-	every := 0
-	e.lose = func() bool { every++; return every%2 == 1 }
+	sent := 0
+	e.losesNext = func() bool { sent++; return sent%2 == 1 }
 	require.NoError(t, engine.Stage(t.Context(), m))
 	require.NoError(t, engine.Arm(t.Context(), expertmap.Change{Version: m.Version, Ballot: m.Version, Step: 5}))
 	require.NoError(t, engine.Commit(t.Context(), m.Version))
 	require.Zero(t, e.state.PauseStep)
 	require.Equal(t, Version(m.Version), e.state.ArmedVersion)
 	require.EqualValues(t, 4, e.state.Sequence)
-	require.Len(t, e.late, 4)
-	for _, late := range e.late {
-		require.Error(t, e.carryOut(late))
+	require.Len(t, e.lateOrders, 4)
+	for _, late := range e.lateOrders {
+		require.Error(t, e.execute(late))
 	}
 }
 
-// An order that was taken although its answer got lost is not given again: the repeat
-// could only be refused.
-func TestOrderThatWasTakenIsNotRepeated(t *testing.T) {
+// Guards against repeating an order that was executed although its answer got lost: the engine
+// could only refuse the repetition.
+func TestExecutedOrderIsNotRetried(t *testing.T) {
 	g := newGroup(1)
-	c := &unheardEngine{simEngine: g.engines[0]}
+	c := &silentEngine{simEngine: g.engines[0]}
 	engine := New(c, 1, 1)
 	m := expertmap.Map{Version: expertmap.Ballot{Counter: 7, Coordinator: 3}, SlotsPerRank: 1, Layers: [][]uint16{{0}}}
 	require.ErrorIs(t, engine.Stage(t.Context(), m), ErrUnanswered)
-	require.Equal(t, 1, c.orders)
+	require.Equal(t, 1, c.orderCount)
 	require.ErrorIs(t, engine.Arm(t.Context(), expertmap.Change{Version: m.Version, Ballot: m.Version, Step: 5}), ErrUnanswered)
-	require.Equal(t, 3, c.orders, "a hold that was taken is followed by the arm")
+	require.Equal(t, 3, c.orderCount, "a pause that was executed is followed by the arm")
 	require.EqualValues(t, 5, c.state.ArmedStep)
 }
 
-// unheardEngine carries out every order and answers none.
-type unheardEngine struct {
+// silentEngine executes every order and answers none.
+type silentEngine struct {
 	*simEngine
-	orders int
+	orderCount int
 }
 
-func (e *unheardEngine) Order(_ context.Context, o Order) error {
-	e.orders++
-	_ = e.carryOut(o)
+func (e *silentEngine) Order(_ context.Context, o Order) error {
+	e.orderCount++
+	_ = e.execute(o)
 	return ErrUnanswered
 }
 
-func TestVersionsKeepTheOrderOfBallots(t *testing.T) {
+// Guards against versions that order differently from their ballots, or don't decode to them.
+func TestVersionOrderMatchesBallotOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func() expertmap.Ballot {
 			return expertmap.Ballot{
@@ -187,11 +192,12 @@
 			t.Fatalf("%v and %v", a, b)
 		}
 	})
-	require.Equal(t, firstMap, Ballot(0))
-	require.Zero(t, Version(firstMap))
+	require.Equal(t, initialBallot, Ballot(0))
+	require.Zero(t, Version(initialBallot))
 }
 
-func TestEpochThatIsOverIsLeft(t *testing.T) {
+// Guards against orders to an engine whose group has formed again.
+func TestOldEpochIsRejected(t *testing.T) {
 	g := newGroup(1)
 	engine := New(g.engines[0], 1, 1)
 	g.engines[0].state.Epoch = 2
@@ -200,85 +206,85 @@
 	require.ErrorIs(t, engine.Stage(t.Context(), expertmap.Map{}), ErrEpoch)
 }
 
-// An abort is carried out on all ranks before any of them goes on. Here rank 0 was told
-// to go on by an agent that died, by an order that is still on its way, when another
-// coordinator finds that nobody has committed and aborts. Were rank 1 let go with its
-// abort, that order would let the group begin the step with rank 0 still armed.
-func TestAbortLetsNobodyGoBeforeAllHaveDisarmed(t *testing.T) {
-	w := newWorld(2)
-	first, second := w.group.engines[0], w.group.engines[1]
-	w.start(0, true)
-	for first.state.ArmedVersion == 0 || second.state.ArmedVersion == 0 || w.net[0].message.Commit == nil {
-		p := w.net[0]
-		w.net = w.net[1:]
-		w.deliver(p)
+// Guards against a rank that resumes before the abort has disarmed all ranks. An agent that died
+// has told rank 0 to resume, by orders that are still in transit, when another coordinator finds
+// that no rank has committed and aborts. If rank 1 resumed with its abort, one of those orders
+// would let the group start the step with rank 0 still armed.
+func TestNoRankResumesBeforeAllAreDisarmed(t *testing.T) {
+	sim := newSimulation(2)
+	first, second := sim.group.engines[0], sim.group.engines[1]
+	sim.startCoordinator(0, true)
+	for first.state.ArmedVersion == 0 || second.state.ArmedVersion == 0 || sim.network[0].message.Commit == nil {
+		p := sim.network[0]
+		sim.network = sim.network[1:]
+		sim.deliver(p)
 	}
-	first.lose = func() bool { return true }
-	for _, p := range w.net {
+	first.losesNext = func() bool { return true }
+	for _, p := range sim.network {
 		if p.message.Commit != nil && p.to == 0 {
-			w.deliver(p)
+			sim.deliver(p)
 		}
 	}
-	first.lose = func() bool { return false }
-	require.Len(t, first.late, mostSends)
-	require.Equal(t, Resume, first.late[0].Operation)
-	w.net = nil
-	w.restart(0)
-	w.restart(1)
+	first.losesNext = func() bool { return false }
+	require.Len(t, first.lateOrders, maxSends)
+	require.Equal(t, Resume, first.lateOrders[0].Operation)
+	sim.network = nil
+	sim.restart(0)
+	sim.restart(1)
 
-	w.start(1, false)
-	var kept []packet
-	for len(w.net) > 0 {
-		p := w.net[0]
-		w.net = w.net[1:]
+	sim.startCoordinator(1, false)
+	var delayedAborts []packet
+	for len(sim.network) > 0 {
+		p := sim.network[0]
+		sim.network = sim.network[1:]
 		if p.message.Abort != nil && p.to == 0 {
-			kept = append(kept, p)
+			delayedAborts = append(delayedAborts, p)
 			continue
 		}
-		w.deliver(p)
+		sim.deliver(p)
 	}
-	require.NotEmpty(t, kept)
+	require.NotEmpty(t, delayedAborts)
 	require.Zero(t, second.state.ArmedVersion)
-	require.NoError(t, first.carryOut(first.late[0]))
+	require.NoError(t, first.execute(first.lateOrders[0]))
 	for range 10 {
-		w.group.pass()
+		sim.group.startStep()
 	}
-	require.False(t, w.group.mixed)
-	w.net = kept
-	w.calm()
-	require.False(t, w.group.mixed)
+	require.False(t, sim.group.hasMixedMaps)
+	sim.network = delayedAborts
+	sim.runWithoutFaults()
+	require.False(t, sim.group.hasMixedMaps)
 	require.Zero(t, first.state.ArmedVersion)
 	require.Zero(t, second.state.PauseStep)
 }
 
-// A coordinator dies while it aborts, and an order to go on from before it comes late: a
-// rank then looks as if it had committed what another has dropped. The next coordinator
-// has to abort, and the group goes on.
-func TestLateGoAfterAnAbortBeganIsAborted(t *testing.T) {
-	w := newWorld(2)
-	first, second := w.group.engines[0], w.group.engines[1]
-	w.start(0, true)
+// A coordinator dies during an abort, and a resume order that was sent before arrives late. Rank
+// 0 then looks committed to a change that rank 1 has dropped. Guards against a next coordinator
+// that takes the change for committed: it has to abort, and the group must continue.
+func TestLateResumeDuringAbortIsAborted(t *testing.T) {
+	sim := newSimulation(2)
+	first, second := sim.group.engines[0], sim.group.engines[1]
+	sim.startCoordinator(0, true)
 	for first.state.ArmedVersion == 0 || second.state.ArmedVersion == 0 {
-		p := w.net[0]
-		w.net = w.net[1:]
-		w.deliver(p)
+		p := sim.network[0]
+		sim.network = sim.network[1:]
+		sim.deliver(p)
 	}
-	late := Order{Operation: Resume, Epoch: 1, Expect: first.state.Sequence, Step: first.state.PauseStep}
-	w.net = nil
-	w.restart(0)
-	w.start(1, false)
+	lateResume := Order{Operation: Resume, Epoch: 1, Expect: first.state.Sequence, Step: first.state.PauseStep}
+	sim.network = nil
+	sim.restart(0)
+	sim.startCoordinator(1, false)
 	for second.state.ArmedVersion != 0 {
-		p := w.net[0]
-		w.net = w.net[1:]
+		p := sim.network[0]
+		sim.network = sim.network[1:]
 		if p.message.Abort == nil || p.to != 0 {
-			w.deliver(p)
+			sim.deliver(p)
 		}
 	}
-	w.net = nil
-	w.restart(1)
-	require.NoError(t, first.carryOut(late))
-	w.settle()
-	require.False(t, w.group.mixed)
+	sim.network = nil
+	sim.restart(1)
+	require.NoError(t, first.execute(lateResume))
+	sim.finishRecovery()
+	require.False(t, sim.group.hasMixedMaps)
 	require.Zero(t, first.state.ArmedVersion)
 	require.Zero(t, second.state.PauseStep)
 	require.Zero(t, first.state.Map)
--- a/internal/rank/world_test.go
+++ b/internal/rank/world_test.go
@@ -8,35 +8,35 @@
 	"github.com/sassafraspost/sassafraspost/internal/expertmap"
 )
 
-// simGroup is a group of engines in lock-step.
+// simGroup is a simulated group of engines that run in lockstep.
 type simGroup struct {
-	engines []*simEngine
-	step    uint64
-	mixed   bool
+	engines      []*simEngine
+	step         uint64
+	hasMixedMaps bool
 }
 
-// simEngine is one rank's engine. It implements Client.
+// simEngine is the simulated engine of one rank. It implements Client.
 type simEngine struct {
-	g     *simGroup
+	group *simGroup
 	state Report
-	// late are orders that were not answered and may be carried out at any time.
-	late []Order
-	// lose decides whether the next order gets lost on its way.
-	lose func() bool
+	// lateOrders are orders that got no answer and may be executed at any time.
+	lateOrders []Order
+	// losesNext decides whether the next order is lost in transit.
+	losesNext func() bool
 }
 
 func newGroup(ranks int) *simGroup {
 	g := &simGroup{}
 	for i := range ranks {
-		g.engines = append(g.engines, &simEngine{g: g, state: Report{
+		g.engines = append(g.engines, &simEngine{group: g, state: Report{
 			Group: "g", Epoch: 1, Rank: i, Size: ranks, IsOpen: true,
-		}, lose: func() bool { return false }})
+		}, losesNext: func() bool { return false }})
 	}
 	return g
 }
 
-// pass begins the next pass if no rank holds before it.
-func (g *simGroup) pass() bool {
+// startStep starts the next step unless some rank is paused before it.
+func (g *simGroup) startStep() bool {
 	next := g.step + 1
 	for _, e := range g.engines {
 		if e.state.PauseStep == next {
@@ -49,7 +49,7 @@
 		if e.state.ArmedVersion != 0 && e.state.ArmedStep == next {
 			e.state.Map, e.state.ArmedVersion, e.state.ArmedStep, e.state.Prepared = e.state.ArmedVersion, 0, 0, 0
 		}
-		g.mixed = g.mixed || e.state.Map != g.engines[0].state.Map
+		g.hasMixedMaps = g.hasMixedMaps || e.state.Map != g.engines[0].state.Map
 	}
 	return true
 }
@@ -61,17 +61,17 @@
 func (e *simEngine) Experts(context.Context) (uint64, [][]uint16, error) { return 0, nil, nil }
 
 func (e *simEngine) Order(_ context.Context, o Order) error {
-	if e.lose() {
-		e.late = append(e.late, o)
+	if e.losesNext() {
+		e.lateOrders = append(e.lateOrders, o)
 		return errors.Wrap(ErrUnanswered, "lost")
 	}
-	return e.carryOut(o)
+	return e.execute(o)
 }
 
 var errRefused = errors.New("refused")
 
-// carryOut is an engine's rule for each order.
-func (e *simEngine) carryOut(o Order) error {
+// execute applies the engine's rules for each kind of order.
+func (e *simEngine) execute(o Order) error {
 	s := &e.state
 	if o.Epoch != s.Epoch || o.Expect != s.Sequence {
 		return errRefused
@@ -108,79 +108,82 @@
 	message  expertmap.Message
 }
 
-// simWorld is a group with its agents and the messages between them.
-type simWorld struct {
-	group  *simGroup
-	agents []*simAgent
-	net    []packet
-	unique uint64
-	// first is the map that agents know without being told, if it has content.
-	first expertmap.Map
-	// ghosts are agents that were replaced although they go on, as one that was frozen.
-	ghosts map[expertmap.Address]*simAgent
+// simulation is a group with its agents and the messages in transit between them.
+type simulation struct {
+	group   *simGroup
+	agents  []*simAgent
+	network []packet
+	lastID  uint64
+	// initialMap is the map that agents know from the start without a message. It may have no
+	// content.
+	initialMap expertmap.Map
+	// staleAgents are agents that were replaced but still run, like an agent that was frozen for
+	// a while.
+	staleAgents map[expertmap.Address]*simAgent
 }
 
-func newWorld(ranks int) *simWorld {
-	w := &simWorld{group: newGroup(ranks), ghosts: map[expertmap.Address]*simAgent{}}
+func newSimulation(ranks int) *simulation {
+	sim := &simulation{group: newGroup(ranks), staleAgents: map[expertmap.Address]*simAgent{}}
 	for i := range ranks {
-		w.agents = append(w.agents, &simAgent{address: expertmap.Address(i)})
-		w.restart(i)
+		sim.agents = append(sim.agents, &simAgent{address: expertmap.Address(i)})
+		sim.restart(i)
 	}
-	return w
+	return sim
 }
 
-// restart starts an agent without memory.
-func (w *simWorld) restart(i int) {
-	w.unique++
-	a := w.agents[i]
-	a.engine = New(w.group.engines[i], 1, 1)
-	a.participant = expertmap.NewParticipant(w.unique, 3, w.first)
+// restart replaces an agent by a new one, which remembers nothing.
+func (sim *simulation) restart(i int) {
+	sim.lastID++
+	a := sim.agents[i]
+	a.engine = New(sim.group.engines[i], 1, 1)
+	a.participant = expertmap.NewParticipant(sim.lastID, 3, sim.initialMap)
 	a.coordinator = nil
 }
 
-// start lets an agent coordinate, with a proposal or to settle what is open.
-func (w *simWorld) start(i int, propose bool) {
-	w.unique++
-	a := w.agents[i]
-	cfg := expertmap.Config{ID: w.unique, LastKnownBallot: a.participant.Promised(), ArmAhead: 2, DeadlineTicks: 6}
-	for _, other := range w.agents {
+// startCoordinator starts a ballot at an agent, either with a proposal or only to complete or
+// abort an unfinished change.
+func (sim *simulation) startCoordinator(i int, propose bool) {
+	sim.lastID++
+	a := sim.agents[i]
+	cfg := expertmap.Config{ID: sim.lastID, LastKnownBallot: a.participant.Promised(), ArmAhead: 2, DeadlineTicks: 6}
+	for _, other := range sim.agents {
 		cfg.Participants = append(cfg.Participants, other.address)
 	}
 	a.coordinator, _ = expertmap.NewCoordinator(cfg)
 	var p *expertmap.Proposal
 	if propose {
 		p = &expertmap.Proposal{
-			Base: Ballot(w.group.engines[i].state.Map),
-			Map:  expertmap.Map{SlotsPerRank: 1, Layers: [][]uint16{make([]uint16, len(w.agents))}},
+			Base: Ballot(sim.group.engines[i].state.Map),
+			Map:  expertmap.Map{SlotsPerRank: 1, Layers: [][]uint16{make([]uint16, len(sim.agents))}},
 		}
 	}
-	w.post(a.address, a.coordinator.Start(p))
+	sim.send(a.address, a.coordinator.Start(p))
 }
 
-func (w *simWorld) post(from expertmap.Address, all []expertmap.Envelope) {
+func (sim *simulation) send(from expertmap.Address, all []expertmap.Envelope) {
 	for _, e := range all {
-		w.net = append(w.net, packet{from: from, to: e.To, message: e.Message})
+		sim.network = append(sim.network, packet{from: from, to: e.To, message: e.Message})
 	}
 }
 
-// deliver hands over one message.
-func (w *simWorld) deliver(p packet) {
-	a := w.agents[p.to]
+// deliver hands one message to its recipient.
+func (sim *simulation) deliver(p packet) {
+	a := sim.agents[p.to]
 	if p.isReply {
 		if a.coordinator != nil {
-			w.post(a.address, a.coordinator.Step(p.from, p.message))
+			sim.send(a.address, a.coordinator.Step(p.from, p.message))
 		}
 		return
 	}
-	w.work(a, a.participant.Step(p.from, p.message))
+	sim.handleOutput(a, a.participant.Step(p.from, p.message))
 }
 
-// work does what a participant wants until it wants nothing more.
-func (w *simWorld) work(a *simAgent, o expertmap.Output) {
+// handleOutput does what a participant asks for until it asks for nothing more.
+func (sim *simulation) handleOutput(a *simAgent, o expertmap.Output) {
 	ctx := context.Background()
 	for {
 		if o.Reply != nil {
-			w.net = append(w.net, packet{from: a.address, to: o.Reply.To, isReply: true, message: o.Reply.Message})
+			sim.network = append(sim.network, packet{from: a.address, to: o.Reply.To, isReply: true, message: o.Reply.Message})
 		}
 		if !o.HasWork {
 			return
@@ -193,33 +196,34 @@
 	}
 }
 
-func (w *simWorld) tick() {
-	for _, a := range w.agents {
+func (sim *simulation) tickCoordinators() {
+	for _, a := range sim.agents {
 		if a.coordinator != nil {
-			w.post(a.address, a.coordinator.Tick())
+			sim.send(a.address, a.coordinator.Tick())
 		}
 	}
 }
 
-// calm delivers everything, without losses, until nothing is left to do.
-func (w *simWorld) calm() {
+// runWithoutFaults delivers all messages, ticks all coordinators and runs steps, without losses,
+// long enough for a ballot to end.
+func (sim *simulation) runWithoutFaults() {
 	for range 200 {
-		for len(w.net) > 0 {
-			p := w.net[0]
-			w.net = w.net[1:]
-			w.deliver(p)
+		for len(sim.network) > 0 {
+			p := sim.network[0]
+			sim.network = sim.network[1:]
+			sim.deliver(p)
 		}
-		w.tick()
-		w.group.pass()
+		sim.tickCoordinators()
+		sim.group.startStep()
 	}
 }
 
-// settle lets an agent coordinate until nothing is open. Ballots that others hold to a
-// higher one are refused at first.
-func (w *simWorld) settle() {
-	w.start(0, false)
-	c := w.agents[0].coordinator
-	for w.calm(); c.Outcome() == expertmap.OutcomeSuperseded; w.calm() {
-		w.post(0, c.Start(nil))
+// finishRecovery runs ballots of agent 0 until no unfinished change is left. Its first ballots
+// may be refused, because others have promised a higher one.
+func (sim *simulation) finishRecovery() {
+	sim.startCoordinator(0, false)
+	c := sim.agents[0].coordinator
+	for sim.runWithoutFaults(); c.Outcome() == expertmap.OutcomeSuperseded; sim.runWithoutFaults() {
+		sim.send(0, c.Start(nil))
 	}
 }
