--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -8,15 +8,15 @@
 
 // The errors of the core. None of them leaves anything proposed.
 var (
-	ErrNotLeader     = errors.New("not the leader")
-	ErrNoQuorum      = errors.New("no majority was heard of late")
-	ErrBusy          = errors.New("too much is uncommitted")
-	ErrTransferring  = errors.New("the leadership is being handed over")
-	ErrChangePending = errors.New("a membership change can't begin yet")
-	ErrBadChange     = errors.New("membership refused")
-	ErrNotEmpty      = errors.New("the log is not empty")
-	ErrNoTransferee  = errors.New("no voter can take the leadership")
-	ErrCorrupt       = errors.New("the logs contradict each other")
+	ErrNotLeader         = errors.New("not the leader")
+	ErrNoQuorum          = errors.New("no majority was heard of late")
+	ErrUncommittedLimit  = errors.New("too much is uncommitted")
+	ErrTransferring      = errors.New("the leadership is being handed over")
+	ErrChangePending     = errors.New("a membership change can't begin yet")
+	ErrInvalidMembership = errors.New("membership refused")
+	ErrLogNotEmpty       = errors.New("the log is not empty")
+	ErrNoTransferee      = errors.New("no voter can take the leadership")
+	ErrCorrupt           = errors.New("the logs contradict each other")
 )
 
 // The defaults of Config.
@@ -24,10 +24,10 @@
 	DefaultElectionTicks       = 10
 	DefaultHeartbeatTicks      = 1
 	DefaultMaxAppendBytes      = 1 << 20
-	DefaultMaxInflight         = 64
+	DefaultMaxInflightAppends  = 64
 	DefaultMaxUncommittedBytes = 64 << 20
-	DefaultSnapshotTicks       = 100
-	DefaultKeepEntries         = 1024
+	DefaultSnapshotRetryTicks  = 100
+	DefaultTrailingEntries     = 1024
 )
 
 // Config sets up a Core. ID and Rand are required.
@@ -38,17 +38,17 @@
 	HeartbeatTicks int
 	// MaxAppendBytes bounds the data of an append that carries several entries.
 	MaxAppendBytes int
-	// MaxInflight bounds the unanswered appends to a replica.
-	MaxInflight int
+	// MaxInflightAppends bounds the unanswered appends to a replica.
+	MaxInflightAppends int
 	// MaxUncommittedBytes bounds the data of a leader's uncommitted entries.
 	MaxUncommittedBytes int
-	// SnapshotTicks is when an unanswered snapshot is sent again.
-	SnapshotTicks int
-	// KeepEntries is how many entries stay in memory before a snapshot, so that a
+	// SnapshotRetryTicks is when an unanswered snapshot is sent again.
+	SnapshotRetryTicks int
+	// TrailingEntries is how many entries stay in memory before a snapshot, so that a
 	// replica that is a little behind needs no snapshot. Negative is not allowed;
 	// zero takes the default.
-	KeepEntries uint64
-	Rand        *rand.Rand
+	TrailingEntries uint64
+	Rand            *rand.Rand
 }
 
 func (cfg Config) withDefaults() Config {
@@ -60,17 +60,17 @@
 	orInt(&cfg.ElectionTicks, DefaultElectionTicks)
 	orInt(&cfg.HeartbeatTicks, DefaultHeartbeatTicks)
 	orInt(&cfg.MaxAppendBytes, DefaultMaxAppendBytes)
-	orInt(&cfg.MaxInflight, DefaultMaxInflight)
+	orInt(&cfg.MaxInflightAppends, DefaultMaxInflightAppends)
 	orInt(&cfg.MaxUncommittedBytes, DefaultMaxUncommittedBytes)
-	orInt(&cfg.SnapshotTicks, DefaultSnapshotTicks)
-	if cfg.KeepEntries == 0 {
-		cfg.KeepEntries = DefaultKeepEntries
+	orInt(&cfg.SnapshotRetryTicks, DefaultSnapshotRetryTicks)
+	if cfg.TrailingEntries == 0 {
+		cfg.TrailingEntries = DefaultTrailingEntries
 	}
 	return cfg
 }
 
-// Restored is what a replica had persisted. The zero value is a new disk.
-type Restored struct {
+// PersistedState is what a replica had persisted. The zero value is a new disk.
+type PersistedState struct {
 	HardState HardState
 	Snapshot  Snapshot
 	// Entries follow the snapshot without a gap.
@@ -105,13 +105,13 @@
 // Committed; answer ReadStates; call Advance. Between Ready and Advance the core
 // must not be stepped.
 type Ready struct {
-	Soft       *SoftState
-	Snapshot   *Snapshot
-	HardState  *HardState
-	Entries    []Entry
-	Messages   []Message
-	Committed  []Entry
-	ReadStates []ReadState
+	SoftState        *SoftState
+	Snapshot         *Snapshot
+	HardState        *HardState
+	Entries          []Entry
+	Messages         []Message
+	CommittedEntries []Entry
+	ReadStates       []ReadState
 }
 
 // Core is one replica. It is not safe for concurrent use.
@@ -160,7 +160,7 @@
 
 // New returns a follower with the persisted state. It fails when the log has a
 // gap or a membership in it can't be read.
-func New(cfg Config, r Restored) (*Core, error) {
+func New(cfg Config, r PersistedState) (*Core, error) {
 	if cfg.ID == "" || cfg.Rand == nil {
 		return nil, errors.New("consensus: ID and Rand are required")
 	}
@@ -185,7 +185,7 @@
 
 // restoreHardState allows for a crash between the writes of a snapshot and of the
 // hard state. A vote in a newer term than the persisted one can't have been sent.
-func restoreHardState(r Restored, log *raftLog) HardState {
+func restoreHardState(r PersistedState, log *raftLog) HardState {
 	h := r.HardState
 	if t := log.lastTerm(); t > h.Term {
 		h.Term, h.Vote = t, ""
@@ -232,7 +232,7 @@
 		return
 	}
 	p.waited++
-	if p.waited >= c.cfg.SnapshotTicks {
+	if p.waited >= c.cfg.SnapshotRetryTicks {
 		p.probe()
 		c.dirty = true
 	}
@@ -348,7 +348,7 @@
 		return 0, 0, err
 	}
 	if c.uncommitted > 0 && c.uncommitted+len(data) > c.cfg.MaxUncommittedBytes {
-		return 0, 0, ErrBusy
+		return 0, 0, ErrUncommittedLimit
 	}
 	index, err = c.appendOwn(EntryCommand, data)
 	return index, c.hard.Term, err
@@ -384,7 +384,7 @@
 	c.replicate()
 	rd := Ready{Snapshot: c.restored, Messages: c.messages, ReadStates: c.readStates}
 	if s := c.soft(); s != c.lastSoft {
-		rd.Soft = &s
+		rd.SoftState = &s
 		c.lastSoft = s
 	}
 	if c.hardChanged() {
@@ -394,7 +394,7 @@
 	}
 	rd.Entries = c.log.slice(c.log.stable+1, c.log.last())
 	c.persisting = c.log.last()
-	rd.Committed = c.log.slice(c.applied+1, c.hard.Commit)
+	rd.CommittedEntries = c.log.slice(c.applied+1, c.hard.Commit)
 	c.applied = c.hard.Commit
 	c.messages, c.readStates, c.restored = nil, nil, nil
 	return rd
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -18,10 +18,10 @@
 func abc() Membership { return Membership{Voters: []ReplicaID{idA, idB, idC}} }
 
 // restoredLog returns a log of the terms, whose first entry states the membership.
-func restoredLog(t *testing.T, m Membership, terms ...uint64) Restored {
+func restoredLog(t *testing.T, m Membership, terms ...uint64) PersistedState {
 	data, err := EncodeMembership(m)
 	require.NoError(t, err)
-	r := Restored{HardState: HardState{Term: terms[len(terms)-1]}}
+	r := PersistedState{HardState: HardState{Term: terms[len(terms)-1]}}
 	for i, term := range terms {
 		e := Entry{Term: term, Index: uint64(i + 1), Data: []byte("x")}
 		if i == 0 {
@@ -32,8 +32,8 @@
 	return r
 }
 
-func openCore(t *testing.T, id ReplicaID, r Restored) *Core {
-	c, err := New(Config{ID: id, ElectionTicks: 10, MaxAppendBytes: 4, MaxInflight: 2, MaxUncommittedBytes: 16, Rand: rand.New(rand.NewPCG(1, 2))}, r)
+func openCore(t *testing.T, id ReplicaID, r PersistedState) *Core {
+	c, err := New(Config{ID: id, ElectionTicks: 10, MaxAppendBytes: 4, MaxInflightAppends: 2, MaxUncommittedBytes: 16, Rand: rand.New(rand.NewPCG(1, 2))}, r)
 	require.NoError(t, err)
 	return c
 }
@@ -111,9 +111,9 @@
 	require.ErrorIs(t, err, ErrChangePending, "no entry of the term is committed")
 	step(t, c, Message{Type: MessageAppendResponse, From: idB, Term: c.hard.Term, Index: 2})
 	_, _, err = c.ProposeMembership(Membership{Voters: []ReplicaID{idA, idB, "d/1"}})
-	require.ErrorIs(t, err, ErrBadChange, "two voters differ")
+	require.ErrorIs(t, err, ErrInvalidMembership, "two voters differ")
 	_, _, err = c.ProposeMembership(Membership{Voters: abc().Voters, Learners: []ReplicaID{idA}})
-	require.ErrorIs(t, err, ErrBadChange)
+	require.ErrorIs(t, err, ErrInvalidMembership)
 	_, _, err = c.ProposeMembership(grown)
 	require.NoError(t, err)
 	_, _, err = c.ProposeMembership(abc())
@@ -173,7 +173,7 @@
 // A host whose disk is lost is another replica: what is sent to its old self is
 // ignored, its votes do not count, and it does not campaign.
 func TestNewDiskHasNoVote(t *testing.T) {
-	fresh := openCore(t, "c/2", Restored{})
+	fresh := openCore(t, "c/2", PersistedState{})
 	require.NoError(t, fresh.Step(Message{Type: MessageVote, From: idA, To: idC, Term: 2, Index: 1, LogTerm: 1}))
 	for range 100 {
 		fresh.Tick()
@@ -275,7 +275,7 @@
 		require.NoError(t, err)
 	}
 	_, _, err := c.Propose([]byte("x"))
-	require.ErrorIs(t, err, ErrBusy)
+	require.ErrorIs(t, err, ErrUncommittedLimit)
 	appends := ofType(work(c), MessageAppend)
 	require.Len(t, appends, 2, "the window to b; c has an unanswered probe")
 	require.Len(t, appends[0].Entries, 2)
@@ -321,7 +321,7 @@
 	w.commit("x")
 	w.checkLogs()
 	for _, id := range w.ids {
-		require.ErrorIs(t, w.nodes[id].core.Bootstrap(m), ErrNotEmpty)
+		require.ErrorIs(t, w.nodes[id].core.Bootstrap(m), ErrLogNotEmpty)
 	}
 }
 
@@ -359,12 +359,12 @@
 }
 
 func TestLostSnapshotIsSentAgain(t *testing.T) {
-	r := Restored{HardState: HardState{Term: 1, Commit: 9}}
+	r := PersistedState{HardState: HardState{Term: 1, Commit: 9}}
 	r.Snapshot.Meta = SnapshotMeta{Index: 9, Term: 1, Membership: abc()}
 	c := openCore(t, idA, r)
 	elect(t, c, idB)
 	sent := 0
-	for range 2 * DefaultSnapshotTicks {
+	for range 2 * DefaultSnapshotRetryTicks {
 		step(t, c, Message{Type: MessageHeartbeatResponse, From: idB, Term: c.hard.Term})
 		step(t, c, Message{Type: MessageAppendResponse, From: idC, Term: c.hard.Term, Reject: true, Index: 9})
 		c.Tick()
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -121,7 +121,7 @@
 // restoreLog rebuilds the log from what was persisted. Entries that the snapshot
 // covers are left out, and so is a suffix whose terms fall below the ones before:
 // such entries were overtaken by the snapshot and can't be committed.
-func restoreLog(r Restored) (*raftLog, error) {
+func restoreLog(r PersistedState) (*raftLog, error) {
 	l := &raftLog{}
 	l.reset(r.Snapshot.Meta)
 	for _, e := range r.Entries {
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -95,19 +95,19 @@
 		return err
 	}
 	if n := voterDifference(old, next); n > maxVoterChange {
-		return errors.Wrapf(ErrBadChange, "%d voters would change", n)
+		return errors.Wrapf(ErrInvalidMembership, "%d voters would change", n)
 	}
 	return nil
 }
 
 func checkMembership(m Membership) error {
 	if len(m.Voters) == 0 {
-		return errors.Wrap(ErrBadChange, "no voters")
+		return errors.Wrap(ErrInvalidMembership, "no voters")
 	}
 	all := slices.Concat(m.Voters, m.Learners)
 	slices.Sort(all)
 	if len(slices.Compact(all)) != len(m.Voters)+len(m.Learners) {
-		return errors.Wrap(ErrBadChange, "a replica is listed twice")
+		return errors.Wrap(ErrInvalidMembership, "a replica is listed twice")
 	}
 	return nil
 }
@@ -134,13 +134,13 @@
 // persisted: after a crash before the first entry it has to be called again.
 func (c *Core) Bootstrap(m Membership) error {
 	if c.log.last() > 0 || c.leader != "" || len(c.Membership().Voters) > 0 {
-		return ErrNotEmpty
+		return ErrLogNotEmpty
 	}
 	if err := checkMembership(m); err != nil {
 		return err
 	}
 	if !m.IsVoter(c.id) {
-		return errors.Wrap(ErrBadChange, "the bootstrapping replica must be a voter")
+		return errors.Wrap(ErrInvalidMembership, "the bootstrapping replica must be a voter")
 	}
 	c.members.list[0].membership = m.Clone()
 	c.campaign(PreCandidate, false)
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -50,7 +50,7 @@
 	case snapshotting:
 		return false
 	}
-	if len(p.inflight) >= c.cfg.MaxInflight {
+	if len(p.inflight) >= c.cfg.MaxInflightAppends {
 		return false
 	}
 	return p.next <= c.log.last() || p.sentCommit < c.hard.Commit || p.poke
@@ -226,7 +226,7 @@
 	if p.match < c.log.last() {
 		p.poke = true
 		c.dirty = true
-		if len(p.inflight) >= c.cfg.MaxInflight {
+		if len(p.inflight) >= c.cfg.MaxInflightAppends {
 			p.inflight = p.inflight[1:]
 		}
 	}
@@ -276,7 +276,7 @@
 	}
 	c.snapshot = s
 	c.members.compact(s.Meta.Index)
-	if s.Meta.Index > c.cfg.KeepEntries {
-		c.log.compact(s.Meta.Index - c.cfg.KeepEntries)
+	if s.Meta.Index > c.cfg.TrailingEntries {
+		c.log.compact(s.Meta.Index - c.cfg.TrailingEntries)
 	}
 }
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -3,21 +3,21 @@
 // PeerStatus is what a leader knows of another replica.
 type PeerStatus struct {
 	ID ReplicaID
-	// Match is the last index that the replica is known to have persisted.
-	Match uint64
-	// SilentTicks is how long ago it was heard.
-	SilentTicks int
+	// MatchIndex is the last index that the replica is known to have persisted.
+	MatchIndex uint64
+	// TicksSinceContact is how long ago it was heard.
+	TicksSinceContact int
 }
 
 // Status describes a replica. Peers is filled on a leader only.
 type Status struct {
 	SoftState
-	ID         ReplicaID
-	Commit     uint64
-	Applied    uint64
-	Last       uint64
-	Snapshot   uint64
-	Membership Membership
+	ID            ReplicaID
+	Commit        uint64
+	Applied       uint64
+	LastIndex     uint64
+	SnapshotIndex uint64
+	Membership    Membership
 	// MembershipCommitted tells whether Membership is committed.
 	MembershipCommitted bool
 	Peers               []PeerStatus
@@ -27,12 +27,12 @@
 func (c *Core) Status() Status {
 	s := Status{
 		SoftState: c.soft(), ID: c.id, Commit: c.hard.Commit, Applied: c.applied,
-		Last: c.log.last(), Snapshot: c.snapshot.Meta.Index, Membership: c.Membership(),
+		LastIndex: c.log.last(), SnapshotIndex: c.snapshot.Meta.Index, Membership: c.Membership(),
 		MembershipCommitted: c.members.latest().index <= c.hard.Commit,
 	}
 	for _, id := range c.peers {
 		p := c.progress[id]
-		s.Peers = append(s.Peers, PeerStatus{ID: id, Match: p.match, SilentTicks: p.silent})
+		s.Peers = append(s.Peers, PeerStatus{ID: id, MatchIndex: p.match, TicksSinceContact: p.silent})
 	}
 	return s
 }
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -19,7 +19,7 @@
 // node is a replica with its disk; state is the running hash of what it applied.
 type node struct {
 	core    *Core
-	disk    Restored
+	disk    PersistedState
 	applied uint64
 	state   uint64
 }
@@ -64,7 +64,7 @@
 // start opens a replica from its disk, as after a crash.
 func (w *world) start(id ReplicaID) {
 	n := w.nodes[id]
-	cfg := Config{ID: id, ElectionTicks: 4, MaxAppendBytes: 8, MaxInflight: 3, SnapshotTicks: 8, KeepEntries: 2,
+	cfg := Config{ID: id, ElectionTicks: 4, MaxAppendBytes: 8, MaxInflightAppends: 3, SnapshotRetryTicks: 8, TrailingEntries: 2,
 		Rand: rand.New(rand.NewPCG(xxhash.Sum64String(string(id)), n.disk.HardState.Term))}
 	core, err := New(cfg, n.disk)
 	if err != nil {
@@ -105,8 +105,8 @@
 		w.net = append(w.net, rd.Messages...)
 		w.apply(id, rd)
 		w.checkReads(rd)
-		if rd.Soft != nil && rd.Soft.Role == Leader {
-			w.checkLeader(id, rd.Soft.Term)
+		if rd.SoftState != nil && rd.SoftState.Role == Leader {
+			w.checkLeader(id, rd.SoftState.Term)
 		}
 		n.core.Advance()
 	}
@@ -120,7 +120,7 @@
 			w.t.Fatalf("state machine safety: %s restored another state at %d", id, n.applied)
 		}
 	}
-	for _, e := range rd.Committed {
+	for _, e := range rd.CommittedEntries {
 		w.checkCommitted(id, e)
 		n.applied = e.Index
 		n.state = xxhash.Sum64String(fmt.Sprint(n.state, e.Term, e.Kind, e.Data))
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -29,7 +29,7 @@
 )
 
 // The tables are set aside quickly for a snapshot, and encoded beside the log.
-var _ replica.Capturer = (*state.Machine)(nil)
+var _ replica.SnapshotCapturer = (*state.Machine)(nil)
 
 const (
 	// ageInterval is how often the leader moves the age of the tables on.
@@ -129,9 +129,9 @@
 	h.replica, err = replica.Open(replica.Options{
 		ID:              h.id,
 		Storage:         cfg.Journal,
-		Machine:         h.tables,
+		StateMachine:    h.tables,
 		Transport:       cfg.Transport,
-		Restored:        restored(cfg.Recovered),
+		PersistedState:  restored(cfg.Recovered),
 		Tick:            cfg.Tick,
 		ElectionTicks:   cfg.ElectionTicks,
 		SnapshotEntries: cfg.SnapshotEntries,
@@ -146,8 +146,8 @@
 	return h, nil
 }
 
-func restored(r journal.Recovered) consensus.Restored {
-	return consensus.Restored{HardState: r.HardState, Snapshot: r.Snapshot, Entries: r.Entries}
+func restored(r journal.Recovered) consensus.PersistedState {
+	return consensus.PersistedState{HardState: r.HardState, Snapshot: r.Snapshot, Entries: r.Entries}
 }
 
 // Run does the host's background work until ctx ends. The error is what ended the
@@ -286,7 +286,7 @@
 const appliedPoll = 5 * time.Millisecond
 
 func (h *Host) awaitApplied(ctx context.Context, index uint64) error {
-	for h.replica.Applied() < index {
+	for h.replica.AppliedIndex() < index {
 		if ctx.Err() != nil {
 			return verdict.New(verdict.NotRun, verdict.CodeDeadline, "this control host is behind")
 		}
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -115,7 +115,7 @@
 	h.cfg.Log.Info("replica joins", "replica", id)
 	for _, old := range st.Membership.Learners {
 		if old != id && hostOf(old) == hostOf(id) {
-			if err := h.replica.Remove(ctx, old); err != nil {
+			if err := h.replica.RemoveMember(ctx, old); err != nil {
 				return err
 			}
 		}
@@ -124,7 +124,7 @@
 		if h.isHeard(st, old) {
 			return verdict.New(verdict.NotRun, verdict.CodeConflict, "replica "+string(old)+" of the same host is alive")
 		}
-		return h.replica.Replace(ctx, old, id)
+		return h.replica.ReplaceVoter(ctx, old, id)
 	}
 	if err := h.replica.AddLearner(ctx, id); err != nil {
 		return err
@@ -132,7 +132,7 @@
 	if h.cfg.Voters > 0 && len(st.Membership.Voters) >= h.cfg.Voters {
 		return h.succeed(ctx, id)
 	}
-	return h.replica.Promote(ctx, id)
+	return h.replica.PromoteLearner(ctx, id)
 }
 
 // succeed gives a learner the place of a voter that has fallen silent. Where none has,
@@ -150,7 +150,7 @@
 		return nil
 	}
 	h.cfg.Log.Info("voter is replaced", "silent", silent[0], "by", id)
-	return h.replica.Replace(ctx, silent[0], id)
+	return h.replica.ReplaceVoter(ctx, silent[0], id)
 }
 
 // predecessor returns the voter that the host of id was with another disk.
@@ -165,7 +165,7 @@
 func (h *Host) isHeard(st consensus.Status, id consensus.ReplicaID) bool {
 	for _, p := range st.Peers {
 		if p.ID == id {
-			return time.Duration(p.SilentTicks)*h.cfg.Tick < h.cfg.HearingSpan
+			return time.Duration(p.TicksSinceContact)*h.cfg.Tick < h.cfg.HearingSpan
 		}
 	}
 	return false
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -12,7 +12,7 @@
 // leave the tick open: the new disk of its host would never take its place.
 func TestSilentReplicaIsNotHeardWithDefaults(t *testing.T) {
 	h := &Host{cfg: Config{}.withDefaults()}
-	st := consensus.Status{Peers: []consensus.PeerStatus{{ID: "a/old", SilentTicks: 1000}, {ID: "b/new", SilentTicks: 1}}}
+	st := consensus.Status{Peers: []consensus.PeerStatus{{ID: "a/old", TicksSinceContact: 1000}, {ID: "b/new", TicksSinceContact: 1}}}
 	require.False(t, h.isHeard(st, "a/old"))
 	require.True(t, h.isHeard(st, "b/new"))
 }
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -34,7 +34,7 @@
 func (nullTransport) Send(consensus.ReplicaID, consensus.Message) {}
 
 func openSingle(b *testing.B, snapshotEntries uint64) *Replica {
-	r, err := Open(Options{ID: idA, Storage: nullStorage{}, Machine: &countMachine{}, Transport: nullTransport{}, Tick: testTick,
+	r, err := Open(Options{ID: idA, Storage: nullStorage{}, StateMachine: &countMachine{}, Transport: nullTransport{}, Tick: testTick,
 		SnapshotEntries: snapshotEntries, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	require.NoError(b, err)
 	require.NoError(b, r.Bootstrap(context.Background(), consensus.Membership{Voters: []consensus.ReplicaID{idA}}))
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -28,7 +28,7 @@
 // memStorage keeps the log in memory. gate, if set, holds each Append.
 type memStorage struct {
 	mu      sync.Mutex
-	saved   consensus.Restored
+	saved   consensus.PersistedState
 	fail    bool
 	appends int
 	failed  int
@@ -171,12 +171,12 @@
 
 func (c *cluster) open(id consensus.ReplicaID, storage *memStorage) *member {
 	m := &member{storage: storage, machine: &listMachine{}}
-	var machine Machine = m.machine
+	var machine StateMachine = m.machine
 	if c.capture {
 		machine = capturingMachine{m.machine}
 	}
-	r, err := Open(Options{ID: id, Storage: storage, Machine: machine, Transport: port{c, id}, Restored: storage.saved,
-		Tick: testTick, ElectionTicks: 10, HeartbeatTicks: 1, SnapshotEntries: 20, KeepEntries: 5,
+	r, err := Open(Options{ID: id, Storage: storage, StateMachine: machine, Transport: port{c, id}, PersistedState: storage.saved,
+		Tick: testTick, ElectionTicks: 10, HeartbeatTicks: 1, SnapshotEntries: 20, TrailingEntries: 5,
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	require.NoError(c.t, err)
 	m.Replica = r
--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -46,11 +46,11 @@
 	case errors.Is(err, consensus.ErrNotLeader):
 		leader, _ := r.Leader()
 		e.Cause = &NotLeaderError{Leader: leader}
-	case errors.Is(err, consensus.ErrBusy):
+	case errors.Is(err, consensus.ErrUncommittedLimit):
 		e.Code = verdict.CodeOverloaded
-	case errors.Is(err, consensus.ErrBadChange):
+	case errors.Is(err, consensus.ErrInvalidMembership):
 		e.Code, e.RetryAfter = verdict.CodeBadRequest, 0
-	case errors.Is(err, consensus.ErrNotEmpty):
+	case errors.Is(err, consensus.ErrLogNotEmpty):
 		e.Code, e.RetryAfter = verdict.CodeConflict, 0
 	}
 	return e
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -97,15 +97,15 @@
 	for _, m := range rd.Messages {
 		r.opts.Transport.Send(m.To, m)
 	}
-	if rd.Soft != nil {
-		r.changeRole(*rd.Soft)
+	if rd.SoftState != nil {
+		r.changeRole(*rd.SoftState)
 	}
 	if rd.Snapshot != nil {
 		if err := r.restore(*rd.Snapshot); err != nil {
 			return err
 		}
 	}
-	for _, e := range rd.Committed {
+	for _, e := range rd.CommittedEntries {
 		if err := r.apply(e); err != nil {
 			return err
 		}
@@ -157,7 +157,7 @@
 			return err
 		}
 	case len(e.Data) > 0:
-		value = r.opts.Machine.Apply(e.Index, e.Data)
+		value = r.opts.StateMachine.Apply(e.Index, e.Data)
 	}
 	r.setApplied(e.Index)
 	r.metrics.applied.Inc(1)
@@ -172,7 +172,7 @@
 }
 
 func (r *Replica) applyMembership(e consensus.Entry) error {
-	machine, ok := r.opts.Machine.(MembershipMachine)
+	machine, ok := r.opts.StateMachine.(MembershipObserver)
 	if !ok {
 		return nil
 	}
@@ -185,7 +185,7 @@
 }
 
 func (r *Replica) restore(s consensus.Snapshot) error {
-	if err := r.opts.Machine.Restore(s.Data); err != nil {
+	if err := r.opts.StateMachine.Restore(s.Data); err != nil {
 		return errors.Wrap(err, "restore the leader's snapshot")
 	}
 	r.setApplied(s.Meta.Index)
@@ -205,13 +205,13 @@
 	if err != nil {
 		return err
 	}
-	if c, ok := r.opts.Machine.(Capturer); ok {
+	if c, ok := r.opts.StateMachine.(SnapshotCapturer); ok {
 		r.capturing = true
 		encode := c.Capture()
 		go func() { r.encoded <- encodeSnapshot(meta, encode) }()
 		return nil
 	}
-	return r.saveSnapshot(encodeSnapshot(meta, r.opts.Machine.Snapshot))
+	return r.saveSnapshot(encodeSnapshot(meta, r.opts.StateMachine.Snapshot))
 }
 
 func encodeSnapshot(meta consensus.SnapshotMeta, encode func() ([]byte, error)) encodedSnapshot {
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -39,8 +39,8 @@
 	})
 }
 
-// Promote makes a voter of a learner that has caught up, and waits until it has.
-func (r *Replica) Promote(ctx context.Context, id consensus.ReplicaID) error {
+// PromoteLearner makes a voter of a learner that has caught up, and waits until it has.
+func (r *Replica) PromoteLearner(ctx context.Context, id consensus.ReplicaID) error {
 	if err := r.awaitCaughtUp(ctx, id); err != nil {
 		return err
 	}
@@ -54,8 +54,8 @@
 	})
 }
 
-// Remove takes a voter or learner out of the membership.
-func (r *Replica) Remove(ctx context.Context, id consensus.ReplicaID) error {
+// RemoveMember takes a voter or learner out of the membership.
+func (r *Replica) RemoveMember(ctx context.Context, id consensus.ReplicaID) error {
 	return r.change(ctx, func(m consensus.Membership) (consensus.Membership, bool) {
 		if !m.IsVoter(id) && !m.IsLearner(id) {
 			return m, false
@@ -66,13 +66,13 @@
 	})
 }
 
-// Replace puts a new voter into the place of an old one, as after the loss of a
+// ReplaceVoter puts a new voter into the place of an old one, as after the loss of a
 // disk: the new one learns until it has caught up, the old one is removed, the new
 // one gets the vote. The old one goes first since it counts against the majority
 // without helping to reach it. Each step is committed before the next; after a
 // failure the call can be repeated, also at another leader. A leader can't replace
 // itself.
-func (r *Replica) Replace(ctx context.Context, old, fresh consensus.ReplicaID) error {
+func (r *Replica) ReplaceVoter(ctx context.Context, old, fresh consensus.ReplicaID) error {
 	if old == r.opts.ID || old == fresh {
 		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, "a leader can't replace itself")
 	}
@@ -82,10 +82,10 @@
 	if err := r.awaitCaughtUp(ctx, fresh); err != nil {
 		return err
 	}
-	if err := r.Remove(ctx, old); err != nil {
+	if err := r.RemoveMember(ctx, old); err != nil {
 		return err
 	}
-	return r.Promote(ctx, fresh)
+	return r.PromoteLearner(ctx, fresh)
 }
 
 // TransferLeadership hands the leadership to a voter, or to the one with the
@@ -136,7 +136,7 @@
 func (r *Replica) caughtUp(s consensus.Status, id consensus.ReplicaID) bool {
 	for _, p := range s.Peers {
 		if p.ID == id {
-			return p.Match > 0 && p.Match+catchUpEntries >= s.Commit && p.SilentTicks < r.opts.ElectionTicks
+			return p.MatchIndex > 0 && p.MatchIndex+catchUpEntries >= s.Commit && p.TicksSinceContact < r.opts.ElectionTicks
 		}
 	}
 	return false
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -27,22 +27,22 @@
 	Close() error
 }
 
-// Machine holds the replicated tables. Only the replica's goroutine calls it.
-type Machine interface {
+// StateMachine holds the replicated tables. Only the replica's goroutine calls it.
+type StateMachine interface {
 	// Apply changes the tables in a deterministic way.
 	Apply(index uint64, data []byte) (result any)
 	Snapshot() ([]byte, error)
 	Restore([]byte) error
 }
 
-// MembershipMachine is a Machine that is told of committed memberships.
-type MembershipMachine interface {
+// MembershipObserver is a Machine that is told of committed memberships.
+type MembershipObserver interface {
 	ApplyMembership(index uint64, m consensus.Membership)
 }
 
-// Capturer is a Machine that can set a consistent copy aside quickly. The function
+// SnapshotCapturer is a Machine that can set a consistent copy aside quickly. The function
 // returned by Capture encodes the copy on another goroutine, beside the loop.
-type Capturer interface {
+type SnapshotCapturer interface {
 	Capture() (encode func() ([]byte, error))
 }
 
@@ -69,12 +69,12 @@
 
 // Options sets up a Replica. ID, Storage, Machine and Transport are required.
 type Options struct {
-	ID        consensus.ReplicaID
-	Storage   Storage
-	Machine   Machine
-	Transport Transport
-	// Restored is what Storage held.
-	Restored consensus.Restored
+	ID           consensus.ReplicaID
+	Storage      Storage
+	StateMachine StateMachine
+	Transport    Transport
+	// PersistedState is what Storage held.
+	PersistedState consensus.PersistedState
 	// Tick is the unit of the two fields below.
 	Tick time.Duration
 	// ElectionTicks is the least election timeout.
@@ -82,9 +82,9 @@
 	HeartbeatTicks int
 	// SnapshotEntries is how many entries are applied between two snapshots.
 	SnapshotEntries uint64
-	// KeepEntries is how many entries stay in memory before a snapshot; zero is the
+	// TrailingEntries is how many entries stay in memory before a snapshot; zero is the
 	// default of consensus.Config.
-	KeepEntries uint64
+	TrailingEntries uint64
 	// MaxUncommittedBytes bounds a leader's uncommitted data; zero is the default
 	// of consensus.Config.
 	MaxUncommittedBytes int
@@ -161,20 +161,20 @@
 // Open starts a replica from what its storage held. It fails when the log or the
 // snapshot can't be read.
 func Open(o Options) (*Replica, error) {
-	if o.Storage == nil || o.Machine == nil || o.Transport == nil {
+	if o.Storage == nil || o.StateMachine == nil || o.Transport == nil {
 		return nil, errors.New("replica: Storage, Machine and Transport are required")
 	}
 	o = o.withDefaults()
 	core, err := consensus.New(consensus.Config{
 		ID: o.ID, ElectionTicks: o.ElectionTicks, HeartbeatTicks: o.HeartbeatTicks,
-		MaxUncommittedBytes: o.MaxUncommittedBytes, KeepEntries: o.KeepEntries, Rand: o.Rand,
-	}, o.Restored)
+		MaxUncommittedBytes: o.MaxUncommittedBytes, TrailingEntries: o.TrailingEntries, Rand: o.Rand,
+	}, o.PersistedState)
 	if err != nil {
 		return nil, err
 	}
 	r := newReplica(o, core)
 	if r.snapshot > 0 {
-		if err := o.Machine.Restore(o.Restored.Snapshot.Data); err != nil {
+		if err := o.StateMachine.Restore(o.PersistedState.Snapshot.Data); err != nil {
 			return nil, errors.Wrap(err, "restore the machine")
 		}
 	}
@@ -185,7 +185,7 @@
 }
 
 func newReplica(o Options, core *consensus.Core) *Replica {
-	at := o.Restored.Snapshot.Meta.Index
+	at := o.PersistedState.Snapshot.Meta.Index
 	return &Replica{
 		opts: o, core: core, metrics: newMetrics(o.Registry),
 		messages:  make(chan consensus.Message, maxQueuedMessages),
@@ -224,9 +224,9 @@
 // IsLeader reports whether this replica believes that it leads.
 func (r *Replica) IsLeader() bool { return r.soft.Load().Role == consensus.Leader }
 
-// Applied returns up to which entry the machine is, those that change nothing in it
+// AppliedIndex returns up to which entry the machine is, those that change nothing in it
 // included. It does not wait for the loop, which may wait for a disk.
-func (r *Replica) Applied() uint64 { return r.shownApplied.Load() }
+func (r *Replica) AppliedIndex() uint64 { return r.shownApplied.Load() }
 
 // Status returns the state of the core, the last one when the replica has stopped.
 func (r *Replica) Status() consensus.Status {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -148,7 +148,7 @@
 	for i := range 100 {
 		c.mustPropose(l, fmt.Sprint(i))
 	}
-	require.Eventually(t, func() bool { return l.Status().Snapshot > 0 }, patience, glance)
+	require.Eventually(t, func() bool { return l.Status().SnapshotIndex > 0 }, patience, glance)
 	c.setCut(f.ID(), false)
 	c.agree(l, f)
 	require.NotZero(t, f.metrics.restores.Count())
@@ -164,12 +164,12 @@
 	c.setCut(lost.ID(), true)
 	ctx, cancel := context.WithTimeout(c.ctx(), 10*testTick)
 	defer cancel()
-	require.Error(t, l.Replace(ctx, lost.ID(), "silent/1"))
+	require.Error(t, l.ReplaceVoter(ctx, lost.ID(), "silent/1"))
 	require.True(t, l.Status().Membership.IsVoter(lost.ID()), "removed only once the new one has caught up")
-	require.NoError(t, l.Remove(c.ctx(), "silent/1"))
+	require.NoError(t, l.RemoveMember(c.ctx(), "silent/1"))
 	fresh := c.open("new/2", &memStorage{})
-	require.NoError(t, l.Replace(c.ctx(), lost.ID(), fresh.ID()))
-	require.NoError(t, l.Replace(c.ctx(), lost.ID(), fresh.ID()), "a repeated call changes nothing")
+	require.NoError(t, l.ReplaceVoter(c.ctx(), lost.ID(), fresh.ID()))
+	require.NoError(t, l.ReplaceVoter(c.ctx(), lost.ID(), fresh.ID()), "a repeated call changes nothing")
 	m := l.Status().Membership
 	require.Len(t, m.Voters, 3)
 	require.Empty(t, m.Learners)
@@ -179,7 +179,7 @@
 	l.machine.mu.Lock()
 	require.Equal(t, m, l.machine.members, "the machine is told of the membership")
 	l.machine.mu.Unlock()
-	requireVerdict(t, l.Replace(c.ctx(), l.ID(), "new/3"), verdict.NotRun, verdict.CodeBadRequest)
+	requireVerdict(t, l.ReplaceVoter(c.ctx(), l.ID(), "new/3"), verdict.NotRun, verdict.CodeBadRequest)
 }
 
 // holdWrites holds the writes of a replica until release is called.
@@ -269,7 +269,7 @@
 }
 
 func TestCommittedEntriesDecideProposals(t *testing.T) {
-	core, err := consensus.New(consensus.Config{ID: idA, Rand: Options{}.withDefaults().Rand}, consensus.Restored{})
+	core, err := consensus.New(consensus.Config{ID: idA, Rand: Options{}.withDefaults().Rand}, consensus.PersistedState{})
 	require.NoError(t, err)
 	r := newReplica(Options{ElectionTicks: 3}.withDefaults(), core)
 	r.publish()
@@ -306,6 +306,6 @@
 	index, err := c.leader("").Read(c.ctx())
 	require.NoError(t, err)
 	for _, m := range c.members {
-		require.Eventually(t, func() bool { return m.Applied() >= index }, patience, glance)
+		require.Eventually(t, func() bool { return m.AppliedIndex() >= index }, patience, glance)
 	}
 }
