--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -6,7 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// The errors of the core. None of them leaves anything proposed.
+// Errors of the core. A proposal or change that fails with one of these errors was not
+// appended to the log.
 var (
 	ErrNotLeader         = errors.New("not the leader")
 	ErrNoQuorum          = errors.New("no majority was heard of late")
@@ -16,10 +17,10 @@
 	ErrInvalidMembership = errors.New("membership refused")
 	ErrLogNotEmpty       = errors.New("the log is not empty")
 	ErrNoTransferee      = errors.New("no voter can take the leadership")
-	ErrCorrupt           = errors.New("the logs contradict each other")
+	ErrCorrupt           = errors.New("the log is corrupt")
 )
 
-// The defaults of Config.
+// Defaults for the fields of Config that are not set.
 const (
 	DefaultElectionTicks       = 10
 	DefaultHeartbeatTicks      = 1
@@ -30,57 +31,65 @@
 	DefaultTrailingEntries     = 1024
 )
 
-// Config sets up a Core. ID and Rand are required.
+// Config configures a Core. ID and Rand are required.
 type Config struct {
 	ID ReplicaID
-	// ElectionTicks is the least election timeout; the greatest is twice as much.
+	// ElectionTicks is the shortest election timeout in ticks. Each timeout is drawn
+	// between this value and twice as much, except before this replica first knows a
+	// leader, when it is shorter.
 	ElectionTicks  int
 	HeartbeatTicks int
-	// MaxAppendBytes bounds the data of an append that carries several entries.
+	// MaxAppendBytes limits the entry data in one append message. A larger entry is sent
+	// alone.
 	MaxAppendBytes int
-	// MaxInflightAppends bounds the unanswered appends to a replica.
+	// MaxInflightAppends limits the unacknowledged append messages to one replica.
 	MaxInflightAppends int
-	// MaxUncommittedBytes bounds the data of a leader's uncommitted entries.
+	// MaxUncommittedBytes limits the data of a leader's uncommitted entries. Beyond it,
+	// proposals fail with ErrUncommittedLimit.
 	MaxUncommittedBytes int
-	// SnapshotRetryTicks is when an unanswered snapshot is sent again.
+	// SnapshotRetryTicks is how many ticks a leader waits for the acknowledgement of a
+	// snapshot before it sends the snapshot again.
 	SnapshotRetryTicks int
-	// TrailingEntries is how many entries stay in memory before a snapshot, so that a
-	// replica that is a little behind needs no snapshot. Negative is not allowed;
-	// zero takes the default.
+	// TrailingEntries is how many entries that the latest snapshot covers stay in memory,
+	// so that a replica that lags by a few entries needs no snapshot. Zero means the
+	// default; the core always keeps some.
 	TrailingEntries uint64
 	Rand            *rand.Rand
 }
 
 func (cfg Config) withDefaults() Config {
-	orInt := func(v *int, d int) {
-		if *v <= 0 {
-			*v = d
+	setDefault := func(field *int, value int) {
+		if *field <= 0 {
+			*field = value
 		}
 	}
-	orInt(&cfg.ElectionTicks, DefaultElectionTicks)
-	orInt(&cfg.HeartbeatTicks, DefaultHeartbeatTicks)
-	orInt(&cfg.MaxAppendBytes, DefaultMaxAppendBytes)
-	orInt(&cfg.MaxInflightAppends, DefaultMaxInflightAppends)
-	orInt(&cfg.MaxUncommittedBytes, DefaultMaxUncommittedBytes)
-	orInt(&cfg.SnapshotRetryTicks, DefaultSnapshotRetryTicks)
+	setDefault(&cfg.ElectionTicks, DefaultElectionTicks)
+	setDefault(&cfg.HeartbeatTicks, DefaultHeartbeatTicks)
+	setDefault(&cfg.MaxAppendBytes, DefaultMaxAppendBytes)
+	setDefault(&cfg.MaxInflightAppends, DefaultMaxInflightAppends)
+	setDefault(&cfg.MaxUncommittedBytes, DefaultMaxUncommittedBytes)
+	setDefault(&cfg.SnapshotRetryTicks, DefaultSnapshotRetryTicks)
 	if cfg.TrailingEntries == 0 {
 		cfg.TrailingEntries = DefaultTrailingEntries
 	}
 	return cfg
 }
 
-// PersistedState is what a replica had persisted. The zero value is a new disk.
+// PersistedState is what a replica reads from its disk when it starts. The zero value
+// stands for an empty disk.
 type PersistedState struct {
 	HardState HardState
 	Snapshot  Snapshot
-	// Entries follow the snapshot without a gap.
+	// Entries must follow the snapshot without a gap. Entries that the snapshot covers are
+	// skipped.
 	Entries []Entry
 }
 
-// Role is what a replica is at present.
+// Role is a replica's current role in the consensus protocol.
 type Role uint8
 
-// The roles of a replica.
+// Roles of a replica. A PreCandidate asks whether it would win an election before it starts
+// one as a Candidate.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -88,22 +97,23 @@
 	Leader
 )
 
-// String returns the form used in logs.
+// String returns the name used in logs.
 func (r Role) String() string {
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// SoftState is what changes without being persisted.
+// SoftState holds the role of a replica, the leader that it knows and their term. It is
+// reported whenever it changes and need not be persisted.
 type SoftState struct {
 	Role   Role
 	Leader ReplicaID
 	Term   uint64
 }
 
-// Ready is the work that a driver does, in this order: persist Snapshot, then
-// HardState and Entries, in a durable way; send Messages; restore Snapshot; apply
-// Committed; answer ReadStates; call Advance. Between Ready and Advance the core
-// must not be stepped.
+// Ready is the work that the caller of a Core has to do, in this order: persist Snapshot,
+// then HardState and Entries, and sync them to disk; send Messages; restore the state
+// machine from Snapshot; apply CommittedEntries; answer ReadStates; call Advance. Step must
+// not be called between Ready and Advance.
 type Ready struct {
 	SoftState        *SoftState
 	Snapshot         *Snapshot
@@ -114,18 +124,19 @@
 	ReadStates       []ReadState
 }
 
-// Core is one replica. It is not safe for concurrent use.
+// Core is the consensus state machine of one replica. It is not safe for concurrent use.
 type Core struct {
-	cfg  Config
-	id   ReplicaID
-	hard HardState
-	log  *raftLog
-
-	members  memberships
-	snapshot Snapshot
-	// restored is a snapshot from the leader that is not persisted yet.
-	restored *Snapshot
-	applied  uint64
+	cfg       Config
+	id        ReplicaID
+	hardState HardState
+	log       *raftLog
+
+	memberships memberships
+	snapshot    Snapshot
+	// pendingSnapshot was received from the leader. The next Ready returns it for
+	// persisting.
+	pendingSnapshot *Snapshot
+	appliedIndex    uint64
 
 	role   Role
 	leader ReplicaID
@@ -133,33 +144,35 @@
 
 	electionElapsed  int
 	heartbeatElapsed int
-	timeout          int
-	// hasHeard is set once a leader was known since the start; campaigns counts those
-	// before.
-	hasHeard  bool
-	campaigns int
-
-	// The fields up to dirty belong to a leader.
-	progress        map[ReplicaID]*progress
-	peers           []ReplicaID
-	firstIndex      uint64
-	uncommitted     int
-	transferee      ReplicaID
-	transferElapsed int
-	round           uint64
-	reads           []pendingRead
-	dirty           bool
-
-	messages   []Message
-	readStates []ReadState
-	lastHard   HardState
-	lastSoft   SoftState
-	// persisting is the last index of the entries in the outstanding Ready.
-	persisting uint64
+	electionTimeout  int
+	// hasSeenLeader tells whether this replica has known a leader since it started.
+	// campaignCount counts its campaigns since it started. Election timeouts are shorter
+	// until a leader is known.
+	hasSeenLeader bool
+	campaignCount int
+
+	// The fields from progress to needsReplication are used by a leader only.
+	progress         map[ReplicaID]*progress
+	peers            []ReplicaID
+	termStartIndex   uint64
+	uncommittedBytes int
+	transferee       ReplicaID
+	transferElapsed  int
+	heartbeatRound   uint64
+	pendingReads     []pendingRead
+	needsReplication bool
+
+	messages      []Message
+	readStates    []ReadState
+	lastHardState HardState
+	lastSoftState SoftState
+	// persistingIndex is the last index in the log when Ready was last called. Advance
+	// marks the entries up to it as persisted.
+	persistingIndex uint64
 }
 
-// New returns a follower with the persisted state. It fails when the log has a
-// gap or a membership in it can't be read.
+// New returns a follower that continues from the persisted state. It fails if the log has a
+// gap or contains a membership that can't be decoded.
 func New(cfg Config, r PersistedState) (*Core, error) {
 	if cfg.ID == "" || cfg.Rand == nil {
 		return nil, errors.New("consensus: ID and Rand are required")
@@ -169,39 +182,40 @@
 		return nil, err
 	}
 	c := &Core{cfg: cfg.withDefaults(), id: cfg.ID, log: log, snapshot: r.Snapshot}
-	c.members = newMemberships(r.Snapshot.Meta)
+	c.memberships = newMemberships(r.Snapshot.Meta)
 	if len(log.entries) > 0 {
-		if err := c.members.put(log.entries); err != nil {
+		if err := c.memberships.truncateAndAppend(log.entries); err != nil {
 			return nil, err
 		}
 	}
-	c.hard = restoreHardState(r, log)
-	c.lastHard = c.hard
-	c.applied = log.base
-	c.becomeFollower(c.hard.Term, "")
-	c.lastSoft = c.soft()
+	c.hardState = restoreHardState(r, log)
+	c.lastHardState = c.hardState
+	c.appliedIndex = log.baseIndex
+	c.becomeFollower(c.hardState.Term, "")
+	c.lastSoftState = c.softState()
 	return c, nil
 }
 
-// restoreHardState allows for a crash between the writes of a snapshot and of the
-// hard state. A vote in a newer term than the persisted one can't have been sent.
+// restoreHardState handles a crash after a snapshot was written and before the hard state
+// was. The term is then raised to that of the log. No vote in the newer term can have been
+// sent, since votes are persisted before they are sent, so the vote is cleared.
 func restoreHardState(r PersistedState, log *raftLog) HardState {
 	h := r.HardState
 	if t := log.lastTerm(); t > h.Term {
 		h.Term, h.Vote = t, ""
 	}
-	h.Commit = min(max(h.Commit, log.base), log.last())
+	h.Commit = min(max(h.Commit, log.baseIndex), log.lastIndex())
 	return h
 }
 
-// Tick tells the core that one tick has passed.
+// Tick advances the core's clock by one tick.
 func (c *Core) Tick() {
 	c.electionElapsed++
 	if c.role == Leader {
 		c.tickLeader()
 		return
 	}
-	if c.electionElapsed >= c.timeout && c.mayCampaign() {
+	if c.electionElapsed >= c.electionTimeout && c.canCampaign() {
 		c.campaign(PreCandidate, false)
 	}
 }
@@ -210,8 +224,8 @@
 	for _, id := range c.peers {
 		c.tickPeer(c.progress[id])
 	}
-	if c.quorumSilence() >= c.cfg.ElectionTicks {
-		c.becomeFollower(c.hard.Term, "")
+	if c.ticksSinceQuorumContact() >= c.cfg.ElectionTicks {
+		c.becomeFollower(c.hardState.Term, "")
 		return
 	}
 	if c.transferee != "" {
@@ -227,41 +241,43 @@
 }
 
 func (c *Core) tickPeer(p *progress) {
-	p.silent++
+	p.ticksSinceContact++
 	if p.state != snapshotting {
 		return
 	}
-	p.waited++
-	if p.waited >= c.cfg.SnapshotRetryTicks {
-		p.probe()
-		c.dirty = true
+	p.snapshotWaitTicks++
+	if p.snapshotWaitTicks >= c.cfg.SnapshotRetryTicks {
+		p.resetToProbing()
+		c.needsReplication = true
 	}
 }
 
-// Step takes in a message. A message to another ReplicaID is ignored. An error
-// means that a log is damaged; the replica must stop.
+// Step processes a message from another replica. Messages to another ReplicaID are ignored.
+// An error means that a log is damaged and that this replica must stop.
 func (c *Core) Step(m Message) error {
 	if m.To != c.id || m.From == c.id {
 		return nil
 	}
-	if m.Term > c.hard.Term && !c.acceptTerm(m) {
+	if m.Term > c.hardState.Term && !c.acceptTerm(m) {
 		return nil
 	}
-	if m.Term < c.hard.Term {
-		c.answerStale(m)
+	if m.Term < c.hardState.Term {
+		c.rejectOlderTerm(m)
 		return nil
 	}
 	return c.dispatch(m)
 }
 
-// acceptTerm moves on to a newer term, unless the message asks for a vote while
-// a leader is there, or is a pre-vote, which changes nothing.
+// acceptTerm reports whether to process a message of a newer term, and usually moves to
+// that term. Vote requests and pre-votes are ignored while a leader was heard recently,
+// except a vote request that the leader caused by a transfer. Neither a pre-vote nor a
+// granted pre-vote response changes the term.
 func (c *Core) acceptTerm(m Message) bool {
 	switch m.Type {
 	case MessagePreVote:
-		return !c.heardLeader()
+		return !c.hasRecentLeader()
 	case MessageVote:
-		if c.heardLeader() && !m.Transfer {
+		if c.hasRecentLeader() && !m.Transfer {
 			return false
 		}
 	case MessagePreVoteResponse:
@@ -273,13 +289,14 @@
 	return true
 }
 
-// answerStale tells a leader or candidate of an older term that it is one.
-func (c *Core) answerStale(m Message) {
+// rejectOlderTerm tells a leader or pre-candidate of an older term that a newer term
+// exists.
+func (c *Core) rejectOlderTerm(m Message) {
 	switch m.Type {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
-		c.send(Message{Type: MessageAppendResponse, To: m.From, Term: c.hard.Term, Reject: true})
+		c.send(Message{Type: MessageAppendResponse, To: m.From, Term: c.hardState.Term, Reject: true})
 	case MessagePreVote:
-		c.send(Message{Type: MessagePreVoteResponse, To: m.From, Term: c.hard.Term, Reject: true})
+		c.send(Message{Type: MessagePreVoteResponse, To: m.From, Term: c.hardState.Term, Reject: true})
 	}
 }
 
@@ -309,49 +326,52 @@
 	return nil
 }
 
-// followLeader accepts the sender as the leader of the present term.
-func (c *Core) followLeader(id ReplicaID) {
+// acceptLeader records id as the leader of the current term and restarts the election
+// timeout.
+func (c *Core) acceptLeader(id ReplicaID) {
 	if c.role != Follower {
-		c.becomeFollower(c.hard.Term, id)
+		c.becomeFollower(c.hardState.Term, id)
 	}
 	c.leader = id
 	c.electionElapsed = 0
-	if !c.hasHeard {
-		// The short time of a start ends with it: two followers that both kept it would
-		// depose a living leader after a quarter of an election timeout without a word.
-		c.hasHeard = true
-		c.timeout = c.drawTimeout()
+	if !c.hasSeenLeader {
+		// The shorter timeout after a start ends once a leader is known. Two followers that
+		// kept it would depose a live leader after a quarter of an election timeout without
+		// a message.
+		c.hasSeenLeader = true
+		c.electionTimeout = c.randomElectionTimeout()
 	}
 }
 
-// mayPropose refuses what a leader could not commit soon. Proposals stop before
-// check-quorum ends the leadership, so that they are refused rather than left open.
-func (c *Core) mayPropose() error {
-	doubt := max(c.cfg.ElectionTicks/2, 2*c.cfg.HeartbeatTicks)
+// checkCanPropose refuses proposals that a leader could not commit soon. It stops accepting
+// them before the lack of a quorum ends the leadership, so that callers get a refusal
+// instead of an unknown outcome.
+func (c *Core) checkCanPropose() error {
+	maxSilentTicks := max(c.cfg.ElectionTicks/2, 2*c.cfg.HeartbeatTicks)
 	switch {
 	case c.role != Leader:
 		return ErrNotLeader
 	case c.transferee != "":
 		return ErrTransferring
-	case c.quorumSilence() > doubt:
+	case c.ticksSinceQuorumContact() > maxSilentTicks:
 		return ErrNoQuorum
 	}
 	return nil
 }
 
-// Propose appends data to the leader's log and returns its place. The entry is
-// committed if and only if it comes back in Ready.Committed with this term at
-// this index. It is refused with ErrNotLeader, ErrNoQuorum, ErrTransferring or
-// ErrBusy. Proposals up to the next Ready travel together.
+// Propose appends data to the leader's log and returns the index and term of the entry. The
+// entry is committed if and only if Ready.CommittedEntries later contains an entry with
+// this index and term. Propose fails with ErrNotLeader, ErrNoQuorum, ErrTransferring or
+// ErrUncommittedLimit. Proposals made before the next Ready are replicated together.
 func (c *Core) Propose(data []byte) (index, term uint64, err error) {
-	if err := c.mayPropose(); err != nil {
+	if err := c.checkCanPropose(); err != nil {
 		return 0, 0, err
 	}
-	if c.uncommitted > 0 && c.uncommitted+len(data) > c.cfg.MaxUncommittedBytes {
+	if c.uncommittedBytes > 0 && c.uncommittedBytes+len(data) > c.cfg.MaxUncommittedBytes {
 		return 0, 0, ErrUncommittedLimit
 	}
-	index, err = c.appendOwn(EntryCommand, data)
-	return index, c.hard.Term, err
+	index, err = c.appendLeaderEntry(EntryCommand, data)
+	return index, c.hardState.Term, err
 }
 
 func (c *Core) send(m Message) {
@@ -359,56 +379,56 @@
 	c.messages = append(c.messages, m)
 }
 
-func (c *Core) soft() SoftState {
-	return SoftState{Role: c.role, Leader: c.leader, Term: c.hard.Term}
+func (c *Core) softState() SoftState {
+	return SoftState{Role: c.role, Leader: c.leader, Term: c.hardState.Term}
 }
 
-// hardChanged reports whether the hard state must be persisted now. A commit
-// index alone can wait for the next entries: after a crash the leader tells it again.
-func (c *Core) hardChanged() bool {
-	if c.hard.Term != c.lastHard.Term || c.hard.Vote != c.lastHard.Vote {
+// mustPersistHardState reports whether the hard state must be persisted now. A new commit
+// index alone can wait until entries are written: after a crash, the leader sends it again.
+func (c *Core) mustPersistHardState() bool {
+	if c.hardState.Term != c.lastHardState.Term || c.hardState.Vote != c.lastHardState.Vote {
 		return true
 	}
-	return c.hard.Commit != c.lastHard.Commit && (c.log.stable < c.log.last() || c.restored != nil)
+	return c.hardState.Commit != c.lastHardState.Commit && (c.log.stableIndex < c.log.lastIndex() || c.pendingSnapshot != nil)
 }
 
-// HasReady reports whether Ready would return work.
+// HasReady reports whether Ready would return any work.
 func (c *Core) HasReady() bool {
-	return c.dirty || len(c.messages) > 0 || len(c.readStates) > 0 ||
-		c.log.stable < c.log.last() || c.applied < c.hard.Commit ||
-		c.restored != nil || c.hardChanged() || c.soft() != c.lastSoft
+	return c.needsReplication || len(c.messages) > 0 || len(c.readStates) > 0 ||
+		c.log.stableIndex < c.log.lastIndex() || c.appliedIndex < c.hardState.Commit ||
+		c.pendingSnapshot != nil || c.mustPersistHardState() || c.softState() != c.lastSoftState
 }
 
-// Ready returns the work since the last Advance.
+// Ready returns the work that has accumulated since the last Advance.
 func (c *Core) Ready() Ready {
 	c.replicate()
-	rd := Ready{Snapshot: c.restored, Messages: c.messages, ReadStates: c.readStates}
-	if s := c.soft(); s != c.lastSoft {
+	rd := Ready{Snapshot: c.pendingSnapshot, Messages: c.messages, ReadStates: c.readStates}
+	if s := c.softState(); s != c.lastSoftState {
 		rd.SoftState = &s
-		c.lastSoft = s
+		c.lastSoftState = s
 	}
-	if c.hardChanged() {
-		h := c.hard
+	if c.mustPersistHardState() {
+		h := c.hardState
 		rd.HardState = &h
-		c.lastHard = h
+		c.lastHardState = h
 	}
-	rd.Entries = c.log.slice(c.log.stable+1, c.log.last())
-	c.persisting = c.log.last()
-	rd.CommittedEntries = c.log.slice(c.applied+1, c.hard.Commit)
-	c.applied = c.hard.Commit
-	c.messages, c.readStates, c.restored = nil, nil, nil
+	rd.Entries = c.log.slice(c.log.stableIndex+1, c.log.lastIndex())
+	c.persistingIndex = c.log.lastIndex()
+	rd.CommittedEntries = c.log.slice(c.appliedIndex+1, c.hardState.Commit)
+	c.appliedIndex = c.hardState.Commit
+	c.messages, c.readStates, c.pendingSnapshot = nil, nil, nil
 	return rd
 }
 
-// Advance tells that the last Ready is done. Only now does a leader count its own
-// entries as persisted.
+// Advance tells the core that the work of the last Ready is done. Only then does a leader
+// count its own entries as persisted.
 func (c *Core) Advance() {
-	c.log.stable = max(c.log.stable, min(c.persisting, c.log.last()))
+	c.log.stableIndex = max(c.log.stableIndex, min(c.persistingIndex, c.log.lastIndex()))
 	if c.role != Leader {
 		return
 	}
-	if p := c.progress[c.id]; p.match < c.log.stable {
-		p.match = c.log.stable
+	if p := c.progress[c.id]; p.matchIndex < c.log.stableIndex {
+		p.matchIndex = c.log.stableIndex
 		c.advanceCommit()
 	}
 }
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -15,9 +15,10 @@
 	idC = ReplicaID("c/1")
 )
 
-func abc() Membership { return Membership{Voters: []ReplicaID{idA, idB, idC}} }
+func threeVoters() Membership { return Membership{Voters: []ReplicaID{idA, idB, idC}} }
 
-// restoredLog returns a log of the terms, whose first entry states the membership.
+// restoredLog returns a persisted log with one entry for each of the terms. The first entry
+// contains the membership.
 func restoredLog(t *testing.T, m Membership, terms ...uint64) PersistedState {
 	data, err := EncodeMembership(m)
 	require.NoError(t, err)
@@ -38,8 +39,9 @@
 	return c
 }
 
-// work does the outstanding work and returns the messages.
-func work(c *Core) []Message {
+// drainReady calls Ready and Advance until no work is left and returns the messages to
+// send. It persists nothing.
+func drainReady(c *Core) []Message {
 	var out []Message
 	for c.HasReady() {
 		out = append(out, c.Ready().Messages...)
@@ -48,22 +50,22 @@
 	return out
 }
 
-func ofType(messages []Message, kind MessageType) []Message {
-	return slices.DeleteFunc(slices.Clone(messages), func(m Message) bool { return m.Type != kind })
+func filterByType(messages []Message, messageType MessageType) []Message {
+	return slices.DeleteFunc(slices.Clone(messages), func(m Message) bool { return m.Type != messageType })
 }
 
-// elect makes c the leader with the vote of from.
-func elect(t *testing.T, c *Core, from ReplicaID) {
-	askForPreVotes(t, c)
-	work(c)
-	step(t, c, Message{Type: MessagePreVoteResponse, From: from, Term: c.hard.Term + 1})
-	work(c)
-	step(t, c, Message{Type: MessageVoteResponse, From: from, Term: c.hard.Term})
+// electLeader makes c the leader with the vote of one other replica.
+func electLeader(t *testing.T, c *Core, voter ReplicaID) {
+	startPreVote(t, c)
+	drainReady(c)
+	step(t, c, Message{Type: MessagePreVoteResponse, From: voter, Term: c.hardState.Term + 1})
+	drainReady(c)
+	step(t, c, Message{Type: MessageVoteResponse, From: voter, Term: c.hardState.Term})
 	require.Equal(t, Leader, c.role)
-	work(c)
+	drainReady(c)
 }
 
-func askForPreVotes(t *testing.T, c *Core) {
+func startPreVote(t *testing.T, c *Core) {
 	for range 2 * c.cfg.ElectionTicks {
 		if c.role == Follower {
 			c.Tick()
@@ -77,8 +79,8 @@
 	require.NoError(t, c.Step(m))
 }
 
-func TestVoteOutlivesCrash(t *testing.T) {
-	r := restoredLog(t, abc(), 1)
+func TestVoteSurvivesRestart(t *testing.T) {
+	r := restoredLog(t, threeVoters(), 1)
 	c := openCore(t, idC, r)
 	step(t, c, Message{Type: MessageVote, From: idA, Term: 2, Index: 1, LogTerm: 1})
 	rd := c.Ready()
@@ -89,40 +91,41 @@
 	require.True(t, c.Ready().Messages[0].Reject)
 }
 
-// An entry of an older term may be overwritten although a majority holds it.
-func TestOlderTermsCommitOnlyBelowOwnTerm(t *testing.T) {
-	c := openCore(t, idA, restoredLog(t, abc(), 1, 2))
-	elect(t, c, idB)
-	step(t, c, Message{Type: MessageAppendResponse, From: idB, Term: c.hard.Term, Index: 2})
-	require.Zero(t, c.hard.Commit)
-	step(t, c, Message{Type: MessageAppendResponse, From: idB, Term: c.hard.Term, Index: 3})
-	require.Equal(t, uint64(3), c.hard.Commit)
+// An entry of an older term may still be overwritten even though a majority stores it.
+// Committing it by counting replicas could therefore lose a committed entry.
+func TestOlderTermEntriesCommitOnlyWithCurrentTermEntry(t *testing.T) {
+	c := openCore(t, idA, restoredLog(t, threeVoters(), 1, 2))
+	electLeader(t, c, idB)
+	step(t, c, Message{Type: MessageAppendResponse, From: idB, Term: c.hardState.Term, Index: 2})
+	require.Zero(t, c.hardState.Commit)
+	step(t, c, Message{Type: MessageAppendResponse, From: idB, Term: c.hardState.Term, Index: 3})
+	require.Equal(t, uint64(3), c.hardState.Commit)
 }
 
-func TestMembershipChangesGoOneVoterAtATime(t *testing.T) {
-	r := restoredLog(t, abc(), 1)
+func TestMembershipChangesOneVoterAtATime(t *testing.T) {
+	r := restoredLog(t, threeVoters(), 1)
 	r.HardState.Commit = 1
 	c := openCore(t, idA, r)
 	grown := Membership{Voters: []ReplicaID{idA, idB, idC, "d/1"}}
 	_, _, err := c.ProposeMembership(grown)
 	require.ErrorIs(t, err, ErrNotLeader)
-	elect(t, c, idB)
+	electLeader(t, c, idB)
 	_, _, err = c.ProposeMembership(grown)
 	require.ErrorIs(t, err, ErrChangePending, "no entry of the term is committed")
-	step(t, c, Message{Type: MessageAppendResponse, From: idB, Term: c.hard.Term, Index: 2})
+	step(t, c, Message{Type: MessageAppendResponse, From: idB, Term: c.hardState.Term, Index: 2})
 	_, _, err = c.ProposeMembership(Membership{Voters: []ReplicaID{idA, idB, "d/1"}})
 	require.ErrorIs(t, err, ErrInvalidMembership, "two voters differ")
-	_, _, err = c.ProposeMembership(Membership{Voters: abc().Voters, Learners: []ReplicaID{idA}})
+	_, _, err = c.ProposeMembership(Membership{Voters: threeVoters().Voters, Learners: []ReplicaID{idA}})
 	require.ErrorIs(t, err, ErrInvalidMembership)
 	_, _, err = c.ProposeMembership(grown)
 	require.NoError(t, err)
-	_, _, err = c.ProposeMembership(abc())
+	_, _, err = c.ProposeMembership(threeVoters())
 	require.ErrorIs(t, err, ErrChangePending)
 }
 
-func TestLeaderWithoutQuorumRefusesThenStepsDown(t *testing.T) {
-	c := openCore(t, idA, restoredLog(t, abc(), 1))
-	elect(t, c, idB)
+func TestLeaderWithoutQuorumRefusesProposalsThenStepsDown(t *testing.T) {
+	c := openCore(t, idA, restoredLog(t, threeVoters(), 1))
+	electLeader(t, c, idB)
 	for range 6 {
 		c.Tick()
 	}
@@ -135,67 +138,68 @@
 	require.ErrorIs(t, c.ReadIndex(1), ErrNotLeader)
 }
 
-func TestReadIndexNeedsARoundThatBeganAfterIt(t *testing.T) {
-	c := openCore(t, idA, restoredLog(t, abc(), 1))
-	elect(t, c, idB)
-	step(t, c, Message{Type: MessageAppendResponse, From: idB, Term: c.hard.Term, Index: 2})
+func TestReadIndexNeedsLaterHeartbeatRound(t *testing.T) {
+	c := openCore(t, idA, restoredLog(t, threeVoters(), 1))
+	electLeader(t, c, idB)
+	step(t, c, Message{Type: MessageAppendResponse, From: idB, Term: c.hardState.Term, Index: 2})
 	require.NoError(t, c.ReadIndex(7))
-	old := Message{Type: MessageHeartbeatResponse, From: idB, Term: c.hard.Term, Round: c.round - 1}
-	step(t, c, old)
+	response := Message{Type: MessageHeartbeatResponse, From: idB, Term: c.hardState.Term, Round: c.heartbeatRound - 1}
+	step(t, c, response)
 	require.Empty(t, c.Ready().ReadStates)
 	c.Advance()
-	old.Round = c.round
-	step(t, c, old)
+	response.Round = c.heartbeatRound
+	step(t, c, response)
 	require.Equal(t, []ReadState{{Context: 7, Index: 2}}, c.Ready().ReadStates)
 }
 
-// A replica that was cut off must not disturb the leader when it returns: its
-// pre-votes raise no term, and even a real vote is ignored while the leader is heard.
-func TestReturningReplicaDeposesNobody(t *testing.T) {
-	w := newWorld(t, 3)
-	w.bootstrap(3)
-	l, term := w.leader(), w.leader().core.hard.Term
-	away := w.ids[slices.IndexFunc(w.ids, func(id ReplicaID) bool { return id != l.core.id })]
-	w.cut[away] = true
+// A replica that was isolated must not depose the leader when it reconnects. Its pre-votes
+// raise no term, and even a real vote request is ignored while the leader is heard.
+func TestReconnectedReplicaDoesNotDeposeLeader(t *testing.T) {
+	sim := newSimulation(t, 3)
+	sim.bootstrap(3)
+	l, term := sim.leader(), sim.leader().core.hardState.Term
+	isolated := sim.ids[slices.IndexFunc(sim.ids, func(id ReplicaID) bool { return id != l.core.id })]
+	sim.isolated[isolated] = true
 	for range 50 {
-		w.round()
+		sim.tickAndDeliver()
 	}
-	require.Equal(t, term, w.nodes[away].core.hard.Term)
-	clear(w.cut)
-	w.commit("x")
-	for _, id := range w.ids {
-		w.step(Message{Type: MessageVote, From: away, To: id, Term: term + 9, Index: 99, LogTerm: term + 8})
-		require.Equal(t, term, w.nodes[id].core.hard.Term)
+	require.Equal(t, term, sim.nodes[isolated].core.hardState.Term)
+	clear(sim.isolated)
+	sim.proposeAndWait("x")
+	for _, id := range sim.ids {
+		sim.step(Message{Type: MessageVote, From: isolated, To: id, Term: term + 9, Index: 99, LogTerm: term + 8})
+		require.Equal(t, term, sim.nodes[id].core.hardState.Term)
 	}
 	require.Equal(t, Leader, l.core.role)
 }
 
-// A host whose disk is lost is another replica: what is sent to its old self is
-// ignored, its votes do not count, and it does not campaign.
-func TestNewDiskHasNoVote(t *testing.T) {
-	fresh := openCore(t, "c/2", PersistedState{})
-	require.NoError(t, fresh.Step(Message{Type: MessageVote, From: idA, To: idC, Term: 2, Index: 1, LogTerm: 1}))
+// A host whose disk was lost counts as another replica. It ignores messages to its former
+// ReplicaID, its votes don't count, and it does not campaign. Otherwise a host that forgot
+// its vote could vote twice in a term.
+func TestReplicaWithNewDiskHasNoVote(t *testing.T) {
+	replaced := openCore(t, "c/2", PersistedState{})
+	require.NoError(t, replaced.Step(Message{Type: MessageVote, From: idA, To: idC, Term: 2, Index: 1, LogTerm: 1}))
 	for range 100 {
-		fresh.Tick()
+		replaced.Tick()
 	}
-	require.False(t, fresh.HasReady())
-	require.Equal(t, SoftState{}, fresh.soft())
+	require.False(t, replaced.HasReady())
+	require.Equal(t, SoftState{}, replaced.softState())
 
-	c := openCore(t, idA, restoredLog(t, abc(), 1))
-	askForPreVotes(t, c)
-	step(t, c, Message{Type: MessagePreVoteResponse, From: "c/2", Term: c.hard.Term + 1})
+	c := openCore(t, idA, restoredLog(t, threeVoters(), 1))
+	startPreVote(t, c)
+	step(t, c, Message{Type: MessagePreVoteResponse, From: "c/2", Term: c.hardState.Term + 1})
 	require.Equal(t, PreCandidate, c.role)
-	elect(t, c, idB)
-	step(t, c, Message{Type: MessageAppendResponse, From: "c/2", Term: c.hard.Term, Index: 2})
-	require.Zero(t, c.hard.Commit)
+	electLeader(t, c, idB)
+	step(t, c, Message{Type: MessageAppendResponse, From: "c/2", Term: c.hardState.Term, Index: 2})
+	require.Zero(t, c.hardState.Commit)
 }
 
 func TestLearnerHasNoVote(t *testing.T) {
 	m := Membership{Voters: []ReplicaID{idA, idB, idC}, Learners: []ReplicaID{"d/1"}}
 	c := openCore(t, idA, restoredLog(t, m, 1))
-	elect(t, c, idB)
-	step(t, c, Message{Type: MessageAppendResponse, From: "d/1", Term: c.hard.Term, Index: 2})
-	require.Zero(t, c.hard.Commit)
+	electLeader(t, c, idB)
+	step(t, c, Message{Type: MessageAppendResponse, From: "d/1", Term: c.hardState.Term, Index: 2})
+	require.Zero(t, c.hardState.Commit)
 	learner := openCore(t, "d/1", restoredLog(t, m, 1))
 	for range 100 {
 		learner.Tick()
@@ -203,26 +207,26 @@
 	require.Equal(t, Follower, learner.role)
 }
 
-func TestTransferMovesTheLeadership(t *testing.T) {
-	w := newWorld(t, 3)
-	w.bootstrap(3)
-	w.commit("x")
-	l := w.leader()
+func TestTransferChangesLeader(t *testing.T) {
+	sim := newSimulation(t, 3)
+	sim.bootstrap(3)
+	sim.proposeAndWait("x")
+	l := sim.leader()
 	require.NoError(t, l.core.TransferLeadership(""))
 	_, _, err := l.core.Propose([]byte("y"))
 	require.ErrorIs(t, err, ErrTransferring)
-	w.settle()
+	sim.deliverAll()
 	require.Equal(t, Follower, l.core.role)
-	require.NotEqual(t, l, w.leader())
-	w.commit("z")
+	require.NotEqual(t, l, sim.leader())
+	sim.proposeAndWait("z")
 }
 
-func TestTransferIsGivenUpInTime(t *testing.T) {
-	c := openCore(t, idA, restoredLog(t, abc(), 1))
-	elect(t, c, idB)
+func TestLeadershipTransferTimesOut(t *testing.T) {
+	c := openCore(t, idA, restoredLog(t, threeVoters(), 1))
+	electLeader(t, c, idB)
 	require.NoError(t, c.TransferLeadership(idC))
 	for range 10 {
-		step(t, c, Message{Type: MessageHeartbeatResponse, From: idB, Term: c.hard.Term})
+		step(t, c, Message{Type: MessageHeartbeatResponse, From: idB, Term: c.hardState.Term})
 		c.Tick()
 	}
 	_, _, err := c.Propose([]byte("x"))
@@ -230,161 +234,163 @@
 }
 
 func TestRemovedLeaderStepsDown(t *testing.T) {
-	w := newWorld(t, 3)
-	w.bootstrap(3)
-	l := w.leader()
+	sim := newSimulation(t, 3)
+	sim.bootstrap(3)
+	l := sim.leader()
 	m := l.core.Membership()
 	m.Voters = slices.DeleteFunc(m.Voters, func(id ReplicaID) bool { return id == l.core.id })
 	_, _, err := l.core.ProposeMembership(m)
 	require.NoError(t, err)
-	w.until("another leader", func() bool { return w.leader() != nil && w.leader() != l })
+	sim.runUntil("other leader", func() bool { return sim.leader() != nil && sim.leader() != l })
 	require.Equal(t, Follower, l.core.role)
-	term := w.leader().core.hard.Term
+	term := sim.leader().core.hardState.Term
 	for range 50 {
-		w.round()
+		sim.tickAndDeliver()
 	}
-	require.Equal(t, term, w.leader().core.hard.Term)
+	require.Equal(t, term, sim.leader().core.hardState.Term)
 }
 
-func TestLaggingReplicaGetsTheSnapshot(t *testing.T) {
-	w := newWorld(t, 3)
-	w.bootstrap(3)
-	l := w.leader()
-	away := w.ids[slices.IndexFunc(w.ids, func(id ReplicaID) bool { return id != l.core.id })]
-	w.cut[away] = true
+func TestLaggingReplicaReceivesSnapshot(t *testing.T) {
+	sim := newSimulation(t, 3)
+	sim.bootstrap(3)
+	l := sim.leader()
+	isolated := sim.ids[slices.IndexFunc(sim.ids, func(id ReplicaID) bool { return id != l.core.id })]
+	sim.isolated[isolated] = true
 	for range 20 {
-		w.commit("x")
+		sim.proposeAndWait("x")
 	}
-	w.compact(l.core.id)
-	require.LessOrEqual(t, len(l.core.log.entries), 2, "compacted but for KeepEntries")
-	clear(w.cut)
-	w.commit("y")
-	require.NotZero(t, w.nodes[away].disk.Snapshot.Meta.Index)
-	require.Equal(t, l.state, w.nodes[away].state)
-	w.crash(away, true)
-	w.commit("z")
+	sim.compact(l.core.id)
+	require.LessOrEqual(t, len(l.core.log.entries), 2, "only the TrailingEntries are left")
+	clear(sim.isolated)
+	sim.proposeAndWait("y")
+	require.NotZero(t, sim.nodes[isolated].disk.Snapshot.Meta.Index)
+	require.Equal(t, l.stateHash, sim.nodes[isolated].stateHash)
+	sim.crash(isolated, true)
+	sim.proposeAndWait("z")
 }
 
-func TestAppendsAreBounded(t *testing.T) {
-	c := openCore(t, idA, restoredLog(t, abc(), 1))
-	elect(t, c, idB)
-	step(t, c, Message{Type: MessageAppendResponse, From: idB, Term: c.hard.Term, Index: 2})
-	work(c)
+func TestAppendsAndUncommittedBytesAreBounded(t *testing.T) {
+	c := openCore(t, idA, restoredLog(t, threeVoters(), 1))
+	electLeader(t, c, idB)
+	step(t, c, Message{Type: MessageAppendResponse, From: idB, Term: c.hardState.Term, Index: 2})
+	drainReady(c)
 	for range 8 {
 		_, _, err := c.Propose([]byte("xx"))
 		require.NoError(t, err)
 	}
 	_, _, err := c.Propose([]byte("x"))
 	require.ErrorIs(t, err, ErrUncommittedLimit)
-	appends := ofType(work(c), MessageAppend)
-	require.Len(t, appends, 2, "the window to b; c has an unanswered probe")
+	appends := filterByType(drainReady(c), MessageAppend)
+	require.Len(t, appends, 2, "b gets MaxInflightAppends; c has an unanswered probe")
 	require.Len(t, appends[0].Entries, 2)
-	step(t, c, Message{Type: MessageAppendResponse, From: idB, Term: c.hard.Term, Index: 10})
-	require.Zero(t, c.uncommitted)
+	step(t, c, Message{Type: MessageAppendResponse, From: idB, Term: c.hardState.Term, Index: 10})
+	require.Zero(t, c.uncommittedBytes)
 	_, _, err = c.Propose([]byte("x"))
 	require.NoError(t, err)
 }
 
-// The leader skips a whole term with each rejection.
-func TestConflictIsFoundInFewSteps(t *testing.T) {
-	long := []uint64{1}
+// With each rejection the leader skips all entries of a conflicting term, not just one
+// entry. One message per entry would make a long conflict slow to resolve.
+func TestLogConflictIsFoundInFewRejections(t *testing.T) {
+	longTerms := []uint64{1}
 	for range 1000 {
-		long = append(long, 2)
+		longTerms = append(longTerms, 2)
 	}
-	c := openCore(t, idA, restoredLog(t, abc(), append(slices.Clone(long[:1]), 4, 4, 4)...))
-	f := openCore(t, idB, restoredLog(t, abc(), long...))
-	elect(t, c, idC)
-	c.progress[idB].probe()
-	c.progress[idB].next = 5
-	c.dirty = true
+	leader := openCore(t, idA, restoredLog(t, threeVoters(), append(slices.Clone(longTerms[:1]), 4, 4, 4)...))
+	follower := openCore(t, idB, restoredLog(t, threeVoters(), longTerms...))
+	electLeader(t, leader, idC)
+	leader.progress[idB].resetToProbing()
+	leader.progress[idB].nextIndex = 5
+	leader.needsReplication = true
 	rejected := 0
-	for f.log.last() != c.log.last() || f.log.lastTerm() != c.log.lastTerm() {
-		for _, m := range work(c) {
-			require.NoError(t, f.Step(m))
+	for follower.log.lastIndex() != leader.log.lastIndex() || follower.log.lastTerm() != leader.log.lastTerm() {
+		for _, m := range drainReady(leader) {
+			require.NoError(t, follower.Step(m))
 		}
-		for _, m := range work(f) {
+		for _, m := range drainReady(follower) {
 			if m.Reject {
 				rejected++
 			}
-			require.NoError(t, c.Step(m))
+			require.NoError(t, leader.Step(m))
 		}
 		require.LessOrEqual(t, rejected, 2)
 	}
 }
 
-func TestTwoBootstrapsMakeOneCluster(t *testing.T) {
-	w := newWorld(t, 3)
-	m := Membership{Voters: slices.Clone(w.ids)}
-	require.NoError(t, w.nodes[w.ids[0]].core.Bootstrap(m))
-	require.NoError(t, w.nodes[w.ids[1]].core.Bootstrap(m))
-	w.until("a leader", func() bool { return w.leader() != nil })
-	w.commit("x")
-	w.checkLogs()
-	for _, id := range w.ids {
-		require.ErrorIs(t, w.nodes[id].core.Bootstrap(m), ErrLogNotEmpty)
+func TestConcurrentBootstrapsFormOneCluster(t *testing.T) {
+	sim := newSimulation(t, 3)
+	m := Membership{Voters: slices.Clone(sim.ids)}
+	require.NoError(t, sim.nodes[sim.ids[0]].core.Bootstrap(m))
+	require.NoError(t, sim.nodes[sim.ids[1]].core.Bootstrap(m))
+	sim.runUntil("leader", func() bool { return sim.leader() != nil })
+	sim.proposeAndWait("x")
+	sim.checkLogs()
+	for _, id := range sim.ids {
+		require.ErrorIs(t, sim.nodes[id].core.Bootstrap(m), ErrLogNotEmpty)
 	}
 }
 
-func TestRestoreDropsWhatTheSnapshotOvertook(t *testing.T) {
-	r := restoredLog(t, abc(), 1, 1, 2, 2)
-	r.Snapshot.Meta = SnapshotMeta{Index: 2, Term: 5, Membership: abc()}
+func TestRestoreDropsEntriesSupersededBySnapshot(t *testing.T) {
+	r := restoredLog(t, threeVoters(), 1, 1, 2, 2)
+	r.Snapshot.Meta = SnapshotMeta{Index: 2, Term: 5, Membership: threeVoters()}
 	r.HardState = HardState{Term: 3, Vote: idB, Commit: 4}
 	c := openCore(t, idA, r)
-	require.Equal(t, uint64(2), c.log.last())
-	require.Equal(t, HardState{Term: 5, Commit: 2}, c.hard)
-	r = restoredLog(t, abc(), 1, 1, 1)
+	require.Equal(t, uint64(2), c.log.lastIndex())
+	require.Equal(t, HardState{Term: 5, Commit: 2}, c.hardState)
+	r = restoredLog(t, threeVoters(), 1, 1, 1)
 	r.Entries = slices.Delete(r.Entries, 1, 2)
 	_, err := New(Config{ID: idA, Rand: rand.New(rand.NewPCG(1, 2))}, r)
 	require.Error(t, err)
 }
 
-// A membership is in force while its entry is in the log, and no longer.
-func TestOverwrittenMembershipIsForgotten(t *testing.T) {
-	r := restoredLog(t, abc(), 1, 1)
+// A membership takes effect as soon as its entry is in the log, and must be reverted when
+// another leader's entry overwrites it.
+func TestOverwrittenMembershipIsReverted(t *testing.T) {
+	r := restoredLog(t, threeVoters(), 1, 1)
 	data, err := EncodeMembership(Membership{Voters: []ReplicaID{idA, idB}})
 	require.NoError(t, err)
 	r.Entries[1] = Entry{Term: 1, Index: 2, Kind: EntryMembership, Data: data}
 	c := openCore(t, idC, r)
 	require.False(t, c.Membership().IsVoter(idC))
 	step(t, c, Message{Type: MessageAppend, From: idB, Term: 2, Index: 1, LogTerm: 1, Entries: []Entry{{Term: 2, Index: 2}}})
-	require.Equal(t, abc(), c.Membership())
+	require.Equal(t, threeVoters(), c.Membership())
 }
 
-func TestSharedEntriesDoNotChange(t *testing.T) {
-	l, err := restoreLog(restoredLog(t, abc(), 1, 1, 1))
+func TestTruncationDoesNotChangeSharedEntries(t *testing.T) {
+	l, err := restoreLog(restoredLog(t, threeVoters(), 1, 1, 1))
 	require.NoError(t, err)
 	shared := l.slice(2, 3)
-	l.put([]Entry{{Term: 2, Index: 2}, {Term: 2, Index: 3}})
+	l.truncateAndAppend([]Entry{{Term: 2, Index: 2}, {Term: 2, Index: 3}})
 	require.Equal(t, []uint64{1, 1}, []uint64{shared[0].Term, shared[1].Term})
 }
 
-func TestLostSnapshotIsSentAgain(t *testing.T) {
+func TestLostSnapshotIsResent(t *testing.T) {
 	r := PersistedState{HardState: HardState{Term: 1, Commit: 9}}
-	r.Snapshot.Meta = SnapshotMeta{Index: 9, Term: 1, Membership: abc()}
+	r.Snapshot.Meta = SnapshotMeta{Index: 9, Term: 1, Membership: threeVoters()}
 	c := openCore(t, idA, r)
-	elect(t, c, idB)
+	electLeader(t, c, idB)
 	sent := 0
 	for range 2 * DefaultSnapshotRetryTicks {
-		step(t, c, Message{Type: MessageHeartbeatResponse, From: idB, Term: c.hard.Term})
-		step(t, c, Message{Type: MessageAppendResponse, From: idC, Term: c.hard.Term, Reject: true, Index: 9})
+		step(t, c, Message{Type: MessageHeartbeatResponse, From: idB, Term: c.hardState.Term})
+		step(t, c, Message{Type: MessageAppendResponse, From: idC, Term: c.hardState.Term, Reject: true, Index: 9})
 		c.Tick()
-		sent += len(ofType(work(c), MessageSnapshot))
+		sent += len(filterByType(drainReady(c), MessageSnapshot))
 	}
 	require.GreaterOrEqual(t, sent, 2)
 	require.LessOrEqual(t, sent, 4)
 }
 
 func TestMalformedAppendIsIgnored(t *testing.T) {
-	c := openCore(t, idB, restoredLog(t, abc(), 1))
+	c := openCore(t, idB, restoredLog(t, threeVoters(), 1))
 	step(t, c, Message{Type: MessageAppend, From: idA, Term: 1, Index: 1, LogTerm: 1, Entries: []Entry{{Term: 1, Index: 5}}})
-	require.Equal(t, uint64(1), c.log.last())
+	require.Equal(t, uint64(1), c.log.lastIndex())
 	require.False(t, c.HasReady())
 }
 
-func TestMessageKeepsItsFormInCBOR(t *testing.T) {
+func TestMessageCBORRoundTrip(t *testing.T) {
 	in := Message{Type: MessageSnapshot, From: idA, To: idB, Term: 3, Index: 4, LogTerm: 2, Commit: 5, Reject: true, HintIndex: 6,
 		HintTerm: 1, Round: 7, Transfer: true, Entries: []Entry{{Term: 1, Index: 2, Kind: EntryMembership, Data: []byte("x")}},
-		Snapshot: &Snapshot{Meta: SnapshotMeta{Index: 9, Term: 2, Membership: abc()}, Data: []byte("y")}}
+		Snapshot: &Snapshot{Meta: SnapshotMeta{Index: 9, Term: 2, Membership: threeVoters()}, Data: []byte("y")}}
 	b, err := cbor.Marshal(in)
 	require.NoError(t, err)
 	var out Message
@@ -392,47 +398,47 @@
 	require.Equal(t, in, out)
 }
 
-// Replicas that have all just started elect a leader within half the usual time, and one
-// that starts beside a living leader does not disturb it.
-func TestFirstElectionAfterAStartIsShort(t *testing.T) {
-	c := openCore(t, idA, restoredLog(t, abc(), 1, 1))
+// Replicas that have all just started must elect a leader within half the usual time. A
+// replica that starts while a leader is alive must not disturb that leader.
+func TestFirstElectionTimeoutAfterStartIsShort(t *testing.T) {
+	c := openCore(t, idA, restoredLog(t, threeVoters(), 1, 1))
 	for range c.cfg.ElectionTicks / 2 {
 		if c.role == Follower {
 			c.Tick()
 		}
 	}
 	require.Equal(t, PreCandidate, c.role)
-	for range startPart {
+	for range startupTimeoutDivisor {
 		c.campaign(PreCandidate, false)
 	}
-	require.GreaterOrEqual(t, c.drawTimeout(), c.cfg.ElectionTicks, "those far apart get the usual time")
-	heard := openCore(t, idB, restoredLog(t, abc(), 1, 1))
-	step(t, heard, Message{Type: MessageHeartbeat, From: idC, Term: 1})
+	require.GreaterOrEqual(t, c.randomElectionTimeout(), c.cfg.ElectionTicks, "after several campaigns the timeout is a full one")
+	follower := openCore(t, idB, restoredLog(t, threeVoters(), 1, 1))
+	step(t, follower, Message{Type: MessageHeartbeat, From: idC, Term: 1})
 	for range 20 {
-		require.GreaterOrEqual(t, heard.drawTimeout(), heard.cfg.ElectionTicks)
+		require.GreaterOrEqual(t, follower.randomElectionTimeout(), follower.cfg.ElectionTicks)
 	}
-	step(t, heard, Message{Type: MessagePreVote, From: idA, Term: 2, Index: 2, LogTerm: 1})
-	require.Empty(t, ofType(work(heard), MessagePreVoteResponse), "a leader that lives is not voted against")
-	require.Equal(t, idC, heard.leader)
+	step(t, follower, Message{Type: MessagePreVote, From: idA, Term: 2, Index: 2, LogTerm: 1})
+	require.Empty(t, filterByType(drainReady(follower), MessagePreVoteResponse), "a pre-vote against a live leader gets no answer")
+	require.Equal(t, idC, follower.leader)
 }
 
-// Voters that start together do not campaign at the same tick: each would vote for itself.
-func TestVotersThatStartTogetherCampaignInTurn(t *testing.T) {
+// Voters that start together must not campaign at the same tick: each would vote for itself
+// and none would win.
+func TestVotersStartedTogetherHaveDistinctTimeouts(t *testing.T) {
 	seen := map[int]bool{}
-	for _, id := range abc().Voters {
-		seen[openCore(t, id, restoredLog(t, abc(), 1, 1)).timeout] = true
+	for _, id := range threeVoters().Voters {
+		seen[openCore(t, id, restoredLog(t, threeVoters(), 1, 1)).electionTimeout] = true
 	}
-	require.Len(t, seen, len(abc().Voters))
+	require.Len(t, seen, len(threeVoters().Voters))
 }
 
-// A leader was deposed right after a common start, two ticks after its last word: a
-// voter kept the short time that it waits for a leader after its start once it had heard
-// one, and the others did so too, so that none refused its pre-vote. The roles and what
-// changed them, printed by a replica's loop, showed it.
-func TestWhoHeardALeaderWaitsAWholeElectionTimeout(t *testing.T) {
+// A leader was deposed just after all voters had started, two ticks after its last message.
+// A voter had kept its shortened startup timeout after it heard the leader. The other
+// voters had too, so none of them refused its pre-vote.
+func TestFollowerThatHeardLeaderWaitsFullElectionTimeout(t *testing.T) {
 	for _, heard := range []MessageType{MessageAppend, MessageHeartbeat} {
-		c := openCore(t, idB, restoredLog(t, abc(), 1))
-		require.Less(t, c.timeout, c.cfg.ElectionTicks, "it starts short")
+		c := openCore(t, idB, restoredLog(t, threeVoters(), 1))
+		require.Less(t, c.electionTimeout, c.cfg.ElectionTicks, "the first timeout after a start is shorter")
 		step(t, c, Message{Type: heard, From: idA, Term: 1, Index: 1, LogTerm: 1})
 		for range c.cfg.ElectionTicks - 1 {
 			c.Tick()
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -2,37 +2,37 @@
 
 import "slices"
 
-// campaign starts a pre-vote (PreCandidate) or a real election (Candidate).
+// campaign starts a pre-vote (PreCandidate) or an election (Candidate).
 func (c *Core) campaign(role Role, transfer bool) {
-	term := c.hard.Term + 1
-	kind := MessagePreVote
+	term := c.hardState.Term + 1
+	messageType := MessagePreVote
 	if role == Candidate {
-		kind = MessageVote
-		c.hard.Term = term
-		c.hard.Vote = c.id
+		messageType = MessageVote
+		c.hardState.Term = term
+		c.hardState.Vote = c.id
 	}
-	c.campaigns++
-	c.becomeFollower(c.hard.Term, "")
+	c.campaignCount++
+	c.becomeFollower(c.hardState.Term, "")
 	c.role = role
 	c.votes = map[ReplicaID]bool{c.id: true}
-	if c.tally() {
+	if c.tallyVotes() {
 		return
 	}
-	for _, id := range c.members.latest().membership.Voters {
+	for _, id := range c.memberships.latest().membership.Voters {
 		if id == c.id {
 			continue
 		}
-		c.send(Message{Type: kind, To: id, Term: term, Index: c.log.last(), LogTerm: c.log.lastTerm(), Transfer: transfer})
+		c.send(Message{Type: messageType, To: id, Term: term, Index: c.log.lastIndex(), LogTerm: c.log.lastTerm(), Transfer: transfer})
 	}
 }
 
-// mayCampaign reports whether this replica is a voter by its own log.
-func (c *Core) mayCampaign() bool { return c.members.latest().membership.IsVoter(c.id) }
+// canCampaign reports whether this replica is a voter according to its own log.
+func (c *Core) canCampaign() bool { return c.memberships.latest().membership.IsVoter(c.id) }
 
-// tally counts the votes of the membership's voters, and of nobody else. It
+// tallyVotes counts the votes of the current membership's voters and ignores all others. It
 // reports whether the campaign is over.
-func (c *Core) tally() bool {
-	m := c.members.latest().membership
+func (c *Core) tallyVotes() bool {
+	m := c.memberships.latest().membership
 	granted, rejected := 0, 0
 	for id, ok := range c.votes {
 		switch {
@@ -49,43 +49,44 @@
 	case granted >= m.Quorum():
 		c.becomeLeader()
 	case rejected >= m.Quorum():
-		c.becomeFollower(c.hard.Term, "")
+		c.becomeFollower(c.hardState.Term, "")
 	default:
 		return false
 	}
 	return true
 }
 
-// handleVote answers a candidate. Only voters of the candidate's membership are
-// asked, by ReplicaID, so a replica with a new disk is asked only after a
-// membership names it; it may then vote before it has that membership itself.
+// handleVote answers a vote request or pre-vote. It does not check whether this replica is
+// a voter by its own log. A candidate asks only the voters in its membership, by ReplicaID,
+// so a replica with a new disk is asked only after a membership contains it. That replica
+// may vote before it has received that membership itself.
 func (c *Core) handleVote(m Message) {
-	grant := c.mayVote(m) && c.log.upToDate(m.Index, m.LogTerm)
-	answer := Message{Type: MessageVoteResponse, To: m.From, Term: c.hard.Term, Reject: !grant}
+	grant := c.canVote(m) && c.log.isUpToDate(m.Index, m.LogTerm)
+	response := Message{Type: MessageVoteResponse, To: m.From, Term: c.hardState.Term, Reject: !grant}
 	if m.Type == MessagePreVote {
-		answer.Type = MessagePreVoteResponse
+		response.Type = MessagePreVoteResponse
 		if grant {
-			answer.Term = m.Term
+			response.Term = m.Term
 		}
 	} else if grant {
-		c.hard.Vote = m.From
+		c.hardState.Vote = m.From
 		c.electionElapsed = 0
 	}
-	c.send(answer)
+	c.send(response)
 }
 
-func (c *Core) mayVote(m Message) bool {
+func (c *Core) canVote(m Message) bool {
 	if m.Type == MessagePreVote {
-		return m.Term > c.hard.Term
+		return m.Term > c.hardState.Term
 	}
-	return c.hard.Vote == m.From || (c.hard.Vote == "" && c.leader == "")
+	return c.hardState.Vote == m.From || (c.hardState.Vote == "" && c.leader == "")
 }
 
 func (c *Core) handleVoteResponse(m Message) {
 	switch {
 	case m.Type == MessagePreVoteResponse && c.role != PreCandidate:
 		return
-	case m.Type == MessagePreVoteResponse && !m.Reject && m.Term != c.hard.Term+1:
+	case m.Type == MessagePreVoteResponse && !m.Reject && m.Term != c.hardState.Term+1:
 		return
 	case m.Type == MessageVoteResponse && c.role != Candidate:
 		return
@@ -93,134 +94,139 @@
 	if _, known := c.votes[m.From]; !known {
 		c.votes[m.From] = !m.Reject
 	}
-	c.tally()
+	c.tallyVotes()
 }
 
-// heardLeader reports whether a leader was heard within an election timeout;
-// then nobody else may be elected but by a transfer.
-func (c *Core) heardLeader() bool {
+// hasRecentLeader reports whether this replica leads or has heard a leader within an
+// election timeout. Until that timeout has passed, only a leadership transfer may elect
+// another leader.
+func (c *Core) hasRecentLeader() bool {
 	return c.role == Leader || (c.leader != "" && c.electionElapsed < c.cfg.ElectionTicks)
 }
 
 func (c *Core) becomeFollower(term uint64, leader ReplicaID) {
-	if term != c.hard.Term {
-		c.hard.Term = term
-		c.hard.Vote = ""
+	if term != c.hardState.Term {
+		c.hardState.Term = term
+		c.hardState.Vote = ""
 	}
 	c.role = Follower
 	c.leader = leader
 	c.votes = nil
 	c.progress = nil
 	c.peers = nil
-	c.reads = nil
+	c.pendingReads = nil
 	c.transferee = ""
 	c.electionElapsed = 0
-	c.timeout = c.drawTimeout()
+	c.electionTimeout = c.randomElectionTimeout()
 }
 
 const (
-	// startPart is the part of an election timeout that a replica waits for a leader when it
-	// has just started: where all have stopped at once, nobody leads, and callers wait. A
-	// leader that lives is not disturbed, since those that hear it refuse a pre-vote.
-	startPart = 4
-	// leastTimeout is the shortest election timeout in ticks, a round of messages.
-	leastTimeout = 2
+	// startupTimeoutDivisor shortens the election timeout of a replica that has just
+	// started: if all replicas stopped at once, no leader exists and callers wait. A live
+	// leader is not disturbed, since the replicas that hear it refuse a pre-vote. After this
+	// many campaigns without a leader, the timeout is a full one.
+	startupTimeoutDivisor = 4
+	// minElectionTimeoutTicks is the shortest election timeout in ticks. It allows for one
+	// round of messages.
+	minElectionTimeoutTicks = 2
 )
 
-// drawTimeout returns the next election timeout, in ticks. Until a leader was known since
-// the start it begins short and doubles with each campaign, so that replicas which are
-// further apart than that still elect one. The first is staggered by the order of the
-// voters: replicas that start together would vote for themselves at the same tick.
-func (c *Core) drawTimeout() int {
-	span := c.cfg.ElectionTicks
-	first := max(span/startPart, leastTimeout)
+// randomElectionTimeout returns the next election timeout in ticks. Until a leader is known
+// after the start, the timeout begins short and doubles with each campaign, so that
+// replicas with longer delays between them still elect a leader. The first timeout is
+// staggered by the order of the voters instead of drawn: replicas that start together would
+// otherwise campaign at the same tick and each vote for itself.
+func (c *Core) randomElectionTimeout() int {
+	minTicks := c.cfg.ElectionTicks
+	startupTicks := max(minTicks/startupTimeoutDivisor, minElectionTimeoutTicks)
 	switch {
-	case c.hasHeard || c.campaigns >= startPart:
-	case c.campaigns == 0:
-		voters := c.members.latest().membership.Voters
-		return min(first+leastTimeout*max(slices.Index(voters, c.id), 0), span)
+	case c.hasSeenLeader || c.campaignCount >= startupTimeoutDivisor:
+	case c.campaignCount == 0:
+		voters := c.memberships.latest().membership.Voters
+		return min(startupTicks+minElectionTimeoutTicks*max(slices.Index(voters, c.id), 0), minTicks)
 	default:
-		span = min(first<<c.campaigns, span)
+		minTicks = min(startupTicks<<c.campaignCount, minTicks)
 	}
-	return span + c.cfg.Rand.IntN(span)
+	return minTicks + c.cfg.Rand.IntN(minTicks)
 }
 
 func (c *Core) becomeLeader() {
 	c.role = Leader
 	c.leader = c.id
-	c.hasHeard = true
+	c.hasSeenLeader = true
 	c.votes = nil
 	c.heartbeatElapsed = 0
-	c.round = 0
+	c.heartbeatRound = 0
 	c.trackMembers()
-	c.progress[c.id].match = c.log.stable
-	c.uncommitted = 0
-	for _, e := range c.log.slice(c.hard.Commit+1, c.log.last()) {
-		c.uncommitted += e.size()
+	c.progress[c.id].matchIndex = c.log.stableIndex
+	c.uncommittedBytes = 0
+	for _, e := range c.log.slice(c.hardState.Commit+1, c.log.lastIndex()) {
+		c.uncommittedBytes += e.size()
 	}
-	c.firstIndex = c.log.last() + 1
-	c.appendFirst()
+	c.termStartIndex = c.log.lastIndex() + 1
+	c.appendTermStart()
 }
 
-// appendFirst appends the entry that opens a term: only by an entry of its own
-// term can a leader learn what is committed.
-func (c *Core) appendFirst() {
-	first := c.members.latest()
-	if c.log.last() > 0 {
-		c.mustAppend(EntryCommand, nil)
+// appendTermStart appends the first entry of a new leader's term. A leader learns what is
+// committed only by committing an entry of its own term. The entry carries the bootstrap
+// membership if the log is empty, and is an empty command otherwise.
+func (c *Core) appendTermStart() {
+	latest := c.memberships.latest()
+	if c.log.lastIndex() > 0 {
+		c.appendOrStepDown(EntryCommand, nil)
 		return
 	}
-	data, err := EncodeMembership(first.membership)
+	data, err := EncodeMembership(latest.membership)
 	if err != nil {
-		c.becomeFollower(c.hard.Term, "")
+		c.becomeFollower(c.hardState.Term, "")
 		return
 	}
-	c.mustAppend(EntryMembership, data)
+	c.appendOrStepDown(EntryMembership, data)
 }
 
-// TransferLeadership hands the leadership over to a voter, or to the voter with
-// the longest log where to is empty. Proposals are refused until it succeeds or
-// an election timeout has passed.
+// TransferLeadership hands the leadership over to the given voter. If to is empty, it picks
+// the voter with the longest log among those heard recently. Proposals are refused until
+// the transfer succeeds or an election timeout has passed.
 func (c *Core) TransferLeadership(to ReplicaID) error {
 	if c.role != Leader {
 		return ErrNotLeader
 	}
 	if to == "" {
-		to = c.bestPeer()
+		to = c.mostUpToDateVoter()
 	}
-	if to == c.id || !c.members.latest().membership.IsVoter(to) {
+	if to == c.id || !c.memberships.latest().membership.IsVoter(to) {
 		return ErrNoTransferee
 	}
 	c.transferee = to
 	c.transferElapsed = 0
-	c.dirty = true
-	c.finishTransfer()
+	c.needsReplication = true
+	c.sendTimeoutNowIfCaughtUp()
 	return nil
 }
 
-func (c *Core) bestPeer() ReplicaID {
+func (c *Core) mostUpToDateVoter() ReplicaID {
 	var best ReplicaID
 	for _, id := range c.peers {
-		if !c.members.latest().membership.IsVoter(id) || c.progress[id].silent >= c.cfg.ElectionTicks {
+		if !c.memberships.latest().membership.IsVoter(id) || c.progress[id].ticksSinceContact >= c.cfg.ElectionTicks {
 			continue
 		}
-		if best == "" || c.progress[id].match > c.progress[best].match {
+		if best == "" || c.progress[id].matchIndex > c.progress[best].matchIndex {
 			best = id
 		}
 	}
 	return best
 }
 
-func (c *Core) finishTransfer() {
+func (c *Core) sendTimeoutNowIfCaughtUp() {
 	p := c.progress[c.transferee]
-	if p == nil || p.match < c.log.last() {
+	if p == nil || p.matchIndex < c.log.lastIndex() {
 		return
 	}
-	c.send(Message{Type: MessageTimeoutNow, To: c.transferee, Term: c.hard.Term})
+	c.send(Message{Type: MessageTimeoutNow, To: c.transferee, Term: c.hardState.Term})
 }
 
 func (c *Core) handleTimeoutNow(m Message) {
-	if c.role == Follower && m.From == c.leader && c.mayCampaign() {
+	if c.role == Follower && m.From == c.leader && c.canCampaign() {
 		c.campaign(Candidate, true)
 	}
 }
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -6,137 +6,143 @@
 	"github.com/pkg/errors"
 )
 
-// raftLog holds the entries after base. Handed-out slices are capped, and a
-// truncation forces a new array, so that shared entries never change.
+// raftLog holds the entries after baseIndex in memory. Slices that it returns are capped at
+// their length, and a truncation makes the next append allocate a new array, so that
+// entries shared with callers never change.
 type raftLog struct {
-	base     uint64
-	baseTerm uint64
-	entries  []Entry
-	// stable is the last index that is known to be persisted.
-	stable uint64
+	baseIndex uint64
+	baseTerm  uint64
+	entries   []Entry
+	// stableIndex is the last index known to be persisted.
+	stableIndex uint64
 }
 
-func (l *raftLog) last() uint64 { return l.base + uint64(len(l.entries)) }
+func (l *raftLog) lastIndex() uint64 { return l.baseIndex + uint64(len(l.entries)) }
 
 func (l *raftLog) lastTerm() uint64 {
-	t, _ := l.term(l.last())
+	t, _ := l.term(l.lastIndex())
 	return t
 }
 
-// term returns the term of the entry at i, false where i is compacted or beyond the end.
+// term returns the term of the entry at index i. It reports false if that entry was
+// compacted or is beyond the end of the log.
 func (l *raftLog) term(i uint64) (uint64, bool) {
-	if i == l.base {
+	if i == l.baseIndex {
 		return l.baseTerm, true
 	}
-	if i < l.base || i > l.last() {
+	if i < l.baseIndex || i > l.lastIndex() {
 		return 0, false
 	}
-	return l.entries[i-l.base-1].Term, true
+	return l.entries[i-l.baseIndex-1].Term, true
 }
 
-func (l *raftLog) matches(i, term uint64) bool {
+func (l *raftLog) matchesTerm(i, term uint64) bool {
 	t, ok := l.term(i)
 	return ok && t == term
 }
 
-// from returns the entries lo and later, at least one if there is one, and no
-// more than maxBytes of data beyond the first.
-func (l *raftLog) from(lo uint64, maxBytes int) []Entry {
-	rest := l.slice(lo, l.last())
+// entriesFrom returns the entries from index lo on, up to maxBytes of data. It returns at
+// least one entry if the log has one.
+func (l *raftLog) entriesFrom(lo uint64, maxBytes int) []Entry {
+	available := l.slice(lo, l.lastIndex())
 	size := 0
-	for i := range rest {
-		size += rest[i].size()
+	for i := range available {
+		size += available[i].size()
 		if i > 0 && size > maxBytes {
-			return rest[:i:i]
+			return available[:i:i]
 		}
 	}
-	return rest
+	return available
 }
 
-// slice returns the entries lo to hi, both included.
+// slice returns the entries from index lo to hi, both included, or nil if there is
+// none or lo was compacted.
 func (l *raftLog) slice(lo, hi uint64) []Entry {
-	if lo > hi || lo <= l.base {
+	if lo > hi || lo <= l.baseIndex {
 		return nil
 	}
-	a, b := lo-l.base-1, hi-l.base
+	a, b := lo-l.baseIndex-1, hi-l.baseIndex
 	return l.entries[a:b:b]
 }
 
-// firstNew returns the first of the entries that the log does not hold, or the
-// length of entries when it holds all.
-func (l *raftLog) firstNew(entries []Entry) int {
+// firstMissing returns the position in entries of the first entry that the log does not
+// contain, or len(entries) if it contains all.
+func (l *raftLog) firstMissing(entries []Entry) int {
 	for i := range entries {
-		if entries[i].Index > l.base && !l.matches(entries[i].Index, entries[i].Term) {
+		if entries[i].Index > l.baseIndex && !l.matchesTerm(entries[i].Index, entries[i].Term) {
 			return i
 		}
 	}
 	return len(entries)
 }
 
-// put appends entries after it cut what conflicts with them.
-func (l *raftLog) put(entries []Entry) {
-	at := entries[0].Index
-	if at <= l.last() {
-		keep := at - l.base - 1
+// truncateAndAppend removes the entries from entries[0].Index on and appends the given
+// ones.
+func (l *raftLog) truncateAndAppend(entries []Entry) {
+	first := entries[0].Index
+	if first <= l.lastIndex() {
+		keep := first - l.baseIndex - 1
 		l.entries = l.entries[:keep:keep]
-		l.stable = min(l.stable, at-1)
+		l.stableIndex = min(l.stableIndex, first-1)
 	}
 	l.entries = append(l.entries, entries...)
 }
 
-// lastAtOrBelow returns the last index up to i whose term is at most term.
-func (l *raftLog) lastAtOrBelow(i, term uint64) (uint64, uint64) {
-	i = min(i, l.last())
-	if i <= l.base {
+// lastWithTermAtMost returns the index and term of the last entry up to index i whose term
+// is not above term.
+func (l *raftLog) lastWithTermAtMost(i, term uint64) (uint64, uint64) {
+	i = min(i, l.lastIndex())
+	if i <= l.baseIndex {
 		return i, l.baseTerm
 	}
-	n := int(i - l.base)
+	n := int(i - l.baseIndex)
 	k := sort.Search(n, func(j int) bool { return l.entries[j].Term > term })
-	found := l.base + uint64(k)
-	t, _ := l.term(found)
-	return found, t
+	index := l.baseIndex + uint64(k)
+	t, _ := l.term(index)
+	return index, t
 }
 
-// newer reports whether a log that ends at index and term holds all that this one does.
-func (l *raftLog) upToDate(index, term uint64) bool {
-	mine := l.lastTerm()
-	return term > mine || (term == mine && index >= l.last())
+// isUpToDate reports whether a log whose last entry has the given index and term is at
+// least as up to date as this one.
+func (l *raftLog) isUpToDate(index, term uint64) bool {
+	ownTerm := l.lastTerm()
+	return term > ownTerm || (term == ownTerm && index >= l.lastIndex())
 }
 
-// compact forgets the entries up to i.
+// compact removes the entries up to index i.
 func (l *raftLog) compact(i uint64) {
-	if i <= l.base {
+	if i <= l.baseIndex {
 		return
 	}
 	t, _ := l.term(i)
-	l.entries = append([]Entry(nil), l.entries[i-l.base:]...)
-	l.base, l.baseTerm = i, t
+	l.entries = append([]Entry(nil), l.entries[i-l.baseIndex:]...)
+	l.baseIndex, l.baseTerm = i, t
 }
 
-// reset empties the log behind a snapshot.
+// reset empties the log so that it continues after a snapshot.
 func (l *raftLog) reset(meta SnapshotMeta) {
-	*l = raftLog{base: meta.Index, baseTerm: meta.Term, stable: meta.Index}
+	*l = raftLog{baseIndex: meta.Index, baseTerm: meta.Term, stableIndex: meta.Index}
 }
 
-// restoreLog rebuilds the log from what was persisted. Entries that the snapshot
-// covers are left out, and so is a suffix whose terms fall below the ones before:
-// such entries were overtaken by the snapshot and can't be committed.
+// restoreLog rebuilds the log from persisted state. It omits the entries that the snapshot
+// covers. It also omits a suffix with terms below those of the entries before it: the
+// snapshot superseded these entries, so they can't be committed.
 func restoreLog(r PersistedState) (*raftLog, error) {
 	l := &raftLog{}
 	l.reset(r.Snapshot.Meta)
 	for _, e := range r.Entries {
-		if e.Index <= l.base {
+		if e.Index <= l.baseIndex {
 			continue
 		}
 		if e.Term < l.lastTerm() {
 			break
 		}
-		if e.Index != l.last()+1 {
-			return nil, errors.Errorf("log has entry %d after %d", e.Index, l.last())
+		if e.Index != l.lastIndex()+1 {
+			return nil, errors.Errorf("log has a gap: entry %d follows entry %d", e.Index, l.lastIndex())
 		}
 		l.entries = append(l.entries, e)
 	}
-	l.stable = l.last()
+	l.stableIndex = l.lastIndex()
 	return l, nil
 }
 
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -7,31 +7,31 @@
 	"github.com/pkg/errors"
 )
 
-// maxVoterChange is how many voters one change may add or remove. Two majorities
-// that differ by one voter always share a replica.
+// maxVoterChange is how many voters one change may add or remove. Majorities of two
+// memberships that differ by one voter always have a replica in common.
 const maxVoterChange = 1
 
-// EncodeMembership returns the data of an EntryMembership.
+// EncodeMembership returns the data of a log entry of kind EntryMembership.
 func EncodeMembership(m Membership) ([]byte, error) {
 	b, err := cbor.Marshal(m)
 	return b, errors.Wrap(err, "encode membership")
 }
 
-// DecodeMembership reads the data of an EntryMembership.
+// DecodeMembership decodes the data of a log entry of kind EntryMembership.
 func DecodeMembership(data []byte) (Membership, error) {
 	var m Membership
 	err := cbor.Unmarshal(data, &m)
 	return m, errors.Wrap(err, "decode membership")
 }
 
-// membershipAt is a membership and the index of the entry that states it.
+// membershipAt is a membership and the index of the log entry that contains it.
 type membershipAt struct {
 	index      uint64
 	membership Membership
 }
 
-// memberships lists what the log states, oldest first. A membership is in force
-// from the moment its entry is in the log, committed or not.
+// memberships lists the memberships in the log, oldest first. A membership takes effect as
+// soon as its entry is in the log, committed or not.
 type memberships struct{ list []membershipAt }
 
 func newMemberships(meta SnapshotMeta) memberships {
@@ -40,7 +40,7 @@
 
 func (s *memberships) latest() membershipAt { return s.list[len(s.list)-1] }
 
-// at returns the membership in force at index i.
+// at returns the membership in effect at index i.
 func (s *memberships) at(i uint64) Membership {
 	k := len(s.list) - 1
 	for k > 0 && s.list[k].index > i {
@@ -49,20 +49,20 @@
 	return s.list[k].membership
 }
 
-// put takes over what the entries state, after those at or behind the first of
-// them are dropped.
-func (s *memberships) put(entries []Entry) error {
-	found, err := scanMemberships(entries)
+// truncateAndAppend removes the memberships from entries[0].Index on and appends those that
+// the entries contain.
+func (s *memberships) truncateAndAppend(entries []Entry) error {
+	decoded, err := decodeMemberships(entries)
 	if err != nil {
 		return err
 	}
 	s.truncate(entries[0].Index)
-	s.list = append(s.list, found...)
+	s.list = append(s.list, decoded...)
 	return nil
 }
 
-func scanMemberships(entries []Entry) ([]membershipAt, error) {
-	var found []membershipAt
+func decodeMemberships(entries []Entry) ([]membershipAt, error) {
+	var decoded []membershipAt
 	for i := range entries {
 		if entries[i].Kind != EntryMembership {
 			continue
@@ -71,9 +71,9 @@
 		if err != nil {
 			return nil, err
 		}
-		found = append(found, membershipAt{entries[i].Index, m})
+		decoded = append(decoded, membershipAt{entries[i].Index, m})
 	}
-	return found, nil
+	return decoded, nil
 }
 
 func (s *memberships) truncate(from uint64) {
@@ -82,14 +82,15 @@
 	}
 }
 
-// compact forgets what is older than the membership in force at i.
+// compact removes the memberships older than the one in effect at index i.
 func (s *memberships) compact(i uint64) {
 	for len(s.list) > 1 && s.list[1].index <= i {
 		s.list = slices.Delete(s.list, 0, 1)
 	}
 }
 
-// checkChange refuses a membership that must not follow old.
+// checkChange returns an error if next is invalid or differs from old by more than one
+// voter.
 func checkChange(old, next Membership) error {
 	if err := checkMembership(next); err != nil {
 		return err
@@ -127,13 +128,14 @@
 	return n
 }
 
-// Bootstrap makes the replica campaign for a first membership. The membership
-// becomes the first entry once a majority of its voters has voted, so that of
-// several bootstraps with the same voters one wins. It is refused with
-// ErrNotEmpty where a log, a membership or a leader is known, and it is not
-// persisted: after a crash before the first entry it has to be called again.
+// Bootstrap makes this replica campaign as a voter of an initial membership. If it wins,
+// the membership becomes the first log entry. Of several replicas that bootstrap with the
+// same voters only one wins, since that takes the votes of a majority. Bootstrap fails with
+// ErrLogNotEmpty if this replica has a log, a membership or a leader, and with
+// ErrInvalidMembership. The membership is not persisted before the first entry is, so
+// Bootstrap must be called again after a crash before that.
 func (c *Core) Bootstrap(m Membership) error {
-	if c.log.last() > 0 || c.leader != "" || len(c.Membership().Voters) > 0 {
+	if c.log.lastIndex() > 0 || c.leader != "" || len(c.Membership().Voters) > 0 {
 		return ErrLogNotEmpty
 	}
 	if err := checkMembership(m); err != nil {
@@ -142,23 +144,23 @@
 	if !m.IsVoter(c.id) {
 		return errors.Wrap(ErrInvalidMembership, "the bootstrapping replica must be a voter")
 	}
-	c.members.list[0].membership = m.Clone()
+	c.memberships.list[0].membership = m.Clone()
 	c.campaign(PreCandidate, false)
 	return nil
 }
 
-// Membership returns the membership in force; it may not be committed yet.
-func (c *Core) Membership() Membership { return c.members.latest().membership.Clone() }
+// Membership returns the membership in effect. It may be uncommitted.
+func (c *Core) Membership() Membership { return c.memberships.latest().membership.Clone() }
 
-// ProposeMembership appends a membership. One voter may be added or removed at
-// a time. It is refused with ErrNotLeader, ErrNoQuorum or ErrTransferring as a
-// proposal is, with ErrChangePending while an earlier one or the term's first
-// entry is uncommitted, and with ErrBadChange.
+// ProposeMembership appends a membership to the leader's log. One change may add or remove
+// one voter. It fails with ErrNotLeader, ErrNoQuorum or ErrTransferring as Propose does. It
+// fails with ErrChangePending while an earlier membership or the first entry of the term is
+// uncommitted, and with ErrInvalidMembership.
 func (c *Core) ProposeMembership(m Membership) (index, term uint64, err error) {
-	if err := c.mayPropose(); err != nil {
+	if err := c.checkCanPropose(); err != nil {
 		return 0, 0, err
 	}
-	if c.members.latest().index > c.hard.Commit || !c.committedInTerm() {
+	if c.memberships.latest().index > c.hardState.Commit || !c.hasCommittedInTerm() {
 		return 0, 0, ErrChangePending
 	}
 	if err := checkChange(c.Membership(), m); err != nil {
@@ -168,6 +170,6 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	index, err = c.appendOwn(EntryMembership, data)
-	return index, c.hard.Term, err
+	index, err = c.appendLeaderEntry(EntryMembership, data)
+	return index, c.hardState.Term, err
 }
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -1,9 +1,9 @@
 package consensus
 
-// MessageType tells what a Message asks or answers.
+// MessageType is the kind of request or response that a Message is.
 type MessageType uint8
 
-// The types of messages between replicas.
+// Types of messages between replicas.
 const (
 	MessageAppend MessageType = iota + 1
 	MessageAppendResponse
@@ -17,31 +17,32 @@
 	MessageTimeoutNow
 )
 
-// Message is what one replica sends another. Messages may be lost, repeated,
-// late and out of order. The entries and the snapshot of a message are shared
-// with the sender's log: nobody may change them.
+// Message is what one replica sends to another. Messages may be lost, duplicated, delayed
+// and reordered. The entries and the snapshot of a message share memory with the sender's
+// log and must not be changed.
 type Message struct {
 	Type MessageType `cbor:"1,keyasint"`
 	From ReplicaID   `cbor:"2,keyasint"`
 	To   ReplicaID   `cbor:"3,keyasint"`
-	// Term is the sender's term; for a pre-vote the term it would campaign in.
+	// Term is the sender's term. In a pre-vote and in the response that grants it, Term is
+	// the term of the election that would follow.
 	Term uint64 `cbor:"4,keyasint"`
-	// Index and LogTerm place the entry before Entries, the candidate's last
-	// entry, or the last entry that an acceptance covers. A rejection repeats the
-	// rejected Index.
+	// Index and LogTerm identify a log entry: in an append the one before Entries, in a
+	// vote request the candidate's last one. In a response to an append, Index is the
+	// last entry that is acknowledged, or the Index of the append that is rejected.
 	Index   uint64  `cbor:"5,keyasint,omitempty"`
 	LogTerm uint64  `cbor:"6,keyasint,omitempty"`
 	Entries []Entry `cbor:"7,keyasint,omitempty"`
 	Commit  uint64  `cbor:"8,keyasint,omitempty"`
 	Reject  bool    `cbor:"9,keyasint,omitempty"`
-	// HintIndex and HintTerm come with a rejected append: the last place at which
-	// the logs may still agree.
+	// HintIndex and HintTerm come with a rejected append. They identify the last entry up
+	// to which the logs may agree.
 	HintIndex uint64 `cbor:"10,keyasint,omitempty"`
 	HintTerm  uint64 `cbor:"11,keyasint,omitempty"`
-	// Round numbers the heartbeat rounds of a leader's term.
+	// Round is the number of the heartbeat round within a leader's term.
 	Round    uint64    `cbor:"12,keyasint,omitempty"`
 	Snapshot *Snapshot `cbor:"13,keyasint,omitempty"`
-	// Transfer marks a vote that the present leader asked for; it is granted
-	// although that leader was just heard.
+	// Transfer marks a vote request that the current leader asked for by a leadership
+	// transfer. It is processed even though that leader was heard recently.
 	Transfer bool `cbor:"14,keyasint,omitempty"`
 }
--- a/internal/consensus/property_test.go
+++ b/internal/consensus/property_test.go
@@ -8,134 +8,138 @@
 	"pgregory.net/rapid"
 )
 
-// TestSafety drives three or five replicas through loss, duplication, reorder,
-// partition, crashes before and after the sync, compaction, and a lost disk that
-// is replaced under another ReplicaID. The world checks election safety, log
-// matching, leader completeness, state machine safety and read index after each
-// step; in the end the replicas must agree on a new entry.
+// TestSafety runs three or five replicas through message loss, duplication and reordering,
+// partitions, crashes before and after a sync, log compaction, and a lost disk that is
+// replaced under another ReplicaID. The simulation checks election safety, log matching,
+// leader completeness, state machine safety and read index as the replicas run. At the end,
+// all replicas must commit a new entry.
 func TestSafety(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		voters := rapid.SampledFrom([]int{3, 5}).Draw(t, "voters")
 		steps := rapid.IntRange(1, 2000).Draw(t, "steps") + minSteps
 		seed := rapid.Uint64().Draw(t, "seed")
-		// A drawn number is biased to small ones; the schedule must not be.
-		for i := range uint64(worldsPerCheck) {
-			runWorld(t, voters, steps, rand.New(rand.NewPCG(seed, i)))
+		// rapid draws small numbers more often than large ones. The random schedule must
+		// not be biased in this way, so it comes from a generator with a drawn seed.
+		for i := range uint64(simulationsPerCheck) {
+			runSimulation(t, voters, steps, rand.New(rand.NewPCG(seed, i)))
 		}
 	})
 }
 
-func runWorld(t tester, voters, steps int, rng *rand.Rand) {
-	w := newWorld(t, voters)
-	w.bootstrap(voters)
+func runSimulation(t testingT, voters, steps int, rng *rand.Rand) {
+	sim := newSimulation(t, voters)
+	sim.bootstrap(voters)
 	for i := range steps {
-		w.randomStep(rng)
+		sim.randomStep(rng)
 		if i%checkLogsEvery == 0 {
-			w.checkLogs()
+			sim.checkLogs()
 		}
 	}
-	w.heal()
+	sim.recoverAndCommit()
 }
 
 const (
-	minSteps       = 500
-	worldsPerCheck = 5
-	checkLogsEvery = 20
-	// reorder is how far behind its turn a message may be taken.
-	reorder = 12
+	minSteps            = 500
+	simulationsPerCheck = 5
+	checkLogsEvery      = 20
+	// maxReorder is how many messages at the head of the queue the next one to deliver,
+	// drop or duplicate is drawn from.
+	maxReorder = 12
 )
 
-func (w *world) randomStep(rng *rand.Rand) {
-	op := rng.IntN(1000)
-	id := w.ids[rng.IntN(len(w.ids))]
-	at := 0
-	if len(w.net) > 0 {
-		at = rng.IntN(min(len(w.net), reorder))
+func (sim *simulation) randomStep(rng *rand.Rand) {
+	action := rng.IntN(1000)
+	id := sim.ids[rng.IntN(len(sim.ids))]
+	position := 0
+	if len(sim.inTransit) > 0 {
+		position = rng.IntN(min(len(sim.inTransit), maxReorder))
 	}
 	switch {
-	case op < 620:
-		w.deliver(at)
-	case op < 680:
-		w.nodes[id].core.Tick()
-	case op < 720:
-		w.tickAll()
-	case op < 820:
-		_, _, _ = w.nodes[id].core.Propose([]byte(strconv.Itoa(len(w.committed) + w.disks)))
-	case op < 880:
-		w.read(id)
-	case op < 900 && len(w.net) > 0:
-		w.take(at)
-	case op < 920 && len(w.net) > 0:
-		w.net = append(w.net, w.net[at])
-	case op < 926:
-		w.cut[id] = true
-	case op < 940:
-		clear(w.cut)
-	case op < 948:
-		w.nodes[id].core.Tick()
-		w.crash(id, op%2 == 0)
-	case op < 960:
-		w.deliverAndCrash(at, op%2 == 0)
-	case op < 970:
-		w.compact(id)
-	case op < 972:
-		w.loseDisk(id)
-	case op < 995:
-		w.repair(id)
+	case action < 620:
+		sim.deliver(position)
+	case action < 680:
+		sim.nodes[id].core.Tick()
+	case action < 720:
+		sim.tickAll()
+	case action < 820:
+		_, _, _ = sim.nodes[id].core.Propose([]byte(strconv.Itoa(len(sim.committed) + sim.diskCount)))
+	case action < 880:
+		sim.requestRead(id)
+	case action < 900 && len(sim.inTransit) > 0:
+		sim.removeMessage(position)
+	case action < 920 && len(sim.inTransit) > 0:
+		sim.inTransit = append(sim.inTransit, sim.inTransit[position])
+	case action < 926:
+		sim.isolated[id] = true
+	case action < 940:
+		clear(sim.isolated)
+	case action < 948:
+		sim.nodes[id].core.Tick()
+		sim.crash(id, action%2 == 0)
+	case action < 960:
+		sim.deliverAndCrash(position, action%2 == 0)
+	case action < 970:
+		sim.compact(id)
+	case action < 972:
+		sim.loseDisk(id)
+	case action < 995:
+		sim.proposeRepairStep(id)
 	default:
-		_ = w.nodes[id].core.TransferLeadership("")
+		_ = sim.nodes[id].core.TransferLeadership("")
 	}
-	for _, id := range w.ids {
-		w.pump(id)
+	for _, id := range sim.ids {
+		sim.processReady(id)
 	}
 }
 
-func (w *world) deliver(at int) {
-	if len(w.net) > 0 {
-		w.step(w.take(at))
+func (sim *simulation) deliver(position int) {
+	if len(sim.inTransit) > 0 {
+		sim.step(sim.removeMessage(position))
 	}
 }
 
-func (w *world) deliverAndCrash(at int, synced bool) {
-	if len(w.net) == 0 {
+func (sim *simulation) deliverAndCrash(position int, synced bool) {
+	if len(sim.inTransit) == 0 {
 		return
 	}
-	m := w.take(at)
-	w.step(m)
-	if w.nodes[m.To] != nil {
-		w.crash(m.To, synced)
+	m := sim.removeMessage(position)
+	sim.step(m)
+	if sim.nodes[m.To] != nil {
+		sim.crash(m.To, synced)
 	}
 }
 
-func (w *world) tickAll() {
-	for _, id := range w.ids {
-		w.nodes[id].core.Tick()
+func (sim *simulation) tickAll() {
+	for _, id := range sim.ids {
+		sim.nodes[id].core.Tick()
 	}
 }
 
-// heal ends all faults, repairs a lost disk and commits at every replica.
-func (w *world) heal() {
-	clear(w.cut)
-	w.until("repair of the lost disk", func() bool {
-		if l := w.leader(); l != nil {
-			w.repair(l.core.id)
+// recoverAndCommit ends all faults, replaces a lost disk and requires a new entry to be
+// committed at every replica.
+func (sim *simulation) recoverAndCommit() {
+	clear(sim.isolated)
+	sim.runUntil("repair of the lost disk", func() bool {
+		if l := sim.leader(); l != nil {
+			sim.proposeRepairStep(l.core.id)
 		}
-		return w.lost == ""
+		return sim.lostReplica == ""
 	})
-	w.until("a new entry everywhere", func() bool {
-		if l := w.leader(); l != nil {
+	sim.runUntil("new entry at every replica", func() bool {
+		if l := sim.leader(); l != nil {
 			_, _, _ = l.core.Propose([]byte("last"))
 		}
-		return w.appliedLast()
+		return sim.allAppliedFinalEntry()
 	})
-	w.checkLogs()
+	sim.checkLogs()
 }
 
-// appliedLast reports whether all replicas applied an entry of the healed world.
-func (w *world) appliedLast() bool {
-	for _, id := range w.ids {
-		n := w.nodes[id]
-		if e, ok := w.committed[n.applied]; !ok || string(e.Data) != "last" {
+// allAppliedFinalEntry reports whether the last entry that each replica applied was
+// proposed after all faults had ended.
+func (sim *simulation) allAppliedFinalEntry() bool {
+	for _, id := range sim.ids {
+		n := sim.nodes[id]
+		if e, ok := sim.committed[n.appliedIndex]; !ok || string(e.Data) != "last" {
 			return false
 		}
 	}
--- a/internal/consensus/readindex.go
+++ b/internal/consensus/readindex.go
@@ -1,59 +1,61 @@
 package consensus
 
-// ReadState answers a ReadIndex: whatever was committed when the question came
-// is contained in the state after the entry Index.
+// ReadState is the answer to a ReadIndex call. A state machine that has applied the entry
+// at Index contains everything that was committed when ReadIndex was called.
 type ReadState struct {
 	Context uint64
 	Index   uint64
 }
 
-// pendingRead waits for a heartbeat round that began after the question. Its
-// round is zero while the leader has committed nothing of its own term.
+// pendingRead waits until a majority has answered a heartbeat round that began after the
+// read was requested. heartbeatRound is zero while the leader has not committed an entry of
+// its own term.
 type pendingRead struct {
-	context uint64
-	index   uint64
-	round   uint64
+	context        uint64
+	index          uint64
+	heartbeatRound uint64
 }
 
-// ReadIndex asks up to where a linearizable read must wait. The answer comes as a
-// ReadState with the same context, once a majority has answered a heartbeat round
-// that began after this call; it never comes when the replica steps down. It is
-// refused with ErrNotLeader.
+// ReadIndex asks for the index that a state machine must have applied to serve a
+// linearizable read. The answer is a ReadState with the same context in a later Ready, once
+// a majority has answered a heartbeat round that began after this call. There is no answer
+// if the replica loses the leadership. ReadIndex fails with ErrNotLeader.
 func (c *Core) ReadIndex(context uint64) error {
 	if c.role != Leader {
 		return ErrNotLeader
 	}
-	c.reads = append(c.reads, pendingRead{context: context})
-	c.startReads()
+	c.pendingReads = append(c.pendingReads, pendingRead{context: context})
+	c.assignReadRound()
 	return nil
 }
 
-// startReads opens one round for all reads that have none.
-func (c *Core) startReads() {
-	if !c.committedInTerm() || len(c.reads) == 0 || c.reads[len(c.reads)-1].round != 0 {
+// assignReadRound starts one heartbeat round for all reads that have none.
+func (c *Core) assignReadRound() {
+	if !c.hasCommittedInTerm() || len(c.pendingReads) == 0 || c.pendingReads[len(c.pendingReads)-1].heartbeatRound != 0 {
 		return
 	}
-	c.round++
-	for i := range c.reads {
-		if c.reads[i].round == 0 {
-			c.reads[i].index = c.hard.Commit
-			c.reads[i].round = c.round
+	c.heartbeatRound++
+	for i := range c.pendingReads {
+		if c.pendingReads[i].heartbeatRound == 0 {
+			c.pendingReads[i].index = c.hardState.Commit
+			c.pendingReads[i].heartbeatRound = c.heartbeatRound
 		}
 	}
 	c.broadcastHeartbeat()
-	c.finishReads()
+	c.confirmReads()
 }
 
-func (c *Core) finishReads() {
-	c.progress[c.id].round = c.round
-	confirmed := c.quorumValue(func(p *progress) uint64 { return p.round })
-	for len(c.reads) > 0 && c.reads[0].round != 0 && c.reads[0].round <= confirmed {
-		c.readStates = append(c.readStates, ReadState{c.reads[0].context, c.reads[0].index})
-		c.reads = c.reads[1:]
+func (c *Core) confirmReads() {
+	c.progress[c.id].heartbeatRound = c.heartbeatRound
+	confirmed := c.quorumValue(func(p *progress) uint64 { return p.heartbeatRound })
+	for len(c.pendingReads) > 0 && c.pendingReads[0].heartbeatRound != 0 && c.pendingReads[0].heartbeatRound <= confirmed {
+		c.readStates = append(c.readStates, ReadState{c.pendingReads[0].context, c.pendingReads[0].index})
+		c.pendingReads = c.pendingReads[1:]
 	}
 }
 
-// committedInTerm reports whether an entry of the leader's own term is committed.
-func (c *Core) committedInTerm() bool {
-	return c.role == Leader && c.hard.Commit >= c.firstIndex
+// hasCommittedInTerm reports whether this replica leads and has committed an entry of its
+// own term.
+func (c *Core) hasCommittedInTerm() bool {
+	return c.role == Leader && c.hardState.Commit >= c.termStartIndex
 }
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -2,30 +2,30 @@
 
 import "github.com/pkg/errors"
 
-func (c *Core) mustAppend(kind EntryKind, data []byte) {
-	if _, err := c.appendOwn(kind, data); err != nil {
-		c.becomeFollower(c.hard.Term, "")
+func (c *Core) appendOrStepDown(kind EntryKind, data []byte) {
+	if _, err := c.appendLeaderEntry(kind, data); err != nil {
+		c.becomeFollower(c.hardState.Term, "")
 	}
 }
 
-// appendOwn adds an entry of the leader to its log.
-func (c *Core) appendOwn(kind EntryKind, data []byte) (uint64, error) {
-	e := Entry{Term: c.hard.Term, Index: c.log.last() + 1, Kind: kind, Data: data}
-	if err := c.members.put([]Entry{e}); err != nil {
+// appendLeaderEntry appends a new entry to the leader's own log.
+func (c *Core) appendLeaderEntry(kind EntryKind, data []byte) (uint64, error) {
+	e := Entry{Term: c.hardState.Term, Index: c.log.lastIndex() + 1, Kind: kind, Data: data}
+	if err := c.memberships.truncateAndAppend([]Entry{e}); err != nil {
 		return 0, err
 	}
-	c.log.put([]Entry{e})
-	c.uncommitted += e.size()
+	c.log.truncateAndAppend([]Entry{e})
+	c.uncommittedBytes += e.size()
 	if kind == EntryMembership {
 		c.trackMembers()
 	}
-	c.dirty = true
+	c.needsReplication = true
 	return e.Index, nil
 }
 
-// replicate sends each replica what it lacks.
+// replicate sends each replica the entries that it lacks.
 func (c *Core) replicate() {
-	c.dirty = false
+	c.needsReplication = false
 	if c.role != Leader {
 		return
 	}
@@ -35,15 +35,15 @@
 }
 
 func (c *Core) replicateTo(id ReplicaID, p *progress) {
-	for c.maySend(p) {
-		p.poke = false
+	for c.canSendAppend(p) {
+		p.forceAppend = false
 		if !c.sendAppend(id, p) {
 			return
 		}
 	}
 }
 
-func (c *Core) maySend(p *progress) bool {
+func (c *Core) canSendAppend(p *progress) bool {
 	switch p.state {
 	case probing:
 		return !p.probeSent
@@ -53,27 +53,27 @@
 	if len(p.inflight) >= c.cfg.MaxInflightAppends {
 		return false
 	}
-	return p.next <= c.log.last() || p.sentCommit < c.hard.Commit || p.poke
+	return p.nextIndex <= c.log.lastIndex() || p.sentCommitIndex < c.hardState.Commit || p.forceAppend
 }
 
-// sendAppend sends one append and reports whether it did; where the log no longer
-// reaches back far enough it sends the snapshot.
+// sendAppend sends one append and reports whether it did. If the log no longer contains the
+// entry before the append, it sends the snapshot instead.
 func (c *Core) sendAppend(id ReplicaID, p *progress) bool {
-	prevTerm, ok := c.log.term(p.next - 1)
+	prevTerm, ok := c.log.term(p.nextIndex - 1)
 	if !ok {
 		c.sendSnapshot(id, p)
 		return false
 	}
-	entries := c.log.from(p.next, c.cfg.MaxAppendBytes)
-	c.send(Message{Type: MessageAppend, To: id, Term: c.hard.Term, Index: p.next - 1, LogTerm: prevTerm, Entries: entries, Commit: c.hard.Commit})
-	p.sentCommit = c.hard.Commit
+	entries := c.log.entriesFrom(p.nextIndex, c.cfg.MaxAppendBytes)
+	c.send(Message{Type: MessageAppend, To: id, Term: c.hardState.Term, Index: p.nextIndex - 1, LogTerm: prevTerm, Entries: entries, Commit: c.hardState.Commit})
+	p.sentCommitIndex = c.hardState.Commit
 	if p.state == probing {
 		p.probeSent = true
 		return true
 	}
 	if n := len(entries); n > 0 {
-		p.next += uint64(n)
-		p.inflight = append(p.inflight, p.next-1)
+		p.nextIndex += uint64(n)
+		p.inflight = append(p.inflight, p.nextIndex-1)
 	}
 	return true
 }
@@ -81,22 +81,23 @@
 func (c *Core) sendSnapshot(id ReplicaID, p *progress) {
 	snap := c.snapshot
 	p.state = snapshotting
-	p.next = snap.Meta.Index + 1
-	p.waited = 0
+	p.nextIndex = snap.Meta.Index + 1
+	p.snapshotWaitTicks = 0
 	p.inflight = nil
-	c.send(Message{Type: MessageSnapshot, To: id, Term: c.hard.Term, Snapshot: &snap})
+	c.send(Message{Type: MessageSnapshot, To: id, Term: c.hardState.Term, Snapshot: &snap})
 }
 
 func (c *Core) broadcastHeartbeat() {
 	c.heartbeatElapsed = 0
 	for _, id := range c.peers {
-		commit := min(c.progress[id].match, c.hard.Commit)
-		c.send(Message{Type: MessageHeartbeat, To: id, Term: c.hard.Term, Commit: commit, Round: c.round})
+		commit := min(c.progress[id].matchIndex, c.hardState.Commit)
+		c.send(Message{Type: MessageHeartbeat, To: id, Term: c.hardState.Term, Commit: commit, Round: c.heartbeatRound})
 	}
 }
 
-// contiguous reports whether the entries of an append follow its Index one by one.
-func contiguous(m Message) bool {
+// hasContiguousEntries reports whether the entries of an append follow its Index without a
+// gap.
+func hasContiguousEntries(m Message) bool {
 	for i := range m.Entries {
 		if m.Entries[i].Index != m.Index+1+uint64(i) {
 			return false
@@ -106,51 +107,52 @@
 }
 
 func (c *Core) handleAppend(m Message) error {
-	if !contiguous(m) {
+	if !hasContiguousEntries(m) {
 		return nil
 	}
-	c.followLeader(m.From)
-	answer := Message{Type: MessageAppendResponse, To: m.From, Term: c.hard.Term}
-	if m.Index < c.hard.Commit {
-		answer.Index = c.hard.Commit
-		c.send(answer)
+	c.acceptLeader(m.From)
+	response := Message{Type: MessageAppendResponse, To: m.From, Term: c.hardState.Term}
+	if m.Index < c.hardState.Commit {
+		response.Index = c.hardState.Commit
+		c.send(response)
 		return nil
 	}
-	if !c.log.matches(m.Index, m.LogTerm) {
-		answer.Reject = true
-		answer.Index = m.Index
-		answer.HintIndex, answer.HintTerm = c.log.lastAtOrBelow(m.Index, m.LogTerm)
-		c.send(answer)
+	if !c.log.matchesTerm(m.Index, m.LogTerm) {
+		response.Reject = true
+		response.Index = m.Index
+		response.HintIndex, response.HintTerm = c.log.lastWithTermAtMost(m.Index, m.LogTerm)
+		c.send(response)
 		return nil
 	}
-	if err := c.takeEntries(m.Entries); err != nil {
+	if err := c.storeEntries(m.Entries); err != nil {
 		return err
 	}
-	answer.Index = m.Index + uint64(len(m.Entries))
-	c.commitTo(min(m.Commit, answer.Index))
-	c.send(answer)
+	response.Index = m.Index + uint64(len(m.Entries))
+	c.commitTo(min(m.Commit, response.Index))
+	c.send(response)
 	return nil
 }
 
-// takeEntries replaces what conflicts; an entry that agrees is never cut, and a
-// committed one can't conflict.
-func (c *Core) takeEntries(entries []Entry) error {
-	fresh := entries[c.log.firstNew(entries):]
-	if len(fresh) == 0 {
+// storeEntries adds the entries of an append to the log and replaces those that conflict
+// with them. Entries that agree are never removed. A conflict with a committed entry can
+// only come from a damaged log and is an error.
+func (c *Core) storeEntries(entries []Entry) error {
+	missing := entries[c.log.firstMissing(entries):]
+	if len(missing) == 0 {
 		return nil
 	}
-	if fresh[0].Index <= c.hard.Commit {
-		return errors.Wrapf(ErrCorrupt, "entry %d conflicts with a committed one", fresh[0].Index)
+	if missing[0].Index <= c.hardState.Commit {
+		return errors.Wrapf(ErrCorrupt, "entry %d conflicts with a committed one", missing[0].Index)
 	}
-	if err := c.members.put(fresh); err != nil {
+	if err := c.memberships.truncateAndAppend(missing); err != nil {
 		return err
 	}
-	c.log.put(fresh)
+	c.log.truncateAndAppend(missing)
 	return nil
 }
 
 func (c *Core) commitTo(i uint64) {
-	c.hard.Commit = max(c.hard.Commit, min(i, c.log.last()))
+	c.hardState.Commit = max(c.hardState.Commit, min(i, c.log.lastIndex()))
 }
 
 func (c *Core) handleAppendResponse(m Message) {
@@ -158,8 +160,8 @@
 	if p == nil {
 		return
 	}
-	p.silent = 0
-	c.dirty = true
+	p.ticksSinceContact = 0
+	c.needsReplication = true
 	if m.Reject {
 		c.handleReject(p, m)
 		return
@@ -167,52 +169,53 @@
 	p.acknowledge(m.Index)
 	c.advanceCommit()
 	if c.role == Leader && m.From == c.transferee {
-		c.finishTransfer()
+		c.sendTimeoutNowIfCaughtUp()
 	}
 }
 
-// handleReject moves back to the last place at which the logs may agree.
+// handleReject moves nextIndex back to the entry after the last one at which the logs may
+// agree.
 func (c *Core) handleReject(p *progress, m Message) {
-	stale := m.Index <= p.match || (p.state == probing && m.Index != p.next-1) || p.state == snapshotting
+	stale := m.Index <= p.matchIndex || (p.state == probing && m.Index != p.nextIndex-1) || p.state == snapshotting
 	if stale {
 		return
 	}
-	at, _ := c.log.lastAtOrBelow(m.HintIndex, m.HintTerm)
-	p.probe()
-	p.next = max(p.match, min(at, m.Index-1)) + 1
+	agreed, _ := c.log.lastWithTermAtMost(m.HintIndex, m.HintTerm)
+	p.resetToProbing()
+	p.nextIndex = max(p.matchIndex, min(agreed, m.Index-1)) + 1
 }
 
-// advanceCommit commits what a majority of the voters has persisted, if the last
-// of it is of the leader's own term.
+// advanceCommit commits the entries that a majority of the voters has persisted, if the
+// last of them is of the leader's own term.
 func (c *Core) advanceCommit() {
-	at := c.quorumValue(func(p *progress) uint64 { return p.match })
-	if at <= c.hard.Commit || !c.log.matches(at, c.hard.Term) {
+	quorumIndex := c.quorumValue(func(p *progress) uint64 { return p.matchIndex })
+	if quorumIndex <= c.hardState.Commit || !c.log.matchesTerm(quorumIndex, c.hardState.Term) {
 		return
 	}
-	for _, e := range c.log.slice(c.hard.Commit+1, at) {
-		c.uncommitted -= e.size()
+	for _, e := range c.log.slice(c.hardState.Commit+1, quorumIndex) {
+		c.uncommittedBytes -= e.size()
 	}
-	c.hard.Commit = at
-	c.dirty = true
-	c.startReads()
-	c.leaveIfRemoved()
+	c.hardState.Commit = quorumIndex
+	c.needsReplication = true
+	c.assignReadRound()
+	c.stepDownIfRemoved()
 }
 
-// leaveIfRemoved ends the leadership of a replica once its removal is committed;
-// the others are told of the commit first.
-func (c *Core) leaveIfRemoved() {
-	latest := c.members.latest()
-	if latest.index > c.hard.Commit || latest.membership.IsVoter(c.id) {
+// stepDownIfRemoved ends the leadership of a replica whose removal from the voters is
+// committed. It sends the commit index to the other replicas first.
+func (c *Core) stepDownIfRemoved() {
+	latest := c.memberships.latest()
+	if latest.index > c.hardState.Commit || latest.membership.IsVoter(c.id) {
 		return
 	}
 	c.replicate()
-	c.becomeFollower(c.hard.Term, "")
+	c.becomeFollower(c.hardState.Term, "")
 }
 
 func (c *Core) handleHeartbeat(m Message) {
-	c.followLeader(m.From)
+	c.acceptLeader(m.From)
 	c.commitTo(m.Commit)
-	c.send(Message{Type: MessageHeartbeatResponse, To: m.From, Term: c.hard.Term, Round: m.Round})
+	c.send(Message{Type: MessageHeartbeatResponse, To: m.From, Term: c.hardState.Term, Round: m.Round})
 }
 
 func (c *Core) handleHeartbeatResponse(m Message) {
@@ -220,62 +223,63 @@
 	if p == nil {
 		return
 	}
-	p.silent = 0
-	p.round = max(p.round, m.Round)
+	p.ticksSinceContact = 0
+	p.heartbeatRound = max(p.heartbeatRound, m.Round)
 	p.probeSent = false
-	if p.match < c.log.last() {
-		p.poke = true
-		c.dirty = true
+	if p.matchIndex < c.log.lastIndex() {
+		p.forceAppend = true
+		c.needsReplication = true
 		if len(p.inflight) >= c.cfg.MaxInflightAppends {
 			p.inflight = p.inflight[1:]
 		}
 	}
-	c.finishReads()
+	c.confirmReads()
 }
 
 func (c *Core) handleSnapshot(m Message) {
-	c.followLeader(m.From)
+	c.acceptLeader(m.From)
 	if m.Snapshot == nil {
 		return
 	}
-	c.takeSnapshot(*m.Snapshot)
-	c.send(Message{Type: MessageAppendResponse, To: m.From, Term: c.hard.Term, Index: c.hard.Commit})
+	c.installSnapshot(*m.Snapshot)
+	c.send(Message{Type: MessageAppendResponse, To: m.From, Term: c.hardState.Term, Index: c.hardState.Commit})
 }
 
-func (c *Core) takeSnapshot(s Snapshot) {
-	if s.Meta.Index <= c.hard.Commit {
+func (c *Core) installSnapshot(s Snapshot) {
+	if s.Meta.Index <= c.hardState.Commit {
 		return
 	}
-	if c.log.matches(s.Meta.Index, s.Meta.Term) {
+	if c.log.matchesTerm(s.Meta.Index, s.Meta.Term) {
 		c.commitTo(s.Meta.Index)
 		return
 	}
 	c.log.reset(s.Meta)
-	c.members = newMemberships(s.Meta)
-	c.hard.Commit = s.Meta.Index
-	c.applied = s.Meta.Index
+	c.memberships = newMemberships(s.Meta)
+	c.hardState.Commit = s.Meta.Index
+	c.appliedIndex = s.Meta.Index
 	c.snapshot = s
-	c.restored = &s
+	c.pendingSnapshot = &s
 }
 
-// SnapshotMeta returns the meta of a snapshot of the state after the entry index,
-// which must be applied and not older than the last snapshot.
+// SnapshotMeta returns the metadata for a snapshot of the state after the entry at index.
+// This entry must be applied and not be older than the last snapshot.
 func (c *Core) SnapshotMeta(index uint64) (SnapshotMeta, error) {
 	term, ok := c.log.term(index)
-	if !ok || index > c.applied || index < c.snapshot.Meta.Index {
-		return SnapshotMeta{}, errors.Errorf("no snapshot can be taken at %d", index)
+	if !ok || index > c.appliedIndex || index < c.snapshot.Meta.Index {
+		return SnapshotMeta{}, errors.Errorf("cannot take a snapshot at index %d", index)
 	}
-	return SnapshotMeta{Index: index, Term: term, Membership: c.members.at(index).Clone()}, nil
+	return SnapshotMeta{Index: index, Term: term, Membership: c.memberships.at(index).Clone()}, nil
 }
 
-// Compact takes over a persisted snapshot and forgets the log before it, but for
-// the last Config.KeepEntries entries. An older snapshot than the present one is ignored.
+// Compact records a persisted snapshot and removes the log entries that it covers, except
+// the last Config.TrailingEntries. A snapshot that is not newer than the recorded one is
+// ignored.
 func (c *Core) Compact(s Snapshot) {
-	if s.Meta.Index <= c.snapshot.Meta.Index || s.Meta.Index > c.applied {
+	if s.Meta.Index <= c.snapshot.Meta.Index || s.Meta.Index > c.appliedIndex {
 		return
 	}
 	c.snapshot = s
-	c.members.compact(s.Meta.Index)
+	c.memberships.compact(s.Meta.Index)
 	if s.Meta.Index > c.cfg.TrailingEntries {
 		c.log.compact(s.Meta.Index - c.cfg.TrailingEntries)
 	}
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -1,15 +1,15 @@
 package consensus
 
-// PeerStatus is what a leader knows of another replica.
+// PeerStatus is what a leader knows about another replica.
 type PeerStatus struct {
 	ID ReplicaID
-	// MatchIndex is the last index that the replica is known to have persisted.
+	// MatchIndex is the last log index that the replica is known to have persisted.
 	MatchIndex uint64
-	// TicksSinceContact is how long ago it was heard.
+	// TicksSinceContact is the number of ticks since the replica's last response.
 	TicksSinceContact int
 }
 
-// Status describes a replica. Peers is filled on a leader only.
+// Status describes a replica. Only a leader fills Peers.
 type Status struct {
 	SoftState
 	ID            ReplicaID
@@ -18,21 +18,21 @@
 	LastIndex     uint64
 	SnapshotIndex uint64
 	Membership    Membership
-	// MembershipCommitted tells whether Membership is committed.
+	// MembershipCommitted reports whether the entry that contains Membership is committed.
 	MembershipCommitted bool
 	Peers               []PeerStatus
 }
 
-// Status returns a copy of the replica's state.
+// Status returns a copy of the replica's current state.
 func (c *Core) Status() Status {
 	s := Status{
-		SoftState: c.soft(), ID: c.id, Commit: c.hard.Commit, Applied: c.applied,
-		LastIndex: c.log.last(), SnapshotIndex: c.snapshot.Meta.Index, Membership: c.Membership(),
-		MembershipCommitted: c.members.latest().index <= c.hard.Commit,
+		SoftState: c.softState(), ID: c.id, Commit: c.hardState.Commit, Applied: c.appliedIndex,
+		LastIndex: c.log.lastIndex(), SnapshotIndex: c.snapshot.Meta.Index, Membership: c.Membership(),
+		MembershipCommitted: c.memberships.latest().index <= c.hardState.Commit,
 	}
 	for _, id := range c.peers {
 		p := c.progress[id]
-		s.Peers = append(s.Peers, PeerStatus{ID: id, MatchIndex: p.match, TicksSinceContact: p.silent})
+		s.Peers = append(s.Peers, PeerStatus{ID: id, MatchIndex: p.matchIndex, TicksSinceContact: p.ticksSinceContact})
 	}
 	return s
 }
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -1,34 +1,34 @@
-// Package consensus is the replication core: a pure state machine that elects a
-// leader and agrees on a log.
+// Package consensus implements the Raft consensus protocol as a pure state machine that
+// elects a leader and replicates a log.
 //
-// The core does no I/O, reads no clock and draws no randomness of its own. Time
-// comes in as Tick calls, messages as Step calls; what has to be persisted,
-// sent and applied comes out as a Ready. Tests drive it by hand.
+// The core does no I/O, reads no clock and creates no random numbers of its own. Time comes
+// in as Tick calls and messages as Step calls. What has to be persisted, sent and applied
+// comes out as a Ready. Tests can therefore run it step by step.
 package consensus
 
 import "slices"
 
-// ReplicaID names one replica of the log: a host together with the identity of
-// the disk that holds its journal. A host that lost its disk is another replica.
+// ReplicaID identifies one replica of the log: a host together with the identity of the
+// disk that stores its log. A host that lost its disk becomes another replica.
 type ReplicaID string
 
-// NewReplicaID joins the name of a host and the identity of its disk.
+// NewReplicaID combines the name of a host and the identity of its disk.
 func NewReplicaID(host, disk string) ReplicaID {
 	return ReplicaID(host + "/" + disk)
 }
 
-// EntryKind tells what the data of an Entry is.
+// EntryKind is the kind of data in an Entry.
 type EntryKind uint8
 
 const (
-	// EntryCommand carries a command for the replicated tables. An entry of this
-	// kind without data is the one that a new leader appends to its term.
+	// EntryCommand marks a command for the state machine. A new leader starts its term with
+	// an entry of this kind without data.
 	EntryCommand EntryKind = iota
-	// EntryMembership carries an encoded Membership that replaces the present one.
+	// EntryMembership marks an encoded Membership, which replaces the current one.
 	EntryMembership
 )
 
-// Entry is one position of the replicated log.
+// Entry is one entry of the replicated log.
 type Entry struct {
 	Term  uint64    `cbor:"1,keyasint"`
 	Index uint64    `cbor:"2,keyasint"`
@@ -36,15 +36,16 @@
 	Data  []byte    `cbor:"4,keyasint,omitempty"`
 }
 
-// HardState is what a replica must have synced before it answers a message.
+// HardState is the part of a replica's state that must be synced to disk before the replica
+// sends any message that depends on it.
 type HardState struct {
 	Term   uint64    `cbor:"1,keyasint"`
 	Vote   ReplicaID `cbor:"2,keyasint,omitempty"`
 	Commit uint64    `cbor:"3,keyasint,omitempty"`
 }
 
-// Membership is the set of replicas that hold the log. Voters count towards a
-// quorum; learners receive the log without a vote.
+// Membership is the set of replicas that store the log. Voters count towards a quorum.
+// Learners receive the log but don't vote.
 type Membership struct {
 	Voters   []ReplicaID `cbor:"1,keyasint,omitempty"`
 	Learners []ReplicaID `cbor:"2,keyasint,omitempty"`
@@ -53,7 +54,7 @@
 // IsVoter reports whether id counts towards a quorum.
 func (m Membership) IsVoter(id ReplicaID) bool { return slices.Contains(m.Voters, id) }
 
-// IsLearner reports whether id receives the log without a vote.
+// IsLearner reports whether id receives the log but doesn't vote.
 func (m Membership) IsLearner(id ReplicaID) bool { return slices.Contains(m.Learners, id) }
 
 // Quorum returns how many voters make a majority.
@@ -64,14 +65,15 @@
 	return Membership{Voters: slices.Clone(m.Voters), Learners: slices.Clone(m.Learners)}
 }
 
-// SnapshotMeta places a snapshot in the log.
+// SnapshotMeta holds the index and term of the last entry that a snapshot covers, and the
+// membership in effect at that entry.
 type SnapshotMeta struct {
 	Index      uint64     `cbor:"1,keyasint"`
 	Term       uint64     `cbor:"2,keyasint"`
 	Membership Membership `cbor:"3,keyasint"`
 }
 
-// Snapshot is the state of the replicated tables after the entry Meta.Index.
+// Snapshot is the encoded state of the state machine after the entry at Meta.Index.
 type Snapshot struct {
 	Meta SnapshotMeta `cbor:"1,keyasint"`
 	Data []byte       `cbor:"2,keyasint,omitempty"`
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -10,73 +10,76 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// tester is what testing.T and rapid.T share.
-type tester interface {
+// testingT is the part that testing.T and rapid.T have in common.
+type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// node is a replica with its disk; state is the running hash of what it applied.
+// node is a replica with its disk. stateHash is a running hash of all entries that it has
+// applied.
 type node struct {
-	core    *Core
-	disk    PersistedState
-	applied uint64
-	state   uint64
+	core         *Core
+	disk         PersistedState
+	appliedIndex uint64
+	stateHash    uint64
 }
 
-// world holds replicas, the messages under way, and what must stay true of them.
-type world struct {
-	t         tester
-	ids       []ReplicaID
-	nodes     map[ReplicaID]*node
-	net       []Message
-	cut       map[ReplicaID]bool
-	leaders   map[uint64]ReplicaID
-	committed map[uint64]Entry
-	states    map[uint64]uint64
-	highest   uint64
-	asked     map[uint64]uint64
-	answered  int
-	nextRead  uint64
-	disks     int
-	// lost and fresh name a disk loss that is not repaired yet.
-	lost, fresh ReplicaID
+// simulation runs replicas on a simulated network and checks the safety properties of the
+// protocol.
+type simulation struct {
+	t                   testingT
+	ids                 []ReplicaID
+	nodes               map[ReplicaID]*node
+	inTransit           []Message
+	isolated            map[ReplicaID]bool
+	leaderOfTerm        map[uint64]ReplicaID
+	committed           map[uint64]Entry
+	stateHashes         map[uint64]uint64
+	highestCommitted    uint64
+	committedBeforeRead map[uint64]uint64
+	readsAnswered       int
+	nextRead            uint64
+	diskCount           int
+	// lostReplica is a replica whose disk was lost, and replacement is the replica that
+	// takes over from it. Both are empty once the replacement is a voter.
+	lostReplica, replacement ReplicaID
 }
 
-func newWorld(t tester, voters int) *world {
-	w := &world{t: t, nodes: map[ReplicaID]*node{}, cut: map[ReplicaID]bool{}, leaders: map[uint64]ReplicaID{},
-		committed: map[uint64]Entry{}, states: map[uint64]uint64{}, asked: map[uint64]uint64{}}
+func newSimulation(t testingT, voters int) *simulation {
+	sim := &simulation{t: t, nodes: map[ReplicaID]*node{}, isolated: map[ReplicaID]bool{}, leaderOfTerm: map[uint64]ReplicaID{},
+		committed: map[uint64]Entry{}, stateHashes: map[uint64]uint64{}, committedBeforeRead: map[uint64]uint64{}}
 	for range voters {
-		w.addNode(fmt.Sprintf("h%d", len(w.ids)))
+		sim.addNode(fmt.Sprintf("h%d", len(sim.ids)))
 	}
-	return w
+	return sim
 }
 
-func (w *world) addNode(host string) ReplicaID {
-	w.disks++
-	id := NewReplicaID(host, strconv.Itoa(w.disks))
-	w.ids = append(w.ids, id)
-	w.nodes[id] = &node{}
-	w.start(id)
+func (sim *simulation) addNode(host string) ReplicaID {
+	sim.diskCount++
+	id := NewReplicaID(host, strconv.Itoa(sim.diskCount))
+	sim.ids = append(sim.ids, id)
+	sim.nodes[id] = &node{}
+	sim.startNode(id)
 	return id
 }
 
-// start opens a replica from its disk, as after a crash.
-func (w *world) start(id ReplicaID) {
-	n := w.nodes[id]
+// startNode starts a replica from its disk, as after a crash.
+func (sim *simulation) startNode(id ReplicaID) {
+	n := sim.nodes[id]
 	cfg := Config{ID: id, ElectionTicks: 4, MaxAppendBytes: 8, MaxInflightAppends: 3, SnapshotRetryTicks: 8, TrailingEntries: 2,
 		Rand: rand.New(rand.NewPCG(xxhash.Sum64String(string(id)), n.disk.HardState.Term))}
 	core, err := New(cfg, n.disk)
 	if err != nil {
-		w.t.Fatalf("restart of %s: %v", id, err)
+		sim.t.Fatalf("restart of %s: %v", id, err)
 	}
-	n.core, n.applied, n.state = core, n.disk.Snapshot.Meta.Index, 0
-	if n.applied > 0 {
-		n.state = decodeState(n.disk.Snapshot)
+	n.core, n.appliedIndex, n.stateHash = core, n.disk.Snapshot.Meta.Index, 0
+	if n.appliedIndex > 0 {
+		n.stateHash = decodeStateHash(n.disk.Snapshot)
 	}
 }
 
-func decodeState(s Snapshot) uint64 {
+func decodeStateHash(s Snapshot) uint64 {
 	v, _ := strconv.ParseUint(string(s.Data), 10, 64)
 	return v
 }
@@ -96,246 +99,250 @@
 	n.disk.Entries = append(slices.Clone(n.disk.Entries[:keep]), rd.Entries...)
 }
 
-// pump does all the work of a replica and checks what comes out.
-func (w *world) pump(id ReplicaID) {
-	n := w.nodes[id]
+// processReady does all outstanding work of a replica and checks the results.
+func (sim *simulation) processReady(id ReplicaID) {
+	n := sim.nodes[id]
 	for n.core.HasReady() {
 		rd := n.core.Ready()
 		n.persist(rd)
-		w.net = append(w.net, rd.Messages...)
-		w.apply(id, rd)
-		w.checkReads(rd)
+		sim.inTransit = append(sim.inTransit, rd.Messages...)
+		sim.apply(id, rd)
+		sim.checkReads(rd)
 		if rd.SoftState != nil && rd.SoftState.Role == Leader {
-			w.checkLeader(id, rd.SoftState.Term)
+			sim.checkLeader(id, rd.SoftState.Term)
 		}
 		n.core.Advance()
 	}
 }
 
-func (w *world) apply(id ReplicaID, rd Ready) {
-	n := w.nodes[id]
+func (sim *simulation) apply(id ReplicaID, rd Ready) {
+	n := sim.nodes[id]
 	if rd.Snapshot != nil {
-		n.applied, n.state = rd.Snapshot.Meta.Index, decodeState(*rd.Snapshot)
-		if n.state != w.states[n.applied] {
-			w.t.Fatalf("state machine safety: %s restored another state at %d", id, n.applied)
+		n.appliedIndex, n.stateHash = rd.Snapshot.Meta.Index, decodeStateHash(*rd.Snapshot)
+		if n.stateHash != sim.stateHashes[n.appliedIndex] {
+			sim.t.Fatalf("state machine safety: %s restored a different state at %d", id, n.appliedIndex)
 		}
 	}
 	for _, e := range rd.CommittedEntries {
-		w.checkCommitted(id, e)
-		n.applied = e.Index
-		n.state = xxhash.Sum64String(fmt.Sprint(n.state, e.Term, e.Kind, e.Data))
-		if known, ok := w.states[e.Index]; ok && known != n.state {
-			w.t.Fatalf("state machine safety: %s has another state at %d", id, e.Index)
+		sim.checkCommitted(id, e)
+		n.appliedIndex = e.Index
+		n.stateHash = xxhash.Sum64String(fmt.Sprint(n.stateHash, e.Term, e.Kind, e.Data))
+		if known, ok := sim.stateHashes[e.Index]; ok && known != n.stateHash {
+			sim.t.Fatalf("state machine safety: %s has a different state at %d", id, e.Index)
 		}
-		w.states[e.Index] = n.state
+		sim.stateHashes[e.Index] = n.stateHash
 	}
 }
 
-func (w *world) checkCommitted(id ReplicaID, e Entry) {
-	if e.Index != w.nodes[id].applied+1 {
-		w.t.Fatalf("state machine safety: %s applies %d after %d", id, e.Index, w.nodes[id].applied)
+func (sim *simulation) checkCommitted(id ReplicaID, e Entry) {
+	if e.Index != sim.nodes[id].appliedIndex+1 {
+		sim.t.Fatalf("state machine safety: %s applies %d after %d", id, e.Index, sim.nodes[id].appliedIndex)
 	}
-	known, ok := w.committed[e.Index]
+	known, ok := sim.committed[e.Index]
 	if ok && !sameEntry(known, e) {
-		w.t.Fatalf("state machine safety: entry %d is %v at %s and was %v", e.Index, e, id, known)
+		sim.t.Fatalf("state machine safety: entry %d is %v at %s and was %v", e.Index, e, id, known)
 	}
-	w.committed[e.Index] = e
-	w.highest = max(w.highest, e.Index)
+	sim.committed[e.Index] = e
+	sim.highestCommitted = max(sim.highestCommitted, e.Index)
 }
 
 func sameEntry(a, b Entry) bool {
 	return a.Term == b.Term && a.Kind == b.Kind && bytes.Equal(a.Data, b.Data)
 }
 
-func (w *world) checkReads(rd Ready) {
+func (sim *simulation) checkReads(rd Ready) {
 	for _, s := range rd.ReadStates {
-		w.answered++
-		if s.Index < w.asked[s.Context] {
-			w.t.Fatalf("read index: %d was answered but %d was committed before the question", s.Index, w.asked[s.Context])
+		sim.readsAnswered++
+		if s.Index < sim.committedBeforeRead[s.Context] {
+			sim.t.Fatalf("read index: a read was answered with index %d, but %d was committed before it", s.Index, sim.committedBeforeRead[s.Context])
 		}
 	}
 }
 
-func (w *world) checkLeader(id ReplicaID, term uint64) {
-	if other, ok := w.leaders[term]; ok && other != id {
-		w.t.Fatalf("election safety: %s and %s lead term %d", other, id, term)
+func (sim *simulation) checkLeader(id ReplicaID, term uint64) {
+	if other, ok := sim.leaderOfTerm[term]; ok && other != id {
+		sim.t.Fatalf("election safety: %s and %s lead term %d", other, id, term)
 	}
-	w.leaders[term] = id
-	log := w.nodes[id].core.log
-	for i, e := range w.committed {
-		if i > log.base && e.Term < term && !log.matches(i, e.Term) {
-			w.t.Fatalf("leader completeness: %s leads term %d without entry %d of term %d", id, term, i, e.Term)
+	sim.leaderOfTerm[term] = id
+	log := sim.nodes[id].core.log
+	for i, e := range sim.committed {
+		if i > log.baseIndex && e.Term < term && !log.matchesTerm(i, e.Term) {
+			sim.t.Fatalf("leader completeness: %s leads term %d without entry %d of term %d", id, term, i, e.Term)
 		}
 	}
 }
 
-// checkLogs compares all pairs of logs: one equal place makes all before it equal.
-func (w *world) checkLogs() {
-	for i, a := range w.ids {
-		for _, b := range w.ids[:i] {
-			w.checkLogPair(w.nodes[a].core.log, w.nodes[b].core.log)
+// checkLogs compares every pair of logs. If two logs agree at one index, they must agree at
+// all earlier indexes.
+func (sim *simulation) checkLogs() {
+	for i, a := range sim.ids {
+		for _, b := range sim.ids[:i] {
+			sim.checkLogPair(sim.nodes[a].core.log, sim.nodes[b].core.log)
 		}
 	}
 }
 
-func (w *world) checkLogPair(a, b *raftLog) {
+func (sim *simulation) checkLogPair(a, b *raftLog) {
 	same := false
-	for i := min(a.last(), b.last()); i > max(a.base, b.base); i-- {
+	for i := min(a.lastIndex(), b.lastIndex()); i > max(a.baseIndex, b.baseIndex); i-- {
 		x, y := a.slice(i, i)[0], b.slice(i, i)[0]
 		same = same || x.Term == y.Term
 		if same && !sameEntry(x, y) {
-			w.t.Fatalf("log matching: entry %d is %v and %v below an equal one", i, x, y)
+			sim.t.Fatalf("log matching: entry %d is %v and %v, but the logs agree at a later index", i, x, y)
 		}
 	}
 }
 
-func (w *world) step(m Message) {
-	n, ok := w.nodes[m.To]
-	if !ok || w.cut[m.To] || w.cut[m.From] {
+func (sim *simulation) step(m Message) {
+	n, ok := sim.nodes[m.To]
+	if !ok || sim.isolated[m.To] || sim.isolated[m.From] {
 		return
 	}
 	if err := n.core.Step(m); err != nil {
-		w.t.Fatalf("%s: %v", m.To, err)
+		sim.t.Fatalf("%s: %v", m.To, err)
 	}
 }
 
-func (w *world) take(i int) Message {
-	m := w.net[i]
-	w.net = slices.Delete(w.net, i, i+1)
+func (sim *simulation) removeMessage(i int) Message {
+	m := sim.inTransit[i]
+	sim.inTransit = slices.Delete(sim.inTransit, i, i+1)
 	return m
 }
 
-// crash loses all that is not on the disk; synced tells whether the crash came
-// after the write of the outstanding work.
-func (w *world) crash(id ReplicaID, synced bool) {
-	n := w.nodes[id]
+// crash restarts a replica with only what is on its disk. If synced is true, the
+// outstanding work was persisted before the crash.
+func (sim *simulation) crash(id ReplicaID, synced bool) {
+	n := sim.nodes[id]
 	if synced && n.core.HasReady() {
 		n.persist(n.core.Ready())
 	}
-	w.start(id)
+	sim.startNode(id)
 }
 
-func (w *world) read(id ReplicaID) {
-	w.nextRead++
-	w.asked[w.nextRead] = w.highest
-	_ = w.nodes[id].core.ReadIndex(w.nextRead)
+func (sim *simulation) requestRead(id ReplicaID) {
+	sim.nextRead++
+	sim.committedBeforeRead[sim.nextRead] = sim.highestCommitted
+	_ = sim.nodes[id].core.ReadIndex(sim.nextRead)
 }
 
-func (w *world) compact(id ReplicaID) {
-	n := w.nodes[id]
-	meta, err := n.core.SnapshotMeta(n.applied)
+func (sim *simulation) compact(id ReplicaID) {
+	n := sim.nodes[id]
+	meta, err := n.core.SnapshotMeta(n.appliedIndex)
 	if err != nil || meta.Index <= n.disk.Snapshot.Meta.Index {
 		return
 	}
-	s := Snapshot{Meta: meta, Data: []byte(strconv.FormatUint(n.state, 10))}
+	s := Snapshot{Meta: meta, Data: []byte(strconv.FormatUint(n.stateHash, 10))}
 	n.disk.Entries = slices.Clone(n.disk.Entries[meta.Index-n.disk.Snapshot.Meta.Index:])
 	n.disk.Snapshot = s
 	n.core.Compact(s)
 }
 
-// loseDisk takes a replica away for good; its host comes back with a new disk.
-func (w *world) loseDisk(id ReplicaID) {
-	if w.lost != "" {
+// loseDisk removes a replica for good and starts its replacement with a new disk.
+func (sim *simulation) loseDisk(id ReplicaID) {
+	if sim.lostReplica != "" {
 		return
 	}
-	w.lost = id
-	w.ids = slices.DeleteFunc(w.ids, func(x ReplicaID) bool { return x == id })
-	delete(w.nodes, id)
-	w.fresh = w.addNode("new")
+	sim.lostReplica = id
+	sim.ids = slices.DeleteFunc(sim.ids, func(member ReplicaID) bool { return member == id })
+	delete(sim.nodes, id)
+	sim.replacement = sim.addNode("new")
 }
 
-// repair proposes the next step of replacing the lost disk at one replica.
-func (w *world) repair(id ReplicaID) {
-	if w.lost == "" {
+// proposeRepairStep proposes the next membership change that replaces the lost replica: add
+// the replacement as a learner, remove the lost voter, promote the learner.
+func (sim *simulation) proposeRepairStep(id ReplicaID) {
+	if sim.lostReplica == "" {
 		return
 	}
-	c := w.nodes[id].core
+	c := sim.nodes[id].core
 	m := c.Membership()
 	switch {
-	case m.IsVoter(w.lost) && !m.IsLearner(w.fresh):
-		m.Learners = append(m.Learners, w.fresh)
-	case m.IsVoter(w.lost):
-		m.Voters = slices.DeleteFunc(m.Voters, func(x ReplicaID) bool { return x == w.lost })
-	case m.IsLearner(w.fresh):
+	case m.IsVoter(sim.lostReplica) && !m.IsLearner(sim.replacement):
+		m.Learners = append(m.Learners, sim.replacement)
+	case m.IsVoter(sim.lostReplica):
+		m.Voters = slices.DeleteFunc(m.Voters, func(member ReplicaID) bool { return member == sim.lostReplica })
+	case m.IsLearner(sim.replacement):
 		m.Learners = nil
-		m.Voters = append(m.Voters, w.fresh)
+		m.Voters = append(m.Voters, sim.replacement)
 	default:
-		w.finishRepair(c, m)
+		sim.finishRepair(c, m)
 		return
 	}
 	_, _, _ = c.ProposeMembership(m)
 }
 
-func (w *world) finishRepair(c *Core, m Membership) {
-	if c.role == Leader && m.IsVoter(w.fresh) && c.Status().MembershipCommitted {
-		w.lost, w.fresh = "", ""
+func (sim *simulation) finishRepair(c *Core, m Membership) {
+	if c.role == Leader && m.IsVoter(sim.replacement) && c.Status().MembershipCommitted {
+		sim.lostReplica, sim.replacement = "", ""
 	}
 }
 
-// round ticks all replicas once and delivers all messages in order.
-func (w *world) round() {
-	for _, id := range w.ids {
-		w.nodes[id].core.Tick()
-		w.pump(id)
+// tickAndDeliver ticks every replica once and then delivers all messages in order.
+func (sim *simulation) tickAndDeliver() {
+	for _, id := range sim.ids {
+		sim.nodes[id].core.Tick()
+		sim.processReady(id)
 	}
-	w.settle()
+	sim.deliverAll()
 }
 
-// settle delivers messages in order until none is left.
-func (w *world) settle() {
-	for _, id := range w.ids {
-		w.pump(id)
+// deliverAll delivers messages in order until none is left.
+func (sim *simulation) deliverAll() {
+	for _, id := range sim.ids {
+		sim.processReady(id)
 	}
-	for budget := 20000; len(w.net) > 0 && budget > 0; budget-- {
-		m := w.take(0)
-		w.step(m)
-		if w.nodes[m.To] != nil {
-			w.pump(m.To)
+	for budget := 20000; len(sim.inTransit) > 0 && budget > 0; budget-- {
+		m := sim.removeMessage(0)
+		sim.step(m)
+		if sim.nodes[m.To] != nil {
+			sim.processReady(m.To)
 		}
 	}
 }
 
-// until runs rounds until the condition holds.
-func (w *world) until(what string, ok func() bool) {
-	w.t.Helper()
+// runUntil ticks and delivers messages until the condition holds. It fails the test after
+// 300 ticks.
+func (sim *simulation) runUntil(expected string, ok func() bool) {
+	sim.t.Helper()
 	for range 300 {
 		if ok() {
 			return
 		}
-		w.round()
+		sim.tickAndDeliver()
 	}
-	w.t.Fatalf("liveness: %s did not come true", what)
+	sim.t.Fatalf("liveness: no %s within 300 ticks", expected)
 }
 
-func (w *world) leader() *node {
+func (sim *simulation) leader() *node {
 	var best *node
-	for _, id := range w.ids {
-		n := w.nodes[id]
-		if n.core.role == Leader && !w.cut[id] && (best == nil || n.core.hard.Term > best.core.hard.Term) {
+	for _, id := range sim.ids {
+		n := sim.nodes[id]
+		if n.core.role == Leader && !sim.isolated[id] && (best == nil || n.core.hardState.Term > best.core.hardState.Term) {
 			best = n
 		}
 	}
 	return best
 }
 
-func (w *world) bootstrap(voters int) {
-	w.t.Helper()
-	if err := w.nodes[w.ids[0]].core.Bootstrap(Membership{Voters: slices.Clone(w.ids[:voters])}); err != nil {
-		w.t.Fatalf("bootstrap: %v", err)
+func (sim *simulation) bootstrap(voters int) {
+	sim.t.Helper()
+	if err := sim.nodes[sim.ids[0]].core.Bootstrap(Membership{Voters: slices.Clone(sim.ids[:voters])}); err != nil {
+		sim.t.Fatalf("bootstrap: %v", err)
 	}
-	w.until("a leader that may serve", func() bool { return w.leader() != nil && w.leader().core.committedInTerm() })
+	sim.runUntil("leader that has committed in its term", func() bool { return sim.leader() != nil && sim.leader().core.hasCommittedInTerm() })
 }
 
-// commit proposes data at the leader and waits until all live replicas applied it.
-func (w *world) commit(data string) uint64 {
-	w.t.Helper()
-	index, _, err := w.leader().core.Propose([]byte(data))
+// proposeAndWait proposes data at the leader and waits until every replica that is not
+// isolated has applied it.
+func (sim *simulation) proposeAndWait(data string) uint64 {
+	sim.t.Helper()
+	index, _, err := sim.leader().core.Propose([]byte(data))
 	if err != nil {
-		w.t.Fatalf("propose: %v", err)
+		sim.t.Fatalf("propose: %v", err)
 	}
-	w.until("commit of "+data, func() bool {
-		for _, id := range w.ids {
-			if !w.cut[id] && w.nodes[id].applied < index {
+	sim.runUntil("commit of "+data, func() bool {
+		for _, id := range sim.ids {
+			if !sim.isolated[id] && sim.nodes[id].appliedIndex < index {
 				return false
 			}
 		}
