--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -15,14 +15,14 @@
 
 const benchEntryBytes = 200
 
-// countMachine counts the commands.
-type countMachine struct{ n int }
+// countingMachine counts the commands that it applies.
+type countingMachine struct{ n int }
 
-func (m *countMachine) Apply(uint64, []byte) any  { m.n++; return nil }
-func (m *countMachine) Snapshot() ([]byte, error) { return []byte{1}, nil }
-func (m *countMachine) Restore([]byte) error      { return nil }
+func (m *countingMachine) Apply(uint64, []byte) any  { m.n++; return nil }
+func (m *countingMachine) Snapshot() ([]byte, error) { return []byte{1}, nil }
+func (m *countingMachine) Restore([]byte) error      { return nil }
 
-// nullStorage keeps nothing and syncs nothing.
+// nullStorage stores nothing and syncs nothing.
 type nullStorage struct{}
 
 func (nullStorage) Append(*consensus.HardState, []consensus.Entry) error { return nil }
@@ -33,19 +33,19 @@
 
 func (nullTransport) Send(consensus.ReplicaID, consensus.Message) {}
 
-func openSingle(b *testing.B, snapshotEntries uint64) *Replica {
-	r, err := Open(Options{ID: idA, Storage: nullStorage{}, StateMachine: &countMachine{}, Transport: nullTransport{}, Tick: testTick,
+func openSingleVoter(b *testing.B, snapshotEntries uint64) *Replica {
+	r, err := Open(Options{ID: idA, Storage: nullStorage{}, StateMachine: &countingMachine{}, Transport: nullTransport{}, Tick: testTick,
 		SnapshotEntries: snapshotEntries, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	require.NoError(b, err)
 	require.NoError(b, r.Bootstrap(context.Background(), consensus.Membership{Voters: []consensus.ReplicaID{idA}}))
-	require.Eventually(b, func() bool { _, err := r.Read(context.Background()); return err == nil }, patience, glance)
+	require.Eventually(b, func() bool { _, err := r.Read(context.Background()); return err == nil }, waitTimeout, pollInterval)
 	return r
 }
 
-// BenchmarkPropose is the cost of the loop alone, one voter without a disk; 256
-// callers a processor propose at the same time.
+// BenchmarkPropose measures the cost of the replica's loop alone: a single voter without a
+// disk, and 256 concurrent callers per processor.
 func BenchmarkPropose(b *testing.B) {
-	r := openSingle(b, DefaultSnapshotEntries)
+	r := openSingleVoter(b, DefaultSnapshotEntries)
 	data := bytes.Repeat([]byte("x"), benchEntryBytes)
 	b.SetParallelism(256)
 	b.ReportAllocs()
@@ -63,17 +63,18 @@
 	require.NoError(b, r.Close(context.Background()))
 }
 
-// BenchmarkEntryMemory reports the heap that an entry of the log holds beyond its data.
+// BenchmarkEntryMemory reports the heap bytes that a log entry takes beyond its data, which
+// all entries share here.
 func BenchmarkEntryMemory(b *testing.B) {
 	const entries = 200000
 	for b.Loop() {
-		r := openSingle(b, 2*entries)
-		before := heap()
+		r := openSingleVoter(b, 2*entries)
+		before := heapBytes()
 		data := bytes.Repeat([]byte("x"), benchEntryBytes)
 		for range entries / 100 {
 			proposeMany(b, r, data, 100)
 		}
-		b.ReportMetric(float64(heap()-before)/entries, "heap-B/entry")
+		b.ReportMetric(float64(heapBytes()-before)/entries, "heap-B/entry")
 		require.NoError(b, r.Close(context.Background()))
 	}
 }
@@ -91,7 +92,7 @@
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	var s runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&s)
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -18,43 +18,44 @@
 )
 
 const (
-	testTick = 5 * time.Millisecond
-	patience = 20 * time.Second
-	glance   = 2 * time.Millisecond
+	testTick     = 5 * time.Millisecond
+	waitTimeout  = 20 * time.Second
+	pollInterval = 2 * time.Millisecond
 )
 
 var errDisk = errors.New("disk failed")
 
-// memStorage keeps the log in memory. gate, if set, holds each Append.
+// memStorage keeps the log in memory. If appendGate is set, each Append waits for it to
+// close.
 type memStorage struct {
-	mu      sync.Mutex
-	saved   consensus.PersistedState
-	fail    bool
-	appends int
-	failed  int
-	gate    chan struct{}
+	mu            sync.Mutex
+	persisted     consensus.PersistedState
+	failAppends   bool
+	appendCalls   int
+	failedAppends int
+	appendGate    chan struct{}
 }
 
 func (s *memStorage) Append(hs *consensus.HardState, entries []consensus.Entry) error {
 	s.mu.Lock()
-	gate := s.gate
+	gate := s.appendGate
 	s.mu.Unlock()
 	if gate != nil {
 		<-gate
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.appends++
-	if s.fail {
-		s.failed++
+	s.appendCalls++
+	if s.failAppends {
+		s.failedAppends++
 		return errDisk
 	}
 	if hs != nil {
-		s.saved.HardState = *hs
+		s.persisted.HardState = *hs
 	}
 	if len(entries) > 0 {
-		keep := entries[0].Index - s.saved.Snapshot.Meta.Index - 1
-		s.saved.Entries = append(slices.Clone(s.saved.Entries[:keep]), entries...)
+		keep := entries[0].Index - s.persisted.Snapshot.Meta.Index - 1
+		s.persisted.Entries = append(slices.Clone(s.persisted.Entries[:keep]), entries...)
 	}
 	return nil
 }
@@ -62,69 +63,69 @@
 func (s *memStorage) SaveSnapshot(snap consensus.Snapshot) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	drop := min(snap.Meta.Index-s.saved.Snapshot.Meta.Index, uint64(len(s.saved.Entries)))
-	s.saved.Snapshot = snap
-	s.saved.Entries = slices.Clone(s.saved.Entries[drop:])
+	drop := min(snap.Meta.Index-s.persisted.Snapshot.Meta.Index, uint64(len(s.persisted.Entries)))
+	s.persisted.Snapshot = snap
+	s.persisted.Entries = slices.Clone(s.persisted.Entries[drop:])
 	return nil
 }
 
 func (s *memStorage) Close() error { return nil }
 
-func (s *memStorage) count() int {
+func (s *memStorage) appendCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.appends
+	return s.appendCalls
 }
 
-func (s *memStorage) set(f func(*memStorage)) {
+func (s *memStorage) update(f func(*memStorage)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s)
 }
 
-// listMachine appends each command to a list and keeps the latest membership.
+// listMachine appends each command to a list and records the latest membership.
 type listMachine struct {
-	mu      sync.Mutex
-	list    []string
-	members consensus.Membership
+	mu         sync.Mutex
+	commands   []string
+	membership consensus.Membership
 }
 
 func (m *listMachine) Apply(_ uint64, data []byte) any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.list = append(m.list, string(data))
-	return len(m.list)
+	m.commands = append(m.commands, string(data))
+	return len(m.commands)
 }
 
-func (m *listMachine) ApplyMembership(_ uint64, members consensus.Membership) {
+func (m *listMachine) ApplyMembership(_ uint64, membership consensus.Membership) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.members = members
+	m.membership = membership
 }
 
 func (m *listMachine) Snapshot() ([]byte, error) {
-	return []byte(strings.Join(m.get(), ",")), nil
+	return []byte(strings.Join(m.appliedCommands(), ",")), nil
 }
 
 func (m *listMachine) Restore(data []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.list = strings.Split(string(data), ",")
+	m.commands = strings.Split(string(data), ",")
 	return nil
 }
 
-func (m *listMachine) get() []string {
+func (m *listMachine) appliedCommands() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.Clone(m.list)
+	return slices.Clone(m.commands)
 }
 
-// capturingMachine encodes its snapshots beside the loop.
+// capturingMachine is a listMachine whose snapshots are encoded outside the replica's loop.
 type capturingMachine struct{ *listMachine }
 
 func (m capturingMachine) Capture() func() ([]byte, error) {
-	list := m.get()
-	return func() ([]byte, error) { return []byte(strings.Join(list, ",")), nil }
+	commands := m.appliedCommands()
+	return func() ([]byte, error) { return []byte(strings.Join(commands, ",")), nil }
 }
 
 type member struct {
@@ -133,49 +134,50 @@
 	machine *listMachine
 }
 
-// cluster is replicas on a network in memory. A cut replica neither sends nor
-// receives; what a held one sends is kept for later.
+// cluster is a group of replicas on a network in memory. An isolated replica neither sends
+// nor receives. Messages that the replica recordFrom sends are recorded, to be delivered
+// late.
 type cluster struct {
-	t       *testing.T
-	mu      sync.Mutex
-	members map[consensus.ReplicaID]*member
-	cut     map[consensus.ReplicaID]bool
-	held    map[consensus.ReplicaID][]consensus.Message
-	hold    consensus.ReplicaID
-	capture bool
+	t                *testing.T
+	mu               sync.Mutex
+	members          map[consensus.ReplicaID]*member
+	isolated         map[consensus.ReplicaID]bool
+	recorded         map[consensus.ReplicaID][]consensus.Message
+	recordFrom       consensus.ReplicaID
+	captureSnapshots bool
 }
 
-type port struct {
-	c    *cluster
-	from consensus.ReplicaID
+type memTransport struct {
+	cluster *cluster
+	from    consensus.ReplicaID
 }
 
-func (p port) Send(to consensus.ReplicaID, m consensus.Message) {
-	p.c.mu.Lock()
-	if p.c.hold == p.from {
-		p.c.held[p.from] = append(p.c.held[p.from], m)
+func (t memTransport) Send(to consensus.ReplicaID, m consensus.Message) {
+	t.cluster.mu.Lock()
+	if t.cluster.recordFrom == t.from {
+		t.cluster.recorded[t.from] = append(t.cluster.recorded[t.from], m)
 	}
-	dest := p.c.members[to]
-	lost := dest == nil || p.c.cut[p.from] || p.c.cut[to]
-	p.c.mu.Unlock()
+	dest := t.cluster.members[to]
+	lost := dest == nil || t.cluster.isolated[t.from] || t.cluster.isolated[to]
+	t.cluster.mu.Unlock()
 	if !lost {
 		dest.Step(m)
 	}
 }
 
-func (c *cluster) setCut(id consensus.ReplicaID, cut bool) {
+func (c *cluster) setIsolated(id consensus.ReplicaID, isolated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut[id] = cut
+	c.isolated[id] = isolated
 }
 
 func (c *cluster) open(id consensus.ReplicaID, storage *memStorage) *member {
 	m := &member{storage: storage, machine: &listMachine{}}
 	var machine StateMachine = m.machine
-	if c.capture {
+	if c.captureSnapshots {
 		machine = capturingMachine{m.machine}
 	}
-	r, err := Open(Options{ID: id, Storage: storage, StateMachine: machine, Transport: port{c, id}, PersistedState: storage.saved,
+	r, err := Open(Options{ID: id, Storage: storage, StateMachine: machine, Transport: memTransport{c, id}, PersistedState: storage.persisted,
 		Tick: testTick, ElectionTicks: 10, HeartbeatTicks: 1, SnapshotEntries: 20, TrailingEntries: 5,
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	require.NoError(c.t, err)
@@ -192,12 +194,12 @@
 }
 
 func newCluster(t *testing.T, ids ...consensus.ReplicaID) *cluster {
-	return newClusterOf(t, false, ids...)
+	return newClusterWithCapture(t, false, ids...)
 }
 
-func newClusterOf(t *testing.T, capture bool, ids ...consensus.ReplicaID) *cluster {
-	c := &cluster{t: t, capture: capture, members: map[consensus.ReplicaID]*member{}, cut: map[consensus.ReplicaID]bool{},
-		held: map[consensus.ReplicaID][]consensus.Message{}}
+func newClusterWithCapture(t *testing.T, capture bool, ids ...consensus.ReplicaID) *cluster {
+	c := &cluster{t: t, captureSnapshots: capture, members: map[consensus.ReplicaID]*member{}, isolated: map[consensus.ReplicaID]bool{},
+		recorded: map[consensus.ReplicaID][]consensus.Message{}}
 	for _, id := range ids {
 		c.open(id, &memStorage{})
 	}
@@ -206,17 +208,17 @@
 }
 
 func (c *cluster) ctx() context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	c.t.Cleanup(cancel)
 	return ctx
 }
 
-// leader waits for a leader that answers a read, other than not.
-func (c *cluster) leader(not consensus.ReplicaID) *member {
+// leader waits until a replica other than except leads and answers a read.
+func (c *cluster) leader(except consensus.ReplicaID) *member {
 	var found *member
 	require.Eventually(c.t, func() bool {
 		for id, m := range c.members {
-			if id == not || !m.IsLeader() {
+			if id == except || !m.IsLeader() {
 				continue
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -228,7 +230,7 @@
 			}
 		}
 		return false
-	}, patience, glance)
+	}, waitTimeout, pollInterval)
 	return found
 }
 
@@ -249,11 +251,11 @@
 	}
 }
 
-// agree waits until the members hold the same list as want.
-func (c *cluster) agree(want *member, members ...*member) {
+// waitForSameCommands waits until all members have applied the same commands as want.
+func (c *cluster) waitForSameCommands(want *member, members ...*member) {
 	c.t.Helper()
 	for _, m := range members {
-		require.Eventually(c.t, func() bool { return slices.Equal(m.machine.get(), want.machine.get()) }, patience, glance)
+		require.Eventually(c.t, func() bool { return slices.Equal(m.machine.appliedCommands(), want.machine.appliedCommands()) }, waitTimeout, pollInterval)
 	}
 }
 
--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -9,8 +9,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// NotLeaderError is the cause of a refusal by a replica that does not lead. The
-// caller may forward to Leader, unless that is empty.
+// NotLeaderError is the cause of an error from a replica that does not lead. The caller may
+// forward its call to Leader, if that is not empty.
 type NotLeaderError struct{ Leader consensus.ReplicaID }
 
 // Error returns the text for logs.
@@ -21,26 +21,27 @@
 	return "the leader is " + string(e.Leader)
 }
 
-// ended is the failure of a call whose ctx ended before it had any effect.
-func ended(ctx context.Context) *verdict.Error {
-	return &verdict.Error{Verdict: verdict.NotRun, Code: endCode(ctx), Text: "gave up waiting", Cause: ctx.Err()}
+// contextError is the error of a call whose context ended before the call had any effect.
+func contextError(ctx context.Context) *verdict.Error {
+	return &verdict.Error{Verdict: verdict.NotRun, Code: contextErrorCode(ctx), Text: "gave up waiting", Cause: ctx.Err()}
 }
 
-func endCode(ctx context.Context) verdict.Code {
+func contextErrorCode(ctx context.Context) verdict.Code {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return verdict.CodeDeadline
 	}
 	return verdict.CodeCancelled
 }
 
-// stopped is the failure of a call that reached a stopped replica. The caller has
-// seen done closed.
-func (r *Replica) stopped() *verdict.Error {
+// stoppedError is the error of a call to a stopped replica. The caller must have seen
+// r.done closed, since r.err may be read only after that.
+func (r *Replica) stoppedError() *verdict.Error {
 	return &verdict.Error{Verdict: verdict.NotRun, Code: verdict.CodeLeaving, Text: "the replica has stopped", Cause: r.err}
 }
 
-// refusal turns an error of the core, which left no trace, into a verdict.
-func (r *Replica) refusal(err error) *verdict.Error {
+// refusalError converts an error of the core into a verdict.Error. The core has appended
+// nothing to the log in this case, so the verdict is NotRun.
+func (r *Replica) refusalError(err error) *verdict.Error {
 	e := &verdict.Error{Verdict: verdict.NotRun, Code: verdict.CodeNoQuorum, Text: err.Error(), RetryAfter: r.electionTimeout(), Cause: err}
 	switch {
 	case errors.Is(err, consensus.ErrNotLeader):
@@ -56,12 +57,12 @@
 	return e
 }
 
-// overwritten is the failure of a proposal whose place another entry took.
-func (r *Replica) overwritten() *verdict.Error {
+// overwrittenError is the error of a proposal whose log index was taken by another entry.
+func (r *Replica) overwrittenError() *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "another leader's entry took the place").After(r.electionTimeout())
 }
 
-// unresolved is the failure of a proposal that may yet be committed.
-func unresolved(text string) *verdict.Error {
+// unknownOutcomeError is the error of a proposal that may still be committed.
+func unknownOutcomeError(text string) *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, text)
 }
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -8,57 +8,59 @@
 	"github.com/sassafraspost/sassafraspost/internal/consensus"
 )
 
-// encodedSnapshot is what a capture came to.
+// encodedSnapshot is the result of encoding a snapshot.
 type encodedSnapshot struct {
 	snapshot consensus.Snapshot
 	err      error
 }
 
-// run is the loop. It ends by Close or by the first failure, which is final.
+// run is the replica's loop. It ends on Close or on the first failure; it does not recover
+// from failures.
 func (r *Replica) run() {
 	ticker := time.NewTicker(r.opts.Tick)
 	defer ticker.Stop()
 	defer close(r.done)
 	for {
-		stop, err := r.turn(ticker.C)
+		stop, err := r.handleEvent(ticker.C)
 		if err == nil && !stop {
-			err = r.work()
+			err = r.processReady()
 		}
 		if err != nil {
 			r.err = err
 			r.opts.Logger.Error("replica failed", "replica", string(r.opts.ID), "error", err)
 		}
 		if err != nil || stop {
-			r.publish()
+			r.publishStatus()
 			return
 		}
 	}
 }
 
-// turn waits for one event and takes all of its kind that wait.
-func (r *Replica) turn(tick <-chan time.Time) (stop bool, err error) {
+// handleEvent waits for one event. It also processes the events of the same kind that are
+// queued behind it.
+func (r *Replica) handleEvent(tick <-chan time.Time) (stop bool, err error) {
 	select {
 	case <-r.stop:
 		return true, nil
 	case <-tick:
 		r.core.Tick()
-		r.ageStale()
+		r.expireStaleProposals()
 	case m := <-r.messages:
-		err = r.step(m)
+		err = r.stepQueuedMessages(m)
 	case p := <-r.proposals:
-		r.propose(p)
-	case q := <-r.reads:
-		r.collectReads(q)
-	case f := <-r.controls:
+		r.proposeQueued(p)
+	case read := <-r.reads:
+		r.enqueueReads(read)
+	case f := <-r.loopCalls:
 		f()
-	case e := <-r.encoded:
-		r.capturing = false
+	case e := <-r.encodedSnapshots:
+		r.encodingSnapshot = false
 		err = r.saveSnapshot(e)
 	}
 	return false, err
 }
 
-func (r *Replica) step(first consensus.Message) error {
+func (r *Replica) stepQueuedMessages(first consensus.Message) error {
 	if err := r.core.Step(first); err != nil {
 		return err
 	}
@@ -75,22 +77,22 @@
 	return nil
 }
 
-// work does all that the core has ready.
-func (r *Replica) work() error {
-	r.startRound()
+// processReady does all outstanding work of the core.
+func (r *Replica) processReady() error {
+	r.startReadRound()
 	for r.core.HasReady() {
-		if err := r.handle(r.core.Ready()); err != nil {
+		if err := r.handleReady(r.core.Ready()); err != nil {
 			return err
 		}
 		r.core.Advance()
-		r.startRound()
+		r.startReadRound()
 	}
 	return r.maybeSnapshot()
 }
 
-// handle keeps the order that consensus.Ready demands: nothing leaves this
-// replica and nothing is applied before it is synced.
-func (r *Replica) handle(rd consensus.Ready) error {
+// handleReady does the work in the order that consensus.Ready requires: nothing is sent and
+// nothing is applied before it is synced.
+func (r *Replica) handleReady(rd consensus.Ready) error {
 	if err := r.persist(rd); err != nil {
 		return err
 	}
@@ -98,7 +100,7 @@
 		r.opts.Transport.Send(m.To, m)
 	}
 	if rd.SoftState != nil {
-		r.changeRole(*rd.SoftState)
+		r.updateRole(*rd.SoftState)
 	}
 	if rd.Snapshot != nil {
 		if err := r.restore(*rd.Snapshot); err != nil {
@@ -123,23 +125,23 @@
 	if rd.HardState == nil && len(rd.Entries) == 0 {
 		return nil
 	}
-	begun := time.Now()
+	start := time.Now()
 	if err := r.opts.Storage.Append(rd.HardState, rd.Entries); err != nil {
 		return errors.Wrap(err, "append to the log")
 	}
-	r.metrics.sync.UpdateSince(begun)
+	r.metrics.sync.UpdateSince(start)
 	return nil
 }
 
-// changeRole publishes the role. A leadership that ended leaves its proposals
-// stale and its reads unanswered.
-func (r *Replica) changeRole(now consensus.SoftState) {
-	before := r.soft.Swap(&now)
-	led := before.Role == consensus.Leader
-	if led && (now.Role != consensus.Leader || now.Term != before.Term) {
-		r.stale = true
-		r.failReads(&r.asked, consensus.ErrNotLeader)
-		r.failReads(&r.queued, consensus.ErrNotLeader)
+// updateRole publishes the role. When a leadership ends, its proposals become stale and its
+// unanswered reads fail.
+func (r *Replica) updateRole(now consensus.SoftState) {
+	before := r.softState.Swap(&now)
+	wasLeader := before.Role == consensus.Leader
+	if wasLeader && (now.Role != consensus.Leader || now.Term != before.Term) {
+		r.hasStaleProposals = true
+		r.failReads(&r.activeReads, consensus.ErrNotLeader)
+		r.failReads(&r.queuedReads, consensus.ErrNotLeader)
 	}
 	if now.Role == consensus.Leader {
 		r.metrics.elections.Inc(1)
@@ -159,16 +161,17 @@
 	case len(e.Data) > 0:
 		value = r.opts.StateMachine.Apply(e.Index, e.Data)
 	}
-	r.setApplied(e.Index)
+	r.setAppliedIndex(e.Index)
 	r.metrics.applied.Inc(1)
-	r.resolve(e, value)
+	r.resolveEntry(e, value)
 	return nil
 }
 
-// setApplied notes up to where the machine is. Entries without data count too.
-func (r *Replica) setApplied(index uint64) {
-	r.applied = index
-	r.shownApplied.Store(index)
+// setAppliedIndex records the index of the last entry processed. Entries that the state
+// machine does not see, such as those without data, count too.
+func (r *Replica) setAppliedIndex(index uint64) {
+	r.appliedIndex = index
+	r.publishedAppliedIndex.Store(index)
 }
 
 func (r *Replica) applyMembership(e consensus.Entry) error {
@@ -188,27 +191,27 @@
 	if err := r.opts.StateMachine.Restore(s.Data); err != nil {
 		return errors.Wrap(err, "restore the leader's snapshot")
 	}
-	r.setApplied(s.Meta.Index)
+	r.setAppliedIndex(s.Meta.Index)
 	r.snapshot = s.Meta.Index
 	r.metrics.restores.Inc(1)
 	r.resolveSnapshot(s.Meta)
 	return nil
 }
 
-// maybeSnapshot begins a snapshot when enough was applied. A machine that can set
-// a copy aside has it encoded beside the loop.
+// maybeSnapshot starts a snapshot once enough entries were applied. For a SnapshotCapturer,
+// encoding runs on another goroutine so that the loop goes on.
 func (r *Replica) maybeSnapshot() error {
-	if r.capturing || r.applied < r.snapshot+r.opts.SnapshotEntries {
+	if r.encodingSnapshot || r.appliedIndex < r.snapshot+r.opts.SnapshotEntries {
 		return nil
 	}
-	meta, err := r.core.SnapshotMeta(r.applied)
+	meta, err := r.core.SnapshotMeta(r.appliedIndex)
 	if err != nil {
 		return err
 	}
 	if c, ok := r.opts.StateMachine.(SnapshotCapturer); ok {
-		r.capturing = true
+		r.encodingSnapshot = true
 		encode := c.Capture()
-		go func() { r.encoded <- encodeSnapshot(meta, encode) }()
+		go func() { r.encodedSnapshots <- encodeSnapshot(meta, encode) }()
 		return nil
 	}
 	return r.saveSnapshot(encodeSnapshot(meta, r.opts.StateMachine.Snapshot))
@@ -219,8 +222,8 @@
 	return encodedSnapshot{snapshot: consensus.Snapshot{Meta: meta, Data: data}, err: err}
 }
 
-// saveSnapshot persists a snapshot and shortens the log. A machine that could not
-// encode keeps its log and is asked again after as many entries more.
+// saveSnapshot persists a snapshot and compacts the log. If encoding failed, the log is
+// kept, and the next attempt follows after another Options.SnapshotEntries entries.
 func (r *Replica) saveSnapshot(e encodedSnapshot) error {
 	meta := e.snapshot.Meta
 	if meta.Index <= r.snapshot {
@@ -240,9 +243,9 @@
 	return nil
 }
 
-// publish makes the state known to callers off the loop.
-func (r *Replica) publish() {
+// publishStatus makes the state visible to callers outside the loop.
+func (r *Replica) publishStatus() {
 	s := r.core.Status()
-	r.soft.Store(&s.SoftState)
-	r.last.Store(&s)
+	r.softState.Store(&s.SoftState)
+	r.lastStatus.Store(&s)
 }
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -12,23 +12,24 @@
 type Result struct {
 	Index uint64
 	Term  uint64
-	// Value is what Machine.Apply returned; nil for a membership.
+	// Value is what StateMachine.Apply returned. It is nil for a membership change.
 	Value any
 }
 
-// The states of a proposal. The loop takes it or the caller withdraws it, never both.
+// States of a proposal. Either the loop takes a queued proposal or its caller withdraws it,
+// never both.
 const (
 	proposalQueued int32 = iota
 	proposalTaken
 	proposalWithdrawn
 )
 
-// proposal is a command, or a membership change where edit is set.
+// proposal is a command, or a membership change if edit is set.
 type proposal struct {
 	data  []byte
 	edit  func(consensus.Membership) (next consensus.Membership, changed bool)
 	state atomic.Int32
-	// outcome has room for the one outcome.
+	// outcome is buffered for one value, so that the loop never blocks on it.
 	outcome chan outcome
 }
 
@@ -37,23 +38,23 @@
 	err    error
 }
 
-// waiter is a proposal in the leader's log.
-type waiter struct {
+// pendingProposal is a proposal in the leader's log that awaits its outcome.
+type pendingProposal struct {
 	*proposal
 	term uint64
-	// age counts the ticks since the leadership of term ended.
-	age int
+	// ticksSinceStale counts the ticks since this replica stopped leading in term.
+	ticksSinceStale int
 }
 
 func newProposal() *proposal { return &proposal{outcome: make(chan outcome, 1)} }
 
 func (p *proposal) finish(result Result, err error) { p.outcome <- outcome{result, err} }
 
-// Propose commits data and returns what the machine answered. Its error is a
-// *verdict.Error. NotRun means that data is not committed and never will be: this
-// replica does not lead (the cause is a *NotLeaderError), no majority answers, too
-// much is waiting, or another leader's entry took the place. MayHaveRun means that
-// ctx or the leadership ended while the outcome was open.
+// Propose commits data and returns the result of the state machine. Its error is a
+// *verdict.Error. The verdict NotRun means that data is not committed and never will be:
+// this replica does not lead (the cause is a *NotLeaderError), it has no quorum, too many
+// proposals wait, or another leader's entry took the log index. MayHaveRun means that the
+// context or the leadership ended, or the replica stopped, before the outcome was known.
 func (r *Replica) Propose(ctx context.Context, data []byte) (Result, error) {
 	if len(data) == 0 {
 		return Result{}, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "empty command")
@@ -65,7 +66,7 @@
 
 func (r *Replica) submit(ctx context.Context, p *proposal) (Result, error) {
 	if ctx.Err() != nil {
-		return Result{}, ended(ctx)
+		return Result{}, contextError(ctx)
 	}
 	select {
 	case r.proposals <- p:
@@ -76,15 +77,15 @@
 	case o := <-p.outcome:
 		return o.result, o.err
 	case <-ctx.Done():
-		return p.giveUp(ended(ctx))
+		return p.abandon(contextError(ctx))
 	case <-r.done:
-		return p.giveUp(r.stopped())
+		return p.abandon(r.stoppedError())
 	}
 }
 
-// giveUp withdraws a proposal that the loop has not taken; the outcome of another
-// one is open, unless it has just come.
-func (p *proposal) giveUp(cause *verdict.Error) (Result, error) {
+// abandon withdraws a proposal that the loop has not taken yet. If the loop has taken it,
+// the outcome is unknown, unless it has arrived in the meantime.
+func (p *proposal) abandon(cause *verdict.Error) (Result, error) {
 	if p.state.CompareAndSwap(proposalQueued, proposalWithdrawn) {
 		return Result{}, cause
 	}
@@ -98,8 +99,8 @@
 	}
 }
 
-// propose puts all proposals that wait into the log; they are synced together.
-func (r *Replica) propose(first *proposal) {
+// proposeQueued appends all queued proposals to the log, so that they share one sync.
+func (r *Replica) proposeQueued(first *proposal) {
 	r.proposeOne(first)
 	for range maxQueuedProposals {
 		select {
@@ -115,9 +116,9 @@
 	if !p.state.CompareAndSwap(proposalQueued, proposalTaken) {
 		return
 	}
-	index, term, err := r.append(p)
+	index, term, err := r.appendProposal(p)
 	if err != nil {
-		p.finish(Result{}, r.refusal(err))
+		p.finish(Result{}, r.refusalError(err))
 		return
 	}
 	if index == 0 {
@@ -125,11 +126,12 @@
 		return
 	}
 	r.metrics.proposed.Inc(1)
-	r.waiting[index] = append(r.waiting[index], &waiter{proposal: p, term: term})
+	r.pendingProposals[index] = append(r.pendingProposals[index], &pendingProposal{proposal: p, term: term})
 }
 
-// append returns the place of the new entry, zero where a membership is in force already.
-func (r *Replica) append(p *proposal) (index, term uint64, err error) {
+// appendProposal returns the index and term of the new entry. The index is zero if the
+// membership change is already in effect.
+func (r *Replica) appendProposal(p *proposal) (index, term uint64, err error) {
 	if p.edit == nil {
 		return r.core.Propose(p.data)
 	}
@@ -147,75 +149,77 @@
 	return r.core.ProposeMembership(next)
 }
 
-// resolve finishes the proposals that the committed entry e decides: those at its
-// index, and those of older terms behind it, since terms never fall along a log.
-func (r *Replica) resolve(e consensus.Entry, value any) {
-	for _, w := range r.waiting[e.Index] {
-		if w.term == e.Term {
-			w.finish(Result{Index: e.Index, Term: e.Term, Value: value}, nil)
+// resolveEntry finishes the proposals whose outcome the committed entry e determines: those
+// at the index of e, and those of older terms at later indexes, since terms never decrease
+// along a log.
+func (r *Replica) resolveEntry(e consensus.Entry, value any) {
+	for _, p := range r.pendingProposals[e.Index] {
+		if p.term == e.Term {
+			p.finish(Result{Index: e.Index, Term: e.Term, Value: value}, nil)
 		} else {
-			w.finish(Result{}, r.overwritten())
+			p.finish(Result{}, r.overwrittenError())
 		}
 	}
-	delete(r.waiting, e.Index)
-	if r.stale {
-		r.settle(func(index uint64, w *waiter) error {
-			if w.term < e.Term {
-				return r.overwritten()
+	delete(r.pendingProposals, e.Index)
+	if r.hasStaleProposals {
+		r.finishProposals(func(index uint64, p *pendingProposal) error {
+			if p.term < e.Term {
+				return r.overwrittenError()
 			}
 			return nil
 		})
 	}
 }
 
-// resolveSnapshot finishes the proposals that a snapshot covers: whether they are
-// among its entries can't be told.
+// resolveSnapshot finishes the proposals that a snapshot from the leader covers. Whether
+// the snapshot includes them is unknown.
 func (r *Replica) resolveSnapshot(meta consensus.SnapshotMeta) {
-	r.settle(func(index uint64, w *waiter) error {
+	r.finishProposals(func(index uint64, p *pendingProposal) error {
 		if index <= meta.Index {
-			return unresolved("a snapshot covers the proposal")
+			return unknownOutcomeError("a snapshot covers the proposal")
 		}
-		if w.term < meta.Term {
-			return r.overwritten()
+		if p.term < meta.Term {
+			return r.overwrittenError()
 		}
 		return nil
 	})
 }
 
-// ageStale gives up proposals whose leadership ended an election timeout ago.
-func (r *Replica) ageStale() {
-	if !r.stale {
+// expireStaleProposals finishes, with an unknown outcome, the proposals whose leadership
+// ended more than an election timeout ago.
+func (r *Replica) expireStaleProposals() {
+	if !r.hasStaleProposals {
 		return
 	}
-	now := r.soft.Load()
-	r.stale = false
-	r.settle(func(_ uint64, w *waiter) error {
-		if now.Role == consensus.Leader && now.Term == w.term {
+	now := r.softState.Load()
+	r.hasStaleProposals = false
+	r.finishProposals(func(_ uint64, p *pendingProposal) error {
+		if now.Role == consensus.Leader && now.Term == p.term {
 			return nil
 		}
-		r.stale = true
-		w.age++
-		if w.age > r.opts.ElectionTicks {
-			return unresolved("the leadership ended before the commit")
+		r.hasStaleProposals = true
+		p.ticksSinceStale++
+		if p.ticksSinceStale > r.opts.ElectionTicks {
+			return unknownOutcomeError("the leadership ended before the commit")
 		}
 		return nil
 	})
 }
 
-// settle finishes the waiting proposals for which decide returns an error.
-func (r *Replica) settle(decide func(index uint64, w *waiter) error) {
-	for index, ws := range r.waiting {
-		kept := ws[:0]
-		for _, w := range ws {
-			if err := decide(index, w); err != nil {
-				w.finish(Result{}, err)
+// finishProposals finishes the pending proposals for which decide returns an error.
+func (r *Replica) finishProposals(decide func(index uint64, p *pendingProposal) error) {
+	for index, proposals := range r.pendingProposals {
+		kept := proposals[:0]
+		for _, p := range proposals {
+			if err := decide(index, p); err != nil {
+				p.finish(Result{}, err)
 				continue
 			}
-			kept = append(kept, w)
+			kept = append(kept, p)
 		}
-		r.waiting[index] = kept
+		r.pendingProposals[index] = kept
 		if len(kept) == 0 {
-			delete(r.waiting, index)
+			delete(r.pendingProposals, index)
 		}
 	}
 }
--- a/internal/replica/read.go
+++ b/internal/replica/read.go
@@ -7,78 +7,81 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// read is a question that waits for a quorum round. outcome has room for one.
-type read struct{ outcome chan readOutcome }
+// readRequest waits until a majority has confirmed the leadership. outcome is buffered for
+// one value.
+type readRequest struct{ outcome chan readResult }
 
-type readOutcome struct {
+type readResult struct {
 	index uint64
 	err   error
 }
 
-// Read returns once the machine holds all that was committed before the call,
-// as a majority has confirmed in a round that began after it. The index is up to
-// where the machine is known to be. The error is a *verdict.Error and always
-// NotRun; its cause is a *NotLeaderError where another replica must be asked.
+// Read returns once the state machine contains everything that was committed before the
+// call. A majority must confirm this in a heartbeat round that begins after the call. The
+// returned index is that of the last applied entry. The error is a *verdict.Error, and its
+// verdict is always NotRun. Its cause is a *NotLeaderError if another replica must be
+// asked.
 func (r *Replica) Read(ctx context.Context) (uint64, error) {
-	q := &read{outcome: make(chan readOutcome, 1)}
+	request := &readRequest{outcome: make(chan readResult, 1)}
 	select {
-	case r.reads <- q:
+	case r.reads <- request:
 	default:
 		return 0, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many reads wait").After(r.opts.Tick)
 	}
 	select {
-	case o := <-q.outcome:
+	case o := <-request.outcome:
 		return o.index, o.err
 	case <-ctx.Done():
-		return 0, ended(ctx)
+		return 0, contextError(ctx)
 	case <-r.done:
-		return 0, r.stopped()
+		return 0, r.stoppedError()
 	}
 }
 
-func (r *Replica) collectReads(first *read) {
-	r.queued = append(r.queued, first)
+func (r *Replica) enqueueReads(first *readRequest) {
+	r.queuedReads = append(r.queuedReads, first)
 	for range maxQueuedReads {
 		select {
-		case q := <-r.reads:
-			r.queued = append(r.queued, q)
+		case request := <-r.reads:
+			r.queuedReads = append(r.queuedReads, request)
 		default:
 			return
 		}
 	}
 }
 
-// startRound asks for all queued reads at once, unless a round is under way.
-func (r *Replica) startRound() {
-	if len(r.asked) > 0 || len(r.queued) == 0 {
+// startReadRound starts one read-index request for all queued reads, unless an earlier one
+// is unanswered.
+func (r *Replica) startReadRound() {
+	if len(r.activeReads) > 0 || len(r.queuedReads) == 0 {
 		return
 	}
-	r.round++
-	if err := r.core.ReadIndex(r.round); err != nil {
-		r.failReads(&r.queued, err)
+	r.readRound++
+	if err := r.core.ReadIndex(r.readRound); err != nil {
+		r.failReads(&r.queuedReads, err)
 		return
 	}
-	r.asked, r.queued = r.queued, nil
+	r.activeReads, r.queuedReads = r.queuedReads, nil
 }
 
-// answerReads is called after the committed entries are applied, which reach at
-// least as far as the answer.
+// answerReads must be called after the committed entries are applied. They reach at least
+// to the index of each ReadState.
 func (r *Replica) answerReads(states []consensus.ReadState) {
 	for _, s := range states {
-		if s.Context != r.round {
+		if s.Context != r.readRound {
 			continue
 		}
-		r.metrics.reads.Inc(int64(len(r.asked)))
-		for _, q := range r.asked {
-			q.outcome <- readOutcome{index: r.applied}
+		r.metrics.reads.Inc(int64(len(r.activeReads)))
+		for _, request := range r.activeReads {
+			request.outcome <- readResult{index: r.appliedIndex}
 		}
-		r.asked = nil
+		r.activeReads = nil
 	}
 }
 
-func (r *Replica) failReads(reads *[]*read, err error) {
-	for _, q := range *reads {
-		q.outcome <- readOutcome{err: r.refusal(err)}
+func (r *Replica) failReads(reads *[]*readRequest, err error) {
+	for _, request := range *reads {
+		request.outcome <- readResult{err: r.refusalError(err)}
 	}
 	*reads = nil
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,5 +1,5 @@
-// Package replica drives one consensus core: it owns the core's goroutine, its
-// ticks, the storage of its log and the machine that its entries change.
+// Package replica runs one consensus core: it owns the core's goroutine and ticks, the
+// storage of the log, and the state machine to which committed entries are applied.
 package replica
 
 import (
@@ -16,43 +16,44 @@
 	"github.com/sassafraspost/sassafraspost/internal/consensus"
 )
 
-// Storage keeps what a replica must not forget. A failed call is final: the
-// replica stops and calls nothing but Close.
+// Storage persists the log and the snapshots of a replica. After a failed call the replica
+// stops and calls nothing but Close.
 type Storage interface {
-	// Append writes and syncs hs, unless it is nil, and entries, which replace
-	// any conflicting suffix.
+	// Append writes and syncs hs, unless it is nil, and entries. The entries replace any
+	// conflicting suffix of the log.
 	Append(hs *consensus.HardState, entries []consensus.Entry) error
-	// SaveSnapshot makes a snapshot durable and then drops the log that it covers.
+	// SaveSnapshot persists a snapshot and then removes the log entries that it covers.
 	SaveSnapshot(consensus.Snapshot) error
 	Close() error
 }
 
-// StateMachine holds the replicated tables. Only the replica's goroutine calls it.
+// StateMachine holds the replicated state. Only the replica's goroutine calls it.
 type StateMachine interface {
-	// Apply changes the tables in a deterministic way.
+	// Apply executes a command. It must be deterministic.
 	Apply(index uint64, data []byte) (result any)
 	Snapshot() ([]byte, error)
 	Restore([]byte) error
 }
 
-// MembershipObserver is a Machine that is told of committed memberships.
+// MembershipObserver is a StateMachine that is notified of committed memberships.
 type MembershipObserver interface {
 	ApplyMembership(index uint64, m consensus.Membership)
 }
 
-// SnapshotCapturer is a Machine that can set a consistent copy aside quickly. The function
-// returned by Capture encodes the copy on another goroutine, beside the loop.
+// SnapshotCapturer is a StateMachine that can quickly make a consistent copy of its state.
+// The function that Capture returns encodes this copy and runs on another goroutine, so
+// that the loop goes on.
 type SnapshotCapturer interface {
 	Capture() (encode func() ([]byte, error))
 }
 
-// Transport sends messages, best effort. Send must not block, and must not change
-// the message, which shares memory with the log.
+// Transport sends messages and may lose them. Send must not block. It must not change the
+// message, which shares memory with the log.
 type Transport interface {
 	Send(to consensus.ReplicaID, m consensus.Message)
 }
 
-// The defaults of Options.
+// Defaults for the fields of Options that are not set.
 const (
 	DefaultTick            = 50 * time.Millisecond
 	DefaultElectionTicks   = 20
@@ -60,39 +61,41 @@
 	DefaultSnapshotEntries = 10000
 )
 
-// The bounds of the replica's queues; what does not fit is refused or dropped.
+// Limits of the replica's queues. Proposals and reads beyond them are refused, messages are
+// dropped.
 const (
 	maxQueuedMessages  = 4096
 	maxQueuedProposals = 4096
 	maxQueuedReads     = 4096
 )
 
-// Options sets up a Replica. ID, Storage, Machine and Transport are required.
+// Options configures a Replica. ID, Storage, StateMachine and Transport are required.
 type Options struct {
 	ID           consensus.ReplicaID
 	Storage      Storage
 	StateMachine StateMachine
 	Transport    Transport
-	// PersistedState is what Storage held.
+	// PersistedState is what Storage contained at the start.
 	PersistedState consensus.PersistedState
-	// Tick is the unit of the two fields below.
+	// Tick is the unit of ElectionTicks and HeartbeatTicks.
 	Tick time.Duration
-	// ElectionTicks is the least election timeout.
+	// ElectionTicks is the shortest election timeout.
 	ElectionTicks  int
 	HeartbeatTicks int
 	// SnapshotEntries is how many entries are applied between two snapshots.
 	SnapshotEntries uint64
-	// TrailingEntries is how many entries stay in memory before a snapshot; zero is the
-	// default of consensus.Config.
+	// TrailingEntries is how many entries that the latest snapshot covers stay in memory.
+	// Zero means the default of consensus.Config.
 	TrailingEntries uint64
-	// MaxUncommittedBytes bounds a leader's uncommitted data; zero is the default
-	// of consensus.Config.
+	// MaxUncommittedBytes limits the data of a leader's uncommitted entries. Zero means the
+	// default of consensus.Config.
 	MaxUncommittedBytes int
-	// Rand spreads the election timeouts; nil is a random seed.
+	// Rand randomizes the election timeouts. If nil, a generator with a random seed is
+	// used.
 	Rand *rand.Rand
-	// Logger receives changes of state; nil is slog.Default.
+	// Logger receives changes of state and failures. If nil, slog.Default is used.
 	Logger *slog.Logger
-	// Registry receives the metrics; nil keeps them private.
+	// Registry receives the metrics. If nil, they are not exported.
 	Registry metrics.Registry
 }
 
@@ -121,48 +124,51 @@
 	return o
 }
 
-// Replica is one running replica. Its methods may be called concurrently.
+// Replica is a running replica. Its methods may be called concurrently.
 type Replica struct {
 	opts    Options
 	metrics replicaMetrics
 
-	messages  chan consensus.Message
-	proposals chan *proposal
-	reads     chan *read
-	controls  chan func()
-	encoded   chan encodedSnapshot
-	stop      chan struct{}
-	done      chan struct{}
-	closing   sync.Once
-	closeErr  error
-	// err is written before done is closed, and read after.
+	messages         chan consensus.Message
+	proposals        chan *proposal
+	reads            chan *readRequest
+	loopCalls        chan func()
+	encodedSnapshots chan encodedSnapshot
+	stop             chan struct{}
+	done             chan struct{}
+	closeOnce        sync.Once
+	closeErr         error
+	// err is written before done is closed and may be read only after that.
 	err error
-	// soft and last are published by the loop.
-	soft atomic.Pointer[consensus.SoftState]
-	last atomic.Pointer[consensus.Status]
-	// shownApplied is applied, for other goroutines.
-	shownApplied atomic.Uint64
+	// The loop publishes softState and lastStatus for callers on other goroutines.
+	softState  atomic.Pointer[consensus.SoftState]
+	lastStatus atomic.Pointer[consensus.Status]
+	// publishedAppliedIndex is a copy of appliedIndex for other goroutines.
+	publishedAppliedIndex atomic.Uint64
 
-	// The fields below belong to the loop.
+	// Only the loop may use the fields below.
 	core *consensus.Core
-	// waiting holds the proposals in the log by index. An index may have several,
-	// of different terms, of which one at most will be committed.
-	waiting map[uint64][]*waiter
-	// stale is set while waiting may hold proposals of a leadership that ended.
-	stale bool
-	// queued reads wait for the next round, asked ones for the answer of this one.
-	queued, asked []*read
-	round         uint64
-	applied       uint64
-	snapshot      uint64
-	capturing     bool
+	// pendingProposals holds the proposals in the log by index. One index may have several
+	// proposals of different terms, at most one of which will be committed.
+	pendingProposals map[uint64][]*pendingProposal
+	// hasStaleProposals is set while pendingProposals may contain proposals of a leadership
+	// that has ended.
+	hasStaleProposals bool
+	// queuedReads wait for the next read-index request. activeReads wait for the answer to
+	// the current one.
+	queuedReads, activeReads []*readRequest
+	readRound                uint64
+	appliedIndex             uint64
+	// snapshot is the index of the latest snapshot. A failed attempt to take one counts too.
+	snapshot         uint64
+	encodingSnapshot bool
 }
 
-// Open starts a replica from what its storage held. It fails when the log or the
-// snapshot can't be read.
+// Open starts a replica from its persisted state. It fails if the log or the snapshot can't
+// be decoded.
 func Open(o Options) (*Replica, error) {
 	if o.Storage == nil || o.StateMachine == nil || o.Transport == nil {
-		return nil, errors.New("replica: Storage, Machine and Transport are required")
+		return nil, errors.New("replica: Storage, StateMachine and Transport are required")
 	}
 	o = o.withDefaults()
 	core, err := consensus.New(consensus.Config{
@@ -175,34 +181,34 @@
 	r := newReplica(o, core)
 	if r.snapshot > 0 {
 		if err := o.StateMachine.Restore(o.PersistedState.Snapshot.Data); err != nil {
-			return nil, errors.Wrap(err, "restore the machine")
+			return nil, errors.Wrap(err, "restore the state machine")
 		}
 	}
-	r.shownApplied.Store(r.applied)
-	r.publish()
+	r.publishedAppliedIndex.Store(r.appliedIndex)
+	r.publishStatus()
 	go r.run()
 	return r, nil
 }
 
 func newReplica(o Options, core *consensus.Core) *Replica {
-	at := o.PersistedState.Snapshot.Meta.Index
+	index := o.PersistedState.Snapshot.Meta.Index
 	return &Replica{
 		opts: o, core: core, metrics: newMetrics(o.Registry),
-		messages:  make(chan consensus.Message, maxQueuedMessages),
-		proposals: make(chan *proposal, maxQueuedProposals),
-		reads:     make(chan *read, maxQueuedReads),
-		controls:  make(chan func()),
-		encoded:   make(chan encodedSnapshot, 1),
-		stop:      make(chan struct{}),
-		done:      make(chan struct{}),
-		waiting:   map[uint64][]*waiter{},
-		applied:   at,
-		snapshot:  at,
+		messages:         make(chan consensus.Message, maxQueuedMessages),
+		proposals:        make(chan *proposal, maxQueuedProposals),
+		reads:            make(chan *readRequest, maxQueuedReads),
+		loopCalls:        make(chan func()),
+		encodedSnapshots: make(chan encodedSnapshot, 1),
+		stop:             make(chan struct{}),
+		done:             make(chan struct{}),
+		pendingProposals: map[uint64][]*pendingProposal{},
+		appliedIndex:     index,
+		snapshot:         index,
 	}
 }
 
-// Step hands over a message from another replica. It does not block: where the
-// queue is full the message is dropped and counted.
+// Step queues a message from another replica. It does not block: if the queue is full, the
+// message is dropped and counted.
 func (r *Replica) Step(m consensus.Message) {
 	select {
 	case r.messages <- m:
@@ -211,36 +217,39 @@
 	}
 }
 
-// ID returns the replica's own id.
+// ID returns the replica's own ID.
 func (r *Replica) ID() consensus.ReplicaID { return r.opts.ID }
 
-// Leader returns the leader that this replica knows of, and whether it knows one.
-// It may be out of date; Read tells for sure.
+// Leader returns the leader that this replica knows, and whether it knows one. The result
+// may be out of date; only a successful Read confirms a leader.
 func (r *Replica) Leader() (consensus.ReplicaID, bool) {
-	id := r.soft.Load().Leader
+	id := r.softState.Load().Leader
 	return id, id != ""
 }
 
 // IsLeader reports whether this replica believes that it leads.
-func (r *Replica) IsLeader() bool { return r.soft.Load().Role == consensus.Leader }
+func (r *Replica) IsLeader() bool { return r.softState.Load().Role == consensus.Leader }
 
-// AppliedIndex returns up to which entry the machine is, those that change nothing in it
-// included. It does not wait for the loop, which may wait for a disk.
-func (r *Replica) AppliedIndex() uint64 { return r.shownApplied.Load() }
+// AppliedIndex returns the index of the last applied entry. Entries that don't change the
+// state machine count too. It does not wait for the loop, which may be blocked on a disk.
+func (r *Replica) AppliedIndex() uint64 { return r.publishedAppliedIndex.Load() }
 
-// Status returns the state of the core, the last one when the replica has stopped.
+// Status returns the current state of the core, or the final one if the replica has
+// stopped.
 func (r *Replica) Status() consensus.Status {
 	var s consensus.Status
-	if r.do(context.Background(), func() { s = r.core.Status() }) != nil {
-		return *r.last.Load()
+	if r.runOnLoop(context.Background(), func() { s = r.core.Status() }) != nil {
+		return *r.lastStatus.Load()
 	}
 	return s
 }
 
-// Done is closed when the replica has stopped, by Close or by a failure.
+// Done returns a channel that is closed when the replica has stopped, by Close or by a
+// failure.
 func (r *Replica) Done() <-chan struct{} { return r.done }
 
-// Err returns the failure that ended the replica; nil before, and after Close.
+// Err returns the failure that stopped the replica. It is nil while the replica runs and
+// after Close.
 func (r *Replica) Err() error {
 	select {
 	case <-r.done:
@@ -250,12 +259,12 @@
 	}
 }
 
-// Close hands the leadership over, if this replica leads and ctx leaves time,
+// Close hands the leadership over if this replica leads and ctx allows the time. It then
 // stops the replica and closes its storage.
 func (r *Replica) Close(ctx context.Context) error {
-	r.closing.Do(func() {
+	r.closeOnce.Do(func() {
 		if r.IsLeader() {
-			r.handOver(ctx)
+			r.transferBeforeClose(ctx)
 		}
 		close(r.stop)
 		<-r.done
@@ -264,46 +273,46 @@
 	return r.closeErr
 }
 
-func (r *Replica) handOver(ctx context.Context) {
+func (r *Replica) transferBeforeClose(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.electionTimeout())
 	defer cancel()
 	err := r.TransferLeadership(ctx, "")
 	if err != nil && !errors.Is(err, consensus.ErrNoTransferee) {
-		r.opts.Logger.Warn("leadership not handed over", "error", err)
+		r.opts.Logger.Warn("leadership transfer failed", "error", err)
 	}
 }
 
-// electionTimeout is the time within which a leadership that lost its majority ends.
+// electionTimeout is the time within which a leader without a quorum steps down.
 func (r *Replica) electionTimeout() time.Duration {
 	return time.Duration(r.opts.ElectionTicks) * r.opts.Tick
 }
 
-// do runs f on the loop.
-func (r *Replica) do(ctx context.Context, f func()) error {
-	ran := make(chan struct{})
+// runOnLoop runs f on the replica's goroutine.
+func (r *Replica) runOnLoop(ctx context.Context, f func()) error {
+	finished := make(chan struct{})
 	select {
-	case r.controls <- func() { f(); close(ran) }:
+	case r.loopCalls <- func() { f(); close(finished) }:
 	case <-ctx.Done():
-		return ended(ctx)
+		return contextError(ctx)
 	case <-r.done:
-		return r.stopped()
+		return r.stoppedError()
 	}
-	// The loop runs what it has received before it can stop.
-	<-ran
+	// The loop always runs a function that it has received before it stops.
+	<-finished
 	return nil
 }
 
-// poll waits until ok, checked once a tick, is true.
-func (r *Replica) poll(ctx context.Context, ok func() bool) error {
+// waitUntil waits until ok returns true. It calls ok once per tick.
+func (r *Replica) waitUntil(ctx context.Context, ok func() bool) error {
 	t := time.NewTicker(r.opts.Tick)
 	defer t.Stop()
 	for !ok() {
 		select {
 		case <-t.C:
 		case <-ctx.Done():
-			return ended(ctx)
+			return contextError(ctx)
 		case <-r.done:
-			return r.stopped()
+			return r.stoppedError()
 		}
 	}
 	return nil
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -20,7 +20,7 @@
 	idC = consensus.ReplicaID("c/1")
 )
 
-func TestThreeElectCommitAndRestart(t *testing.T) {
+func TestThreeReplicasElectCommitAndRestart(t *testing.T) {
 	c := newCluster(t, idA, idB, idC)
 	l := c.leader("")
 	res, err := l.Propose(c.ctx(), []byte("x"))
@@ -33,13 +33,13 @@
 	require.Eventually(t, func() bool {
 		id, ok := f.Leader()
 		return ok && id == l.ID()
-	}, patience, glance)
+	}, waitTimeout, pollInterval)
 	_, err = f.Propose(c.ctx(), []byte("y"))
 	requireVerdict(t, err, verdict.NotRun, verdict.CodeNoQuorum)
-	var to *NotLeaderError
-	require.True(t, errors.As(err, &to))
-	require.Equal(t, l.ID(), to.Leader)
-	c.agree(l, c.members[idA], c.members[idB], c.members[idC])
+	var notLeader *NotLeaderError
+	require.True(t, errors.As(err, &notLeader))
+	require.Equal(t, l.ID(), notLeader.Leader)
+	c.waitForSameCommands(l, c.members[idA], c.members[idB], c.members[idC])
 	requireVerdict(t, f.Bootstrap(c.ctx(), consensus.Membership{Voters: []consensus.ReplicaID{f.ID()}}), verdict.NotRun, verdict.CodeConflict)
 
 	for i := range 30 {
@@ -48,13 +48,13 @@
 	require.NoError(t, f.Close(c.ctx()))
 	f = c.open(f.ID(), f.storage)
 	c.mustPropose(l, "z")
-	c.agree(l, f)
+	c.waitForSameCommands(l, f)
 }
 
-func TestCutOffLeaderRefuses(t *testing.T) {
+func TestIsolatedLeaderRefusesProposals(t *testing.T) {
 	c := newCluster(t, idA, idB, idC)
 	old := c.leader("")
-	c.setCut(old.ID(), true)
+	c.setIsolated(old.ID(), true)
 	var notRun []string
 	require.Eventually(t, func() bool {
 		data := fmt.Sprint("lost", len(notRun))
@@ -66,7 +66,7 @@
 			notRun = append(notRun, data)
 		}
 		return !old.IsLeader()
-	}, patience, glance)
+	}, waitTimeout, pollInterval)
 	_, err := old.Propose(c.ctx(), []byte("late"))
 	requireVerdict(t, err, verdict.NotRun, verdict.CodeNoQuorum)
 	require.NotZero(t, verdict.Of(err).RetryAfter)
@@ -74,19 +74,19 @@
 	requireVerdict(t, err, verdict.NotRun, verdict.CodeNoQuorum)
 	next := c.leader(old.ID())
 	c.mustPropose(next, "x")
-	c.setCut(old.ID(), false)
-	c.agree(next, old)
+	c.setIsolated(old.ID(), false)
+	c.waitForSameCommands(next, old)
 	for _, data := range notRun {
-		require.NotContains(t, old.machine.get(), data)
+		require.NotContains(t, old.machine.appliedCommands(), data)
 	}
 }
 
-func TestLateMessagesOfAPausedLeaderChangeNothing(t *testing.T) {
+func TestDelayedMessagesOfDeposedLeaderAreIgnored(t *testing.T) {
 	c := newCluster(t, idA, idB, idC)
 	old := c.leader("")
 	c.mu.Lock()
-	c.hold = old.ID()
-	c.cut[old.ID()] = true
+	c.recordFrom = old.ID()
+	c.isolated[old.ID()] = true
 	c.mu.Unlock()
 	ctx, cancel := context.WithTimeout(c.ctx(), 4*testTick)
 	defer cancel()
@@ -95,12 +95,12 @@
 	next := c.leader(old.ID())
 	c.mustPropose(next, "x")
 	c.mu.Lock()
-	c.hold = ""
-	late := c.held[old.ID()]
+	c.recordFrom = ""
+	delayed := c.recorded[old.ID()]
 	c.mu.Unlock()
-	require.True(t, slices.ContainsFunc(late, func(m consensus.Message) bool { return m.Type == consensus.MessageAppend && len(m.Entries) > 0 }))
+	require.True(t, slices.ContainsFunc(delayed, func(m consensus.Message) bool { return m.Type == consensus.MessageAppend && len(m.Entries) > 0 }))
 	term := next.Status().Term
-	for _, m := range late {
+	for _, m := range delayed {
 		if m.To != old.ID() {
 			c.members[m.To].Step(m)
 		}
@@ -108,118 +108,118 @@
 	c.mustPropose(next, "y")
 	require.Equal(t, term, next.Status().Term)
 	for _, m := range c.members {
-		require.NotContains(t, m.machine.get(), "late")
+		require.NotContains(t, m.machine.appliedCommands(), "late")
 	}
-	c.setCut(old.ID(), false)
-	c.agree(next, c.members[idA], c.members[idB], c.members[idC])
+	c.setIsolated(old.ID(), false)
+	c.waitForSameCommands(next, c.members[idA], c.members[idB], c.members[idC])
 }
 
-func TestFailedSyncEndsTheReplica(t *testing.T) {
+func TestFailedSyncStopsReplica(t *testing.T) {
 	c := newCluster(t, idA, idB, idC)
 	l := c.leader("")
-	l.storage.set(func(s *memStorage) { s.fail = true })
+	l.storage.update(func(s *memStorage) { s.failAppends = true })
 	_, err := l.Propose(c.ctx(), []byte("x"))
 	require.Error(t, err)
 	require.Equal(t, verdict.MayHaveRun, verdict.Of(err).Verdict)
 	<-l.Done()
 	require.ErrorIs(t, l.Err(), errDisk)
-	appends := l.storage.count()
+	appends := l.storage.appendCount()
 	_, err = l.Propose(c.ctx(), []byte("y"))
 	requireVerdict(t, err, verdict.NotRun, verdict.CodeLeaving)
 	_, err = l.Read(c.ctx())
 	requireVerdict(t, err, verdict.NotRun, verdict.CodeLeaving)
 	require.Equal(t, l.ID(), l.Status().ID)
 	c.mustPropose(c.leader(l.ID()), "z")
-	require.Equal(t, appends, l.storage.count())
-	l.storage.set(func(s *memStorage) { require.Equal(t, 1, s.failed, "a failed write is not tried again") })
+	require.Equal(t, appends, l.storage.appendCount())
+	l.storage.update(func(s *memStorage) { require.Equal(t, 1, s.failedAppends, "a failed write is not tried again") })
 }
 
-func TestSnapshotCatchesAReplicaUp(t *testing.T) {
+func TestSnapshotCatchesUpLaggingReplica(t *testing.T) {
 	for _, capture := range []bool{false, true} {
 		t.Run(fmt.Sprint("capture ", capture), func(t *testing.T) { testCatchUp(t, capture) })
 	}
 }
 
 func testCatchUp(t *testing.T, capture bool) {
-	c := newClusterOf(t, capture, idA, idB, idC)
+	c := newClusterWithCapture(t, capture, idA, idB, idC)
 	l := c.leader("")
 	f := c.follower(l)
-	c.setCut(f.ID(), true)
+	c.setIsolated(f.ID(), true)
 	for i := range 100 {
 		c.mustPropose(l, fmt.Sprint(i))
 	}
-	require.Eventually(t, func() bool { return l.Status().SnapshotIndex > 0 }, patience, glance)
-	c.setCut(f.ID(), false)
-	c.agree(l, f)
+	require.Eventually(t, func() bool { return l.Status().SnapshotIndex > 0 }, waitTimeout, pollInterval)
+	c.setIsolated(f.ID(), false)
+	c.waitForSameCommands(l, f)
 	require.NotZero(t, f.metrics.restores.Count())
 }
 
-func TestLostDiskIsReplaced(t *testing.T) {
+func TestVoterWithLostDiskIsReplaced(t *testing.T) {
 	c := newCluster(t, idA, idB, idC)
 	l := c.leader("")
 	for i := range 50 {
 		c.mustPropose(l, fmt.Sprint(i))
 	}
 	lost := c.follower(l)
-	c.setCut(lost.ID(), true)
+	c.setIsolated(lost.ID(), true)
 	ctx, cancel := context.WithTimeout(c.ctx(), 10*testTick)
 	defer cancel()
 	require.Error(t, l.ReplaceVoter(ctx, lost.ID(), "silent/1"))
-	require.True(t, l.Status().Membership.IsVoter(lost.ID()), "removed only once the new one has caught up")
+	require.True(t, l.Status().Membership.IsVoter(lost.ID()), "the old voter stays until its replacement has caught up")
 	require.NoError(t, l.RemoveMember(c.ctx(), "silent/1"))
-	fresh := c.open("new/2", &memStorage{})
-	require.NoError(t, l.ReplaceVoter(c.ctx(), lost.ID(), fresh.ID()))
-	require.NoError(t, l.ReplaceVoter(c.ctx(), lost.ID(), fresh.ID()), "a repeated call changes nothing")
+	replacement := c.open("new/2", &memStorage{})
+	require.NoError(t, l.ReplaceVoter(c.ctx(), lost.ID(), replacement.ID()))
+	require.NoError(t, l.ReplaceVoter(c.ctx(), lost.ID(), replacement.ID()), "a repeated call changes nothing")
 	m := l.Status().Membership
 	require.Len(t, m.Voters, 3)
 	require.Empty(t, m.Learners)
-	require.True(t, m.IsVoter(fresh.ID()))
+	require.True(t, m.IsVoter(replacement.ID()))
 	require.False(t, m.IsVoter(lost.ID()))
-	c.agree(l, fresh)
+	c.waitForSameCommands(l, replacement)
 	l.machine.mu.Lock()
-	require.Equal(t, m, l.machine.members, "the machine is told of the membership")
+	require.Equal(t, m, l.machine.membership, "the state machine is notified of the membership")
 	l.machine.mu.Unlock()
 	requireVerdict(t, l.ReplaceVoter(c.ctx(), l.ID(), "new/3"), verdict.NotRun, verdict.CodeBadRequest)
 }
 
-// holdWrites holds the writes of a replica until release is called.
-func (c *cluster) holdWrites(m *member) (release func()) {
+// blockAppends blocks the storage writes of a replica until release is called.
+func (c *cluster) blockAppends(m *member) (release func()) {
 	gate := make(chan struct{})
 	release = sync.OnceFunc(func() { close(gate) })
 	c.t.Cleanup(release)
-	m.storage.set(func(s *memStorage) { s.gate = gate })
+	m.storage.update(func(s *memStorage) { s.appendGate = gate })
 	return release
 }
 
-// proposeHeld proposes n commands while the leader's writes are held, and returns
-// when each of them is in the log or in the queue.
-func (c *cluster) proposeHeld(l *member, n int) (release func(), done *sync.WaitGroup) {
-	release, done = c.holdWrites(l), &sync.WaitGroup{}
+// proposeWhileBlocked proposes n commands while the leader's storage writes are blocked. It
+// returns once each of them is in the log or in the queue.
+func (c *cluster) proposeWhileBlocked(l *member, n int) (release func(), done *sync.WaitGroup) {
+	release, done = c.blockAppends(l), &sync.WaitGroup{}
 	for i := range n {
 		done.Go(func() { _, _ = l.Propose(c.ctx(), []byte(fmt.Sprint("p", i))) })
 	}
 	require.Eventually(c.t, func() bool {
 		taken := int(l.metrics.proposed.Count())
 		return taken > 0 && taken+len(l.proposals) >= n
-	}, patience, glance)
+	}, waitTimeout, pollInterval)
 	return release, done
 }
 
-func TestWaitingProposalsShareOneSync(t *testing.T) {
+func TestQueuedProposalsShareOneSync(t *testing.T) {
 	c := newCluster(t, idA)
 	l := c.leader("")
-	before := l.storage.count()
-	release, done := c.proposeHeld(l, 200)
+	before := l.storage.appendCount()
+	release, done := c.proposeWhileBlocked(l, 200)
 	release()
 	done.Wait()
-	require.Len(t, l.machine.get(), 200)
-	require.LessOrEqual(t, l.storage.count()-before, 3)
+	require.Len(t, l.machine.appliedCommands(), 200)
+	require.LessOrEqual(t, l.storage.appendCount()-before, 3)
 }
 
 func TestWithdrawnProposalNeverRuns(t *testing.T) {
 	c := newCluster(t, idA)
 	l := c.leader("")
-	release, done := c.proposeHeld(l, 1)
+	release, done := c.proposeWhileBlocked(l, 1)
 	ctx, cancel := context.WithTimeout(c.ctx(), testTick)
 	defer cancel()
 	_, err := l.Propose(ctx, []byte("withdrawn"))
@@ -227,27 +227,27 @@
 	release()
 	done.Wait()
 	c.mustPropose(l, "x")
-	require.Equal(t, []string{"p0", "x"}, l.machine.get())
+	require.Equal(t, []string{"p0", "x"}, l.machine.appliedCommands())
 }
 
-func TestTakenProposalMayHaveRun(t *testing.T) {
+func TestCancelledProposalInLogMayHaveRun(t *testing.T) {
 	c := newCluster(t, idA)
 	l := c.leader("")
-	release := c.holdWrites(l)
+	release := c.blockAppends(l)
 	ctx, cancel := context.WithCancel(c.ctx())
-	answer := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
 		_, err := l.Propose(ctx, []byte("x"))
-		answer <- err
+		result <- err
 	}()
-	require.Eventually(t, func() bool { return l.metrics.proposed.Count() > 0 }, patience, glance)
+	require.Eventually(t, func() bool { return l.metrics.proposed.Count() > 0 }, waitTimeout, pollInterval)
 	cancel()
-	requireVerdict(t, <-answer, verdict.MayHaveRun, verdict.CodeCancelled)
+	requireVerdict(t, <-result, verdict.MayHaveRun, verdict.CodeCancelled)
 	release()
-	require.Eventually(t, func() bool { return len(l.machine.get()) == 1 }, patience, glance)
+	require.Eventually(t, func() bool { return len(l.machine.appliedCommands()) == 1 }, waitTimeout, pollInterval)
 }
 
-func TestCloseHandsTheLeadershipOver(t *testing.T) {
+func TestCloseTransfersLeadership(t *testing.T) {
 	c := newCluster(t, idA, idB, idC)
 	l := c.leader("")
 	c.mustPropose(l, "x")
@@ -257,55 +257,56 @@
 	require.NoError(t, l.Err())
 	next := c.leader(l.ID())
 	require.Equal(t, term+1, next.Status().Term, "one election, by the transfer")
-	require.Equal(t, []string{"x"}, next.machine.get())
+	require.Equal(t, []string{"x"}, next.machine.appliedCommands())
 }
 
-// waitingAt returns a proposal of term 2 that waits at index 5.
-func waitingAt(r *Replica) *proposal {
+// addPendingProposal adds a pending proposal of term 2 at index 5 and returns it.
+func addPendingProposal(r *Replica) *proposal {
 	p := newProposal()
-	r.waiting[5] = append(r.waiting[5], &waiter{proposal: p, term: 2})
-	r.stale = true
+	r.pendingProposals[5] = append(r.pendingProposals[5], &pendingProposal{proposal: p, term: 2})
+	r.hasStaleProposals = true
 	return p
 }
 
-func TestCommittedEntriesDecideProposals(t *testing.T) {
+func TestCommittedEntriesResolveProposals(t *testing.T) {
 	core, err := consensus.New(consensus.Config{ID: idA, Rand: Options{}.withDefaults().Rand}, consensus.PersistedState{})
 	require.NoError(t, err)
 	r := newReplica(Options{ElectionTicks: 3}.withDefaults(), core)
-	r.publish()
+	r.publishStatus()
 
-	p := waitingAt(r)
-	r.resolve(consensus.Entry{Index: 4, Term: 2}, nil)
-	require.Empty(t, p.outcome, "an entry of the same term before it decides nothing")
-	r.resolve(consensus.Entry{Index: 5, Term: 2}, "v")
+	p := addPendingProposal(r)
+	r.resolveEntry(consensus.Entry{Index: 4, Term: 2}, nil)
+	require.Empty(t, p.outcome, "an earlier entry of the same term does not finish it")
+	r.resolveEntry(consensus.Entry{Index: 5, Term: 2}, "v")
 	require.Equal(t, outcome{result: Result{Index: 5, Term: 2, Value: "v"}}, <-p.outcome)
 
 	for _, e := range []consensus.Entry{{Index: 5, Term: 3}, {Index: 4, Term: 3}} {
-		p = waitingAt(r)
-		r.resolve(e, nil)
+		p = addPendingProposal(r)
+		r.resolveEntry(e, nil)
 		requireVerdict(t, (<-p.outcome).err, verdict.NotRun, verdict.CodeNoQuorum)
 	}
-	p = waitingAt(r)
+	p = addPendingProposal(r)
 	r.resolveSnapshot(consensus.SnapshotMeta{Index: 5, Term: 3})
 	requireVerdict(t, (<-p.outcome).err, verdict.MayHaveRun, verdict.CodeNoQuorum)
 
-	p = waitingAt(r)
+	p = addPendingProposal(r)
 	for range 3 {
-		r.ageStale()
+		r.expireStaleProposals()
 	}
 	require.Empty(t, p.outcome)
-	r.ageStale()
+	r.expireStaleProposals()
 	requireVerdict(t, (<-p.outcome).err, verdict.MayHaveRun, verdict.CodeNoQuorum)
-	require.Empty(t, r.waiting)
+	require.Empty(t, r.pendingProposals)
 }
 
-// A follower that waits to be as far as a read at the leader gets there without another
-// entry: the leader's own first entry, which changes nothing, counts.
-func TestFollowersReachTheIndexOfARead(t *testing.T) {
+// A follower that waits until it has applied the index of a read at the leader must get
+// there without a new proposal. The leader's first entry of its term has no data and must
+// count as applied.
+func TestFollowersReachReadIndexWithoutNewEntries(t *testing.T) {
 	c := newCluster(t, idA, idB, idC)
 	index, err := c.leader("").Read(c.ctx())
 	require.NoError(t, err)
 	for _, m := range c.members {
-		require.Eventually(t, func() bool { return m.AppliedIndex() >= index }, patience, glance)
+		require.Eventually(t, func() bool { return m.AppliedIndex() >= index }, waitTimeout, pollInterval)
 	}
 }
