--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -59,7 +59,7 @@
 		return errors.New("emulator: nobody comes")
 	case c.Hosts <= 0 || c.Groups <= 0 || c.Ranks <= 0:
 		return errors.New("emulator: there have to be hosts, groups and ranks")
-	case c.Engine.Slots <= 0 || c.Engine.Step <= 0 || c.Engine.Answer <= 0 || c.Engine.ReadRate <= 0:
+	case c.Engine.Slots <= 0 || c.Engine.StepTime <= 0 || c.Engine.Answer <= 0 || c.Engine.PrefillRate <= 0:
 		return errors.New("emulator: engines need slots, a step, an answer and a rate of reading")
 	case c.Target <= 0 || c.Patience < c.Target:
 		return errors.New("emulator: callers need a target, and a patience that is no shorter")
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -22,8 +22,8 @@
 	return Config{
 		Seed: seed, Length: 20 * time.Second, Hosts: 9, Groups: 2, Ranks: 8,
 		Engine: routetable.Engine{
-			Slots: 20, Step: 5 * time.Millisecond, PerRequest: 500 * time.Microsecond, Stride: 4, Prompt: 200, Answer: 128, ReadRate: 10_000,
-			Experts: routetable.Experts{Sets: 1, Count: 16, Slots: 4, Share: 0.5},
+			Slots: 20, StepTime: 5 * time.Millisecond, StepTimePerRequest: 500 * time.Microsecond, Stride: 4, Prompt: 200, Answer: 128, PrefillRate: 10_000,
+			Experts: routetable.Experts{Sets: 1, ExpertsPerSet: 16, Slots: 4, WorkShare: 0.5},
 		},
 		Rate:   func(time.Duration) float64 { return rate },
 		Target: 500 * time.Millisecond, Gap: 80 * time.Millisecond, Patience: 7500 * time.Millisecond,
@@ -76,7 +76,7 @@
 	t.Helper()
 	r := play(t, cfg)
 	require.Greater(t, float64(r.InAim), 0.75*capacity*cfg.Length.Seconds(), "%+v", r)
-	require.LessOrEqual(t, r.LongestHeld(0), schedule.LongestWait)
+	require.LessOrEqual(t, r.LongestHeld(0), schedule.MaxQueueWait)
 }
 
 // Nothing is sent into a broken group once that is heard, so that all callers are served by
@@ -97,7 +97,7 @@
 	asked := 2 * capacity / 3
 	require.Greater(t, float64(r.Returned), 0.8*asked, "%+v", r)
 	require.Less(t, float64(r.Refused), 0.1*asked, "%+v", r)
-	require.LessOrEqual(t, r.LongestHeld(0), schedule.LongestWait)
+	require.LessOrEqual(t, r.LongestHeld(0), schedule.MaxQueueWait)
 }
 
 // What can't be served is refused at once: in an outage that is much older than the longest
@@ -107,7 +107,7 @@
 	cfg.Outages = []Outage{{Group: 0, To: time.Minute}, {Group: 1, To: time.Minute}}
 	r := play(t, cfg)
 	require.Equal(t, r.Asked, r.Refused, "%+v", r)
-	require.LessOrEqual(t, r.LongestHeld(10*schedule.LongestWait), 100*time.Millisecond)
+	require.LessOrEqual(t, r.LongestHeld(10*schedule.MaxQueueWait), 100*time.Millisecond)
 }
 
 // Whatever the deployment and its outages, everybody has one answer, within the patience, and
--- a/internal/emulator/group.go
+++ b/internal/emulator/group.go
@@ -75,7 +75,7 @@
 
 // readTime is how long the prompt of a request takes to read.
 func (r *run) readTime() time.Duration {
-	return time.Duration(r.cfg.Engine.Prompt / r.cfg.Engine.ReadRate * float64(time.Second))
+	return time.Duration(r.cfg.Engine.Prompt / r.cfg.Engine.PrefillRate * float64(time.Second))
 }
 
 // passes draws how many passes an answer takes: from half of the mean to half more.
@@ -107,8 +107,8 @@
 // most work, and its experts for the skew.
 func (g *group) passTime() time.Duration {
 	e := g.run.cfg.Engine
-	step := float64(e.Step) + float64(g.most())*float64(e.PerRequest)
-	skew := 1 - e.Experts.Share + e.Experts.Share*g.run.cfg.Skew
+	step := float64(e.StepTime) + float64(g.most())*float64(e.StepTimePerRequest)
+	skew := 1 - e.Experts.WorkShare + e.Experts.WorkShare*g.run.cfg.Skew
 	return time.Duration(float64(max(e.Stride, 1)) * skew * step)
 }
 
--- a/internal/emulator/host.go
+++ b/internal/emulator/host.go
@@ -38,14 +38,14 @@
 	now := h.run.clock.now
 	d := h.scheduler.Admit(&schedule.Request{
 		Service: serviceName, Engine: &h.run.cfg.Engine, Gap: h.run.cfg.Gap, OnTimeUntil: c.onTimeUntil(), Tried: c.tried,
-		Left: c.deadline() - now, MayReturn: float64(c.deadline()-now) > mayReturnPart*float64(h.run.cfg.Patience),
+		TimeLeft: c.deadline() - now, CanRetry: float64(c.deadline()-now) > mayReturnPart*float64(h.run.cfg.Patience),
 	}, now)
 	if d.Waiter == nil {
 		c.decided(d)
 		return
 	}
 	h.waiting[d.Waiter] = c
-	h.run.clock.after(schedule.LongestWait, func() { h.giveUp(d.Waiter) })
+	h.run.clock.after(schedule.MaxQueueWait, func() { h.giveUp(d.Waiter) })
 }
 
 // giveUp ends the wait of a call that has waited too long.
@@ -55,12 +55,12 @@
 		return
 	}
 	delete(h.waiting, w)
-	c.decided(h.scheduler.GiveUp(w, h.run.clock.now))
+	c.decided(h.scheduler.Abandon(w, h.run.clock.now))
 }
 
 // end gives back the place of a call.
 func (h *host) end(t *schedule.Ticket, o schedule.Outcome) {
-	results, _ := h.scheduler.End(t, o, h.run.clock.now)
+	results, _ := h.scheduler.Release(t, o, h.run.clock.now)
 	h.deliver(results)
 }
 
@@ -102,7 +102,7 @@
 	c.tries++
 	c.asked, c.tried = c.run.clock.now, nil
 	c.host = c.run.hosts[c.run.rng.IntN(len(c.run.hosts))]
-	c.host.scheduler.Arrive(serviceName, c.asked)
+	c.host.scheduler.CountRequest(serviceName, c.asked)
 	c.host.admit(c)
 }
 
@@ -125,13 +125,13 @@
 // turnedAway goes on where an engine did not take the call: at another one, as far as the
 // budget goes.
 func (c *call) turnedAway() {
-	c.host.end(c.ticket, schedule.Bad)
+	c.host.end(c.ticket, schedule.Failure)
 	now := c.run.clock.now
-	if c.host.scheduler.MayRepeat(serviceName, now) {
+	if c.host.scheduler.TakeRetry(serviceName, now) {
 		c.host.admit(c)
 		return
 	}
-	c.refused(schedule.ReturnAfter(c.deadline() - now))
+	c.refused(schedule.MaxRetryAfter(c.deadline() - now))
 }
 
 // refused tells the caller that its request did not run. It comes back once, when it was told
@@ -139,7 +139,7 @@
 func (c *call) refused(retryAfter time.Duration) {
 	now := c.run.clock.now
 	c.run.report.refused(c.asked, now-c.asked)
-	wait := min(retryAfter, schedule.ReturnAfter(c.deadline()-now))
+	wait := min(retryAfter, schedule.MaxRetryAfter(c.deadline()-now))
 	if c.tries > 1 {
 		c.leave(&c.run.report.Refused)
 		return
@@ -153,10 +153,10 @@
 	now := c.run.clock.now
 	isLate := now > c.began+c.run.cfg.Target
 	if c.events > 0 {
-		c.host.scheduler.Pause(c.ticket, now-c.last, now)
+		c.host.scheduler.RecordEventGap(c.ticket, now-c.last, now)
 		isLate = c.run.cfg.Gap > 0 && now-c.last > c.run.cfg.Gap
 	} else {
-		c.host.scheduler.First(c.ticket, now)
+		c.host.scheduler.RecordFirstEvent(c.ticket, now)
 	}
 	if isLate {
 		c.late++
@@ -166,7 +166,7 @@
 	if !isLast {
 		return
 	}
-	c.host.end(c.ticket, schedule.Good)
+	c.host.end(c.ticket, schedule.Success)
 	if c.late > 0 {
 		c.leave(&c.run.report.Late)
 		return
@@ -181,7 +181,7 @@
 		c.turnedAway()
 		return
 	}
-	c.host.end(c.ticket, schedule.Bad)
+	c.host.end(c.ticket, schedule.Failure)
 	c.leave(&c.run.report.Cut)
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -68,7 +68,7 @@
 	request := &dispatch.Request{
 		Method: c.r.Method, URI: c.r.RequestURI, Host: c.r.Host, Header: c.header(resume), Body: c.body,
 	}
-	c.log("request sent", "fingerprint", c.fingerprint.String(), "upstream", u.ID, "send", c.sends, "resume", resume, "taken", hold.Taken,
+	c.log("request sent", "fingerprint", c.fingerprint.String(), "upstream", u.ID, "send", c.sends, "resume", resume, "taken", hold.EstimatedLoad,
 		"load_age_ms", hold.LoadAge.Milliseconds(), "waited_ms", time.Since(c.began).Milliseconds(),
 		"left_ms", time.Until(c.deadline).Milliseconds())
 	// The caller has been without an event since then.
@@ -97,7 +97,7 @@
 func (c *call) exchange(
 	ctx context.Context, hold *ticket, since time.Time, t dispatch.Target, r *dispatch.Request,
 ) (*dispatch.Answer, error) {
-	if c.service.Engine == nil || !c.route.MayRepeat() {
+	if c.service.Engine == nil || !c.route.AllowsRetry() {
 		return c.g.cfg.Client.Send(ctx, t, r)
 	}
 	ctx, end := context.WithCancelCause(ctx)
@@ -140,13 +140,13 @@
 
 // mayGoOn reports whether one more attempt is allowed after c.last.
 func (c *call) mayGoOn(ctx context.Context) bool {
-	if ctx.Err() != nil || c.isGivenUp || c.sends == 0 || c.sends-c.misdirected >= c.route.Attempts {
+	if ctx.Err() != nil || c.isGivenUp || c.sends == 0 || c.sends-c.misdirected >= c.route.AttemptLimit {
 		return false
 	}
 	if time.Until(c.deadline) < leastLeft {
 		return false
 	}
-	if c.mayHaveRun() && (!c.route.MayRepeat() || c.standing == quarantine.Suspect) {
+	if c.mayHaveRun() && (!c.route.AllowsRetry() || c.standing == quarantine.Suspect) {
 		return false
 	}
 	if !c.g.mayRepeat(c.service.Name) {
@@ -204,7 +204,7 @@
 // wantsAnother reports whether a failure of an upstream is worth a second try: the
 // request may be repeated, and there is room for it.
 func (c *call) wantsAnother(ctx context.Context, status int) bool {
-	if !c.route.MayRepeat() || c.sends >= c.route.Attempts || ctx.Err() != nil {
+	if !c.route.AllowsRetry() || c.sends >= c.route.AttemptLimit || ctx.Err() != nil {
 		return false
 	}
 	return status == http.StatusInternalServerError || status == http.StatusBadGateway
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -43,6 +43,6 @@
 	c.isGivenUp = true
 	if c.service.Engine != nil {
 		// Its group is out until it is back.
-		c.last = e.After(schedule.ReturnAfter(time.Until(c.deadline)))
+		c.last = e.After(schedule.MaxRetryAfter(time.Until(c.deadline)))
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -90,7 +90,7 @@
 		view: registry.NewView(),
 		scheduler: schedule.New(schedule.Config{
 			DataCentre: cfg.DataCentre, Budget: cfg.Budget, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-			Starting: startWait,
+			StartupUntil: startWait,
 		}),
 		published: make(chan struct{}), waiting: map[*schedule.Waiter]chan schedule.Decision{}, taken: map[*schedule.Ticket]context.CancelCauseFunc{},
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -80,8 +80,8 @@
 	route := func(name string, kind routetable.Kind, attempts int) routetable.Route {
 		return routetable.Route{
 			Name: name, HostName: "127.0.0.1", Prefix: "/" + name + "/", Kind: kind, Timeout: 20 * time.Second,
-			Target: time.Second, Gap: l.gap, Priority: usualPriority, Attempts: attempts, IsResumable: kind == routetable.Stream,
-			Shares: []routetable.Share{{Service: "s", Weight: 1}},
+			TargetLatency: time.Second, Gap: l.gap, Priority: usualPriority, AttemptLimit: attempts, IsResumable: kind == routetable.Stream,
+			ServiceWeights: []routetable.ServiceWeight{{Service: "s", Weight: 1}},
 		}
 	}
 	t := &routetable.Table{
@@ -286,7 +286,7 @@
 	require.Error(t, err)
 }
 
-var engine = &routetable.Engine{Slots: 2, Stride: 1, Step: time.Millisecond}
+var engine = &routetable.Engine{Slots: 2, Stride: 1, StepTime: time.Millisecond}
 
 func (l *lab) load(id string, total int, isOpen bool) {
 	l.tell(id, wire.EngineLoad{IsOpen: isOpen, Running: total})
@@ -303,15 +303,15 @@
 	l := newLab(t)
 	l.gap = 110 * time.Millisecond
 	l.table(&routetable.Engine{
-		Slots: 10, Stride: 5, Step: 5 * time.Millisecond, PerRequest: time.Millisecond,
-		Experts: routetable.Experts{Sets: 1, Count: 8, Slots: 2, Share: 0.85},
+		Slots: 10, Stride: 5, StepTime: 5 * time.Millisecond, StepTimePerRequest: time.Millisecond,
+		Experts: routetable.Experts{Sets: 1, ExpertsPerSet: 8, Slots: 2, WorkShare: 0.85},
 	})
 	l.upstream("u1", events(0))
 	places := func() float64 {
 		l.tell("u1", wire.EngineLoad{IsOpen: true, Group: "g", Epoch: 1})
 		l.gateway.mu.Lock()
 		defer l.gateway.mu.Unlock()
-		return l.gateway.scheduler.State("s", l.gateway.now()).Places
+		return l.gateway.scheduler.State("s", l.gateway.now()).Capacity
 	}
 	l.tell("u1", wire.EngineLoad{IsOpen: true, Group: "g", Epoch: 1})
 	resp, _ := l.ask("/stream/", nil)
@@ -360,7 +360,7 @@
 	after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	require.NoError(t, err)
 	require.Greater(t, after, 1.0)
-	require.Less(t, time.Since(began), schedule.LongestWait)
+	require.Less(t, time.Since(began), schedule.MaxQueueWait)
 }
 
 // A workspace's own priority goes before that of the route.
@@ -368,7 +368,7 @@
 	l := newLab(t)
 	route := routetable.Route{
 		Name: "stream", HostName: "127.0.0.1", Prefix: "/stream/", Kind: routetable.Stream, Timeout: 20 * time.Second,
-		Target: 20 * time.Second, Attempts: 1, Priority: 100, Shares: []routetable.Share{{Service: "s", Weight: 1}},
+		TargetLatency: 20 * time.Second, AttemptLimit: 1, Priority: 100, ServiceWeights: []routetable.ServiceWeight{{Service: "s", Weight: 1}},
 	}
 	tb := &routetable.Table{
 		Number: 1, Routes: []routetable.Route{route}, Services: []routetable.Service{{Name: "s", Engine: engine}},
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -88,7 +88,7 @@
 	}
 	c.priority = c.route.Priority
 	if c.table.NeedsKey(c.route) {
-		w := c.table.Workspace(c.r.Header.Get(g.cfg.Dialect.Key))
+		w := c.table.WorkspaceByKey(c.r.Header.Get(g.cfg.Dialect.Key))
 		if w == nil {
 			return verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "unknown key")
 		}
@@ -109,7 +109,7 @@
 		wait = min(wait, stated-answerMargin)
 	}
 	c.deadline = c.began.Add(wait)
-	name := c.route.Pick(draw())
+	name := c.route.PickService(draw())
 	c.service = c.table.Service(name)
 	g.request(name)
 	return nil
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -35,7 +35,7 @@
 	g := c.g
 	request := &schedule.Request{
 		Service: c.service.Name, Engine: e, Gap: c.route.Gap, OnTimeUntil: g.at(c.onTimeUntil()),
-		Priority: c.priority, Tried: c.tried, Left: time.Until(c.deadline), MayReturn: c.mayReturn(), IsResumed: isResumed,
+		Priority: c.priority, Tried: c.tried, TimeLeft: time.Until(c.deadline), CanRetry: c.mayReturn(), IsResumed: isResumed,
 	}
 	g.mu.Lock()
 	d := g.scheduler.Admit(request, g.now())
@@ -61,7 +61,7 @@
 	if c.hasReturned() {
 		return c.began
 	}
-	return c.began.Add(c.route.Target)
+	return c.began.Add(c.route.TargetLatency)
 }
 
 // hasReturned reports whether the caller has spent so much of its time already that it
@@ -84,7 +84,7 @@
 	c.g.counts.queued.Inc(1)
 	began := time.Now()
 	defer c.g.counts.queue.AddSince(began)
-	timer := time.NewTimer(schedule.LongestWait)
+	timer := time.NewTimer(schedule.MaxQueueWait)
 	defer timer.Stop()
 	select {
 	case d := <-decided:
@@ -101,7 +101,7 @@
 	default:
 	}
 	delete(c.g.waiting, w)
-	return c.g.scheduler.GiveUp(w, c.g.now())
+	return c.g.scheduler.Abandon(w, c.g.now())
 }
 
 // logRefusal says by what a request got no place.
@@ -110,8 +110,8 @@
 	c.g.mu.Lock()
 	s, hosts := c.g.scheduler.State(c.service.Name, c.g.now()), c.g.scheduler.Hosts()
 	c.g.mu.Unlock()
-	c.warn("no place", "reason", why.Name(), "upstreams", s.Upstreams, "loads_heard", s.Heard, "serving", s.Serving,
-		"groups", s.Groups, "groups_closed", s.Closed, "load_age_ms", s.OldestLoad.Milliseconds(), "places", s.Places,
-		"taken", s.Taken, "late", s.Late, "need", s.Need, "waiting", s.Waiting, "hosts", hosts,
+	c.warn("no place", "reason", why.Name(), "upstreams", s.Upstreams, "loads_heard", s.Reporting, "serving", s.Serving,
+		"groups", s.Groups, "groups_closed", s.ClosedGroups, "load_age_ms", s.OldestReport.Milliseconds(), "places", s.Capacity,
+		"taken", s.EstimatedLoad, "late", s.LateAttempts, "need", s.OnTimeDemand, "waiting", s.Waiting, "hosts", hosts,
 		"waited_ms", time.Since(c.began).Milliseconds())
 }
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -30,7 +30,7 @@
 // age makes all attempts that wait for an answer older by the patience with a group that
 // stands still, and returns how many there are.
 func (l *lab) age() int {
-	l.later.Add(int64(schedule.StalledPatience))
+	l.later.Add(int64(schedule.StalledAttemptTimeout))
 	l.gateway.mu.Lock()
 	defer l.gateway.mu.Unlock()
 	return len(l.gateway.taken)
@@ -95,7 +95,7 @@
 		l.gateway.mu.Lock()
 		defer l.gateway.mu.Unlock()
 		left := 0
-		for l.gateway.scheduler.MayRepeat("s", l.gateway.now()) {
+		for l.gateway.scheduler.TakeRetry("s", l.gateway.now()) {
 			left++
 		}
 		return left
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -24,7 +24,7 @@
 func (g *Gateway) choose(ctx context.Context, name string, tried []string) (registry.Upstream, *ticket, bool) {
 	for {
 		g.mu.Lock()
-		u, t, ok := g.scheduler.Choose(name, tried, g.now())
+		u, t, ok := g.scheduler.ReserveLeastLoaded(name, tried, g.now())
 		published := g.published
 		g.mu.Unlock()
 		if ok {
@@ -64,7 +64,7 @@
 )
 
 // judgements are what outcomes say of an upstream's work.
-var judgements = map[outcome]schedule.Outcome{outcomeGood: schedule.Good, outcomeBad: schedule.Bad}
+var judgements = map[outcome]schedule.Outcome{outcomeGood: schedule.Success, outcomeBad: schedule.Failure}
 
 // end gives the hold back.
 func (t *ticket) end(o outcome) {
@@ -75,7 +75,7 @@
 		t.cancel(nil)
 	}
 	delete(g.taken, t.Ticket)
-	results, isSuspected := g.scheduler.End(t.Ticket, judgements[o], g.now())
+	results, isSuspected := g.scheduler.Release(t.Ticket, judgements[o], g.now())
 	g.deliver(results)
 	if isSuspected {
 		g.cfg.Log.Info("upstream suspected", "upstream", t.ID())
@@ -97,14 +97,14 @@
 func (g *Gateway) request(name string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.scheduler.Arrive(name, g.now())
+	g.scheduler.CountRequest(name, g.now())
 }
 
 // mayRepeat takes one repeat from the service's budget.
 func (g *Gateway) mayRepeat(name string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.scheduler.MayRepeat(name, g.now())
+	return g.scheduler.TakeRetry(name, g.now())
 }
 
 // SetHosts tells how many hosts share the budgets.
@@ -122,7 +122,7 @@
 	g.deliver(results)
 	for _, s := range stalled {
 		if end := g.taken[s.Ticket]; end != nil {
-			end(&stalledError{hasOther: s.HasOther, retryAfter: s.RetryAfter})
+			end(&stalledError{hasOther: s.HasOtherGroup, retryAfter: s.RetryAfter})
 		}
 	}
 }
@@ -139,24 +139,24 @@
 func (t *ticket) begun() {
 	t.g.mu.Lock()
 	defer t.g.mu.Unlock()
-	t.g.scheduler.First(t.Ticket, t.g.now())
+	t.g.scheduler.RecordFirstEvent(t.Ticket, t.g.now())
 }
 
 // paused tells how long the answer paused between two events.
 func (t *ticket) paused(took time.Duration) {
 	t.g.mu.Lock()
 	defer t.g.mu.Unlock()
-	t.g.scheduler.Pause(t.Ticket, took, t.g.now())
+	t.g.scheduler.RecordEventGap(t.Ticket, took, t.g.now())
 }
 
 // connections returns this host's part of the bound on connections to an upstream.
 func (g *Gateway) connections(s *routetable.Service) int {
-	if s == nil || s.Connections == 0 {
+	if s == nil || s.MaxConnections == 0 {
 		return 0
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return max(s.Connections/g.scheduler.Hosts(), 1)
+	return max(s.MaxConnections/g.scheduler.Hosts(), 1)
 }
 
 // listen lets an attempt be ended while its group does not serve. The caller calls stop
@@ -165,11 +165,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.taken[t.Ticket] = end
-	g.scheduler.Listen(t.Ticket, since)
+	g.scheduler.AwaitHeader(t.Ticket, since)
 	return func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		delete(g.taken, t.Ticket)
-		g.scheduler.Heard(t.Ticket)
+		g.scheduler.HeaderReceived(t.Ticket)
 	}
 }
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -154,8 +154,8 @@
 	}
 	x := s.Engine.Experts
 	return &wire.GroupShape{
-		Ranks: uint32(r.Size), Experts: uint32(x.Count), Layers: uint32(x.Sets), SlotsPerRank: uint32(x.Slots),
-		Spare: uint32(x.Spare), CopyUS: uint32(x.Copy.Microseconds()),
+		Ranks: uint32(r.Size), Experts: uint32(x.ExpertsPerSet), Layers: uint32(x.Sets), SlotsPerRank: uint32(x.Slots),
+		Spare: uint32(x.Spare), CopyUS: uint32(x.CopyTime.Microseconds()),
 	}
 }
 
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -32,8 +32,8 @@
 	requests, repeats window
 }
 
-// Request counts a caller's request.
-func (b *Budget) Request(p Params, now time.Duration) { b.requests.add(p.Window, now) }
+// AddRequest counts a caller's request.
+func (b *Budget) AddRequest(p Params, now time.Duration) { b.requests.add(p.Window, now) }
 
 // Take reports whether one more repeat is allowed, and counts it. Hosts is among how many
 // hosts the extra is divided.
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -36,7 +36,7 @@
 		for range rapid.IntRange(50, 400).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond
 			b := &budgets[rapid.IntRange(0, hosts-1).Draw(t, "host")]
-			b.Request(params, now)
+			b.AddRequest(params, now)
 			events = append(events, event{at: now})
 			for rapid.Bool().Draw(t, "again") && b.Take(params, hosts, now) {
 				events = append(events, event{now, true})
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -38,54 +38,54 @@
 	Kind     Kind
 	// Timeout is the longest that a request is kept waiting; positive.
 	Timeout time.Duration
-	// Target is the time within which an answer, or the first event, is on time.
-	Target time.Duration
+	// TargetLatency is the time within which an answer, or the first event, is on time.
+	TargetLatency time.Duration
 	// Gap is the longest pause between events of a stream that is on time; zero if none
 	// is declared.
 	Gap time.Duration
 	// Priority is the rank of the requests, 0 the most urgent.
 	Priority int
-	// Attempts is to how many upstreams one request may be sent; at least 1.
-	Attempts int
+	// AttemptLimit is to how many upstreams one request may be sent; at least 1.
+	AttemptLimit int
 	// IsPublic frees the requests from naming a workspace.
 	IsPublic bool
 	// IsResumable lets a stream go on at another upstream after its last whole event.
 	IsResumable bool
-	// Shares split the requests over services; the weights add up to more than 0.
-	Shares []Share
+	// ServiceWeights split the requests over services; the weights add up to more than 0.
+	ServiceWeights []ServiceWeight
 }
 
-// Share is a service's part of a route.
-type Share struct {
+// ServiceWeight is a service's part of a route.
+type ServiceWeight struct {
 	Service string
 	Weight  float64
 }
 
-// MayRepeat reports whether a request of the route may run more than once.
-func (r *Route) MayRepeat() bool { return r.Kind == Safe || r.Kind == Stream && r.IsResumable }
+// AllowsRetry reports whether a request of the route may run more than once.
+func (r *Route) AllowsRetry() bool { return r.Kind == Safe || r.Kind == Stream && r.IsResumable }
 
-// Pick returns the service for a request; draw is uniform in [0, 1).
-func (r *Route) Pick(draw float64) string {
+// PickService returns the service for a request; draw is uniform in [0, 1).
+func (r *Route) PickService(draw float64) string {
 	total := 0.0
-	for _, s := range r.Shares {
+	for _, s := range r.ServiceWeights {
 		total += s.Weight
 	}
 	at := draw * total
-	for _, s := range r.Shares {
+	for _, s := range r.ServiceWeights {
 		at -= s.Weight
 		if at < 0 && s.Weight > 0 {
 			return s.Service
 		}
 	}
-	return r.Shares[len(r.Shares)-1].Service
+	return r.ServiceWeights[len(r.ServiceWeights)-1].Service
 }
 
 // Service is a set of upstreams that serve the same.
 type Service struct {
 	Name string
-	// Connections bounds the connections to one upstream from all hosts together; 0
+	// MaxConnections bounds the connections to one upstream from all hosts together; 0
 	// is no bound.
-	Connections int
+	MaxConnections int
 	// Engine describes model engines; nil for plain services.
 	Engine *Engine
 }
@@ -94,30 +94,30 @@
 type Engine struct {
 	// Slots is how many requests a rank works on at once.
 	Slots int
-	// Step is the least time of a token step; PerRequest is added for each request
+	// StepTime is the least time of a token step; PerRequest is added for each request
 	// that writes, PerContext for each 1,000 tokens of its context.
-	Step, PerRequest, PerContext time.Duration
-	// ReadRate is the prompt tokens read a second; Chunk the most of them in one step.
-	ReadRate float64
-	Chunk    int
+	StepTime, StepTimePerRequest, StepTimePerKToken time.Duration
+	// PrefillRate is the prompt tokens read a second; Chunk the most of them in one step.
+	PrefillRate float64
+	Chunk       int
 	// Stride is how many token steps a pass has.
 	Stride int
 	// Prompt and Answer are the mean tokens of a request.
 	Prompt, Answer float64
-	// KVTokens is a rank's memory in tokens.
-	KVTokens int
-	Experts  Experts
+	// KVCacheTokens is a rank's memory in tokens.
+	KVCacheTokens int
+	Experts       Experts
 }
 
 // Experts is the shape of the groups of ranks; Sets is 0 where there are none.
 type Experts struct {
 	// Sets of layers have an expert map each, of Count experts on ranks with Slots
 	// places a set. At most Spare of a set may be new to a rank in one change.
-	Sets, Count, Slots, Spare int
-	// Share is the part of a step's work that the experts do, in [0, 1].
-	Share float64
-	// Copy is how long a rank takes to copy an expert that is new to it; 0 if not known.
-	Copy time.Duration
+	Sets, ExpertsPerSet, Slots, Spare int
+	// WorkShare is the part of a step's work that the experts do, in [0, 1].
+	WorkShare float64
+	// CopyTime is how long a rank takes to copy an expert that is new to it; 0 if not known.
+	CopyTime time.Duration
 }
 
 // Workspace is a customer with its keys.
@@ -131,8 +131,8 @@
 
 // Limits bound what a caller may send. Zero is no bound.
 type Limits struct {
-	HeaderBytes, BodyBytes int64
-	HeaderTimeout, Idle    time.Duration
+	HeaderBytes, BodyBytes     int64
+	HeaderTimeout, IdleTimeout time.Duration
 }
 
 // Table is one configuration.
@@ -208,7 +208,7 @@
 		return errors.New("needs a timeout")
 	}
 	total := 0.0
-	for _, s := range r.Shares {
+	for _, s := range r.ServiceWeights {
 		if t.service[s.Service] == nil {
 			return errors.Errorf("names the unknown service %q", s.Service)
 		}
@@ -220,7 +220,7 @@
 	if total <= 0 {
 		return errors.New("has weights that add up to 0")
 	}
-	r.Attempts = max(r.Attempts, 1)
+	r.AttemptLimit = max(r.AttemptLimit, 1)
 	return nil
 }
 
@@ -254,8 +254,8 @@
 // Service returns the service of that name, or nil.
 func (t *Table) Service(name string) *Service { return t.service[name] }
 
-// Workspace returns who holds the key, or nil.
-func (t *Table) Workspace(key string) *Workspace { return t.byKey[key] }
+// WorkspaceByKey returns who holds the key, or nil.
+func (t *Table) WorkspaceByKey(key string) *Workspace { return t.byKey[key] }
 
 // NeedsKey reports whether requests of the route have to name a workspace.
 func (t *Table) NeedsKey(r *Route) bool { return len(t.Workspaces) > 0 && !r.IsPublic }
@@ -266,7 +266,7 @@
 	longest := time.Duration(0)
 	for i := range t.Routes {
 		r := &t.Routes[i]
-		if slices.ContainsFunc(r.Shares, func(s Share) bool { return s.Service == service }) {
+		if slices.ContainsFunc(r.ServiceWeights, func(s ServiceWeight) bool { return s.Service == service }) {
 			longest = max(longest, r.Gap)
 		}
 	}
--- a/internal/routetable/table_test.go
+++ b/internal/routetable/table_test.go
@@ -7,17 +7,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-func route(name, host, prefix string, shares ...Share) Route {
-	return Route{Name: name, HostName: host, Prefix: prefix, Timeout: time.Second, Shares: shares}
+func route(name, host, prefix string, shares ...ServiceWeight) Route {
+	return Route{Name: name, HostName: host, Prefix: prefix, Timeout: time.Second, ServiceWeights: shares}
 }
 
 func table(change func(*Table)) *Table {
 	t := &Table{
 		Number: 1,
 		Routes: []Route{
-			route("wide", "a.example", "/", Share{"s", 1}),
-			route("narrow", "A.example", "/x/", Share{"s", 1}),
-			route("narrower", "a.example", "/x/y/", Share{"s", 90}, Share{"t", 10}),
+			route("wide", "a.example", "/", ServiceWeight{"s", 1}),
+			route("narrow", "A.example", "/x/", ServiceWeight{"s", 1}),
+			route("narrower", "a.example", "/x/y/", ServiceWeight{"s", 90}, ServiceWeight{"t", 10}),
 		},
 		Services:   []Service{{Name: "s"}, {Name: "t"}},
 		Workspaces: []Workspace{{Name: "w", Keys: []string{"k1", "k2"}}, {Name: "v", Keys: []string{"k3"}}},
@@ -48,9 +48,9 @@
 func TestBuildRefusesWhatIsInvalid(t *testing.T) {
 	for name, change := range map[string]func(*Table){
 		"no number":       func(t *Table) { t.Number = 0 },
-		"unknown service": func(t *Table) { t.Routes[0].Shares[0].Service = "u" },
+		"unknown service": func(t *Table) { t.Routes[0].ServiceWeights[0].Service = "u" },
 		"same place":      func(t *Table) { t.Routes[1].Prefix = "/" },
-		"no weight":       func(t *Table) { t.Routes[0].Shares[0].Weight = 0 },
+		"no weight":       func(t *Table) { t.Routes[0].ServiceWeights[0].Weight = 0 },
 		"no timeout":      func(t *Table) { t.Routes[0].Timeout = 0 },
 		"shared key":      func(t *Table) { t.Workspaces[1].Keys = []string{"k2"} },
 		"open prefix":     func(t *Table) { t.Routes[0].Prefix = "/x" },
@@ -65,7 +65,7 @@
 	r := tb.Match("a.example", "/x/y/")
 	counts := map[string]int{}
 	for i := range 1000 {
-		counts[r.Pick(float64(i)/1000)]++
+		counts[r.PickService(float64(i)/1000)]++
 	}
 	require.Equal(t, map[string]int{"s": 900, "t": 100}, counts)
 }
@@ -73,14 +73,14 @@
 func TestKeysAndRepeats(t *testing.T) {
 	tb := table(nil)
 	require.NoError(t, tb.Build())
-	require.Equal(t, "w", tb.Workspace("k2").Name)
-	require.Nil(t, tb.Workspace("k9"))
+	require.Equal(t, "w", tb.WorkspaceByKey("k2").Name)
+	require.Nil(t, tb.WorkspaceByKey("k9"))
 	require.True(t, tb.NeedsKey(&tb.Routes[0]))
 	require.False(t, tb.NeedsKey(&Route{IsPublic: true}))
-	require.False(t, (&Route{Kind: Unsafe}).MayRepeat())
-	require.False(t, (&Route{Kind: Stream}).MayRepeat())
-	require.True(t, (&Route{Kind: Stream, IsResumable: true}).MayRepeat())
-	require.True(t, (&Route{Kind: Safe}).MayRepeat())
+	require.False(t, (&Route{Kind: Unsafe}).AllowsRetry())
+	require.False(t, (&Route{Kind: Stream}).AllowsRetry())
+	require.True(t, (&Route{Kind: Stream, IsResumable: true}).AllowsRetry())
+	require.True(t, (&Route{Kind: Safe}).AllowsRetry())
 }
 
 func TestLongestGapIsThatOfTheServicesOwnRoutes(t *testing.T) {
@@ -88,7 +88,7 @@
 		t.Routes[0].Gap = 100 * time.Millisecond
 		t.Routes[1].Gap = 50 * time.Millisecond
 		t.Routes[2].Gap = 120 * time.Millisecond
-		t.Routes[2].Shares = []Share{{"t", 1}}
+		t.Routes[2].ServiceWeights = []ServiceWeight{{"t", 1}}
 	})
 	require.NoError(t, tb.Build())
 	require.Equal(t, 100*time.Millisecond, tb.LongestGap("s"))
--- a/internal/schedule/admit.go
+++ b/internal/schedule/admit.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// LongestWait is how long a request waits for a place at most. Callers leave a stream
+	// MaxQueueWait is how long a request waits for a place at most. Callers leave a stream
 	// that is silent for two seconds.
-	LongestWait = 1400 * time.Millisecond
+	MaxQueueWait = 1400 * time.Millisecond
 	// honouredPart is the part of the time that a caller has left within which it comes back,
 	// whatever it is told.
 	honouredPart = 1.0 / 3
@@ -38,10 +38,10 @@
 	Priority int
 	// Tried are the upstreams that had an attempt of it.
 	Tried []string
-	// Left is the time that its caller has left, 0 if that is not known.
-	Left time.Duration
-	// MayReturn tells that its caller has time to come back.
-	MayReturn bool
+	// TimeLeft is the time that its caller has left, 0 if that is not known.
+	TimeLeft time.Duration
+	// CanRetry tells that its caller has time to come back.
+	CanRetry bool
 	// IsResumed tells that its caller has a part of the answer.
 	IsResumed bool
 }
@@ -77,7 +77,7 @@
 	// Outage: no group of the service serves.
 	Outage Reason = iota + 1
 	// Full: no place becomes free in time.
-	Full
+	NoCapacity
 )
 
 // String is the text for callers and logs.
@@ -115,13 +115,13 @@
 		sv.demand.fresh.add(now)
 	}
 	if sv.isOut(now) || s.isUnheard(sv, now) {
-		if (r.MayReturn || len(sv.all) == 0 || sv.isOutForLong(now)) && now >= s.cfg.Starting && !sv.isPausing(now) {
+		if (r.CanRetry || len(sv.all) == 0 || sv.isOutForLong(now)) && now >= s.cfg.StartupUntil && !sv.isPausing(now) {
 			return s.refuse(Outage, w, now)
 		}
 	} else if t, ok := s.admitNow(sv, w, now); ok {
 		return Decision{Upstream: t.up.Upstream, Ticket: t}
 	} else if s.isHopeless(sv, w, now) {
-		return s.refuse(Full, w, now)
+		return s.refuse(NoCapacity, w, now)
 	}
 	sv.waiters = append(sv.waiters, w)
 	return Decision{Waiter: w}
@@ -133,10 +133,10 @@
 func (sv *service) waiter(r *Request, now time.Duration) *Waiter {
 	w := &Waiter{
 		service: sv, tried: r.Tried, turn: now + priorityStep*time.Duration(r.Priority),
-		onTime: r.OnTimeUntil - sv.firstEvent(), until: now + LongestWait, mayReturn: r.MayReturn,
+		onTime: r.OnTimeUntil - sv.firstEvent(), until: now + MaxQueueWait, mayReturn: r.CanRetry,
 	}
-	if r.Left > 0 {
-		w.deadline = now + r.Left
+	if r.TimeLeft > 0 {
+		w.deadline = now + r.TimeLeft
 	}
 	if r.IsResumed {
 		w.onTime = w.until
@@ -148,7 +148,7 @@
 // late, and the figures of the engines before there is any.
 func (sv *service) firstEvent() time.Duration {
 	if sv.demand.first == 0 {
-		return FirstEvent(sv.shape, sv.places)
+		return TimeToFirstEvent(sv.shape, sv.places)
 	}
 	return sv.demand.first + sv.demand.firstSpread
 }
@@ -156,7 +156,7 @@
 // isUnheard reports whether the host has just started and nothing is heard yet of groups
 // that may have broken with it: what was known of their ranks before says nothing then.
 func (s *Scheduler) isUnheard(sv *service, now time.Duration) bool {
-	return now < s.cfg.Starting && sv.hasGroups() && !sv.isHeard(now)
+	return now < s.cfg.StartupUntil && sv.hasGroups() && !sv.isHeard(now)
 }
 
 // admitNow gives a place to a request that has just come, unless others wait that go
@@ -193,12 +193,12 @@
 	if w != nil && w.deadline > 0 {
 		left = max(w.deadline-now, 0)
 	}
-	return ReturnAfter(left)
+	return MaxRetryAfter(left)
 }
 
-// ReturnAfter is what a caller with that much time left is told where its group has just
+// MaxRetryAfter is what a caller with that much time left is told where its group has just
 // broken: the longest time after which it comes back.
-func ReturnAfter(left time.Duration) time.Duration {
+func MaxRetryAfter(left time.Duration) time.Duration {
 	return time.Duration(honouredPart * float64(left))
 }
 
--- a/internal/schedule/goodput.go
+++ b/internal/schedule/goodput.go
@@ -24,8 +24,8 @@
 // worst that is expected of popularity, are returned where nothing else is known, and while
 // no number keeps passes inside the gap.
 func (p *passes) places(e *routetable.Engine, gap, now time.Duration) float64 {
-	least := float64(Places(e, gap))
-	if gap <= 0 || e.Stride <= 0 || e.PerRequest <= 0 || !p.isBegun || now-p.began < leastSeen {
+	least := float64(ConcurrencyLimit(e, gap))
+	if gap <= 0 || e.Stride <= 0 || e.StepTimePerRequest <= 0 || !p.isBegun || now-p.began < leastSeen {
 		return least
 	}
 	if p.shape == e && p.chosenPart == p.part {
@@ -98,8 +98,8 @@
 
 // readTime is how long an engine reads a usual prompt.
 func readTime(e *routetable.Engine) time.Duration {
-	if e.ReadRate <= 0 {
+	if e.PrefillRate <= 0 {
 		return 0
 	}
-	return time.Duration(e.Prompt / e.ReadRate * float64(time.Second))
+	return time.Duration(e.Prompt / e.PrefillRate * float64(time.Second))
 }
--- a/internal/schedule/late.go
+++ b/internal/schedule/late.go
@@ -11,7 +11,7 @@
 const reserveTime = 500 * time.Millisecond
 
 // usualStay is about how long a request keeps its place.
-func (sv *service) usualStay() time.Duration { return Stay(sv.shape, sv.places) }
+func (sv *service) usualStay() time.Duration { return ServiceTime(sv.shape, sv.places) }
 
 // lateRoom is how many more requests that are late anyway this host may place now. They
 // get what those that can be on time leave: an on-time answer is worth more to its caller
--- a/internal/schedule/loads.go
+++ b/internal/schedule/loads.go
@@ -64,12 +64,12 @@
 
 // SetLoads takes in the loads of engines. It returns what becomes of requests that wait,
 // and the attempts that are to end since their group does not serve.
-func (s *Scheduler) SetLoads(all []wire.EngineLoad, now time.Duration) ([]Result, []Stalled) {
+func (s *Scheduler) SetLoads(all []wire.EngineLoad, now time.Duration) ([]Result, []StalledAttempt) {
 	for i := range all {
 		s.setLoad(&all[i], now)
 	}
 	var results []Result
-	var stalled []Stalled
+	var stalled []StalledAttempt
 	for _, sv := range s.services {
 		sv.regroup()
 		sv.countRunning()
@@ -215,7 +215,7 @@
 
 // longOutage is how old an outage is that is taken to last. It is much longer than a request
 // waits for a place, so that its end is not expected within that.
-const longOutage = 8 * LongestWait
+const longOutage = 8 * MaxQueueWait
 
 // noteOutage keeps since when the service is out.
 func (sv *service) noteOutage(now time.Duration) {
--- a/internal/schedule/passes.go
+++ b/internal/schedule/passes.go
@@ -78,11 +78,11 @@
 
 // evenPass is how long a pass takes where each rank writes for n requests.
 func evenPass(e *routetable.Engine, n float64) time.Duration {
-	return time.Duration(float64(max(e.Stride, 1)) * (float64(e.Step) + n*float64(e.PerRequest)))
+	return time.Duration(float64(max(e.Stride, 1)) * (float64(e.StepTime) + n*float64(e.StepTimePerRequest)))
 }
 
-// Pause tells how long the stream of an attempt paused between two events.
-func (s *Scheduler) Pause(t *Ticket, took, now time.Duration) {
+// RecordEventGap tells how long the stream of an attempt paused between two events.
+func (s *Scheduler) RecordEventGap(t *Ticket, took, now time.Duration) {
 	sv, g := t.service, t.up.group
 	if g == nil || sv.shape == nil || sv.gap <= 0 {
 		return
@@ -96,7 +96,7 @@
 	if sv.shape == e && sv.gap == gap {
 		return
 	}
-	sv.shape, sv.gap, sv.places = e, gap, Places(e, gap)
+	sv.shape, sv.gap, sv.places = e, gap, ConcurrencyLimit(e, gap)
 	sv.followPasses(now)
 }
 
--- a/internal/schedule/passes_test.go
+++ b/internal/schedule/passes_test.go
@@ -11,13 +11,13 @@
 // that long. Every tenth pause is of an answer that is held up on its way.
 func (l *lab) stretched(stretch float64, during time.Duration) {
 	t := l.hold(l.service("s").all[0], l.now)
-	defer l.End(t, Neutral, l.now)
+	defer l.Release(t, Neutral, l.now)
 	for end, n := l.now+during, 0; l.now < end; n++ {
 		pause := time.Duration(stretch * float64(evenPass(l.engine, l.service("s").groups["0"].running)))
 		if n%10 == 0 {
 			pause += 300 * time.Millisecond
 		}
-		l.Pause(t, pause, l.now)
+		l.RecordEventGap(t, pause, l.now)
 		l.now += 20 * time.Millisecond
 		if n%5 == 0 {
 			l.tell("", nil)
@@ -28,8 +28,8 @@
 // newSpreadLab has one group of engines whose experts are unevenly wanted.
 func newSpreadLab() *lab {
 	l := newTightLab(60, 1)
-	l.engine.PerRequest = time.Millisecond
-	l.engine.Experts.Share = 0.85
+	l.engine.StepTimePerRequest = time.Millisecond
+	l.engine.Experts.WorkShare = 0.85
 	l.Admit(l.tight(), l.now)
 	l.fill(4)
 	return l
@@ -51,8 +51,8 @@
 // jump that these bear, and at once while passes are beyond that.
 func TestPlacesFollowThePassesSeen(t *testing.T) {
 	l := newSpreadLab()
-	least := float64(60 * Places(l.engine, l.tight().Gap))
-	places := func() float64 { return l.State("s", l.now).Places }
+	least := float64(60 * ConcurrencyLimit(l.engine, l.tight().Gap))
+	places := func() float64 { return l.State("s", l.now).Capacity }
 	l.stretched(1.2, leastSeen-time.Second)
 	require.Equal(t, least, places(), "not seen for long enough")
 	l.stretched(1.2, 2*time.Second)
@@ -76,9 +76,9 @@
 // no stream on time.
 func TestJumpsThatNoPlacesBearTakeNoPlaces(t *testing.T) {
 	l := newSpreadLab()
-	least := float64(60 * Places(l.engine, l.tight().Gap))
+	least := float64(60 * ConcurrencyLimit(l.engine, l.tight().Gap))
 	l.jumping(2.6, 1.2, 2500*time.Millisecond, peakSpan)
-	require.Greater(t, l.State("s", l.now).Places, 1.2*least)
+	require.Greater(t, l.State("s", l.now).Capacity, 1.2*least)
 }
 
 // The places of a group are what its passes bear, also where that is no whole number for
@@ -88,7 +88,7 @@
 	l.stretched(1.7, leastSeen+time.Second)
 	s := l.service("s")
 	each := s.groups["0"].places
-	require.InDelta(t, 60*each, l.State("s", l.now).Places, 1)
+	require.InDelta(t, 60*each, l.State("s", l.now).Capacity, 1)
 	require.NotEqual(t, float64(int(each)), each)
 }
 
@@ -99,7 +99,7 @@
 		l := newSpreadLab()
 		l.stretched(stretch, leastSeen+time.Second)
 		e, gap, n := l.engine, l.tight().Gap, l.service("s").groups["0"].places
-		if n > float64(Places(e, gap)) {
+		if n > float64(ConcurrencyLimit(e, gap)) {
 			require.LessOrEqual(t, stretch*float64(evenPass(e, n)), 1.01*passPart*float64(gap), "stretch %v", stretch)
 		}
 		if n < float64(e.Slots) {
@@ -108,14 +108,14 @@
 	}
 	var unknown passes
 	e := newSpreadLab().engine
-	require.Equal(t, float64(Places(e, time.Second)), unknown.places(e, time.Second, time.Hour))
-	require.Equal(t, float64(Places(e, 0)), unknown.places(e, 0, time.Hour))
+	require.Equal(t, float64(ConcurrencyLimit(e, time.Second)), unknown.places(e, time.Second, time.Hour))
+	require.Equal(t, float64(ConcurrencyLimit(e, 0)), unknown.places(e, 0, time.Hour))
 }
 
 // Passes of one group say nothing of another, whose popularity is its own.
 func TestGroupsHavePlacesOfTheirOwn(t *testing.T) {
 	l := newLab(2, 8, 1)
-	l.engine.Slots, l.engine.PerRequest, l.engine.Experts.Share = 10, time.Millisecond, 0.85
+	l.engine.Slots, l.engine.StepTimePerRequest, l.engine.Experts.WorkShare = 10, time.Millisecond, 0.85
 	l.Admit(l.tight(), l.now)
 	l.tell("", nil)
 	l.stretched(1.2, leastSeen+time.Second)
@@ -140,6 +140,6 @@
 	t := l.hold(l.service("s").all[0], l.now)
 	for range b.N {
 		l.now += time.Millisecond
-		l.Pause(t, 60*time.Millisecond, l.now)
+		l.RecordEventGap(t, 60*time.Millisecond, l.now)
 	}
 }
--- a/internal/schedule/place.go
+++ b/internal/schedule/place.go
@@ -30,13 +30,13 @@
 	service *service
 	born    int64
 	address string
-	// Taken is how many requests the upstream was thought to have, by a report of its
+	// EstimatedLoad is how many requests the upstream was thought to have, by a report of its
 	// load of the age LoadAge; a negative age is none.
-	Taken   float64
-	LoadAge time.Duration
-	began   time.Duration
-	isLate  bool
-	isEnded bool
+	EstimatedLoad float64
+	LoadAge       time.Duration
+	began         time.Duration
+	isLate        bool
+	isEnded       bool
 }
 
 // ID returns the id of the upstream.
@@ -48,9 +48,9 @@
 // Address returns where the upstream was when the attempt began, "ip:port".
 func (t *Ticket) Address() string { return t.address }
 
-// Choose takes hold of an upstream of a plain service that was not tried: the least loaded
+// ReserveLeastLoaded takes hold of an upstream of a plain service that was not tried: the least loaded
 // that is trusted. It returns false where there is none.
-func (s *Scheduler) Choose(name string, tried []string, now time.Duration) (registry.Upstream, *Ticket, bool) {
+func (s *Scheduler) ReserveLeastLoaded(name string, tried []string, now time.Duration) (registry.Upstream, *Ticket, bool) {
 	sv := s.service(name)
 	for _, mayBeSuspect := range []bool{false, true} {
 		if u := s.leastLoaded(sv, tried, mayBeSuspect, now); u != nil {
@@ -182,7 +182,7 @@
 
 // hold counts an attempt at an upstream.
 func (s *Scheduler) hold(u *upstream, now time.Duration) *Ticket {
-	t := &Ticket{up: u, service: u.service, born: u.Born, address: u.Address, Taken: s.taken(u, now), LoadAge: -1, began: now}
+	t := &Ticket{up: u, service: u.service, born: u.Born, address: u.Address, EstimatedLoad: s.taken(u, now), LoadAge: -1, began: now}
 	if u.load.isKnown {
 		t.LoadAge = now - u.load.at
 	}
@@ -192,8 +192,10 @@
 	return t
 }
 
-// First tells that the first event of an attempt's answer is there.
-func (s *Scheduler) First(t *Ticket, now time.Duration) { t.service.demand.began(now - t.began) }
+// RecordFirstEvent tells that the first event of an attempt's answer is there.
+func (s *Scheduler) RecordFirstEvent(t *Ticket, now time.Duration) {
+	t.service.demand.began(now - t.began)
+}
 
 // Outcome is how an attempt went, as far as it says something of the upstream.
 type Outcome uint8
@@ -201,14 +203,14 @@
 const (
 	// Neutral: the attempt was ended for a reason of the caller's.
 	Neutral Outcome = iota
-	Good
+	Success
 	// Bad: the upstream broke off, refused or failed.
-	Bad
+	Failure
 )
 
-// End gives a hold back. It returns what becomes of requests that wait, and whether the
+// Release gives a hold back. It returns what becomes of requests that wait, and whether the
 // upstream is suspected from now on.
-func (s *Scheduler) End(t *Ticket, o Outcome, now time.Duration) (results []Result, isSuspected bool) {
+func (s *Scheduler) Release(t *Ticket, o Outcome, now time.Duration) (results []Result, isSuspected bool) {
 	if t.isEnded {
 		return nil, false
 	}
@@ -227,10 +229,10 @@
 	}
 	switch {
 	case t.born != u.Born:
-	case o == Good:
+	case o == Success:
 		u.failures, u.suspectUntil = 0, 0
 		sv.demand.stayed(now - t.began)
-	case o == Bad:
+	case o == Failure:
 		u.failures++
 		if isSuspected = u.failures >= suspectAfter; isSuspected {
 			u.suspectUntil = now + suspectFor
--- a/internal/schedule/queue.go
+++ b/internal/schedule/queue.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// GiveUp takes a request that has waited too long out, and says what its caller is told.
-func (s *Scheduler) GiveUp(w *Waiter, now time.Duration) Decision {
+// Abandon takes a request that has waited too long out, and says what its caller is told.
+func (s *Scheduler) Abandon(w *Waiter, now time.Duration) Decision {
 	sv := w.service
 	if i := slices.Index(sv.waiters, w); i >= 0 {
 		sv.waiters = slices.Delete(sv.waiters, i, i+1)
 	}
-	return s.refuse(Full, w, now)
+	return s.refuse(NoCapacity, w, now)
 }
 
 // pump gives up to n places to requests that wait: first to those that can still be on
@@ -42,12 +42,12 @@
 		return out
 	}
 	if sv.isOut(now) {
-		if now < s.cfg.Starting || sv.isPausing(now) {
+		if now < s.cfg.StartupUntil || sv.isPausing(now) {
 			return out
 		}
 		return s.refuseAll(out, sv, Outage, now, func(w *Waiter) bool { return w.mayReturn || sv.isOutForLong(now) })
 	}
-	return s.refuseAll(out, sv, Full, now, func(w *Waiter) bool { return !w.isOnTime(now) && s.isHopeless(sv, w, now) })
+	return s.refuseAll(out, sv, NoCapacity, now, func(w *Waiter) bool { return !w.isOnTime(now) && s.isHopeless(sv, w, now) })
 }
 
 // refuseAll refuses the waiters for which isVain holds, the last first.
--- a/internal/schedule/room.go
+++ b/internal/schedule/room.go
@@ -24,7 +24,7 @@
 	if !u.load.isFresh(now) || least == 0 {
 		return places
 	}
-	return PlacesAt(sv.shape, places, u.load.pace/least)
+	return SlowRankLimit(sv.shape, places, u.load.pace/least)
 }
 
 // room counts the places of a service that serve, and those of them that are free.
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -26,10 +26,10 @@
 	Budget retrybudget.Params
 	// Random decides between equals.
 	Random *rand.Rand
-	// Starting is until when the host has just started. What it does not know yet is on its
+	// StartupUntil is until when the host has just started. What it does not know yet is on its
 	// way, and groups that broke with it form anew: requests wait for them, since most of
 	// their callers have one try left.
-	Starting time.Duration
+	StartupUntil time.Duration
 }
 
 // Scheduler is the table of one host.
@@ -170,12 +170,12 @@
 	return sv
 }
 
-// Arrive counts a caller's request to a service.
-func (s *Scheduler) Arrive(name string, now time.Duration) {
-	s.service(name).budget.Request(s.cfg.Budget, now)
+// CountRequest counts a caller's request to a service.
+func (s *Scheduler) CountRequest(name string, now time.Duration) {
+	s.service(name).budget.AddRequest(s.cfg.Budget, now)
 }
 
-// MayRepeat takes one repeat from the service's budget.
-func (s *Scheduler) MayRepeat(name string, now time.Duration) bool {
+// TakeRetry takes one repeat from the service's budget.
+func (s *Scheduler) TakeRetry(name string, now time.Duration) bool {
 	return s.service(name).budget.Take(s.cfg.Budget, s.hosts, now)
 }
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -17,13 +17,13 @@
 // engines are the figures of an engine whose usual request stays for 0.8 s: 26 passes of
 // 30 ms, without groups.
 var engines = &routetable.Engine{
-	Slots: 4, Step: 5 * time.Millisecond, PerRequest: 250 * time.Microsecond, Stride: 5, Prompt: 100, Answer: 130, ReadRate: 10_000,
+	Slots: 4, StepTime: 5 * time.Millisecond, StepTimePerRequest: 250 * time.Microsecond, Stride: 5, Prompt: 100, Answer: 130, PrefillRate: 10_000,
 }
 
 // ranks are those of engines in groups.
 func ranks() *routetable.Engine {
 	e := *engines
-	e.Experts = routetable.Experts{Sets: 1, Count: 8, Slots: 2}
+	e.Experts = routetable.Experts{Sets: 1, ExpertsPerSet: 8, Slots: 2}
 	return &e
 }
 
@@ -41,7 +41,7 @@
 	l := &lab{
 		Scheduler: New(Config{
 			DataCentre: "near", Budget: retrybudget.Params{Ratio: 0.2, Extra: 10, Window: 10 * time.Second},
-			Random: rand.New(rand.NewPCG(1, 2)), Starting: 1500 * time.Millisecond,
+			Random: rand.New(rand.NewPCG(1, 2)), StartupUntil: 1500 * time.Millisecond,
 		}),
 		now: time.Hour, engine: ranks(), loads: map[string]wire.EngineLoad{},
 	}
@@ -67,7 +67,7 @@
 }
 
 // tell changes the load of an engine and tells that of all.
-func (l *lab) tell(id string, change func(*wire.EngineLoad)) ([]Result, []Stalled) {
+func (l *lab) tell(id string, change func(*wire.EngineLoad)) ([]Result, []StalledAttempt) {
 	if change != nil {
 		load := l.loads[id]
 		change(&load)
@@ -83,7 +83,7 @@
 }
 
 // fill tells that each engine has that many requests.
-func (l *lab) fill(n int) ([]Result, []Stalled) {
+func (l *lab) fill(n int) ([]Result, []StalledAttempt) {
 	l.occupy(n)
 	return l.tell("", nil)
 }
@@ -98,13 +98,13 @@
 
 // request is one that can be on time for 400 ms from now.
 func (l *lab) request() *Request {
-	return &Request{Service: "s", Engine: l.engine, OnTimeUntil: l.now + 400*time.Millisecond, MayReturn: true}
+	return &Request{Service: "s", Engine: l.engine, OnTimeUntil: l.now + 400*time.Millisecond, CanRetry: true}
 }
 
 // late is one whose caller has been here before.
 func (l *lab) late() *Request {
 	r := l.request()
-	r.OnTimeUntil, r.MayReturn = l.now, false
+	r.OnTimeUntil, r.CanRetry = l.now, false
 	return r
 }
 
@@ -126,29 +126,29 @@
 	seen := map[string]int{}
 	var held []*Ticket
 	for range 9 {
-		_, ticket, ok := l.Choose("s", nil, l.now)
+		_, ticket, ok := l.ReserveLeastLoaded("s", nil, l.now)
 		require.True(t, ok)
 		seen[ticket.ID()]++
 		held = append(held, ticket)
 	}
 	require.Equal(t, map[string]int{"0/0": 3, "0/1": 3, "0/2": 3}, seen)
-	u, _, _ := l.Choose("s", []string{"0/0", "0/1"}, l.now)
+	u, _, _ := l.ReserveLeastLoaded("s", []string{"0/0", "0/1"}, l.now)
 	require.Equal(t, "0/2", u.ID)
-	_, _, ok := l.Choose("s", l.ids, l.now)
+	_, _, ok := l.ReserveLeastLoaded("s", l.ids, l.now)
 	require.False(t, ok, "all were tried")
 	for _, ticket := range held {
 		if ticket.ID() == "0/0" {
-			l.End(ticket, Bad, l.now)
+			l.Release(ticket, Failure, l.now)
 		}
 	}
 	for range 20 {
-		u, ticket, _ := l.Choose("s", nil, l.now)
+		u, ticket, _ := l.ReserveLeastLoaded("s", nil, l.now)
 		require.NotEqual(t, "0/0", u.ID, "it is suspected")
-		l.End(ticket, Neutral, l.now)
+		l.Release(ticket, Neutral, l.now)
 	}
-	u, _, _ = l.Choose("s", []string{"0/1", "0/2"}, l.now)
+	u, _, _ = l.ReserveLeastLoaded("s", []string{"0/1", "0/2"}, l.now)
 	require.Equal(t, "0/0", u.ID, "a suspect is better than none")
-	u, _, _ = l.Choose("s", []string{"0/1", "0/2"}, l.now+suspectFor)
+	u, _, _ = l.ReserveLeastLoaded("s", []string{"0/1", "0/2"}, l.now+suspectFor)
 	require.Equal(t, "0/0", u.ID)
 }
 
@@ -211,7 +211,7 @@
 func TestSlowEngineGetsWhatLetsItKeepUp(t *testing.T) {
 	filled := func(slow, fast float64) map[string]int {
 		l := newLab(1, 2, 1)
-		l.engine.Slots, l.engine.PerRequest = 10, 500*time.Microsecond
+		l.engine.Slots, l.engine.StepTimePerRequest = 10, 500*time.Microsecond
 		l.tell("0/0", func(load *wire.EngineLoad) { load.Pace = slow })
 		l.tell("0/1", func(load *wire.EngineLoad) { load.Pace = fast })
 		return l.used()
@@ -268,11 +268,11 @@
 	require.NotNil(t, first.Ticket)
 	second := l.Admit(l.request(), l.now)
 	require.NotNil(t, second.Waiter)
-	results, _ := l.End(first.Ticket, Good, l.now)
+	results, _ := l.Release(first.Ticket, Success, l.now)
 	require.Len(t, results, 1)
 	require.Equal(t, second.Waiter, results[0].Waiter)
 	require.NotNil(t, results[0].Ticket)
-	results, _ = l.End(first.Ticket, Good, l.now)
+	results, _ = l.Release(first.Ticket, Success, l.now)
 	require.Empty(t, results, "a hold ends once")
 }
 
@@ -280,7 +280,7 @@
 	l := newLab(1, 1, 1)
 	l.fill(4)
 	d := l.Admit(l.request(), l.now)
-	require.Equal(t, Full, l.GiveUp(d.Waiter, l.now).Reason)
+	require.Equal(t, NoCapacity, l.Abandon(d.Waiter, l.now).Reason)
 	results, _ := l.fill(0)
 	require.Empty(t, results)
 }
@@ -311,7 +311,7 @@
 		l.service("s").demand.fresh.add(l.now)
 		l.now += rateSpan / 64
 	}
-	l.service("s").demand.stay = Stay(l.engine, 4)
+	l.service("s").demand.stay = ServiceTime(l.engine, 4)
 	l.fill(0)
 	placed := 0
 	for range 40 {
@@ -333,7 +333,7 @@
 	}
 	l.fill(4)
 	d := l.Admit(l.late(), l.now)
-	require.Equal(t, Full, d.Reason)
+	require.Equal(t, NoCapacity, d.Reason)
 	require.Positive(t, d.RetryAfter)
 	resumed := l.late()
 	resumed.IsResumed = true
@@ -355,7 +355,7 @@
 	l.now += 400 * time.Millisecond
 	results, _ = l.fill(4)
 	require.Len(t, results, 1)
-	require.Equal(t, Full, results[0].Reason)
+	require.Equal(t, NoCapacity, results[0].Reason)
 }
 
 // How long the first event takes is learnt: with it a request is late sooner than the
@@ -368,8 +368,8 @@
 	require.Less(t, byFigures.firstEvent(), 100*time.Millisecond)
 	for range 30 {
 		d := l.Admit(l.request(), l.now)
-		l.First(d.Ticket, l.now+200*time.Millisecond)
-		l.End(d.Ticket, Good, l.now+time.Second)
+		l.RecordFirstEvent(d.Ticket, l.now+200*time.Millisecond)
+		l.Release(d.Ticket, Success, l.now+time.Second)
 	}
 	require.InDelta(t, 0.2, l.service("s").firstEvent().Seconds(), 0.01)
 }
@@ -400,14 +400,14 @@
 	l := newLab(1, 1, 1)
 	l.fill(0)
 	d := l.Admit(l.request(), l.now)
-	l.Listen(d.Ticket, l.now)
+	l.AwaitHeader(d.Ticket, l.now)
 	_, stalled := l.tell("0/0", func(load *wire.EngineLoad) { load.IsOpen = false })
 	require.Empty(t, stalled, "it has time left")
-	l.now += StalledPatience
+	l.now += StalledAttemptTimeout
 	_, stalled = l.tell("", nil)
 	require.Len(t, stalled, 1)
 	require.Equal(t, d.Ticket, stalled[0].Ticket)
-	l.Heard(d.Ticket)
+	l.HeaderReceived(d.Ticket)
 	_, stalled = l.tell("", nil)
 	require.Empty(t, stalled)
 }
@@ -420,7 +420,7 @@
 	broken := 0
 	for range 8 {
 		d := l.Admit(l.request(), l.now)
-		l.Listen(d.Ticket, l.now)
+		l.AwaitHeader(d.Ticket, l.now)
 		if d.Ticket.ID() == "0/0" {
 			broken++
 		}
@@ -437,7 +437,7 @@
 	l.tell("1/0", func(load *wire.EngineLoad) { load.Running = 2 })
 	_, stalled = l.tell("1/0", nil)
 	require.Len(t, stalled, 2)
-	require.True(t, stalled[0].HasOther)
+	require.True(t, stalled[0].HasOtherGroup)
 	require.Equal(t, "0/0", stalled[0].Ticket.ID())
 }
 
@@ -461,16 +461,16 @@
 	l.Admit(l.request(), l.now)
 	s := l.State("s", l.now)
 	require.Equal(t, 4, s.Upstreams)
-	require.Equal(t, 4, s.Heard)
+	require.Equal(t, 4, s.Reporting)
 	require.Equal(t, 2, s.Serving)
 	require.Equal(t, 2, s.Groups)
-	require.Equal(t, 1, s.Closed)
-	require.InDelta(t, 8, s.Places, 0.01)
-	require.InDelta(t, 3, s.Taken, 0.01)
+	require.Equal(t, 1, s.ClosedGroups)
+	require.InDelta(t, 8, s.Capacity, 0.01)
+	require.InDelta(t, 3, s.EstimatedLoad, 0.01)
 }
 
 // stand tells that the only group of a lab stands still, or no more.
-func (l *lab) stand(isStanding bool) ([]Result, []Stalled) {
+func (l *lab) stand(isStanding bool) ([]Result, []StalledAttempt) {
 	return l.tell("0/0", func(load *wire.EngineLoad) { load.IsStanding = isStanding })
 }
 
@@ -522,12 +522,12 @@
 	l := newLab(1, 2, 1)
 	l.tell("0/1", func(load *wire.EngineLoad) { load.IsOpen = false })
 	r := l.request()
-	r.Left = 6 * time.Second
+	r.TimeLeft = 6 * time.Second
 	require.Equal(t, 2*time.Second, l.Admit(r, l.now).RetryAfter)
 	w := &Waiter{deadline: l.now + 6*time.Second}
 	least, most := time.Hour, time.Duration(0)
 	for range 200 {
-		after := l.refuse(Full, w, l.now).RetryAfter
+		after := l.refuse(NoCapacity, w, l.now).RetryAfter
 		least, most = min(least, after), max(most, after)
 	}
 	require.InDelta(t, time.Second, least, float64(100*time.Millisecond))
@@ -545,7 +545,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				d := l.Admit(r, l.now)
-				l.End(d.Ticket, Neutral, l.now)
+				l.Release(d.Ticket, Neutral, l.now)
 			}
 		})
 	}
@@ -558,7 +558,7 @@
 // newTightLab has one group of engines whose passes are late before their slots are full.
 func newTightLab(size, hosts int) *lab {
 	l := newLab(1, size, hosts)
-	l.engine.Slots, l.engine.PerRequest = 10, 2*time.Millisecond
+	l.engine.Slots, l.engine.StepTimePerRequest = 10, 2*time.Millisecond
 	return l
 }
 
@@ -578,7 +578,7 @@
 	for h := range hosts {
 		l := newTightLab(size, hosts)
 		l.cfg.Random = rand.New(rand.NewPCG(uint64(h), 11))
-		require.Equal(t, tightPlaces, Places(l.engine, l.tight().Gap))
+		require.Equal(t, tightPlaces, ConcurrencyLimit(l.engine, l.tight().Gap))
 		l.Admit(l.tight(), l.now)
 		l.occupy(tightPlaces)
 		for range rounds {
@@ -589,7 +589,7 @@
 				require.Equal(t, "0/7", d.Ticket.ID())
 				taken++
 			case d.Waiter != nil:
-				l.GiveUp(d.Waiter, l.now)
+				l.Abandon(d.Waiter, l.now)
 			}
 		}
 	}
@@ -609,7 +609,7 @@
 		l.tell("0/0", func(load *wire.EngineLoad) { load.IsOpen = false })
 		for range 20 {
 			r := l.tight()
-			r.OnTimeUntil, r.MayReturn = l.now+LongestWait, false
+			r.OnTimeUntil, r.CanRetry = l.now+MaxQueueWait, false
 			require.NotNil(t, l.Admit(r, l.now).Waiter)
 		}
 		for id, load := range l.loads {
@@ -654,7 +654,7 @@
 	}
 	waits := l.Admit(l.tight(), l.now)
 	require.NotNil(t, waits.Waiter)
-	results, _ := l.End(held, Good, l.now)
+	results, _ := l.Release(held, Success, l.now)
 	require.Len(t, results, 1)
 	require.Equal(t, held.ID(), results[0].Ticket.ID())
 }
@@ -670,7 +670,7 @@
 		l.occupy(tightPlaces + 2)
 		l.tell("0/3", func(load *wire.EngineLoad) { load.Running = tightPlaces - 1 })
 	}
-	l.End(held, Good, l.now)
+	l.Release(held, Success, l.now)
 	require.Nil(t, l.Admit(l.tight(), l.now).Ticket)
 }
 
@@ -731,5 +731,5 @@
 		l.Admit(l.tight(), l.now)
 	}
 	l.now += time.Millisecond
-	require.Equal(t, Full, l.Admit(l.tight(), l.now).Reason)
+	require.Equal(t, NoCapacity, l.Admit(l.tight(), l.now).Reason)
 }
--- a/internal/schedule/stall.go
+++ b/internal/schedule/stall.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// StalledPatience is how long a caller is left without an event before its request is given up
+// StalledAttemptTimeout is how long a caller is left without an event before its request is given up
 // while its group does not serve. An engine whose group breaks refuses by itself before
 // that; one whose group only stands still says nothing, and can't drop a request before it
 // goes on. Callers leave a stream that is silent for two seconds.
-const StalledPatience = 1700 * time.Millisecond
+const StalledAttemptTimeout = 1700 * time.Millisecond
 
 // unheard is an attempt that waits for the head of its answer.
 type unheard struct {
@@ -14,29 +14,29 @@
 	since time.Duration
 }
 
-// Stalled is an attempt that is to end since its group does not serve.
-type Stalled struct {
+// StalledAttempt is an attempt that is to end since its group does not serve.
+type StalledAttempt struct {
 	Ticket *Ticket
-	// HasOther tells that another group serves: the request is to be sent there at once.
+	// HasOtherGroup tells that another group serves: the request is to be sent there at once.
 	// Otherwise it is given up, and its caller is told RetryAfter.
-	HasOther   bool
-	RetryAfter time.Duration
+	HasOtherGroup bool
+	RetryAfter    time.Duration
 }
 
-// Listen tells that an attempt waits for the head of its answer and may be taken back;
+// AwaitHeader tells that an attempt waits for the head of its answer and may be taken back;
 // its caller has been without an event since then.
-func (s *Scheduler) Listen(t *Ticket, since time.Duration) {
+func (s *Scheduler) AwaitHeader(t *Ticket, since time.Duration) {
 	t.service.unheard[t] = unheard{since: since}
 }
 
-// Heard tells that the head of the answer is there.
-func (s *Scheduler) Heard(t *Ticket) { delete(t.service.unheard, t) }
+// HeaderReceived tells that the head of the answer is there.
+func (s *Scheduler) HeaderReceived(t *Ticket) { delete(t.service.unheard, t) }
 
 // stalled adds the attempts that are in a group which does not serve. Where none does, they
 // are given up after the patience of callers. Where another one has places free, as many
 // as it has leave at once: engines that wait for a lost rank refuse much later. The
 // rest stays, since a group that only stands still may go on before their callers leave.
-func (s *Scheduler) stalled(out []Stalled, sv *service, now time.Duration) []Stalled {
+func (s *Scheduler) stalled(out []StalledAttempt, sv *service, now time.Duration) []StalledAttempt {
 	if len(sv.unheard) == 0 {
 		return out
 	}
@@ -50,7 +50,7 @@
 	}
 	for t := range sv.unheard {
 		if free > 0 && t.up.group != nil && t.up.group.isClosed {
-			out = append(out, Stalled{Ticket: t, HasOther: true})
+			out = append(out, StalledAttempt{Ticket: t, HasOtherGroup: true})
 			free--
 		}
 	}
@@ -58,10 +58,10 @@
 }
 
 // outOfPatience adds the attempts whose callers would leave soon.
-func (sv *service) outOfPatience(out []Stalled, now time.Duration) []Stalled {
+func (sv *service) outOfPatience(out []StalledAttempt, now time.Duration) []StalledAttempt {
 	for t, u := range sv.unheard {
-		if now-u.since >= StalledPatience {
-			out = append(out, Stalled{Ticket: t, RetryAfter: longestReturn(nil, now)})
+		if now-u.since >= StalledAttemptTimeout {
+			out = append(out, StalledAttempt{Ticket: t, RetryAfter: longestReturn(nil, now)})
 		}
 	}
 	return out
