--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -9,12 +9,12 @@
 
 import "time"
 
-// caution is the part of the ratio that is used: what one host counts into a window may
+// safetyFactor is the part of the ratio that is used: what one host counts into a window may
 // be counted into the next one by whoever checks.
-const caution = 0.85
+const safetyFactor = 0.85
 
-// buckets is into how many parts the window is divided.
-const buckets = 20
+// bucketCount is into how many parts the window is divided.
+const bucketCount = 20
 
 // Params are the bounds of the shared budget.
 type Params struct {
@@ -29,7 +29,7 @@
 // Budget counts the requests and repeats of one host for one service. The zero value is
 // ready.
 type Budget struct {
-	requests, repeats window
+	requests, repeats slidingCounter
 }
 
 // AddRequest counts a caller's request.
@@ -38,7 +38,7 @@
 // Take reports whether one more repeat is allowed, and counts it. Hosts is among how many
 // hosts the extra is divided.
 func (b *Budget) Take(p Params, hosts int, now time.Duration) bool {
-	allowed := caution * (p.Ratio*float64(b.requests.sum(p.Window, now)) + p.Extra/float64(max(hosts, 1)))
+	allowed := safetyFactor * (p.Ratio*float64(b.requests.sum(p.Window, now)) + p.Extra/float64(max(hosts, 1)))
 	if float64(b.repeats.sum(p.Window, now)+1) > allowed {
 		return false
 	}
@@ -46,19 +46,19 @@
 	return true
 }
 
-// window counts events in a sliding span.
-type window struct {
-	counts [buckets]int
-	// last is the number of the newest bucket, counted from the clock's zero.
-	last int64
+// slidingCounter counts events in a sliding span.
+type slidingCounter struct {
+	counts [bucketCount]int
+	// lastBucket is the number of the newest bucket, counted from the clock's zero.
+	lastBucket int64
 }
 
-func (w *window) add(span, now time.Duration) {
+func (w *slidingCounter) add(span, now time.Duration) {
 	w.advance(span, now)
-	w.counts[w.last%buckets]++
+	w.counts[w.lastBucket%bucketCount]++
 }
 
-func (w *window) sum(span, now time.Duration) int {
+func (w *slidingCounter) sum(span, now time.Duration) int {
 	w.advance(span, now)
 	total := 0
 	for _, n := range w.counts {
@@ -68,15 +68,15 @@
 }
 
 // advance empties the buckets that have left the span.
-func (w *window) advance(span, now time.Duration) {
-	at := int64(now / max(span/buckets, 1))
-	if at-w.last >= buckets {
-		w.counts = [buckets]int{}
-		w.last = at
+func (w *slidingCounter) advance(span, now time.Duration) {
+	current := int64(now / max(span/bucketCount, 1))
+	if current-w.lastBucket >= bucketCount {
+		w.counts = [bucketCount]int{}
+		w.lastBucket = current
 		return
 	}
-	for w.last < at {
-		w.last++
-		w.counts[w.last%buckets] = 0
+	for w.lastBucket < current {
+		w.lastBucket++
+		w.counts[w.lastBucket%bucketCount] = 0
 	}
 }
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -10,7 +10,7 @@
 
 var params = Params{Ratio: 0.2, Extra: 90, Window: 10 * time.Second}
 
-func TestExtraIsDividedAndComesBack(t *testing.T) {
+func TestExtraIsSplitAcrossHostsAndRefills(t *testing.T) {
 	var b Budget
 	taken := 0
 	for b.Take(params, 9, time.Second) {
@@ -23,7 +23,7 @@
 
 // No window of all hosts together holds more repeats than the shared budget allows for
 // the requests in it, the window before it, or half a window before it.
-func TestHostsTogetherStayInside(t *testing.T) {
+func TestHostsTogetherStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.IntRange(1, 5).Draw(t, "hosts")
 		budgets := make([]Budget, hosts)
@@ -42,20 +42,20 @@
 				events = append(events, event{now, true})
 			}
 		}
-		count := func(from, to time.Duration, repeats bool) float64 {
+		count := func(from, end time.Duration, isRepeat bool) float64 {
 			n := 0.0
 			for _, e := range events {
-				if e.isRepeat == repeats && e.at > from && e.at <= to {
+				if e.isRepeat == isRepeat && e.at > from && e.at <= end {
 					n++
 				}
 			}
 			return n
 		}
 		for _, e := range events {
-			to, w := e.at, params.Window
-			most := max(count(to-w, to, false), count(to-2*w, to-w, false), count(to-w*3/2, to-w/2, false))
-			if got, bound := count(to-w, to, true), params.Ratio*most+params.Extra; got > bound {
-				t.Fatalf("%v repeats up to %v, allowed are %v", got, to, bound)
+			end, window := e.at, params.Window
+			mostRequests := max(count(end-window, end, false), count(end-2*window, end-window, false), count(end-window*3/2, end-window/2, false))
+			if retries, bound := count(end-window, end, true), params.Ratio*mostRequests+params.Extra; retries > bound {
+				t.Fatalf("%v repeats up to %v, allowed are %v", retries, end, bound)
 			}
 		}
 	})
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -70,10 +70,10 @@
 	for _, s := range r.ServiceWeights {
 		total += s.Weight
 	}
-	at := draw * total
+	remaining := draw * total
 	for _, s := range r.ServiceWeights {
-		at -= s.Weight
-		if at < 0 && s.Weight > 0 {
+		remaining -= s.Weight
+		if remaining < 0 && s.Weight > 0 {
 			return s.Service
 		}
 	}
@@ -144,9 +144,9 @@
 	Workspaces []Workspace
 	Limits     Limits
 
-	byHost  map[string][]*Route
-	service map[string]*Service
-	byKey   map[string]*Workspace
+	routesByHost   map[string][]*Route
+	serviceByName  map[string]*Service
+	workspaceByKey map[string]*Workspace
 }
 
 // Build checks the table and makes it ready for use. The error names what is invalid.
@@ -164,29 +164,29 @@
 }
 
 func (t *Table) indexServices() error {
-	t.service = make(map[string]*Service, len(t.Services))
+	t.serviceByName = make(map[string]*Service, len(t.Services))
 	for i := range t.Services {
 		s := &t.Services[i]
-		if s.Name == "" || t.service[s.Name] != nil {
+		if s.Name == "" || t.serviceByName[s.Name] != nil {
 			return errors.Errorf("service %q has no name or stands twice", s.Name)
 		}
-		t.service[s.Name] = s
+		t.serviceByName[s.Name] = s
 	}
 	return nil
 }
 
 func (t *Table) indexRoutes() error {
-	t.byHost = make(map[string][]*Route)
+	t.routesByHost = make(map[string][]*Route)
 	for i := range t.Routes {
 		r := &t.Routes[i]
 		r.HostName = strings.ToLower(r.HostName)
 		if err := t.checkRoute(r); err != nil {
 			return errors.Wrapf(err, "route %q", r.Name)
 		}
-		t.byHost[r.HostName] = append(t.byHost[r.HostName], r)
+		t.routesByHost[r.HostName] = append(t.routesByHost[r.HostName], r)
 	}
-	for host, routes := range t.byHost {
-		slices.SortFunc(routes, longestFirst)
+	for host, routes := range t.routesByHost {
+		slices.SortFunc(routes, longestPrefixFirst)
 		for i := 1; i < len(routes); i++ {
 			if routes[i].Prefix == routes[i-1].Prefix {
 				return errors.Errorf("routes %q and %q share host %q and prefix", routes[i-1].Name, routes[i].Name, host)
@@ -196,7 +196,7 @@
 	return nil
 }
 
-func longestFirst(a, b *Route) int {
+func longestPrefixFirst(a, b *Route) int {
 	return cmp.Or(len(b.Prefix)-len(a.Prefix), strings.Compare(a.Prefix, b.Prefix))
 }
 
@@ -209,7 +209,7 @@
 	}
 	total := 0.0
 	for _, s := range r.ServiceWeights {
-		if t.service[s.Service] == nil {
+		if t.serviceByName[s.Service] == nil {
 			return errors.Errorf("names the unknown service %q", s.Service)
 		}
 		if s.Weight < 0 {
@@ -225,14 +225,14 @@
 }
 
 func (t *Table) indexKeys() error {
-	t.byKey = make(map[string]*Workspace)
+	t.workspaceByKey = make(map[string]*Workspace)
 	for i := range t.Workspaces {
 		w := &t.Workspaces[i]
 		for _, key := range w.Keys {
-			if other := t.byKey[key]; other != nil && other != w {
+			if other := t.workspaceByKey[key]; other != nil && other != w {
 				return errors.Errorf("workspaces %q and %q share a key", other.Name, w.Name)
 			}
-			t.byKey[key] = w
+			t.workspaceByKey[key] = w
 		}
 	}
 	return nil
@@ -243,7 +243,7 @@
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
-	for _, r := range t.byHost[strings.ToLower(host)] {
+	for _, r := range t.routesByHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -252,10 +252,10 @@
 }
 
 // Service returns the service of that name, or nil.
-func (t *Table) Service(name string) *Service { return t.service[name] }
+func (t *Table) Service(name string) *Service { return t.serviceByName[name] }
 
 // WorkspaceByKey returns who holds the key, or nil.
-func (t *Table) WorkspaceByKey(key string) *Workspace { return t.byKey[key] }
+func (t *Table) WorkspaceByKey(key string) *Workspace { return t.workspaceByKey[key] }
 
 // NeedsKey reports whether requests of the route have to name a workspace.
 func (t *Table) NeedsKey(r *Route) bool { return len(t.Workspaces) > 0 && !r.IsPublic }
--- a/internal/routetable/table_test.go
+++ b/internal/routetable/table_test.go
@@ -7,17 +7,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-func route(name, host, prefix string, shares ...ServiceWeight) Route {
+func newRoute(name, host, prefix string, shares ...ServiceWeight) Route {
 	return Route{Name: name, HostName: host, Prefix: prefix, Timeout: time.Second, ServiceWeights: shares}
 }
 
-func table(change func(*Table)) *Table {
+func newTable(change func(*Table)) *Table {
 	t := &Table{
 		Number: 1,
 		Routes: []Route{
-			route("wide", "a.example", "/", ServiceWeight{"s", 1}),
-			route("narrow", "A.example", "/x/", ServiceWeight{"s", 1}),
-			route("narrower", "a.example", "/x/y/", ServiceWeight{"s", 90}, ServiceWeight{"t", 10}),
+			newRoute("wide", "a.example", "/", ServiceWeight{"s", 1}),
+			newRoute("narrow", "A.example", "/x/", ServiceWeight{"s", 1}),
+			newRoute("narrower", "a.example", "/x/y/", ServiceWeight{"s", 90}, ServiceWeight{"t", 10}),
 		},
 		Services:   []Service{{Name: "s"}, {Name: "t"}},
 		Workspaces: []Workspace{{Name: "w", Keys: []string{"k1", "k2"}}, {Name: "v", Keys: []string{"k3"}}},
@@ -28,8 +28,8 @@
 	return t
 }
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
-	tb := table(nil)
+func TestMatchPrefersLongestPrefix(t *testing.T) {
+	tb := newTable(nil)
 	require.NoError(t, tb.Build())
 	for _, c := range []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "narrower"},
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestBuildRefusesWhatIsInvalid(t *testing.T) {
+func TestBuildRejectsInvalidTables(t *testing.T) {
 	for name, change := range map[string]func(*Table){
 		"no number":       func(t *Table) { t.Number = 0 },
 		"unknown service": func(t *Table) { t.Routes[0].ServiceWeights[0].Service = "u" },
@@ -55,12 +55,12 @@
 		"shared key":      func(t *Table) { t.Workspaces[1].Keys = []string{"k2"} },
 		"open prefix":     func(t *Table) { t.Routes[0].Prefix = "/x" },
 	} {
-		require.Error(t, table(change).Build(), name)
+		require.Error(t, newTable(change).Build(), name)
 	}
 }
 
-func TestPickFollowsTheWeights(t *testing.T) {
-	tb := table(nil)
+func TestPickServiceFollowsWeights(t *testing.T) {
+	tb := newTable(nil)
 	require.NoError(t, tb.Build())
 	r := tb.Match("a.example", "/x/y/")
 	counts := map[string]int{}
@@ -70,8 +70,8 @@
 	require.Equal(t, map[string]int{"s": 900, "t": 100}, counts)
 }
 
-func TestKeysAndRepeats(t *testing.T) {
-	tb := table(nil)
+func TestWorkspaceKeysAndRetryRules(t *testing.T) {
+	tb := newTable(nil)
 	require.NoError(t, tb.Build())
 	require.Equal(t, "w", tb.WorkspaceByKey("k2").Name)
 	require.Nil(t, tb.WorkspaceByKey("k9"))
@@ -83,8 +83,8 @@
 	require.True(t, (&Route{Kind: Safe}).AllowsRetry())
 }
 
-func TestLongestGapIsThatOfTheServicesOwnRoutes(t *testing.T) {
-	tb := table(func(t *Table) {
+func TestLongestGapUsesOnlyTheServicesOwnRoutes(t *testing.T) {
+	tb := newTable(func(t *Table) {
 		t.Routes[0].Gap = 100 * time.Millisecond
 		t.Routes[1].Gap = 50 * time.Millisecond
 		t.Routes[2].Gap = 120 * time.Millisecond
--- a/internal/schedule/admit.go
+++ b/internal/schedule/admit.go
@@ -11,18 +11,18 @@
 	// MaxQueueWait is how long a request waits for a place at most. Callers leave a stream
 	// that is silent for two seconds.
 	MaxQueueWait = 1400 * time.Millisecond
-	// honouredPart is the part of the time that a caller has left within which it comes back,
+	// maxRetryAfterFraction is the part of the time that a caller has left within which it comes back,
 	// whatever it is told.
-	honouredPart = 1.0 / 3
-	// usualLeft is what a caller is thought to have left where that is not told.
-	usualLeft = 7500 * time.Millisecond
-	// soonestPart is the part of the longest time to return that callers are told at least who
+	maxRetryAfterFraction = 1.0 / 3
+	// defaultTimeLeft is what a caller is thought to have left where that is not told.
+	defaultTimeLeft = 7500 * time.Millisecond
+	// minRetryAfterFraction is the part of the longest time to return that callers are told at least who
 	// find no place: they are spread over the rest, since places become free one after the
 	// other.
-	soonestPart = 0.5
-	// priorityStep is by how much a request goes before those of the next lower priority.
+	minRetryAfterFraction = 0.5
+	// delayPerPriority is by how much a request goes before those of the next lower priority.
 	// It is a part of a usual wait, so that none waits for ever behind more urgent ones.
-	priorityStep = 100 * time.Millisecond
+	delayPerPriority = 100 * time.Millisecond
 )
 
 // Request is a request that needs a place at an engine.
@@ -50,17 +50,17 @@
 type Waiter struct {
 	service *service
 	tried   []string
-	// onTime is until when it can begin to be on time.
-	onTime time.Duration
-	// turn orders those that wait: it is when the request began to wait, later by
+	// latestStart is until when it can begin to be on time.
+	latestStart time.Duration
+	// effectiveArrival orders those that wait: it is when the request began to wait, later by
 	// priorityStep for each rank of its priority.
-	turn time.Duration
-	// until is when it is given up.
-	until time.Duration
+	effectiveArrival time.Duration
+	// giveUpAt is when it is given up.
+	giveUpAt time.Duration
 	// deadline is when its caller's time ends, 0 if that is not known; mayReturn tells that it
 	// can come back before.
-	deadline  time.Duration
-	mayReturn bool
+	deadline time.Duration
+	canRetry bool
 }
 
 // Result is what becomes of a request that has waited.
@@ -109,104 +109,104 @@
 // Admit decides on a request that has come.
 func (s *Scheduler) Admit(r *Request, now time.Duration) Decision {
 	sv := s.service(r.Service)
-	sv.bound(r.Engine, r.Gap, now)
-	w := sv.waiter(r, now)
-	if w.isOnTime(now) && !r.IsResumed {
-		sv.demand.fresh.add(now)
+	sv.setEngine(r.Engine, r.Gap, now)
+	w := sv.newWaiter(r, now)
+	if w.canBeOnTime(now) && !r.IsResumed {
+		sv.demand.onTimeArrivals.add(now)
 	}
-	if sv.isOut(now) || s.isUnheard(sv, now) {
-		if (r.CanRetry || len(sv.all) == 0 || sv.isOutForLong(now)) && now >= s.cfg.StartupUntil && !sv.isPausing(now) {
+	if sv.isDown(now) || s.awaitsFirstReports(sv, now) {
+		if (r.CanRetry || len(sv.active) == 0 || sv.isDownForLong(now)) && now >= s.cfg.StartupUntil && !sv.isBrieflyStalled(now) {
 			return s.refuse(Outage, w, now)
 		}
 	} else if t, ok := s.admitNow(sv, w, now); ok {
-		return Decision{Upstream: t.up.Upstream, Ticket: t}
-	} else if s.isHopeless(sv, w, now) {
+		return Decision{Upstream: t.upstream.Upstream, Ticket: t}
+	} else if s.cannotBeServedInTime(sv, w, now) {
 		return s.refuse(NoCapacity, w, now)
 	}
 	sv.waiters = append(sv.waiters, w)
 	return Decision{Waiter: w}
 }
 
-// waiter returns a request as one that could wait. One whose caller has a part of the
+// newWaiter returns a request as one that could wait. One whose caller has a part of the
 // answer is as good as on time while it waits: the engines have done that part, and it
 // needs its place for less than a whole answer.
-func (sv *service) waiter(r *Request, now time.Duration) *Waiter {
+func (sv *service) newWaiter(r *Request, now time.Duration) *Waiter {
 	w := &Waiter{
-		service: sv, tried: r.Tried, turn: now + priorityStep*time.Duration(r.Priority),
-		onTime: r.OnTimeUntil - sv.firstEvent(), until: now + MaxQueueWait, mayReturn: r.CanRetry,
+		service: sv, tried: r.Tried, effectiveArrival: now + delayPerPriority*time.Duration(r.Priority),
+		latestStart: r.OnTimeUntil - sv.timeToFirstEvent(), giveUpAt: now + MaxQueueWait, canRetry: r.CanRetry,
 	}
 	if r.TimeLeft > 0 {
 		w.deadline = now + r.TimeLeft
 	}
 	if r.IsResumed {
-		w.onTime = w.until
+		w.latestStart = w.giveUpAt
 	}
 	return w
 }
 
-// firstEvent is about how long it takes from a place to the first event: what was seen of
+// timeToFirstEvent is about how long it takes from a place to the first event: what was seen of
 // late, and the figures of the engines before there is any.
-func (sv *service) firstEvent() time.Duration {
-	if sv.demand.first == 0 {
-		return TimeToFirstEvent(sv.shape, sv.places)
+func (sv *service) timeToFirstEvent() time.Duration {
+	if sv.demand.firstEvent == 0 {
+		return TimeToFirstEvent(sv.engineSpec, sv.limit)
 	}
-	return sv.demand.first + sv.demand.firstSpread
+	return sv.demand.firstEvent + sv.demand.firstEventDeviation
 }
 
-// isUnheard reports whether the host has just started and nothing is heard yet of groups
+// awaitsFirstReports reports whether the host has just started and nothing is heard yet of groups
 // that may have broken with it: what was known of their ranks before says nothing then.
-func (s *Scheduler) isUnheard(sv *service, now time.Duration) bool {
-	return now < s.cfg.StartupUntil && sv.hasGroups() && !sv.isHeard(now)
+func (s *Scheduler) awaitsFirstReports(sv *service, now time.Duration) bool {
+	return now < s.cfg.StartupUntil && sv.hasGroups() && !sv.hasRecentReports(now)
 }
 
 // admitNow gives a place to a request that has just come, unless others wait that go
 // first.
 func (s *Scheduler) admitNow(sv *service, w *Waiter, now time.Duration) (*Ticket, bool) {
-	if len(sv.waiters) > 0 && !w.isBefore(sv.waiters[sv.first(now)], now) {
+	if len(sv.waiters) > 0 && !w.precedes(sv.waiters[sv.nextWaiter(now)], now) {
 		return nil, false
 	}
-	if !w.isOnTime(now) && s.lateRoom(sv, now) <= 0 {
+	if !w.canBeOnTime(now) && s.lateCapacity(sv, now) <= 0 {
 		return nil, false
 	}
-	u, ok := s.place(sv, w.tried, now)
+	u, ok := s.pickEngine(sv, w.tried, now)
 	if !ok {
 		return nil, false
 	}
-	return s.grant(sv, u, w, now), true
+	return s.reserveFor(sv, u, w, now), true
 }
 
 // refuse tells a caller when to come back. It has one try left, as a rule: in an outage the
 // later it uses it, the likelier the group is back, as long as the answer still has its
 // time. Where places are short callers are spread over the second half of that.
-func (s *Scheduler) refuse(why Reason, w *Waiter, now time.Duration) Decision {
-	longest := longestReturn(w, now)
-	if why == Outage {
-		return Decision{Reason: why, RetryAfter: longest}
+func (s *Scheduler) refuse(reason Reason, w *Waiter, now time.Duration) Decision {
+	latest := maxRetryAfterFor(w, now)
+	if reason == Outage {
+		return Decision{Reason: reason, RetryAfter: latest}
 	}
-	part := soonestPart + (1-soonestPart)*s.cfg.Random.Float64()
-	return Decision{Reason: why, RetryAfter: time.Duration(part * float64(longest))}
+	fraction := minRetryAfterFraction + (1-minRetryAfterFraction)*s.cfg.Random.Float64()
+	return Decision{Reason: reason, RetryAfter: time.Duration(fraction * float64(latest))}
 }
 
-// longestReturn is the longest time after which a caller comes back.
-func longestReturn(w *Waiter, now time.Duration) time.Duration {
-	left := usualLeft
+// maxRetryAfterFor is the longest time after which a caller comes back.
+func maxRetryAfterFor(w *Waiter, now time.Duration) time.Duration {
+	timeLeft := defaultTimeLeft
 	if w != nil && w.deadline > 0 {
-		left = max(w.deadline-now, 0)
+		timeLeft = max(w.deadline-now, 0)
 	}
-	return MaxRetryAfter(left)
+	return MaxRetryAfter(timeLeft)
 }
 
 // MaxRetryAfter is what a caller with that much time left is told where its group has just
 // broken: the longest time after which it comes back.
-func MaxRetryAfter(left time.Duration) time.Duration {
-	return time.Duration(honouredPart * float64(left))
+func MaxRetryAfter(timeLeft time.Duration) time.Duration {
+	return time.Duration(maxRetryAfterFraction * float64(timeLeft))
 }
 
-// grant holds a place for a request.
-func (s *Scheduler) grant(sv *service, u *upstream, w *Waiter, now time.Duration) *Ticket {
-	t := s.hold(u, now)
-	sv.demand.grants.add(now)
-	if t.isLate = !w.isOnTime(now); t.isLate {
+// reserveFor holds a place for a request.
+func (s *Scheduler) reserveFor(sv *service, u *upstream, w *Waiter, now time.Duration) *Ticket {
+	t := s.reserve(u, now)
+	sv.demand.admissions.add(now)
+	if t.isLate = !w.canBeOnTime(now); t.isLate {
 		sv.late++
 	}
 	return t
--- a/internal/schedule/deal.go
+++ b/internal/schedule/deal.go
@@ -7,15 +7,15 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// openSpan is for how long after a group has opened reports don't show yet what was placed
+// openingReportDelay is for how long after a group has opened reports don't show yet what was placed
 // there: the engine's own lag, the agent's interval and the control host's, with a margin.
-const openSpan = 500 * time.Millisecond
+const openingReportDelay = 500 * time.Millisecond
 
-// scarceSpan is for how long places count as scarce after an engine had a queue: longer than it
+// scarcityDuration is for how long places count as scarce after an engine had a queue: longer than it
 // takes to empty, so that hosts don't fill it again at once.
-const scarceSpan = 2 * time.Second
+const scarcityDuration = 2 * time.Second
 
-// dealPlaces draws how many of the places that engines have just reported free are this
+// updateQuotas draws how many of the places that engines have just reported free are this
 // host's to take: its part, and what it has not used of the parts before, up to one place
 // or one part. All hosts see the same places: without a part of its own each would take the
 // one that a full group shows free. Ranks would work on more requests than let passes be on
@@ -24,34 +24,34 @@
 // Where all slots count as places, an engine lets no more in than its passes bear, and its
 // own queue wastes no time between two requests; nothing is dealt there unless places are
 // scarce. Then requests would wait in that queue for longer than callers do.
-func (s *Scheduler) dealPlaces(reported []wire.EngineLoad, now time.Duration) {
+func (s *Scheduler) updateQuotas(reported []wire.EngineLoad, now time.Duration) {
 	for _, sv := range s.services {
-		sv.noteQueue(now)
-		if !sv.isDealing(now) {
-			sv.isDealt, sv.dealt = false, flow{}
+		sv.detectScarcity(now)
+		if !sv.needsQuota(now) {
+			sv.hasQuota, sv.quotaRate = false, averageRate{}
 			continue
 		}
-		free, left := s.reportedFree(sv, reported, now)
-		part := free / float64(s.hosts)
-		sv.dealt.add(part, now)
-		sv.isDealt, sv.mine = true, min(sv.mine+s.part(left), max(1, int(math.Ceil(part))))
+		free, unallocated := s.reportedFree(sv, reported, now)
+		share := free / float64(s.hosts)
+		sv.quotaRate.add(share, now)
+		sv.hasQuota, sv.quota = true, min(sv.quota+s.ownShare(unallocated), max(1, int(math.Ceil(share))))
 	}
 }
 
-// isDealing reports whether the free places of a service are dealt out now.
-func (sv *service) isDealing(now time.Duration) bool {
-	return sv.shape != nil && (sv.places < sv.shape.Slots || now < sv.scarceUntil)
+// needsQuota reports whether the free places of a service are dealt out now.
+func (sv *service) needsQuota(now time.Duration) bool {
+	return sv.engineSpec != nil && (sv.limit < sv.engineSpec.Slots || now < sv.scarceUntil)
 }
 
-// noteQueue keeps until when places count as scarce, where an engine has just said that it has
+// detectScarcity keeps until when places count as scarce, where an engine has just said that it has
 // more requests than slots.
-func (sv *service) noteQueue(now time.Duration) {
-	if sv.shape == nil {
+func (sv *service) detectScarcity(now time.Duration) {
+	if sv.engineSpec == nil {
 		return
 	}
-	for _, u := range sv.all {
-		if u.load.isKnown && u.load.at == now && u.load.total > sv.shape.Slots {
-			sv.scarceUntil = now + scarceSpan
+	for _, u := range sv.active {
+		if u.load.isKnown && u.load.receivedAt == now && u.load.requests > sv.engineSpec.Slots {
+			sv.scarceUntil = now + scarcityDuration
 			return
 		}
 	}
@@ -60,46 +60,46 @@
 // reportedFree counts the free places of the engines of a service that have reported now,
 // and those of them that are left to deal: the places of a group that has just opened before
 // a backlog are all shown free until the first requests are, and are dealt once till then.
-func (s *Scheduler) reportedFree(sv *service, reported []wire.EngineLoad, now time.Duration) (free, left float64) {
-	least := sv.leastPace(now)
+func (s *Scheduler) reportedFree(sv *service, reported []wire.EngineLoad, now time.Duration) (free, unallocated float64) {
+	minRatio := sv.minStepTimeRatio(now)
 	byGroup := map[*group]float64{}
 	for i := range reported {
 		u := s.byAddress[reported[i].Address]
-		if u != nil && u.service == sv && u.load.at == now && sv.serves(u, now) {
-			byGroup[u.group] += max(float64(sv.placesAt(u, least, now))-s.taken(u, now), 0)
+		if u != nil && u.service == sv && u.load.receivedAt == now && sv.serves(u, now) {
+			byGroup[u.group] += max(float64(sv.limitOf(u, minRatio, now))-s.estimatedLoad(u, now), 0)
 		}
 	}
 	for g, n := range byGroup {
 		free += n
-		left += g.toDeal(n, now)
+		unallocated += g.allocate(n, now)
 	}
-	return free, left
+	return free, unallocated
 }
 
-// toDeal returns how many of a group's free places are dealt now.
-func (g *group) toDeal(free float64, now time.Duration) float64 {
-	if now-g.opened > openSpan {
+// allocate returns how many of a group's free places are dealt now.
+func (g *group) allocate(free float64, now time.Duration) float64 {
+	if now-g.openedAt > openingReportDelay {
 		return free
 	}
-	n := max(free-g.dealt, 0)
-	g.dealt += n
+	n := max(free-g.allocated, 0)
+	g.allocated += n
 	return n
 }
 
-// part returns this host's part of something that all hosts share, in whole numbers that
+// ownShare returns this host's part of something that all hosts share, in whole numbers that
 // are right on the mean.
-func (s *Scheduler) part(all float64) int {
-	part := all / float64(s.hosts)
-	n := int(part)
-	if s.cfg.Random.Float64() < part-float64(n) {
+func (s *Scheduler) ownShare(total float64) int {
+	share := total / float64(s.hosts)
+	n := int(share)
+	if s.cfg.Random.Float64() < share-float64(n) {
 		n++
 	}
 	return n
 }
 
-// share returns how many of a service's free places this host may take at once: all
+// ownFreeShare returns how many of a service's free places this host may take at once: all
 // hosts see the same ones.
-func (s *Scheduler) share(sv *service, now time.Duration) int {
-	_, free := s.room(sv, now)
-	return s.part(free)
+func (s *Scheduler) ownFreeShare(sv *service, now time.Duration) int {
+	_, free := s.capacity(sv, now)
+	return s.ownShare(free)
 }
--- a/internal/schedule/places_test.go
+++ b/internal/schedule/places_test.go
@@ -9,17 +9,17 @@
 	"github.com/sassafraspost/sassafraspost/internal/routetable"
 )
 
-func TestPlacesKeepPassesInsideTheGap(t *testing.T) {
+func TestConcurrencyLimitKeepsPassesWithinMaxEventGap(t *testing.T) {
 	e := &routetable.Engine{
 		Slots: 12, StepTime: 4840 * time.Microsecond, StepTimePerRequest: 362 * time.Microsecond, Stride: 6,
 		Prompt: 800, PrefillRate: 74800,
 		Experts: routetable.Experts{Sets: 4, ExpertsPerSet: 72, Slots: 8, Spare: 3, WorkShare: 0.85},
 	}
-	n := ConcurrencyLimit(e, 120*time.Millisecond)
-	const slower = 6 * (1 - 0.85 + 0.85*worstSkew)
-	pass := time.Duration(slower * float64(e.StepTime+time.Duration(n)*e.StepTimePerRequest))
-	require.Less(t, pass, 120*time.Millisecond)
-	require.Greater(t, n, 6)
+	limit := ConcurrencyLimit(e, 120*time.Millisecond)
+	const slowdown = 6 * (1 - 0.85 + 0.85*maxExpectedSkew)
+	passTime := time.Duration(slowdown * float64(e.StepTime+time.Duration(limit)*e.StepTimePerRequest))
+	require.Less(t, passTime, 120*time.Millisecond)
+	require.Greater(t, limit, 6)
 	require.Equal(t, 12, ConcurrencyLimit(e, 0), "no gap, no bound")
 	require.Equal(t, 6, ConcurrencyLimit(e, time.Millisecond), "half of the slots at least")
 	e.Experts.Sets = 0
@@ -28,13 +28,13 @@
 }
 
 // A slow rank gets as many requests as let it keep up with the others.
-func TestSlowRankGetsFewerPlaces(t *testing.T) {
+func TestSlowRankGetsLowerLimit(t *testing.T) {
 	e := &routetable.Engine{StepTime: 5 * time.Millisecond, StepTimePerRequest: 500 * time.Microsecond}
 	for _, c := range []struct {
-		slowness float64
-		want     int
+		relativeStepTime float64
+		want             int
 	}{{0, 10}, {0.9, 10}, {1, 10}, {1.25, 6}, {1.6, 2}, {2, 0}, {12, 0}} {
-		require.Equal(t, c.want, SlowRankLimit(e, 10, c.slowness), c)
+		require.Equal(t, c.want, SlowRankLimit(e, 10, c.relativeStepTime), c)
 	}
 	require.Equal(t, 10, SlowRankLimit(&routetable.Engine{}, 10, 3), "nothing is known of the engine")
 }
--- a/internal/schedule/queue.go
+++ b/internal/schedule/queue.go
@@ -14,74 +14,74 @@
 	return s.refuse(NoCapacity, w, now)
 }
 
-// pump gives up to n places to requests that wait: first to those that can still be on
+// admitWaiters gives up to n places to requests that wait: first to those that can still be on
 // time, in their order.
-func (s *Scheduler) pump(out []Result, sv *service, n int, now time.Duration) []Result {
+func (s *Scheduler) admitWaiters(out []Result, sv *service, n int, now time.Duration) []Result {
 	for ; n > 0 && len(sv.waiters) > 0; n-- {
-		i := sv.first(now)
+		i := sv.nextWaiter(now)
 		w := sv.waiters[i]
-		if !w.isOnTime(now) && s.lateRoom(sv, now) <= 0 {
+		if !w.canBeOnTime(now) && s.lateCapacity(sv, now) <= 0 {
 			break
 		}
-		u, ok := s.place(sv, w.tried, now)
+		u, ok := s.pickEngine(sv, w.tried, now)
 		if !ok {
 			break
 		}
 		sv.waiters = slices.Delete(sv.waiters, i, i+1)
-		t := s.grant(sv, u, w, now)
+		t := s.reserveFor(sv, u, w, now)
 		out = append(out, Result{Waiter: w, Decision: Decision{Upstream: u.Upstream, Ticket: t}})
 	}
 	return out
 }
 
-// sweep refuses the requests that wait in vain, at once: their callers can use the time.
+// refuseWaiters refuses the requests that wait in vain, at once: their callers can use the time.
 // Where a group has broken, those go that can come back; the others wait for as long as
 // their callers do, unless the outage lasts.
-func (s *Scheduler) sweep(out []Result, sv *service, now time.Duration) []Result {
-	if len(sv.waiters) == 0 || s.isUnheard(sv, now) {
+func (s *Scheduler) refuseWaiters(out []Result, sv *service, now time.Duration) []Result {
+	if len(sv.waiters) == 0 || s.awaitsFirstReports(sv, now) {
 		return out
 	}
-	if sv.isOut(now) {
-		if now < s.cfg.StartupUntil || sv.isPausing(now) {
+	if sv.isDown(now) {
+		if now < s.cfg.StartupUntil || sv.isBrieflyStalled(now) {
 			return out
 		}
-		return s.refuseAll(out, sv, Outage, now, func(w *Waiter) bool { return w.mayReturn || sv.isOutForLong(now) })
+		return s.refuseWhere(out, sv, Outage, now, func(w *Waiter) bool { return w.canRetry || sv.isDownForLong(now) })
 	}
-	return s.refuseAll(out, sv, NoCapacity, now, func(w *Waiter) bool { return !w.isOnTime(now) && s.isHopeless(sv, w, now) })
+	return s.refuseWhere(out, sv, NoCapacity, now, func(w *Waiter) bool { return !w.canBeOnTime(now) && s.cannotBeServedInTime(sv, w, now) })
 }
 
-// refuseAll refuses the waiters for which isVain holds, the last first.
-func (s *Scheduler) refuseAll(out []Result, sv *service, why Reason, now time.Duration, isVain func(*Waiter) bool) []Result {
+// refuseWhere refuses the waiters for which isVain holds, the last first.
+func (s *Scheduler) refuseWhere(out []Result, sv *service, reason Reason, now time.Duration, shouldRefuse func(*Waiter) bool) []Result {
 	for i := len(sv.waiters) - 1; i >= 0; i-- {
 		w := sv.waiters[i]
-		if !isVain(w) {
+		if !shouldRefuse(w) {
 			continue
 		}
 		sv.waiters = slices.Delete(sv.waiters, i, i+1)
-		out = append(out, Result{Waiter: w, Decision: s.refuse(why, w, now)})
+		out = append(out, Result{Waiter: w, Decision: s.refuse(reason, w, now)})
 	}
 	return out
 }
 
-// first returns the waiter that is served next. There has to be one.
-func (sv *service) first(now time.Duration) int {
-	next := 0
+// nextWaiter returns the waiter that is served next. There has to be one.
+func (sv *service) nextWaiter(now time.Duration) int {
+	best := 0
 	for i, w := range sv.waiters {
-		if w.isBefore(sv.waiters[next], now) {
-			next = i
+		if w.precedes(sv.waiters[best], now) {
+			best = i
 		}
 	}
-	return next
+	return best
 }
 
-// isOnTime reports whether the request can be on time if it gets its place now.
-func (w *Waiter) isOnTime(now time.Duration) bool { return now < w.onTime }
+// canBeOnTime reports whether the request can be on time if it gets its place now.
+func (w *Waiter) canBeOnTime(now time.Duration) bool { return now < w.latestStart }
 
-// isBefore reports whether w is served before o: those that can be on time go first, then
+// precedes reports whether w is served before o: those that can be on time go first, then
 // it is their turns that count.
-func (w *Waiter) isBefore(o *Waiter, now time.Duration) bool {
-	if isOnTime := w.isOnTime(now); isOnTime != o.isOnTime(now) {
+func (w *Waiter) precedes(o *Waiter, now time.Duration) bool {
+	if isOnTime := w.canBeOnTime(now); isOnTime != o.canBeOnTime(now) {
 		return isOnTime
 	}
-	return w.turn < o.turn
+	return w.effectiveArrival < o.effectiveArrival
 }
--- a/internal/schedule/room.go
+++ b/internal/schedule/room.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// leastPace is the pace of the fastest engine of a service that is heard, 0 where none tells
+// minStepTimeRatio is the pace of the fastest engine of a service that is heard, 0 where none tells
 // it.
-func (sv *service) leastPace(now time.Duration) float64 {
-	least := 0.0
-	for _, u := range sv.all {
-		if u.load.isFresh(now) && u.load.pace > 0 && (least == 0 || u.load.pace < least) {
-			least = u.load.pace
+func (sv *service) minStepTimeRatio(now time.Duration) float64 {
+	lowest := 0.0
+	for _, u := range sv.active {
+		if u.load.isFresh(now) && u.load.stepTimeRatio > 0 && (lowest == 0 || u.load.stepTimeRatio < lowest) {
+			lowest = u.load.stepTimeRatio
 		}
 	}
-	return least
+	return lowest
 }
 
-// placesAt returns how many requests an engine should work on at once, fewer where it is
+// limitOf returns how many requests an engine should work on at once, fewer where it is
 // slower than the fastest.
-func (sv *service) placesAt(u *upstream, least float64, now time.Duration) int {
-	places := sv.places
-	if u.group != nil && u.group.places > 0 {
-		places = int(u.group.places + u.spread)
+func (sv *service) limitOf(u *upstream, minRatio float64, now time.Duration) int {
+	limit := sv.limit
+	if u.group != nil && u.group.limit > 0 {
+		limit = int(u.group.limit + u.rounding)
 	}
-	if !u.load.isFresh(now) || least == 0 {
-		return places
+	if !u.load.isFresh(now) || minRatio == 0 {
+		return limit
 	}
-	return SlowRankLimit(sv.shape, places, u.load.pace/least)
+	return SlowRankLimit(sv.engineSpec, limit, u.load.stepTimeRatio/minRatio)
 }
 
-// room counts the places of a service that serve, and those of them that are free.
-func (s *Scheduler) room(sv *service, now time.Duration) (places, free float64) {
-	least := sv.leastPace(now)
-	for _, u := range sv.all {
+// capacity counts the places of a service that serve, and those of them that are free.
+func (s *Scheduler) capacity(sv *service, now time.Duration) (total, free float64) {
+	minRatio := sv.minStepTimeRatio(now)
+	for _, u := range sv.active {
 		if !sv.serves(u, now) {
 			continue
 		}
-		n := float64(sv.placesAt(u, least, now))
-		places += n
-		free += max(n-s.taken(u, now), 0)
+		limit := float64(sv.limitOf(u, minRatio, now))
+		total += limit
+		free += max(limit-s.estimatedLoad(u, now), 0)
 	}
-	return places, free
+	return total, free
 }
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -41,8 +41,8 @@
 	upstreams map[string]*upstream
 	byAddress map[string]*upstream
 	services  map[string]*service
-	// trusted and suspect are used by place, so that a decision need not allocate them.
-	trusted, suspect []option
+	// trustedCandidates and suspect are used by place, so that a decision need not allocate them.
+	trustedCandidates, suspectCandidates []candidate
 }
 
 // New returns an empty Scheduler of a host that is alone.
@@ -60,49 +60,49 @@
 	group   *group
 	// inflight counts this host's attempts there.
 	inflight int
-	// failures counts the attempts that failed in a row.
-	failures     int
-	suspectUntil time.Duration
-	load         load
-	isServing    bool
-	// spread is by how much the upstream rounds a number of places up, in [0, 1): it differs
+	// consecutiveFailures counts the attempts that failed in a row.
+	consecutiveFailures int
+	suspectUntil        time.Duration
+	load                load
+	isServing           bool
+	// rounding is by how much the upstream rounds a number of places up, in [0, 1): it differs
 	// between upstreams, so that parts of a place at each make whole ones together.
-	spread float64
+	rounding float64
 }
 
 // service is what this host knows of a service.
 type service struct {
 	name string
-	// all are the upstreams that serve, in the order of their ids.
-	all    []*upstream
+	// active are the upstreams that serve, in the order of their ids.
+	active []*upstream
 	groups map[string]*group
 	budget retrybudget.Budget
 	// inflight counts this host's attempts at all upstreams, late those of requests that
 	// had no chance to be on time when they got their place.
 	inflight, late int
-	// heard is when the last load of one of them came; wasHeard tells that one ever did.
-	heard    time.Duration
-	wasHeard bool
-	// shape are the figures of the engines, nil for plain services, gap the longest pause
+	// lastReport is when the last load of one of them came; wasHeard tells that one ever did.
+	lastReport  time.Duration
+	hasReported bool
+	// engineSpec are the figures of the engines, nil for plain services, gap the longest pause
 	// between events; places is how many requests an engine should work on at once as far
 	// as these tell, groups know better once their passes were seen.
-	shape  *routetable.Engine
-	gap    time.Duration
-	places int
-	// mine is how many of the free places are this host's to take; see dealPlaces. Until a
+	engineSpec  *routetable.Engine
+	maxEventGap time.Duration
+	limit       int
+	// quota is how many of the free places are this host's to take; see dealPlaces. Until a
 	// request has told the engines' figures, isDealt is not set and they can't be counted.
-	mine    int
-	isDealt bool
-	// outSince is since when no group was heard to serve, 0 while one does.
-	outSince time.Duration
+	quota    int
+	hasQuota bool
+	// downSince is since when no group was heard to serve, 0 while one does.
+	downSince time.Duration
 	// scarceUntil is until when its places count as scarce.
 	scarceUntil time.Duration
-	// dealt is how many free places a second are this host's part.
-	dealt   flow
-	waiters []*Waiter
-	demand  demand
-	// unheard are the attempts that have no head of an answer yet and may be taken back.
-	unheard map[*Ticket]unheard
+	// quotaRate is how many free places a second are this host's part.
+	quotaRate averageRate
+	waiters   []*Waiter
+	demand    demand
+	// awaitingHeader are the attempts that have no head of an answer yet and may be taken back.
+	awaitingHeader map[*Ticket]headerWait
 }
 
 // SetHosts tells how many hosts share the upstreams and the budgets.
@@ -119,16 +119,16 @@
 		u.isServing = false
 	}
 	for _, sv := range s.services {
-		sv.all = sv.all[:0]
+		sv.active = sv.active[:0]
 	}
 	clear(s.byAddress)
 	for name, list := range serving {
 		sv := s.service(name)
-		for _, known := range list {
-			u := s.know(known)
+		for _, announced := range list {
+			u := s.record(announced)
 			u.isServing, u.service = true, sv
-			u.spread = float64(len(sv.all)) / float64(len(list))
-			sv.all = append(sv.all, u)
+			u.rounding = float64(len(sv.active)) / float64(len(list))
+			sv.active = append(sv.active, u)
 			s.byAddress[u.Address] = u
 		}
 	}
@@ -139,32 +139,32 @@
 	}
 	var out []Result
 	for _, sv := range s.services {
-		sv.regroup()
-		if len(sv.waiters) > 0 && len(sv.all) > 0 {
-			out = s.pump(out, sv, s.share(sv, now), now)
+		sv.updateGroups()
+		if len(sv.waiters) > 0 && len(sv.active) > 0 {
+			out = s.admitWaiters(out, sv, s.ownFreeShare(sv, now), now)
 		}
 	}
 	return out
 }
 
-// know returns the record of an upstream.
-func (s *Scheduler) know(known registry.Upstream) *upstream {
-	u := s.upstreams[known.ID]
+// record returns the record of an upstream.
+func (s *Scheduler) record(announced registry.Upstream) *upstream {
+	u := s.upstreams[announced.ID]
 	switch {
 	case u == nil:
 		u = &upstream{}
-		s.upstreams[known.ID] = u
-	case u.Born != known.Born:
-		u.failures, u.suspectUntil, u.load = 0, 0, load{}
+		s.upstreams[announced.ID] = u
+	case u.Born != announced.Born:
+		u.consecutiveFailures, u.suspectUntil, u.load = 0, 0, load{}
 	}
-	u.Upstream = known
+	u.Upstream = announced
 	return u
 }
 
 func (s *Scheduler) service(name string) *service {
 	sv := s.services[name]
 	if sv == nil {
-		sv = &service{name: name, groups: map[string]*group{}, unheard: map[*Ticket]unheard{}}
+		sv = &service{name: name, groups: map[string]*group{}, awaitingHeader: map[*Ticket]headerWait{}}
 		s.services[name] = sv
 	}
 	return sv
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -14,21 +14,21 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// engines are the figures of an engine whose usual request stays for 0.8 s: 26 passes of
+// testEngine are the figures of an engine whose usual request stays for 0.8 s: 26 passes of
 // 30 ms, without groups.
-var engines = &routetable.Engine{
+var testEngine = &routetable.Engine{
 	Slots: 4, StepTime: 5 * time.Millisecond, StepTimePerRequest: 250 * time.Microsecond, Stride: 5, Prompt: 100, Answer: 130, PrefillRate: 10_000,
 }
 
-// ranks are those of engines in groups.
-func ranks() *routetable.Engine {
-	e := *engines
+// groupedEngine are those of engines in groups.
+func groupedEngine() *routetable.Engine {
+	e := *testEngine
 	e.Experts = routetable.Experts{Sets: 1, ExpertsPerSet: 8, Slots: 2}
 	return &e
 }
 
-// lab is a scheduler among engines of a service "s" that were up for long.
-type lab struct {
+// testCluster is a scheduler among engines of a service "s" that were up for long.
+type testCluster struct {
 	*Scheduler
 	now    time.Duration
 	engine *routetable.Engine
@@ -36,14 +36,14 @@
 	loads  map[string]wire.EngineLoad
 }
 
-// newLab has groups of that many ranks each, "0/0" the first of the first group.
-func newLab(groups, size, hosts int) *lab {
-	l := &lab{
+// newTestCluster has groups of that many ranks each, "0/0" the first of the first group.
+func newTestCluster(groups, size, hosts int) *testCluster {
+	l := &testCluster{
 		Scheduler: New(Config{
 			DataCentre: "near", Budget: retrybudget.Params{Ratio: 0.2, Extra: 10, Window: 10 * time.Second},
 			Random: rand.New(rand.NewPCG(1, 2)), StartupUntil: 1500 * time.Millisecond,
 		}),
-		now: time.Hour, engine: ranks(), loads: map[string]wire.EngineLoad{},
+		now: time.Hour, engine: groupedEngine(), loads: map[string]wire.EngineLoad{},
 	}
 	for g := range groups {
 		for r := range size {
@@ -53,12 +53,12 @@
 		}
 	}
 	l.SetHosts(hosts)
-	l.know(0)
+	l.announce(0)
 	return l
 }
 
-// know lets the scheduler know the upstreams, which started then.
-func (l *lab) know(born int64) []Result {
+// announce lets the scheduler know the upstreams, which started then.
+func (l *testCluster) announce(born int64) []Result {
 	var all []registry.Upstream
 	for _, id := range l.ids {
 		all = append(all, registry.Upstream{ID: id, Address: id, Service: "s", Slots: 4, Born: born})
@@ -66,8 +66,8 @@
 	return l.SetUpstreams(map[string][]registry.Upstream{"s": all}, l.now)
 }
 
-// tell changes the load of an engine and tells that of all.
-func (l *lab) tell(id string, change func(*wire.EngineLoad)) ([]Result, []StalledAttempt) {
+// report changes the load of an engine and tells that of all.
+func (l *testCluster) report(id string, change func(*wire.EngineLoad)) ([]Result, []StalledAttempt) {
 	if change != nil {
 		load := l.loads[id]
 		change(&load)
@@ -82,37 +82,37 @@
 	return l.SetLoads(all, l.now)
 }
 
-// fill tells that each engine has that many requests.
-func (l *lab) fill(n int) ([]Result, []StalledAttempt) {
-	l.occupy(n)
-	return l.tell("", nil)
+// reportLoads tells that each engine has that many requests.
+func (l *testCluster) reportLoads(n int) ([]Result, []StalledAttempt) {
+	l.setLoads(n)
+	return l.report("", nil)
 }
 
-// occupy lets each engine have that many requests, of which nothing is told yet.
-func (l *lab) occupy(n int) {
+// setLoads lets each engine have that many requests, of which nothing is told yet.
+func (l *testCluster) setLoads(n int) {
 	for id, load := range l.loads {
 		load.Running = n
 		l.loads[id] = load
 	}
 }
 
-// request is one that can be on time for 400 ms from now.
-func (l *lab) request() *Request {
+// onTimeRequest is one that can be on time for 400 ms from now.
+func (l *testCluster) onTimeRequest() *Request {
 	return &Request{Service: "s", Engine: l.engine, OnTimeUntil: l.now + 400*time.Millisecond, CanRetry: true}
 }
 
-// late is one whose caller has been here before.
-func (l *lab) late() *Request {
-	r := l.request()
+// lateRequest is one whose caller has been here before.
+func (l *testCluster) lateRequest() *Request {
+	r := l.onTimeRequest()
 	r.OnTimeUntil, r.CanRetry = l.now, false
 	return r
 }
 
-// used counts where requests go until no place is left.
-func (l *lab) used() map[string]int {
+// admitUntilFull counts where requests go until no place is left.
+func (l *testCluster) admitUntilFull() map[string]int {
 	out := map[string]int{}
 	for {
-		d := l.Admit(l.request(), l.now)
+		d := l.Admit(l.onTimeRequest(), l.now)
 		if d.Ticket == nil {
 			return out
 		}
@@ -120,23 +120,23 @@
 	}
 }
 
-func TestPlainServiceUsesTheLeastLoadedThatIsTrusted(t *testing.T) {
-	l := newLab(1, 3, 1)
+func TestPlainServicePicksLeastLoadedUnsuspectedUpstream(t *testing.T) {
+	l := newTestCluster(1, 3, 1)
 	l.loads = map[string]wire.EngineLoad{}
-	seen := map[string]int{}
-	var held []*Ticket
+	counts := map[string]int{}
+	var tickets []*Ticket
 	for range 9 {
 		_, ticket, ok := l.ReserveLeastLoaded("s", nil, l.now)
 		require.True(t, ok)
-		seen[ticket.ID()]++
-		held = append(held, ticket)
+		counts[ticket.ID()]++
+		tickets = append(tickets, ticket)
 	}
-	require.Equal(t, map[string]int{"0/0": 3, "0/1": 3, "0/2": 3}, seen)
+	require.Equal(t, map[string]int{"0/0": 3, "0/1": 3, "0/2": 3}, counts)
 	u, _, _ := l.ReserveLeastLoaded("s", []string{"0/0", "0/1"}, l.now)
 	require.Equal(t, "0/2", u.ID)
 	_, _, ok := l.ReserveLeastLoaded("s", l.ids, l.now)
 	require.False(t, ok, "all were tried")
-	for _, ticket := range held {
+	for _, ticket := range tickets {
 		if ticket.ID() == "0/0" {
 			l.Release(ticket, Failure, l.now)
 		}
@@ -148,79 +148,79 @@
 	}
 	u, _, _ = l.ReserveLeastLoaded("s", []string{"0/1", "0/2"}, l.now)
 	require.Equal(t, "0/0", u.ID, "a suspect is better than none")
-	u, _, _ = l.ReserveLeastLoaded("s", []string{"0/1", "0/2"}, l.now+suspectFor)
+	u, _, _ = l.ReserveLeastLoaded("s", []string{"0/1", "0/2"}, l.now+suspectDuration)
 	require.Equal(t, "0/0", u.ID)
 }
 
 // Load pattern: a cut breaks one of two groups. From the first word of one of its ranks on
 // nothing goes there, the other one is used to its places, and the broken one again from
 // the first word of its new epoch on.
-func TestNothingIsSentIntoABrokenGroup(t *testing.T) {
-	l := newLab(2, 4, 1)
-	l.tell("0/2", func(load *wire.EngineLoad) { load.IsOpen = false })
-	require.Equal(t, map[string]int{"1/0": 4, "1/1": 4, "1/2": 4, "1/3": 4}, l.used())
-	l.tell("0/3", func(load *wire.EngineLoad) { load.Epoch = 2 })
-	used := l.used()
+func TestNoRequestGoesToBrokenGroup(t *testing.T) {
+	l := newTestCluster(2, 4, 1)
+	l.report("0/2", func(load *wire.EngineLoad) { load.IsOpen = false })
+	require.Equal(t, map[string]int{"1/0": 4, "1/1": 4, "1/2": 4, "1/3": 4}, l.admitUntilFull())
+	l.report("0/3", func(load *wire.EngineLoad) { load.Epoch = 2 })
+	used := l.admitUntilFull()
 	require.Equal(t, 4, used["0/0"], "all of the group serve")
 	require.Zero(t, used["1/0"])
 }
 
 // A rank that is late with its word does not close the group again.
-func TestWordOfAnEarlierEpochDoesNotCount(t *testing.T) {
-	l := newLab(1, 2, 1)
-	l.tell("0/0", func(load *wire.EngineLoad) { load.Epoch = 2 })
-	l.tell("0/1", func(load *wire.EngineLoad) { load.IsOpen = false })
-	require.NotNil(t, l.Admit(l.request(), l.now).Ticket)
-	l.tell("0/1", func(load *wire.EngineLoad) { load.Epoch = 2 })
-	require.Equal(t, Outage, l.Admit(l.request(), l.now).Reason)
+func TestReportsFromEarlierEpochAreIgnored(t *testing.T) {
+	l := newTestCluster(1, 2, 1)
+	l.report("0/0", func(load *wire.EngineLoad) { load.Epoch = 2 })
+	l.report("0/1", func(load *wire.EngineLoad) { load.IsOpen = false })
+	require.NotNil(t, l.Admit(l.onTimeRequest(), l.now).Ticket)
+	l.report("0/1", func(load *wire.EngineLoad) { load.Epoch = 2 })
+	require.Equal(t, Outage, l.Admit(l.onTimeRequest(), l.now).Reason)
 }
 
 // Load pattern: a host in a data centre that is cut off hears its own ranks only. What
 // serves behind the cut is of no use to it.
-func TestGroupOfWhichNothingIsHeardIsNotUsed(t *testing.T) {
-	l := newLab(2, 2, 1)
-	l.tell("", nil)
-	l.now += freshLoad + time.Millisecond
+func TestGroupWithoutRecentReportsIsNotUsed(t *testing.T) {
+	l := newTestCluster(2, 2, 1)
+	l.report("", nil)
+	l.now += maxReportAge + time.Millisecond
 	delete(l.loads, "1/0")
 	delete(l.loads, "1/1")
-	l.tell("0/0", func(load *wire.EngineLoad) { load.IsOpen = false })
-	d := l.Admit(l.request(), l.now)
+	l.report("0/0", func(load *wire.EngineLoad) { load.IsOpen = false })
+	d := l.Admit(l.onTimeRequest(), l.now)
 	require.Equal(t, Outage, d.Reason)
 	require.Positive(t, d.RetryAfter)
-	l.now += 2 * freshLoad
-	require.NotNil(t, l.Admit(l.request(), l.now).Ticket, "no word at all is no word on groups")
+	l.now += 2 * maxReportAge
+	require.NotNil(t, l.Admit(l.onTimeRequest(), l.now).Ticket, "no word at all is no word on groups")
 }
 
 // An engine whose load is no longer told, while those of most others are, gets nothing:
 // its host is frozen, and what is sent there would be read when the caller has left.
-func TestDarkEngineGetsNothing(t *testing.T) {
-	l := newLab(1, 4, 1)
-	l.tell("", nil)
-	l.now += darkLoad
-	dark := l.loads["0/1"]
+func TestEngineWithMissingReportsGetsNoRequests(t *testing.T) {
+	l := newTestCluster(1, 4, 1)
+	l.report("", nil)
+	l.now += maxTrustedAge
+	missing := l.loads["0/1"]
 	delete(l.loads, "0/1")
-	l.tell("", nil)
-	require.Equal(t, map[string]int{"0/0": 4, "0/2": 4, "0/3": 4}, l.used())
-	l.loads["0/1"] = dark
-	l.fill(0)
-	require.Positive(t, l.used()["0/1"])
+	l.report("", nil)
+	require.Equal(t, map[string]int{"0/0": 4, "0/2": 4, "0/3": 4}, l.admitUntilFull())
+	l.loads["0/1"] = missing
+	l.reportLoads(0)
+	require.Positive(t, l.admitUntilFull()["0/1"])
 }
 
 // All ranks of a group wait for the slowest in every pass, so a slow one gets fewer
 // requests, or none. Where all are as slow, none counts as slow.
-func TestSlowEngineGetsWhatLetsItKeepUp(t *testing.T) {
-	filled := func(slow, fast float64) map[string]int {
-		l := newLab(1, 2, 1)
+func TestSlowEngineGetsFewerRequests(t *testing.T) {
+	admitted := func(slow, fast float64) map[string]int {
+		l := newTestCluster(1, 2, 1)
 		l.engine.Slots, l.engine.StepTimePerRequest = 10, 500*time.Microsecond
-		l.tell("0/0", func(load *wire.EngineLoad) { load.Pace = slow })
-		l.tell("0/1", func(load *wire.EngineLoad) { load.Pace = fast })
-		return l.used()
+		l.report("0/0", func(load *wire.EngineLoad) { load.Pace = slow })
+		l.report("0/1", func(load *wire.EngineLoad) { load.Pace = fast })
+		return l.admitUntilFull()
 	}
-	require.Equal(t, map[string]int{"0/0": 10, "0/1": 10}, filled(1, 1))
-	require.Equal(t, map[string]int{"0/0": 2, "0/1": 10}, filled(1.6, 1))
-	require.Equal(t, map[string]int{"0/1": 10}, filled(12, 1))
-	require.Equal(t, map[string]int{"0/0": 10, "0/1": 10}, filled(12, 12))
-	require.Equal(t, map[string]int{"0/0": 10, "0/1": 10}, filled(0, 0), "no pace is told")
+	require.Equal(t, map[string]int{"0/0": 10, "0/1": 10}, admitted(1, 1))
+	require.Equal(t, map[string]int{"0/0": 2, "0/1": 10}, admitted(1.6, 1))
+	require.Equal(t, map[string]int{"0/1": 10}, admitted(12, 1))
+	require.Equal(t, map[string]int{"0/0": 10, "0/1": 10}, admitted(12, 12))
+	require.Equal(t, map[string]int{"0/0": 10, "0/1": 10}, admitted(0, 0), "no pace is told")
 }
 
 // Load pattern: many hosts see the same loads of late. Each alone would send to the
@@ -229,7 +229,7 @@
 	const hosts, size = 42, 64
 	total := make(map[string]int)
 	for h := range hosts {
-		l := newLab(1, size, hosts)
+		l := newTestCluster(1, size, hosts)
 		l.cfg.Random = rand.New(rand.NewPCG(uint64(h), 7))
 		l.engine.Slots = 10
 		for i, id := range l.ids {
@@ -240,33 +240,33 @@
 			}
 			l.loads[id] = load
 		}
-		l.tell("", nil)
+		l.report("", nil)
 		// Eight requests a second at each host, as it was in the last seconds.
 		for range 16 {
-			l.service("s").demand.grants.add(l.now)
+			l.service("s").demand.admissions.add(l.now)
 			l.now += 125 * time.Millisecond
 		}
-		l.tell("", nil)
-		d := l.Admit(l.request(), l.now)
+		l.report("", nil)
+		d := l.Admit(l.onTimeRequest(), l.now)
 		total[d.Ticket.ID()]++
 	}
 	require.Less(t, total["0/0"], 8, "42 hosts, one request each")
 	require.Greater(t, len(total), 15)
 }
 
-func TestAloneAHostChoosesTheEmptiestEngine(t *testing.T) {
-	l := newLab(1, 8, 1)
-	l.fill(3)
-	l.tell("0/5", func(load *wire.EngineLoad) { load.Running = 1 })
-	require.Equal(t, "0/5", l.Admit(l.request(), l.now).Ticket.ID())
+func TestSingleHostChoosesLeastLoadedEngine(t *testing.T) {
+	l := newTestCluster(1, 8, 1)
+	l.reportLoads(3)
+	l.report("0/5", func(load *wire.EngineLoad) { load.Running = 1 })
+	require.Equal(t, "0/5", l.Admit(l.onTimeRequest(), l.now).Ticket.ID())
 }
 
-func TestWaiterGetsThePlaceThatBecomesFree(t *testing.T) {
-	l := newLab(1, 1, 1)
-	l.fill(3)
-	first := l.Admit(l.request(), l.now)
+func TestWaiterGetsReleasedSlot(t *testing.T) {
+	l := newTestCluster(1, 1, 1)
+	l.reportLoads(3)
+	first := l.Admit(l.onTimeRequest(), l.now)
 	require.NotNil(t, first.Ticket)
-	second := l.Admit(l.request(), l.now)
+	second := l.Admit(l.onTimeRequest(), l.now)
 	require.NotNil(t, second.Waiter)
 	results, _ := l.Release(first.Ticket, Success, l.now)
 	require.Len(t, results, 1)
@@ -276,118 +276,118 @@
 	require.Empty(t, results, "a hold ends once")
 }
 
-func TestGivenUpWaiterGetsNothing(t *testing.T) {
-	l := newLab(1, 1, 1)
-	l.fill(4)
-	d := l.Admit(l.request(), l.now)
+func TestAbandonedWaiterIsNotAdmitted(t *testing.T) {
+	l := newTestCluster(1, 1, 1)
+	l.reportLoads(4)
+	d := l.Admit(l.onTimeRequest(), l.now)
 	require.Equal(t, NoCapacity, l.Abandon(d.Waiter, l.now).Reason)
-	results, _ := l.fill(0)
+	results, _ := l.reportLoads(0)
 	require.Empty(t, results)
 }
 
 // A more urgent request goes before those that came shortly before it, and not before
 // those that have waited long; who can be on time goes first.
-func TestOrderOfThoseThatWait(t *testing.T) {
-	at := func(came time.Duration, priority int) *Waiter {
-		return &Waiter{onTime: time.Minute, turn: came + priorityStep*time.Duration(priority)}
+func TestWaitersAreOrderedByPunctualityPriorityAndArrival(t *testing.T) {
+	waiter := func(arrived time.Duration, priority int) *Waiter {
+		return &Waiter{latestStart: time.Minute, effectiveArrival: arrived + delayPerPriority*time.Duration(priority)}
 	}
-	first := func(all ...*Waiter) int { return (&service{waiters: all}).first(time.Second) }
-	require.Equal(t, 1, first(at(0, 2), at(priorityStep, 0)))
-	require.Equal(t, 0, first(at(0, 2), at(3*priorityStep, 0)))
-	require.Equal(t, 0, first(at(0, 1), at(0, 1)), "equals are served as they came")
-	late := at(0, 0)
-	late.onTime = 0
-	require.Equal(t, 1, first(late, at(0, 9)))
+	first := func(all ...*Waiter) int { return (&service{waiters: all}).nextWaiter(time.Second) }
+	require.Equal(t, 1, first(waiter(0, 2), waiter(delayPerPriority, 0)))
+	require.Equal(t, 0, first(waiter(0, 2), waiter(3*delayPerPriority, 0)))
+	require.Equal(t, 0, first(waiter(0, 1), waiter(0, 1)), "equals are served as they came")
+	late := waiter(0, 0)
+	late.latestStart = 0
+	require.Equal(t, 1, first(late, waiter(0, 9)))
 }
 
 // Load pattern: service is back after an outage, and the callers of the outage come back
 // with those of now. A late answer is worth less to its caller than one on time, and a
 // late request in a place makes the next one late.
-func TestLateRequestsGetWhatThoseOnTimeLeave(t *testing.T) {
-	l := newLab(1, 8, 1)
-	l.fill(0)
+func TestLateRequestsGetCapacityLeftByOnTimeRequests(t *testing.T) {
+	l := newTestCluster(1, 8, 1)
+	l.reportLoads(0)
 	// 30 requests a second that stay for 0.8 s need 24 of 32 places.
 	for range 64 {
-		l.service("s").demand.fresh.add(l.now)
-		l.now += rateSpan / 64
+		l.service("s").demand.onTimeArrivals.add(l.now)
+		l.now += rateWindow / 64
 	}
-	l.service("s").demand.stay = ServiceTime(l.engine, 4)
-	l.fill(0)
-	placed := 0
+	l.service("s").demand.serviceTime = ServiceTime(l.engine, 4)
+	l.reportLoads(0)
+	admitted := 0
 	for range 40 {
-		if d := l.Admit(l.late(), l.now); d.Ticket != nil {
-			placed++
+		if d := l.Admit(l.lateRequest(), l.now); d.Ticket != nil {
+			admitted++
 		}
 	}
-	require.Greater(t, placed, 4, "there is room beside those on time")
-	require.Less(t, placed, 24, "they do not get all of it")
-	require.NotNil(t, l.Admit(l.request(), l.now).Ticket, "one that can be on time does not wait behind them")
+	require.Greater(t, admitted, 4, "there is room beside those on time")
+	require.Less(t, admitted, 24, "they do not get all of it")
+	require.NotNil(t, l.Admit(l.onTimeRequest(), l.now).Ticket, "one that can be on time does not wait behind them")
 }
 
 // What would wait in vain is refused at once, so that its caller can use the time.
-func TestHopelessRequestIsRefusedAtOnce(t *testing.T) {
-	l := newLab(1, 1, 1)
-	l.service("s").demand.stay = 10 * time.Second
+func TestRequestThatCannotBeServedInTimeIsRefusedAtOnce(t *testing.T) {
+	l := newTestCluster(1, 1, 1)
+	l.service("s").demand.serviceTime = 10 * time.Second
 	for range 20 {
-		l.service("s").demand.fresh.add(l.now)
+		l.service("s").demand.onTimeArrivals.add(l.now)
 	}
-	l.fill(4)
-	d := l.Admit(l.late(), l.now)
+	l.reportLoads(4)
+	d := l.Admit(l.lateRequest(), l.now)
 	require.Equal(t, NoCapacity, d.Reason)
 	require.Positive(t, d.RetryAfter)
-	resumed := l.late()
+	resumed := l.lateRequest()
 	resumed.IsResumed = true
 	require.NotEqual(t, Outage, l.Admit(resumed, l.now).Reason)
 }
 
 // A request that waited until it can't be on time any more is told so with the next loads.
-func TestWaiterThatHasBecomeHopelessIsRefused(t *testing.T) {
-	l := newLab(1, 4, 1)
-	l.fill(4)
-	d := l.Admit(l.request(), l.now)
+func TestWaiterThatCanNoLongerBeServedInTimeIsRefused(t *testing.T) {
+	l := newTestCluster(1, 4, 1)
+	l.reportLoads(4)
+	d := l.Admit(l.onTimeRequest(), l.now)
 	require.NotNil(t, d.Waiter)
 	for range 40 {
-		l.service("s").demand.fresh.add(l.now)
+		l.service("s").demand.onTimeArrivals.add(l.now)
 	}
-	l.service("s").demand.stay = 2 * time.Second
-	results, _ := l.fill(4)
+	l.service("s").demand.serviceTime = 2 * time.Second
+	results, _ := l.reportLoads(4)
 	require.Empty(t, results, "it can be on time yet")
 	l.now += 400 * time.Millisecond
-	results, _ = l.fill(4)
+	results, _ = l.reportLoads(4)
 	require.Len(t, results, 1)
 	require.Equal(t, NoCapacity, results[0].Reason)
 }
 
 // How long the first event takes is learnt: with it a request is late sooner than the
 // figures of the engines say.
-func TestTimeToTheFirstEventIsLearnt(t *testing.T) {
-	l := newLab(1, 1, 1)
-	l.fill(0)
+func TestTimeToFirstEventIsLearned(t *testing.T) {
+	l := newTestCluster(1, 1, 1)
+	l.reportLoads(0)
 	byFigures := l.service("s")
-	byFigures.shape, byFigures.places = l.engine, 4
-	require.Less(t, byFigures.firstEvent(), 100*time.Millisecond)
+	byFigures.engineSpec, byFigures.limit = l.engine, 4
+	require.Less(t, byFigures.timeToFirstEvent(), 100*time.Millisecond)
 	for range 30 {
-		d := l.Admit(l.request(), l.now)
+		d := l.Admit(l.onTimeRequest(), l.now)
 		l.RecordFirstEvent(d.Ticket, l.now+200*time.Millisecond)
 		l.Release(d.Ticket, Success, l.now+time.Second)
 	}
-	require.InDelta(t, 0.2, l.service("s").firstEvent().Seconds(), 0.01)
+	require.InDelta(t, 0.2, l.service("s").timeToFirstEvent().Seconds(), 0.01)
 }
 
 // Load pattern: everything has stopped at once and starts again. What a host does not know
 // yet is on its way, and its callers have one try left.
-func TestHostThatHasJustStartedLetsRequestsWait(t *testing.T) {
-	l := newLab(1, 2, 1)
+func TestStartingHostQueuesRequests(t *testing.T) {
+	l := newTestCluster(1, 2, 1)
 	l.now = time.Second
-	unknown := l.request()
+	unknown := l.onTimeRequest()
 	unknown.Service = "t"
 	require.NotNil(t, l.Admit(unknown, l.now).Waiter, "no upstream is known yet")
-	unheard := l.Admit(l.request(), l.now)
-	require.NotNil(t, unheard.Waiter, "nothing is heard of the group yet")
-	results, _ := l.tell("0/0", func(load *wire.EngineLoad) { load.IsOpen = false })
+	beforeReports := l.Admit(l.onTimeRequest(), l.now)
+	require.NotNil(t, beforeReports.Waiter, "nothing is heard of the group yet")
+	results, _ := l.report("0/0", func(load *wire.EngineLoad) { load.IsOpen = false })
 	require.Empty(t, results)
-	require.NotNil(t, l.Admit(l.request(), l.now).Waiter, "the group forms anew")
-	results, _ = l.tell("0/0", func(load *wire.EngineLoad) { load.IsOpen, load.Epoch = true, 2 })
+	require.NotNil(t, l.Admit(l.onTimeRequest(), l.now).Waiter, "the group forms anew")
+	results, _ = l.report("0/0", func(load *wire.EngineLoad) { load.IsOpen, load.Epoch = true, 2 })
 	require.Len(t, results, 2)
 	require.NotNil(t, results[0].Ticket)
 	l.now = 2 * time.Second
@@ -396,30 +396,30 @@
 
 // An attempt that waits for its first event in a group that does not serve ends before its
 // caller leaves.
-func TestAttemptInAStalledGroupEndsInTime(t *testing.T) {
-	l := newLab(1, 1, 1)
-	l.fill(0)
-	d := l.Admit(l.request(), l.now)
+func TestAttemptInStalledGroupTimesOut(t *testing.T) {
+	l := newTestCluster(1, 1, 1)
+	l.reportLoads(0)
+	d := l.Admit(l.onTimeRequest(), l.now)
 	l.AwaitHeader(d.Ticket, l.now)
-	_, stalled := l.tell("0/0", func(load *wire.EngineLoad) { load.IsOpen = false })
+	_, stalled := l.report("0/0", func(load *wire.EngineLoad) { load.IsOpen = false })
 	require.Empty(t, stalled, "it has time left")
 	l.now += StalledAttemptTimeout
-	_, stalled = l.tell("", nil)
+	_, stalled = l.report("", nil)
 	require.Len(t, stalled, 1)
 	require.Equal(t, d.Ticket, stalled[0].Ticket)
 	l.HeaderReceived(d.Ticket)
-	_, stalled = l.tell("", nil)
+	_, stalled = l.report("", nil)
 	require.Empty(t, stalled)
 }
 
 // Where another group has places free, attempts leave the broken one at once, as many as
 // there are places for; the others could only be refused.
-func TestAttemptsLeaveABrokenGroupForFreePlaces(t *testing.T) {
-	l := newLab(2, 1, 1)
-	l.fill(0)
+func TestAttemptsMoveFromBrokenGroupToFreeSlots(t *testing.T) {
+	l := newTestCluster(2, 1, 1)
+	l.reportLoads(0)
 	broken := 0
 	for range 8 {
-		d := l.Admit(l.request(), l.now)
+		d := l.Admit(l.onTimeRequest(), l.now)
 		l.AwaitHeader(d.Ticket, l.now)
 		if d.Ticket.ID() == "0/0" {
 			broken++
@@ -427,15 +427,15 @@
 	}
 	require.Equal(t, 4, broken)
 	l.loads["1/0"] = wire.EngineLoad{Address: "1/0", IsOpen: true, Group: "1", Epoch: 1, Running: 4}
-	_, stalled := l.tell("0/0", func(load *wire.EngineLoad) { load.IsOpen = false })
+	_, stalled := l.report("0/0", func(load *wire.EngineLoad) { load.IsOpen = false })
 	require.Empty(t, stalled, "the other group is full")
 	for id, u := range l.upstreams {
 		if id == "1/0" {
 			u.inflight = 2
 		}
 	}
-	l.tell("1/0", func(load *wire.EngineLoad) { load.Running = 2 })
-	_, stalled = l.tell("1/0", nil)
+	l.report("1/0", func(load *wire.EngineLoad) { load.Running = 2 })
+	_, stalled = l.report("1/0", nil)
 	require.Len(t, stalled, 2)
 	require.True(t, stalled[0].HasOtherGroup)
 	require.Equal(t, "0/0", stalled[0].Ticket.ID())
@@ -443,22 +443,22 @@
 
 // An upstream that has started again under its id begins without the experience of before,
 // and a load of the start before says nothing of it.
-func TestUpstreamThatStartsAgainBeginsAnew(t *testing.T) {
-	l := newLab(1, 1, 1)
-	l.fill(4)
-	require.NotNil(t, l.Admit(l.request(), l.now).Waiter)
+func TestRestartedUpstreamStartsWithCleanState(t *testing.T) {
+	l := newTestCluster(1, 1, 1)
+	l.reportLoads(4)
+	require.NotNil(t, l.Admit(l.onTimeRequest(), l.now).Waiter)
 	l.loads["0/0"] = wire.EngineLoad{Address: "0/0", IsOpen: true, Group: "0", Epoch: 1, Running: 4, Born: 1}
-	results := l.know(2)
+	results := l.announce(2)
 	require.Len(t, results, 1, "its places are free")
-	l.tell("", nil)
+	l.report("", nil)
 	require.False(t, l.upstreams["0/0"].load.isKnown)
 }
 
-func TestStateTellsTheGroundsOfADecision(t *testing.T) {
-	l := newLab(2, 2, 3)
-	l.fill(1)
-	l.tell("0/0", func(load *wire.EngineLoad) { load.IsOpen = false })
-	l.Admit(l.request(), l.now)
+func TestStateReportsServiceCounts(t *testing.T) {
+	l := newTestCluster(2, 2, 3)
+	l.reportLoads(1)
+	l.report("0/0", func(load *wire.EngineLoad) { load.IsOpen = false })
+	l.Admit(l.onTimeRequest(), l.now)
 	s := l.State("s", l.now)
 	require.Equal(t, 4, s.Upstreams)
 	require.Equal(t, 4, s.Reporting)
@@ -469,48 +469,48 @@
 	require.InDelta(t, 3, s.EstimatedLoad, 0.01)
 }
 
-// stand tells that the only group of a lab stands still, or no more.
-func (l *lab) stand(isStanding bool) ([]Result, []StalledAttempt) {
-	return l.tell("0/0", func(load *wire.EngineLoad) { load.IsStanding = isStanding })
+// reportStall tells that the only group of a lab stands still, or no more.
+func (l *testCluster) reportStall(isStalled bool) ([]Result, []StalledAttempt) {
+	return l.report("0/0", func(load *wire.EngineLoad) { load.IsStanding = isStalled })
 }
 
 // Load pattern: ranks hold for some tenths of a second while a change of map comes into
 // force, with callers that have seconds left. They wait and are served; callers of a group
 // that stands for longer are refused at once, those that waited with them.
-func TestShortStandstillIsNoOutage(t *testing.T) {
-	l := newLab(1, 4, 1)
-	l.stand(true)
-	first := l.Admit(l.request(), l.now)
+func TestShortStallIsNoOutage(t *testing.T) {
+	l := newTestCluster(1, 4, 1)
+	l.reportStall(true)
+	first := l.Admit(l.onTimeRequest(), l.now)
 	require.NotNil(t, first.Waiter)
 	l.now += 200 * time.Millisecond
-	results, _ := l.stand(false)
+	results, _ := l.reportStall(false)
 	require.Len(t, results, 1)
 	require.NotNil(t, results[0].Ticket)
 
-	l.stand(true)
-	second := l.Admit(l.request(), l.now)
+	l.reportStall(true)
+	second := l.Admit(l.onTimeRequest(), l.now)
 	require.NotNil(t, second.Waiter)
 	for range 5 {
-		l.now += standingPatience / 4
-		results, _ = l.stand(true)
+		l.now += maxBriefStall / 4
+		results, _ = l.reportStall(true)
 		if len(results) > 0 {
 			break
 		}
 	}
 	require.Len(t, results, 1)
 	require.Equal(t, Outage, results[0].Reason)
-	require.Equal(t, Outage, l.Admit(l.request(), l.now).Reason, "nobody waits for it any more")
+	require.Equal(t, Outage, l.Admit(l.onTimeRequest(), l.now).Reason, "nobody waits for it any more")
 }
 
 // Load pattern: a rank is killed while requests wait for places. Their callers can use the
 // time until the group is back; those that can't come back wait for as long as they would.
-func TestWhoWaitsIsToldAtOnceThatTheGroupHasBroken(t *testing.T) {
-	l := newLab(1, 2, 1)
-	l.fill(4)
-	mayReturn, last := l.Admit(l.request(), l.now), l.Admit(l.late(), l.now)
+func TestWaitersAreRefusedAtOnceWhenGroupBreaks(t *testing.T) {
+	l := newTestCluster(1, 2, 1)
+	l.reportLoads(4)
+	mayReturn, last := l.Admit(l.onTimeRequest(), l.now), l.Admit(l.lateRequest(), l.now)
 	require.NotNil(t, mayReturn.Waiter)
 	require.NotNil(t, last.Waiter)
-	results, _ := l.tell("0/1", func(load *wire.EngineLoad) { load.IsOpen = false })
+	results, _ := l.report("0/1", func(load *wire.EngineLoad) { load.IsOpen = false })
 	require.Len(t, results, 1)
 	require.Equal(t, mayReturn.Waiter, results[0].Waiter)
 	require.Equal(t, Outage, results[0].Reason)
@@ -518,20 +518,20 @@
 
 // A caller comes back within a third of the time that it has left. In an outage it uses all
 // of that; where places are short callers are spread over the second half of it.
-func TestTimeToReturnIsWhatTheCallerHas(t *testing.T) {
-	l := newLab(1, 2, 1)
-	l.tell("0/1", func(load *wire.EngineLoad) { load.IsOpen = false })
-	r := l.request()
+func TestRetryAfterFollowsCallerTimeLeft(t *testing.T) {
+	l := newTestCluster(1, 2, 1)
+	l.report("0/1", func(load *wire.EngineLoad) { load.IsOpen = false })
+	r := l.onTimeRequest()
 	r.TimeLeft = 6 * time.Second
 	require.Equal(t, 2*time.Second, l.Admit(r, l.now).RetryAfter)
 	w := &Waiter{deadline: l.now + 6*time.Second}
-	least, most := time.Hour, time.Duration(0)
+	shortest, longest := time.Hour, time.Duration(0)
 	for range 200 {
 		after := l.refuse(NoCapacity, w, l.now).RetryAfter
-		least, most = min(least, after), max(most, after)
+		shortest, longest = min(shortest, after), max(longest, after)
 	}
-	require.InDelta(t, time.Second, least, float64(100*time.Millisecond))
-	require.InDelta(t, 2*time.Second, most, float64(100*time.Millisecond))
+	require.InDelta(t, time.Second, shortest, float64(100*time.Millisecond))
+	require.InDelta(t, 2*time.Second, longest, float64(100*time.Millisecond))
 	require.Zero(t, l.refuse(Outage, w, l.now+7*time.Second).RetryAfter)
 }
 
@@ -539,9 +539,9 @@
 func BenchmarkAdmit(b *testing.B) {
 	for _, c := range []struct{ groups, size, hosts int }{{1, 16, 7}, {2, 8, 7}, {2, 64, 42}, {5, 120, 330}} {
 		b.Run(fmt.Sprintf("%dx%d", c.groups, c.size), func(b *testing.B) {
-			l := newLab(c.groups, c.size, c.hosts)
-			l.fill(2)
-			r := l.request()
+			l := newTestCluster(c.groups, c.size, c.hosts)
+			l.reportLoads(2)
+			r := l.onTimeRequest()
 			b.ReportAllocs()
 			for b.Loop() {
 				d := l.Admit(r, l.now)
@@ -551,20 +551,20 @@
 	}
 }
 
-// tightPlaces is how many requests the engines of a tight lab bear: fewer than they have
+// gapLimit is how many requests the engines of a tight lab bear: fewer than they have
 // slots.
-const tightPlaces = 7
+const gapLimit = 7
 
-// newTightLab has one group of engines whose passes are late before their slots are full.
-func newTightLab(size, hosts int) *lab {
-	l := newLab(1, size, hosts)
+// newGapLimitedCluster has one group of engines whose passes are late before their slots are full.
+func newGapLimitedCluster(size, hosts int) *testCluster {
+	l := newTestCluster(1, size, hosts)
 	l.engine.Slots, l.engine.StepTimePerRequest = 10, 2*time.Millisecond
 	return l
 }
 
-// tight is a request with a gap between its events.
-func (l *lab) tight() *Request {
-	r := l.request()
+// gapLimitedRequest is a request with a gap between its events.
+func (l *testCluster) gapLimitedRequest() *Request {
+	r := l.onTimeRequest()
 	r.Gap = 110 * time.Millisecond
 	return r
 }
@@ -572,43 +572,43 @@
 // In a full group one place is free, and all hosts see it. It is taken about once, not by
 // each host that has a request: ranks with twice the requests that their passes bear keep
 // all streams late.
-func TestFreePlaceThatAllHostsSeeIsTakenAboutOnce(t *testing.T) {
+func TestFreeSlotSeenByAllHostsIsTakenAboutOnce(t *testing.T) {
 	const hosts, size, rounds = 44, 63, 100
-	taken := 0
+	admitted := 0
 	for h := range hosts {
-		l := newTightLab(size, hosts)
+		l := newGapLimitedCluster(size, hosts)
 		l.cfg.Random = rand.New(rand.NewPCG(uint64(h), 11))
-		require.Equal(t, tightPlaces, ConcurrencyLimit(l.engine, l.tight().Gap))
-		l.Admit(l.tight(), l.now)
-		l.occupy(tightPlaces)
+		require.Equal(t, gapLimit, ConcurrencyLimit(l.engine, l.gapLimitedRequest().Gap))
+		l.Admit(l.gapLimitedRequest(), l.now)
+		l.setLoads(gapLimit)
 		for range rounds {
 			l.now += 100 * time.Millisecond
-			l.tell("0/7", func(load *wire.EngineLoad) { load.Running = tightPlaces - 1 })
-			switch d := l.Admit(l.tight(), l.now); {
+			l.report("0/7", func(load *wire.EngineLoad) { load.Running = gapLimit - 1 })
+			switch d := l.Admit(l.gapLimitedRequest(), l.now); {
 			case d.Ticket != nil:
 				require.Equal(t, "0/7", d.Ticket.ID())
-				taken++
+				admitted++
 			case d.Waiter != nil:
 				l.Abandon(d.Waiter, l.now)
 			}
 		}
 	}
-	require.InDelta(t, rounds, taken, rounds/2, "%d hosts, one request each in each round", hosts)
+	require.InDelta(t, rounds, admitted, rounds/2, "%d hosts, one request each in each round", hosts)
 }
 
 // Load pattern: a group opens after an outage, and many hosts have a backlog of callers that
 // can't come back. What they place is shown by reports some tenths of a second later. All
 // together they place about as many as there are places until then, not as many with each
 // report.
-func TestBacklogOfManyHostsFillsAGroupOnce(t *testing.T) {
+func TestBacklogsOfManyHostsFillReopenedGroupOnce(t *testing.T) {
 	const hosts, size = 100, 60
-	placed, places := 0, float64(size*tightPlaces)
+	admitted, capacity := 0, float64(size*gapLimit)
 	for h := range hosts {
-		l := newTightLab(size, hosts)
+		l := newGapLimitedCluster(size, hosts)
 		l.cfg.Random = rand.New(rand.NewPCG(uint64(h), 3))
-		l.tell("0/0", func(load *wire.EngineLoad) { load.IsOpen = false })
+		l.report("0/0", func(load *wire.EngineLoad) { load.IsOpen = false })
 		for range 20 {
-			r := l.tight()
+			r := l.gapLimitedRequest()
 			r.OnTimeUntil, r.CanRetry = l.now+MaxQueueWait, false
 			require.NotNil(t, l.Admit(r, l.now).Waiter)
 		}
@@ -616,44 +616,44 @@
 			load.IsOpen, load.Epoch = true, 2
 			l.loads[id] = load
 		}
-		for end := l.now + openSpan; l.now < end; {
+		for end := l.now + openingReportDelay; l.now < end; {
 			l.now += 100 * time.Millisecond
-			results, _ := l.tell("", nil)
+			results, _ := l.report("", nil)
 			for _, r := range results {
 				if r.Ticket != nil {
-					placed++
+					admitted++
 				}
 			}
 		}
 	}
-	require.Less(t, float64(placed), 1.2*places)
-	require.Greater(t, float64(placed), 0.8*places)
+	require.Less(t, float64(admitted), 1.2*capacity)
+	require.Greater(t, float64(admitted), 0.8*capacity)
 }
 
 // Where an engine's slots bound it anyway, its own queue takes what comes at once: a host
 // that waited for its part would leave slots empty between two requests.
-func TestNothingIsDealtWhereAllSlotsCount(t *testing.T) {
+func TestNoQuotaWhereAllSlotsAreUsable(t *testing.T) {
 	for h := range 20 {
-		l := newLab(1, 4, 44)
+		l := newTestCluster(1, 4, 44)
 		l.cfg.Random = rand.New(rand.NewPCG(uint64(h), 3))
-		l.Admit(l.request(), l.now)
+		l.Admit(l.onTimeRequest(), l.now)
 		l.now += 100 * time.Millisecond
-		l.fill(l.engine.Slots - 1)
-		require.NotNil(t, l.Admit(l.request(), l.now).Ticket)
+		l.reportLoads(l.engine.Slots - 1)
+		require.NotNil(t, l.Admit(l.onTimeRequest(), l.now).Ticket)
 	}
 }
 
 // A place that a host gives back is its own to take at once, without a report.
-func TestHostTakesThePlaceThatItGaveBack(t *testing.T) {
-	l := newTightLab(4, 44)
-	held := l.Admit(l.tight(), l.now).Ticket
+func TestHostReusesSlotItReleased(t *testing.T) {
+	l := newGapLimitedCluster(4, 44)
+	held := l.Admit(l.gapLimitedRequest(), l.now).Ticket
 	require.NotNil(t, held)
 	for range 2 {
 		l.now += 100 * time.Millisecond
-		l.fill(tightPlaces)
+		l.reportLoads(gapLimit)
 	}
-	waits := l.Admit(l.tight(), l.now)
-	require.NotNil(t, waits.Waiter)
+	waiting := l.Admit(l.gapLimitedRequest(), l.now)
+	require.NotNil(t, waiting.Waiter)
 	results, _ := l.Release(held, Success, l.now)
 	require.Len(t, results, 1)
 	require.Equal(t, held.ID(), results[0].Ticket.ID())
@@ -661,39 +661,39 @@
 
 // An engine that has more requests than places gives none back when one of them ends:
 // else an overload would last as long as its requests are replaced.
-func TestOverfullEngineGivesNoPlaceBack(t *testing.T) {
-	l := newTightLab(4, 44)
-	held := l.Admit(l.tight(), l.now).Ticket
+func TestOverloadedEngineFreesNoSlot(t *testing.T) {
+	l := newGapLimitedCluster(4, 44)
+	held := l.Admit(l.gapLimitedRequest(), l.now).Ticket
 	require.NotNil(t, held)
 	for range 2 {
 		l.now += 100 * time.Millisecond
-		l.occupy(tightPlaces + 2)
-		l.tell("0/3", func(load *wire.EngineLoad) { load.Running = tightPlaces - 1 })
+		l.setLoads(gapLimit + 2)
+		l.report("0/3", func(load *wire.EngineLoad) { load.Running = gapLimit - 1 })
 	}
 	l.Release(held, Success, l.now)
-	require.Nil(t, l.Admit(l.tight(), l.now).Ticket)
+	require.Nil(t, l.Admit(l.gapLimitedRequest(), l.now).Ticket)
 }
 
 // Load pattern: a quiet day at size. Hosts have unequal numbers of callers, so one of them
 // gets more than its part of the requests at once while a third of all places is free. They
 // wait for the next loads, which show places that are the host's to take, and none is
 // refused.
-func TestBusyHostReckonsWithPlacesThatAreFree(t *testing.T) {
+func TestBusyHostCountsOnItsShareOfFreeSlots(t *testing.T) {
 	const hosts, size, burst = 44, 63, 6
-	l := newTightLab(size, hosts)
-	l.Admit(l.tight(), l.now)
-	l.service("s").demand.stay = 1500 * time.Millisecond
+	l := newGapLimitedCluster(size, hosts)
+	l.Admit(l.gapLimitedRequest(), l.now)
+	l.service("s").demand.serviceTime = 1500 * time.Millisecond
 	for range 5 {
 		l.now += 100 * time.Millisecond
-		l.fill(tightPlaces - 2)
+		l.reportLoads(gapLimit - 2)
 	}
 	for range 40 {
-		l.service("s").demand.fresh.add(l.now)
+		l.service("s").demand.onTimeArrivals.add(l.now)
 	}
 	waiting := 0
 	for range burst {
 		l.now += time.Millisecond
-		d := l.Admit(l.tight(), l.now)
+		d := l.Admit(l.gapLimitedRequest(), l.now)
 		require.Zero(t, d.Reason)
 		if d.Waiter != nil {
 			waiting++
@@ -701,7 +701,7 @@
 	}
 	require.NotZero(t, waiting)
 	l.now += 100 * time.Millisecond
-	results, _ := l.fill(tightPlaces - 2)
+	results, _ := l.reportLoads(gapLimit - 2)
 	require.Len(t, results, min(waiting, 2))
 	for _, r := range results {
 		require.NotNil(t, r.Ticket)
@@ -710,26 +710,26 @@
 
 // A host that has had no free places for three reports no longer reckons with any: who
 // would wait in vain is refused at once.
-func TestFreePlacesThatAreGoneAreNotReckonedWith(t *testing.T) {
-	l := newTightLab(63, 44)
-	l.Admit(l.tight(), l.now)
-	l.service("s").demand.stay = 3 * time.Second
+func TestHostStopsCountingOnFreeSlotsThatAreGone(t *testing.T) {
+	l := newGapLimitedCluster(63, 44)
+	l.Admit(l.gapLimitedRequest(), l.now)
+	l.service("s").demand.serviceTime = 3 * time.Second
 	for range 5 {
 		l.now += 100 * time.Millisecond
-		l.fill(0)
+		l.reportLoads(0)
 	}
 	for range 3 {
 		l.now += 100 * time.Millisecond
-		l.fill(tightPlaces)
+		l.reportLoads(gapLimit)
 	}
-	l.service("s").mine = 0
+	l.service("s").quota = 0
 	for range 40 {
-		l.service("s").demand.fresh.add(l.now)
+		l.service("s").demand.onTimeArrivals.add(l.now)
 	}
 	for range 4 {
 		l.now += time.Millisecond
-		l.Admit(l.tight(), l.now)
+		l.Admit(l.gapLimitedRequest(), l.now)
 	}
 	l.now += time.Millisecond
-	require.Equal(t, NoCapacity, l.Admit(l.tight(), l.now).Reason)
+	require.Equal(t, NoCapacity, l.Admit(l.gapLimitedRequest(), l.now).Reason)
 }
--- a/internal/schedule/state.go
+++ b/internal/schedule/state.go
@@ -22,26 +22,26 @@
 func (s *Scheduler) State(name string, now time.Duration) ServiceState {
 	sv := s.service(name)
 	out := ServiceState{
-		Upstreams: len(sv.all), Groups: len(sv.groups), Waiting: len(sv.waiters), LateAttempts: sv.late,
+		Upstreams: len(sv.active), Groups: len(sv.groups), Waiting: len(sv.waiters), LateAttempts: sv.late,
 	}
 	for _, g := range sv.groups {
 		if g.isClosed {
 			out.ClosedGroups++
 		}
 	}
-	for _, u := range sv.all {
+	for _, u := range sv.active {
 		if u.load.isFresh(now) {
 			out.Reporting++
-			out.OldestReport = max(out.OldestReport, now-u.load.at)
+			out.OldestReport = max(out.OldestReport, now-u.load.receivedAt)
 		}
 		if sv.serves(u, now) {
 			out.Serving++
-			out.EstimatedLoad += s.taken(u, now)
+			out.EstimatedLoad += s.estimatedLoad(u, now)
 		}
 	}
-	if sv.shape != nil {
-		out.Capacity, _ = s.room(sv, now)
-		out.OnTimeDemand = sv.demand.need(sv.usualStay(), now)
+	if sv.engineSpec != nil {
+		out.Capacity, _ = s.capacity(sv, now)
+		out.OnTimeDemand = sv.demand.slotsNeeded(sv.expectedServiceTime(), now)
 	}
 	return out
 }
