--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that a context may cut short.
+// Package pause sleeps for a duration that a context may cut short.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For returns after span, or when ctx ends.
+// For blocks for the given duration, or until ctx ends if that is earlier.
 func For(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,33 +1,33 @@
-// Package retrybudget bounds how often requests are sent once more, so that repeats
-// cannot multiply an overload.
+// Package retrybudget limits how many requests are retried, so that retries cannot multiply an
+// overload.
 //
-// All hosts share one budget by service: a ratio of the requests in a sliding window plus
-// a fixed extra. Each host counts its own requests and takes its part of the extra, so
-// that the sum over hosts stays inside without a message between them. A Budget is pure
-// and not safe for concurrent use.
+// All hosts share one budget for each service: a ratio of the requests in a sliding window plus
+// a fixed extra number. Each host counts its own requests and gets an equal share of the extra,
+// so that the sum over all hosts stays within the budget without any communication. A Budget
+// reads no clock and is not safe for concurrent use.
 package retrybudget
 
 import "time"
 
-// safetyFactor is the part of the ratio that is used: what one host counts into a window may
-// be counted into the next one by whoever checks.
+// safetyFactor is the fraction of the budget that is used. An observer's windows may be aligned
+// differently, so that it counts requests in a later window than this host does.
 const safetyFactor = 0.85
 
-// bucketCount is into how many parts the window is divided.
+// bucketCount is the number of buckets that the window is divided into.
 const bucketCount = 20
 
-// Params are the bounds of the shared budget.
+// Params are the limits of the shared budget.
 type Params struct {
-	// Ratio is the repeats that each request allows, without unit.
+	// Ratio is the number of retries allowed per request.
 	Ratio float64
-	// Extra is the repeats in a window that are allowed besides, for all hosts together.
+	// Extra is the number of retries allowed per window in addition, for all hosts together.
 	Extra float64
-	// Window is the sliding span.
+	// Window is the length of the sliding window.
 	Window time.Duration
 }
 
-// Budget counts the requests and repeats of one host for one service. The zero value is
-// ready.
+// Budget counts the requests and retries of one host for one service. The zero value is ready
+// to use.
 type Budget struct {
 	requests, repeats slidingCounter
 }
@@ -35,8 +35,8 @@
 // AddRequest counts a caller's request.
 func (b *Budget) AddRequest(p Params, now time.Duration) { b.requests.add(p.Window, now) }
 
-// Take reports whether one more repeat is allowed, and counts it. Hosts is among how many
-// hosts the extra is divided.
+// Take reports whether one more retry is allowed, and counts it if so. The extra is divided
+// equally among the given number of hosts.
 func (b *Budget) Take(p Params, hosts int, now time.Duration) bool {
 	allowed := safetyFactor * (p.Ratio*float64(b.requests.sum(p.Window, now)) + p.Extra/float64(max(hosts, 1)))
 	if float64(b.repeats.sum(p.Window, now)+1) > allowed {
@@ -46,10 +46,10 @@
 	return true
 }
 
-// slidingCounter counts events in a sliding span.
+// slidingCounter counts events in a sliding window.
 type slidingCounter struct {
 	counts [bucketCount]int
-	// lastBucket is the number of the newest bucket, counted from the clock's zero.
+	// lastBucket is the number of the newest bucket. Buckets are numbered from time 0.
 	lastBucket int64
 }
 
@@ -67,7 +67,7 @@
 	return total
 }
 
-// advance empties the buckets that have left the span.
+// advance clears the buckets that have left the window.
 func (w *slidingCounter) advance(span, now time.Duration) {
 	current := int64(now / max(span/bucketCount, 1))
 	if current-w.lastBucket >= bucketCount {
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -21,8 +21,9 @@
 	require.True(t, b.Take(params, 9, 12*time.Second))
 }
 
-// No window of all hosts together holds more repeats than the shared budget allows for
-// the requests in it, the window before it, or half a window before it.
+// In any window, all hosts together must make no more retries than the shared budget allows.
+// The budget is based on the requests in the same window, in the window before it, or in the
+// one half a window earlier.
 func TestHostsTogetherStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.IntRange(1, 5).Draw(t, "hosts")
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -1,8 +1,8 @@
-// Package routetable is the routing configuration of the whole system: which request
-// goes to which service, under which limits, for which workspace.
+// Package routetable holds the routing configuration of the whole system: which service serves
+// which request, under which limits and for which workspace.
 //
-// A Table is immutable once it is built; hosts replace it whole. It has one number in
-// the whole system, and the highest number is in force.
+// A Table is immutable once it is built, and hosts replace it as a whole. Its number is unique
+// in the system, and the table with the highest number is in force.
 package routetable
 
 import (
@@ -15,47 +15,50 @@
 	"github.com/pkg/errors"
 )
 
-// Kind tells what may be repeated of a route's requests.
+// Kind states which requests of a route may be retried.
 type Kind uint8
 
-// The kinds of routes.
 const (
-	// Unsafe requests run at most once; it is the zero value on purpose.
+	// Unsafe requests run at most once. This is the zero value, so that a route without a kind
+	// is never retried.
 	Unsafe Kind = iota
 	// Safe requests may run any number of times.
 	Safe
-	// Stream requests are answered by a series of events. They are unsafe unless
-	// the route is resumable.
+	// Stream requests are answered by a series of events. They must not be retried unless the
+	// route is resumable.
 	Stream
 )
 
-// Route sends the requests below a prefix of a host name to services.
+// Route sends the requests for a host name and path prefix to services.
 type Route struct {
 	Name string
 	// HostName is in lower case, without a port. Prefix begins and ends with a slash.
 	HostName string
 	Prefix   string
 	Kind     Kind
-	// Timeout is the longest that a request is kept waiting; positive.
+	// Timeout is the longest time for which a request may wait for its answer. It must be
+	// positive.
 	Timeout time.Duration
-	// TargetLatency is the time within which an answer, or the first event, is on time.
+	// TargetLatency is the time within which an answer, or its first event, counts as on time.
 	TargetLatency time.Duration
-	// Gap is the longest pause between events of a stream that is on time; zero if none
-	// is declared.
+	// Gap is the longest interval between two events of a stream that counts as on time, 0 if
+	// none is declared.
 	Gap time.Duration
-	// Priority is the rank of the requests, 0 the most urgent.
+	// Priority is the priority level of the requests; 0 is the most urgent.
 	Priority int
-	// AttemptLimit is to how many upstreams one request may be sent; at least 1.
+	// AttemptLimit is the number of upstreams that one request may be sent to, at least 1.
 	AttemptLimit int
-	// IsPublic frees the requests from naming a workspace.
+	// IsPublic allows requests that name no workspace.
 	IsPublic bool
-	// IsResumable lets a stream go on at another upstream after its last whole event.
+	// IsResumable allows a stream to continue at another upstream after its last complete
+	// event.
 	IsResumable bool
-	// ServiceWeights split the requests over services; the weights add up to more than 0.
+	// ServiceWeights splits the requests over services. The sum of the weights must be
+	// positive.
 	ServiceWeights []ServiceWeight
 }
 
-// ServiceWeight is a service's part of a route.
+// ServiceWeight is the weight of one service in a route's traffic split.
 type ServiceWeight struct {
 	Service string
 	Weight  float64
@@ -64,7 +67,7 @@
 // AllowsRetry reports whether a request of the route may run more than once.
 func (r *Route) AllowsRetry() bool { return r.Kind == Safe || r.Kind == Stream && r.IsResumable }
 
-// PickService returns the service for a request; draw is uniform in [0, 1).
+// PickService returns the service for a request. The random number draw is uniform in [0, 1).
 func (r *Route) PickService(draw float64) string {
 	total := 0.0
 	for _, s := range r.ServiceWeights {
@@ -80,64 +83,69 @@
 	return r.ServiceWeights[len(r.ServiceWeights)-1].Service
 }
 
-// Service is a set of upstreams that serve the same.
+// Service is a set of interchangeable upstreams.
 type Service struct {
 	Name string
-	// MaxConnections bounds the connections to one upstream from all hosts together; 0
-	// is no bound.
+	// MaxConnections limits the connections to one upstream from all hosts together; 0 means no
+	// limit.
 	MaxConnections int
 	// Engine describes model engines; nil for plain services.
 	Engine *Engine
 }
 
-// Engine is what is published of a service's model engines.
+// Engine holds the performance parameters of a service's model engines.
 type Engine struct {
-	// Slots is how many requests a rank works on at once.
+	// Slots is the maximum number of requests that a rank runs at once.
 	Slots int
-	// StepTime is the least time of a token step; PerRequest is added for each request
-	// that writes, PerContext for each 1,000 tokens of its context.
+	// StepTime is the duration of a decode step at an idle rank. StepTimePerRequest is added
+	// for each request that generates tokens, and StepTimePerKToken for each 1,000 tokens of
+	// its context.
 	StepTime, StepTimePerRequest, StepTimePerKToken time.Duration
-	// PrefillRate is the prompt tokens read a second; Chunk the most of them in one step.
+	// PrefillRate is the number of prompt tokens read per second. Chunk is the maximum number
+	// of prompt tokens read in one step.
 	PrefillRate float64
 	Chunk       int
-	// Stride is how many token steps a pass has.
+	// Stride is the number of decode steps in a pass. A stream gets one event per pass.
 	Stride int
-	// Prompt and Answer are the mean tokens of a request.
+	// Prompt and Answer are the mean numbers of prompt and answer tokens of a request.
 	Prompt, Answer float64
-	// KVCacheTokens is a rank's memory in tokens.
+	// KVCacheTokens is the capacity of a rank's KV cache in tokens.
 	KVCacheTokens int
 	Experts       Experts
 }
 
-// Experts is the shape of the groups of ranks; Sets is 0 where there are none.
+// Experts describes how the experts of a model are spread over the ranks of a group. Sets is 0
+// if the engines don't form groups.
 type Experts struct {
-	// Sets of layers have an expert map each, of Count experts on ranks with Slots
-	// places a set. At most Spare of a set may be new to a rank in one change.
+	// The model's layers are divided into Sets sets. Each set has an expert map of its own,
+	// which places ExpertsPerSet experts on the ranks, with Slots slots per rank. One change may place
+	// at most Spare experts of a set at a rank that did not hold them before.
 	Sets, ExpertsPerSet, Slots, Spare int
-	// WorkShare is the part of a step's work that the experts do, in [0, 1].
+	// WorkShare is the fraction of a step's work that is done by the experts, in [0, 1].
 	WorkShare float64
-	// CopyTime is how long a rank takes to copy an expert that is new to it; 0 if not known.
+	// CopyTime is the time that a rank takes to copy an expert that it does not hold; 0 if
+	// unknown.
 	CopyTime time.Duration
 }
 
-// Workspace is a customer with its keys.
+// Workspace is a workspace with its API keys.
 type Workspace struct {
 	Name string
 	Keys []string
-	// Priority goes before that of the route, where HasPriority is set.
+	// Priority overrides the priority of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
 
-// Limits bound what a caller may send. Zero is no bound.
+// Limits restricts what a caller may send. Zero means no limit.
 type Limits struct {
 	HeaderBytes, BodyBytes     int64
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// Table is one configuration.
+// Table is one version of the routing configuration.
 type Table struct {
-	// Number is the configuration's place in the order of configurations.
+	// Number orders the versions of the configuration.
 	Number     uint64
 	Routes     []Route
 	Services   []Service
@@ -149,7 +157,7 @@
 	workspaceByKey map[string]*Workspace
 }
 
-// Build checks the table and makes it ready for use. The error names what is invalid.
+// Build validates the table and builds its indexes. The error names what is invalid.
 func (t *Table) Build() error {
 	if t.Number == 0 {
 		return errors.New("the configuration has no number")
@@ -238,7 +246,8 @@
 	return nil
 }
 
-// Match returns the route of the longest prefix for a request's host and path, or nil.
+// Match returns the route with the longest matching prefix for a request's host and path, or
+// nil.
 func (t *Table) Match(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -251,17 +260,16 @@
 	return nil
 }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with the given name, or nil.
 func (t *Table) Service(name string) *Service { return t.serviceByName[name] }
 
-// WorkspaceByKey returns who holds the key, or nil.
+// WorkspaceByKey returns the workspace that the API key belongs to, or nil.
 func (t *Table) WorkspaceByKey(key string) *Workspace { return t.workspaceByKey[key] }
 
-// NeedsKey reports whether requests of the route have to name a workspace.
+// NeedsKey reports whether requests of the route must carry the API key of a workspace.
 func (t *Table) NeedsKey(r *Route) bool { return len(t.Workspaces) > 0 && !r.IsPublic }
 
-// LongestGap returns the longest pause between events that a route to a service declares,
-// 0 if none does.
+// LongestGap returns the longest Gap of all routes to a service, 0 if none declares one.
 func (t *Table) LongestGap(service string) time.Duration {
 	longest := time.Duration(0)
 	for i := range t.Routes {
--- a/internal/schedule/admit.go
+++ b/internal/schedule/admit.go
@@ -8,62 +8,64 @@
 )
 
 const (
-	// MaxQueueWait is how long a request waits for a place at most. Callers leave a stream
-	// that is silent for two seconds.
+	// MaxQueueWait is the longest time that a request waits in the queue for a slot. Callers
+	// abandon a stream that is silent for two seconds.
 	MaxQueueWait = 1400 * time.Millisecond
-	// maxRetryAfterFraction is the part of the time that a caller has left within which it comes back,
-	// whatever it is told.
+	// maxRetryAfterFraction is the fraction of its remaining time within which a caller
+	// retries, however long a Retry-After it is given.
 	maxRetryAfterFraction = 1.0 / 3
-	// defaultTimeLeft is what a caller is thought to have left where that is not told.
+	// defaultTimeLeft is the remaining time assumed for a caller whose deadline is unknown.
 	defaultTimeLeft = 7500 * time.Millisecond
-	// minRetryAfterFraction is the part of the longest time to return that callers are told at least who
-	// find no place: they are spread over the rest, since places become free one after the
-	// other.
+	// minRetryAfterFraction is the shortest Retry-After for lack of capacity, as a fraction of
+	// the longest. Callers are spread randomly between the two, because slots become free one
+	// after another.
 	minRetryAfterFraction = 0.5
-	// delayPerPriority is by how much a request goes before those of the next lower priority.
-	// It is a part of a usual wait, so that none waits for ever behind more urgent ones.
+	// delayPerPriority is how much later a request is queued for each step down in priority. It
+	// is a fraction of a typical wait, so that urgent requests can't starve the others.
 	delayPerPriority = 100 * time.Millisecond
 )
 
-// Request is a request that needs a place at an engine.
+// Request is a request that needs a slot at an engine.
 type Request struct {
 	Service string
-	// Engine are the figures of the service's engines.
+	// Engine holds the performance parameters of the service's engines.
 	Engine *routetable.Engine
-	// Gap is the longest pause between events that is on time, 0 if none is declared.
+	// Gap is the longest interval between two events of a stream that still counts as on time,
+	// 0 if none is declared.
 	Gap time.Duration
-	// OnTimeUntil is when the first event has to be there to be on time.
+	// OnTimeUntil is the latest time for the first event to count as on time.
 	OnTimeUntil time.Duration
-	// Priority is the rank of the request, 0 the most urgent.
+	// Priority is the priority level of the request; 0 is the most urgent.
 	Priority int
-	// Tried are the upstreams that had an attempt of it.
+	// Tried lists the ids of the upstreams that earlier attempts of the request were sent to.
 	Tried []string
-	// TimeLeft is the time that its caller has left, 0 if that is not known.
+	// TimeLeft is the time until the caller's deadline, 0 if unknown.
 	TimeLeft time.Duration
-	// CanRetry tells that its caller has time to come back.
+	// CanRetry reports whether the caller has enough time left to try again later.
 	CanRetry bool
-	// IsResumed tells that its caller has a part of the answer.
+	// IsResumed reports whether the caller has received part of the answer already.
 	IsResumed bool
 }
 
-// Waiter is a request that waits for a place.
+// Waiter is a request in the queue for a slot.
 type Waiter struct {
 	service *service
 	tried   []string
-	// latestStart is until when it can begin to be on time.
+	// latestStart is the latest time at which the request can start and still send its first
+	// event on time.
 	latestStart time.Duration
-	// effectiveArrival orders those that wait: it is when the request began to wait, later by
-	// priorityStep for each rank of its priority.
+	// effectiveArrival orders the queue: the time when the request was queued, plus
+	// delayPerPriority for each step of its priority below the most urgent.
 	effectiveArrival time.Duration
-	// giveUpAt is when it is given up.
+	// giveUpAt is when the request stops waiting for a slot.
 	giveUpAt time.Duration
-	// deadline is when its caller's time ends, 0 if that is not known; mayReturn tells that it
-	// can come back before.
+	// deadline is when the caller's time ends, 0 if unknown. canRetry reports whether the
+	// caller has time to try again before that.
 	deadline time.Duration
 	canRetry bool
 }
 
-// Result is what becomes of a request that has waited.
+// Result is the decision on a request that was queued.
 type Result struct {
 	Waiter *Waiter
 	Decision
@@ -72,15 +74,14 @@
 // Reason is why a request is refused.
 type Reason uint8
 
-// The reasons.
 const (
-	// Outage: no group of the service serves.
+	// Outage means that no group of the service is serving.
 	Outage Reason = iota + 1
-	// Full: no place becomes free in time.
+	// NoCapacity means that no slot becomes free in time.
 	NoCapacity
 )
 
-// String is the text for callers and logs.
+// String returns the reason as a sentence for callers and logs.
 func (r Reason) String() string {
 	if r == Outage {
 		return "the group does not serve"
@@ -88,7 +89,7 @@
 	return "no place became free in time"
 }
 
-// Name names the reason in counters and logs.
+// Name returns the short name of the reason for counters and logs.
 func (r Reason) Name() string {
 	if r == Outage {
 		return "outage"
@@ -96,8 +97,9 @@
 	return "full"
 }
 
-// Decision is what becomes of a request: it has a Ticket for Upstream, or waits as Waiter,
-// or is refused for a Reason and may come back after RetryAfter.
+// Decision is the outcome for a request. Either it holds Ticket for a slot at Upstream, or it
+// is queued as Waiter, or it is refused for Reason and the caller is told to retry after
+// RetryAfter.
 type Decision struct {
 	Upstream   registry.Upstream
 	Ticket     *Ticket
@@ -106,7 +108,7 @@
 	RetryAfter time.Duration
 }
 
-// Admit decides on a request that has come.
+// Admit decides on a new request: it reserves a slot, queues the request or refuses it.
 func (s *Scheduler) Admit(r *Request, now time.Duration) Decision {
 	sv := s.service(r.Service)
 	sv.setEngine(r.Engine, r.Gap, now)
@@ -127,9 +129,9 @@
 	return Decision{Waiter: w}
 }
 
-// newWaiter returns a request as one that could wait. One whose caller has a part of the
-// answer is as good as on time while it waits: the engines have done that part, and it
-// needs its place for less than a whole answer.
+// newWaiter returns the queue entry for a request. A resumed request counts as on time for as
+// long as it may wait: the engines have already done part of its answer, and the rest holds a
+// slot for less time than a whole answer.
 func (sv *service) newWaiter(r *Request, now time.Duration) *Waiter {
 	w := &Waiter{
 		service: sv, tried: r.Tried, effectiveArrival: now + delayPerPriority*time.Duration(r.Priority),
@@ -144,8 +146,8 @@
 	return w
 }
 
-// timeToFirstEvent is about how long it takes from a place to the first event: what was seen of
-// late, and the figures of the engines before there is any.
+// timeToFirstEvent estimates the time from reserving a slot to the first event. It uses recent
+// measurements, and the engine's performance parameters until there are any.
 func (sv *service) timeToFirstEvent() time.Duration {
 	if sv.demand.firstEvent == 0 {
 		return TimeToFirstEvent(sv.engineSpec, sv.limit)
@@ -153,14 +155,14 @@
 	return sv.demand.firstEvent + sv.demand.firstEventDeviation
 }
 
-// awaitsFirstReports reports whether the host has just started and nothing is heard yet of groups
-// that may have broken with it: what was known of their ranks before says nothing then.
+// awaitsFirstReports reports whether this host has just started and has no recent load report
+// for a service with groups. The groups may have failed together with this host, so the state
+// of their ranks from before the start can't be relied on.
 func (s *Scheduler) awaitsFirstReports(sv *service, now time.Duration) bool {
 	return now < s.cfg.StartupUntil && sv.hasGroups() && !sv.hasRecentReports(now)
 }
 
-// admitNow gives a place to a request that has just come, unless others wait that go
-// first.
+// admitNow reserves a slot for a new request, unless a queued request goes first.
 func (s *Scheduler) admitNow(sv *service, w *Waiter, now time.Duration) (*Ticket, bool) {
 	if len(sv.waiters) > 0 && !w.precedes(sv.waiters[sv.nextWaiter(now)], now) {
 		return nil, false
@@ -175,9 +177,11 @@
 	return s.reserveFor(sv, u, w, now), true
 }
 
-// refuse tells a caller when to come back. It has one try left, as a rule: in an outage the
-// later it uses it, the likelier the group is back, as long as the answer still has its
-// time. Where places are short callers are spread over the second half of that.
+// refuse returns the refusal of a request, with the time after which its caller is to retry. A
+// caller usually has one retry left. In an outage a later retry is more likely to find the
+// group serving again, as long as enough time remains for the answer, so the caller is told the
+// longest time that it accepts. Without free capacity callers are spread over the second half
+// of that time.
 func (s *Scheduler) refuse(reason Reason, w *Waiter, now time.Duration) Decision {
 	latest := maxRetryAfterFor(w, now)
 	if reason == Outage {
@@ -187,7 +191,7 @@
 	return Decision{Reason: reason, RetryAfter: time.Duration(fraction * float64(latest))}
 }
 
-// maxRetryAfterFor is the longest time after which a caller comes back.
+// maxRetryAfterFor returns the longest Retry-After that the caller of a queued request accepts.
 func maxRetryAfterFor(w *Waiter, now time.Duration) time.Duration {
 	timeLeft := defaultTimeLeft
 	if w != nil && w.deadline > 0 {
@@ -196,13 +200,13 @@
 	return MaxRetryAfter(timeLeft)
 }
 
-// MaxRetryAfter is what a caller with that much time left is told where its group has just
-// broken: the longest time after which it comes back.
+// MaxRetryAfter returns the longest Retry-After that a caller with the given remaining time
+// accepts. It is what callers are told whose group has just failed.
 func MaxRetryAfter(timeLeft time.Duration) time.Duration {
 	return time.Duration(maxRetryAfterFraction * float64(timeLeft))
 }
 
-// reserveFor holds a place for a request.
+// reserveFor reserves a slot for a request and records the admission.
 func (s *Scheduler) reserveFor(sv *service, u *upstream, w *Waiter, now time.Duration) *Ticket {
 	t := s.reserve(u, now)
 	sv.demand.admissions.add(now)
--- a/internal/schedule/deal.go
+++ b/internal/schedule/deal.go
@@ -7,23 +7,27 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// openingReportDelay is for how long after a group has opened reports don't show yet what was placed
-// there: the engine's own lag, the agent's interval and the control host's, with a margin.
+// openingReportDelay is how long load reports may miss requests that were admitted to a group
+// after it opened: the engine's own delay plus the report intervals of agent and control host,
+// with a margin.
 const openingReportDelay = 500 * time.Millisecond
 
-// scarcityDuration is for how long places count as scarce after an engine had a queue: longer than it
-// takes to empty, so that hosts don't fill it again at once.
+// scarcityDuration is how long slots count as scarce after an engine has reported a queue. It
+// is longer than the queue takes to drain, so that hosts don't refill it at once.
 const scarcityDuration = 2 * time.Second
 
-// updateQuotas draws how many of the places that engines have just reported free are this
-// host's to take: its part, and what it has not used of the parts before, up to one place
-// or one part. All hosts see the same places: without a part of its own each would take the
-// one that a full group shows free. Ranks would work on more requests than let passes be on
-// time, answers take longer, more be on their way than before, and the overload feed itself
-// when its cause has gone.
-// Where all slots count as places, an engine lets no more in than its passes bear, and its
-// own queue wastes no time between two requests; nothing is dealt there unless places are
-// scarce. Then requests would wait in that queue for longer than callers do.
+// updateQuotas adds to this host's quota its share of the slots that engines have just reported
+// free. Unused quota carries over, up to one slot or one share, whichever is more.
+//
+// All hosts see the same free slots. Without quotas each host would take the one free slot of a
+// full group. Ranks would then run more requests than their passes can serve on time, answers
+// would take longer and more of them would be in flight, so the overload would sustain itself
+// after its cause is gone.
+//
+// Where all of an engine's slots are usable, the engine itself admits no more requests than its
+// passes can serve, and its own queue avoids idle time between two requests. There quotas apply
+// only while slots are scarce, when requests would wait in the engine's queue for longer than
+// callers do.
 func (s *Scheduler) updateQuotas(reported []wire.EngineLoad, now time.Duration) {
 	for _, sv := range s.services {
 		sv.detectScarcity(now)
@@ -38,13 +42,14 @@
 	}
 }
 
-// needsQuota reports whether the free places of a service are dealt out now.
+// needsQuota reports whether the free slots of a service are currently shared out among the
+// hosts by quota.
 func (sv *service) needsQuota(now time.Duration) bool {
 	return sv.engineSpec != nil && (sv.limit < sv.engineSpec.Slots || now < sv.scarceUntil)
 }
 
-// detectScarcity keeps until when places count as scarce, where an engine has just said that it has
-// more requests than slots.
+// detectScarcity extends the time for which slots count as scarce if an engine has just
+// reported more requests than it has slots.
 func (sv *service) detectScarcity(now time.Duration) {
 	if sv.engineSpec == nil {
 		return
@@ -57,9 +62,10 @@
 	}
 }
 
-// reportedFree counts the free places of the engines of a service that have reported now,
-// and those of them that are left to deal: the places of a group that has just opened before
-// a backlog are all shown free until the first requests are, and are dealt once till then.
+// reportedFree counts the free slots of the engines of a service that have just reported, and
+// how many of these are not yet allocated to hosts. After a group opens, its reports show all
+// slots as free until they include the first admitted requests; during that time each slot is
+// allocated once only.
 func (s *Scheduler) reportedFree(sv *service, reported []wire.EngineLoad, now time.Duration) (free, unallocated float64) {
 	minRatio := sv.minStepTimeRatio(now)
 	byGroup := map[*group]float64{}
@@ -76,7 +82,8 @@
 	return free, unallocated
 }
 
-// allocate returns how many of a group's free places are dealt now.
+// allocate returns how many of a group's free slots are to be allocated to hosts now, and
+// counts them while the group has just opened.
 func (g *group) allocate(free float64, now time.Duration) float64 {
 	if now-g.openedAt > openingReportDelay {
 		return free
@@ -86,8 +93,8 @@
 	return n
 }
 
-// ownShare returns this host's part of something that all hosts share, in whole numbers that
-// are right on the mean.
+// ownShare returns this host's equal share of a total for all hosts, rounded up or down at
+// random so that it is correct on average.
 func (s *Scheduler) ownShare(total float64) int {
 	share := total / float64(s.hosts)
 	n := int(share)
@@ -97,8 +104,8 @@
 	return n
 }
 
-// ownFreeShare returns how many of a service's free places this host may take at once: all
-// hosts see the same ones.
+// ownFreeShare returns how many of a service's free slots this host may take at once. All hosts
+// see the same free slots and divide them equally.
 func (s *Scheduler) ownFreeShare(sv *service, now time.Duration) int {
 	_, free := s.capacity(sv, now)
 	return s.ownShare(free)
--- a/internal/schedule/demand.go
+++ b/internal/schedule/demand.go
@@ -3,32 +3,35 @@
 import "time"
 
 const (
-	// rateWindow is the span over which rates are counted: about as long as a request stays,
-	// and short against the time in which demand changes.
+	// rateWindow is the sliding window over which event rates are counted: about the time for
+	// which a request holds a slot, and short compared with changes in demand.
 	rateWindow = 2 * time.Second
-	// rateBuckets is into how many parts it is divided.
+	// rateBuckets is the number of buckets that rateWindow is divided into.
 	rateBuckets = 8
-	// serviceTimeWeight is the share of one request in the mean stay.
+	// serviceTimeWeight is the weight of one request in the moving average of service times.
 	serviceTimeWeight = 0.05
-	// maxServiceTimeRatio is how many times longer or shorter than usual stays may be to count.
+	// maxServiceTimeRatio bounds the measured service time to this factor above or below the
+	// expected one.
 	maxServiceTimeRatio = 1.5
-	// firstEventWeight is the share of one request in the mean time to the first event, which
-	// follows the passes of the engines: some ten requests a host are a second.
+	// firstEventWeight is the weight of one request in the moving average of times to the first
+	// event. The average has to follow changes in the engines' pass times; with about ten
+	// requests per second at a host, that takes a second.
 	firstEventWeight = 0.1
 )
 
-// demand is what callers want of this host for a service.
+// demand measures what callers ask of a service through this host.
 type demand struct {
-	// onTimeArrivals counts the requests that came and could be on time, grants the places given.
+	// onTimeArrivals counts arriving requests that could still be on time, admissions the slots
+	// reserved.
 	onTimeArrivals, admissions eventRate
-	// serviceTime is how long a request keeps its place on the mean, 0 if none has ended.
+	// serviceTime is the mean time for which a request holds its slot, 0 if none has ended.
 	serviceTime time.Duration
-	// firstEvent is how long it takes from a place to the first event on the mean, 0 if none has
-	// come; firstSpread is the mean distance from that.
+	// firstEvent is the mean time from reserving a slot to the first event, 0 if there was none
+	// yet. firstEventDeviation is the mean absolute deviation from it.
 	firstEvent, firstEventDeviation time.Duration
 }
 
-// recordServiceTime notes how long a request has kept its place.
+// recordServiceTime updates the mean service time with that of a finished request.
 func (d *demand) recordServiceTime(elapsed time.Duration) {
 	if d.serviceTime == 0 {
 		d.serviceTime = elapsed
@@ -37,7 +40,7 @@
 	d.serviceTime += time.Duration(serviceTimeWeight * float64(elapsed-d.serviceTime))
 }
 
-// began notes how long the first event took.
+// began updates the mean time to the first event with that of another request.
 func (d *demand) began(elapsed time.Duration) {
 	if d.firstEvent == 0 {
 		d.firstEvent = elapsed
@@ -48,18 +51,19 @@
 	d.firstEventDeviation += time.Duration(firstEventWeight * float64(max(deviation, -deviation)-d.firstEventDeviation))
 }
 
-// slotsNeeded is how many places those that can be on time keep taken, on the mean. Usual is how
-// long a usual request stays: what was seen of late counts within stayBounds of it, since
-// requests that stood still in an outage say nothing of those to come.
+// slotsNeeded returns how many slots the requests that can be on time occupy on average. The
+// measured service time is limited to a factor of maxServiceTimeRatio around the expected one,
+// because requests that were stalled in an outage don't predict later ones.
 func (d *demand) slotsNeeded(expected, now time.Duration) float64 {
 	mean := min(max(d.serviceTime, time.Duration(float64(expected)/maxServiceTimeRatio)), time.Duration(float64(expected)*maxServiceTimeRatio))
 	return d.onTimeArrivals.perSecond(now) * mean.Seconds()
 }
 
-// eventRate counts events in a sliding span. The zero value is ready.
+// eventRate counts events in a sliding window. The zero value is ready to use.
 type eventRate struct {
 	counts [rateBuckets]int
-	// lastBucket is the number of the newest part, first that of the first event.
+	// lastBucket is the number of the newest bucket, firstBucket that of the first event.
+	// Buckets are numbered from time 0.
 	lastBucket, firstBucket int64
 	hasEvents               bool
 }
@@ -74,7 +78,8 @@
 	r.counts[r.lastBucket%rateBuckets]++
 }
 
-// perSecond returns the events a second, over the span or the time since the first event.
+// perSecond returns the number of events per second, over the window or the time since the
+// first event if that is shorter.
 func (r *eventRate) perSecond(now time.Duration) float64 {
 	r.advance(now)
 	if !r.hasEvents {
@@ -88,7 +93,7 @@
 	return float64(total) / (time.Duration(buckets) * rateBucketSpan).Seconds()
 }
 
-// advance empties the parts that have left the span.
+// advance clears the buckets that have left the window.
 func (r *eventRate) advance(now time.Duration) {
 	current := int64(now / rateBucketSpan)
 	if current-r.lastBucket >= rateBuckets {
@@ -102,18 +107,18 @@
 	}
 }
 
-// averageRate is how much of something comes a second, by the last few times. The zero value is
-// ready.
+// averageRate is a moving average of an amount per second. The zero value is ready to use.
 type averageRate struct {
 	perSecond  float64
 	lastAt     time.Duration
 	hasStarted bool
 }
 
-// averageRateWeight is the share of the newest time: scarcity has to show within three.
+// averageRateWeight is the weight of the newest interval. It is high because a shortage of
+// slots has to show within three reports.
 const averageRateWeight = 0.5
 
-// add takes in what came since the last time.
+// add records the amount that came since the previous call.
 func (f *averageRate) add(n float64, now time.Duration) {
 	if f.hasStarted && now > f.lastAt {
 		f.perSecond += averageRateWeight * (n/(now-f.lastAt).Seconds() - f.perSecond)
--- a/internal/schedule/goodput.go
+++ b/internal/schedule/goodput.go
@@ -7,22 +7,27 @@
 )
 
 const (
-	// lateAnswerValue is what a late answer is worth to its caller, an answer on time being 1.
+	// lateAnswerValue is the value of a late answer to its caller, relative to one that is on
+	// time.
 	lateAnswerValue = 0.5
-	// limitStep is the distance of two numbers of places that are compared.
+	// limitStep is the step between the concurrency limits that are compared, in requests per
+	// rank.
 	limitStep = 0.25
-	// minSlowBuckets is how many of the newest parts have to be beyond what the fewest places
-	// bear for a group to count as slow, rather than as one whose map is being changed.
+	// minSlowBuckets is how many of the newest history buckets must be too slow even at the
+	// lowest limit before a group counts as slow. Fewer slow buckets are expected while the
+	// group's expert map is being changed.
 	minSlowBuckets = 3
 )
 
-// limit returns how many requests a rank should work on at once, on the mean: the number
-// at which the group would serve most, late answers counting by latePart, if passes go on as
-// they are remembered. More places serve more callers and make passes longer; fewer keep
-// passes inside the gap when popularity jumps, but only where there is a number that does.
-// Passes that even the fewest places don't bear decide nothing. The fewest, which bear the
-// worst that is expected of popularity, are returned where nothing else is known, and while
-// no number keeps passes inside the gap.
+// limit returns the average number of requests that a rank should run at once. It maximises the
+// goodput of the group, in which a late answer counts as lateAnswerValue, assuming that pass
+// times vary as in the recorded history.
+//
+// A higher limit serves more callers but makes passes longer. A lower limit keeps passes within
+// the maximum event gap when expert popularity shifts suddenly, but only if some limit can
+// achieve that, so passes that are too long even at the lowest limit are ignored. The lowest
+// limit, which tolerates the worst expected shift of popularity, is returned if nothing is
+// known yet and while the newest passes would be too long at any limit.
 func (p *passHistory) limit(e *routetable.Engine, maxEventGap, now time.Duration) float64 {
 	minLimit := float64(ConcurrencyLimit(e, maxEventGap))
 	if maxEventGap <= 0 || e.Stride <= 0 || e.StepTimePerRequest <= 0 || !p.hasStarted || now-p.startedAt < minObservation {
@@ -50,8 +55,8 @@
 	return p.cachedLimit
 }
 
-// slowdownsWithin returns the stretches of the parts that are remembered and not longer than
-// bearable, the oldest first, and their mean, 0 if there are none.
+// slowdownsWithin returns the recorded slowdowns up to maxSlowdown, oldest first, and their
+// mean, which is 0 if there are none.
 func (p *passHistory) slowdownsWithin(maxSlowdown float64, now time.Duration) (within []float64, mean float64) {
 	for n := max(int64(now/bucketSpan)-bucketCount+1, 0); n < p.bucket; n++ {
 		if s := p.slowdowns[n%bucketCount]; s > 0 && s <= maxSlowdown {
@@ -65,7 +70,7 @@
 	return within, mean
 }
 
-// isTooSlow reports whether the newest parts that are known are all longer than bearable.
+// isTooSlow reports whether the newest buckets with data all have a slowdown above maxSlowdown.
 func (p *passHistory) isTooSlow(maxSlowdown float64) bool {
 	known := 0
 	for n := p.bucket - 1; n >= max(p.bucket-bucketCount+1, 0) && known < minSlowBuckets; n-- {
@@ -80,8 +85,9 @@
 	return known == minSlowBuckets
 }
 
-// fractionOnTime returns the share of streams that would see no pass over the gap: a stream
-// meets that many parts in a row, and a part is too long from the stretch most on.
+// fractionOnTime returns the fraction of streams for which no pass takes longer than the event
+// gap allows. A stream lasts for the given window of consecutive buckets, and any bucket with a
+// slowdown above maxSlowdown makes it late.
 func fractionOnTime(slowdowns []float64, maxSlowdown float64, window int) float64 {
 	onTime, consecutive := 0, 0
 	for _, s := range slowdowns {
@@ -96,7 +102,7 @@
 	return float64(onTime) / float64(max(len(slowdowns)-window+1, 1))
 }
 
-// prefillTime is how long an engine reads a usual prompt.
+// prefillTime returns how long an engine takes to read a prompt of average length.
 func prefillTime(e *routetable.Engine) time.Duration {
 	if e.PrefillRate <= 0 {
 		return 0
--- a/internal/schedule/loads.go
+++ b/internal/schedule/loads.go
@@ -8,62 +8,70 @@
 )
 
 const (
-	// maxReportAge is how old an engine's load may be to count.
+	// maxReportAge is the age above which an engine's load report is ignored.
 	maxReportAge = 700 * time.Millisecond
-	// maxTrustedAge is how old an engine's load may be while those of most others are younger:
-	// four reports missed in a row. The host beside it is then frozen or cut off, and what
-	// is sent there is not read.
+	// maxTrustedAge is the age of an engine's load report from which the engine is not trusted
+	// while most others have a younger one. It means that four reports in a row are missing:
+	// the host of the engine is probably frozen or cut off and does not read what is sent to
+	// it.
 	maxTrustedAge = 400 * time.Millisecond
-	// meanReportDelay is how old a load is when it comes: half an interval of the agent that reads
-	// it, half of the control host's that passes it on.
+	// meanReportDelay is the average age of a load report on arrival: half the interval at
+	// which the agent reads the load plus half the interval at which the control host forwards
+	// it.
 	meanReportDelay = 100 * time.Millisecond
 )
 
-// load is what is known of an upstream's engine.
+// load is the latest load report of an upstream's engine.
 type load struct {
 	isKnown bool
 	isOpen  bool
-	// isStalled tells that the engine's group makes no step although it has work.
+	// isStalled reports that the engine's group makes no progress although it has work.
 	isStalled bool
 	epoch     uint64
-	// requests is the requests there, when the report was made.
+	// requests is the number of requests running or waiting at the engine when the report was
+	// made.
 	requests   int
 	receivedAt time.Duration
-	// inflight is this host's part of total: the attempts in flight there when the report
-	// before came, which is about when this one was made.
+	// inflight is how many of those requests came from this host. It is the number of this
+	// host's attempts in flight when the previous report arrived, which is about when this
+	// report was made. nextInflight is the number when this report arrived, for use with the
+	// next one.
 	inflight, nextInflight int
-	// stepTimeRatio is the engine's time for a step over its usual one, 0 if not known.
+	// stepTimeRatio is the engine's time for a decode step relative to its usual time, 0 if
+	// unknown.
 	stepTimeRatio float64
 }
 
-// isFresh reports whether the load counts.
+// isFresh reports whether the report is recent enough to be used.
 func (l *load) isFresh(now time.Duration) bool { return l.isKnown && now-l.receivedAt <= maxReportAge }
 
-// group is a set of ranks that serve together or not at all.
+// group is a set of ranks that can serve requests only together.
 type group struct {
 	name  string
 	epoch uint64
-	// isClosed tells that it does not serve, as one of its ranks says; isStanding that it makes
-	// no step, since standingSince, which is 0 while it does.
+	// isClosed reports that the group does not serve, according to at least one of its ranks.
+	// isStalled reports that it makes no progress; stalledSince is when that began, 0 while it
+	// makes progress.
 	isClosed, isStalled bool
 	stalledSince        time.Duration
-	// lastReport is when a rank was heard last.
+	// lastReport is when the last load report from any of the group's ranks arrived.
 	lastReport time.Duration
-	// ranks counts those whose load counts; running is how many requests one of them has, on
-	// the mean, and places how many it should have.
+	// ranks is the number of ranks with a load report of the current epoch, meanLoad the mean
+	// number of requests at each of them, and limit the number that each should run at once.
 	ranks           int
 	meanLoad, limit float64
 	passTimes       passHistory
-	// openedAt is when the group began to serve, and dealt how many of its free places have
-	// been dealt since; wasClosed and openEpoch tell a group that opens.
+	// openedAt is when the group began to serve, and allocated how many of its free slots have
+	// been allocated to hosts since. wasClosed and openedEpoch are used to detect that the
+	// group has opened.
 	openedAt    time.Duration
 	allocated   float64
 	wasClosed   bool
 	openedEpoch uint64
 }
 
-// SetLoads takes in the loads of engines. It returns what becomes of requests that wait,
-// and the attempts that are to end since their group does not serve.
+// SetLoads records load reports of engines. It returns the decisions on queued requests, and
+// the attempts to end because their group does not serve.
 func (s *Scheduler) SetLoads(all []wire.EngineLoad, now time.Duration) ([]Result, []StalledAttempt) {
 	for i := range all {
 		s.setLoad(&all[i], now)
@@ -113,9 +121,9 @@
 	return g
 }
 
-// updateGroups derives the states of the groups from what their ranks said last: in its newest
-// epoch a group serves once no rank says otherwise, since a rank that breaks or stands
-// still stops them all. What ranks said of an earlier epoch no longer counts.
+// updateGroups derives the state of each group from the latest reports of its ranks in its
+// newest epoch. The group serves if no rank reports otherwise, because one broken or stalled
+// rank stops all of them. Reports from earlier epochs are ignored.
 func (sv *service) updateGroups() {
 	for name, g := range sv.groups {
 		g.isClosed, g.isStalled, g.epoch = false, false, 0
@@ -142,7 +150,7 @@
 	}
 }
 
-// updateStalledSince keeps since when the group stands still.
+// updateStalledSince records when the group stalled, and clears that once it makes progress.
 func (g *group) updateStalledSince() {
 	switch {
 	case !g.isStalled:
@@ -152,7 +160,7 @@
 	}
 }
 
-// recordOpening keeps when the group began to serve.
+// recordOpening records when the group began to serve.
 func (g *group) recordOpening() {
 	if !g.isClosed && (g.wasClosed || g.openedEpoch != g.epoch) {
 		g.openedAt, g.openedEpoch, g.allocated = g.lastReport, g.epoch, 0
@@ -160,13 +168,13 @@
 	g.wasClosed = g.isClosed
 }
 
-// maxBriefStall is for how long a group that stands still may go on at any moment: ranks
-// hold for some tenths of a second at most while a change of map comes into force. One that
-// stands longer waits for a rank that is lost.
+// maxBriefStall is the longest stall after which a group is still expected to continue soon.
+// Ranks stop for at most a few tenths of a second while a new expert map is put into force; a
+// group that is stalled for longer is waiting for a lost rank.
 const maxBriefStall = 600 * time.Millisecond
 
-// isBrieflyStalled reports whether no group of the service serves now, but one only stands still
-// since a moment ago.
+// isBrieflyStalled reports whether a group of the service is only briefly stalled and is
+// therefore expected to serve again soon.
 func (sv *service) isBrieflyStalled(now time.Duration) bool {
 	for _, g := range sv.groups {
 		if g.isStalled && !g.isClosed && now-g.lastReport <= maxReportAge && now-g.stalledSince < maxBriefStall {
@@ -185,8 +193,9 @@
 	return false
 }
 
-// serves reports whether an upstream can serve, as far as is known of its group: nothing
-// is sent into one that is broken, nor into one of which nothing is heard while others are.
+// serves reports whether an upstream can serve requests, as far as is known of its group.
+// Nothing is sent to a group that is broken or stalled, nor to one without recent reports while
+// other groups have them.
 func (sv *service) serves(u *upstream, now time.Duration) bool {
 	if !sv.hasRecentReports(now) {
 		return true
@@ -200,12 +209,13 @@
 // hasGroups reports whether the service's engines are ranks of groups.
 func (sv *service) hasGroups() bool { return sv.engineSpec != nil && sv.engineSpec.Experts.Sets > 0 }
 
-// hasRecentReports reports whether loads come at all.
+// hasRecentReports reports whether a recent load report of any engine of the service has
+// arrived.
 func (sv *service) hasRecentReports(now time.Duration) bool {
 	return sv.hasReported && now-sv.lastReport <= maxReportAge
 }
 
-// isDown reports whether no upstream of a service with engines serves.
+// isDown reports whether none of the service's upstreams serves.
 func (sv *service) isDown(now time.Duration) bool {
 	for _, u := range sv.active {
 		if sv.serves(u, now) {
@@ -215,11 +225,11 @@
 	return true
 }
 
-// longOutage is how old an outage is that is taken to last. It is much longer than a request
-// waits for a place, so that its end is not expected within that.
+// longOutage is the duration from which an outage is assumed to last. It is much longer than a
+// request waits for a slot, so the outage is not expected to end within that wait.
 const longOutage = 8 * MaxQueueWait
 
-// updateOutage keeps since when the service is out.
+// updateOutage records when the service stopped serving, and clears that once it serves again.
 func (sv *service) updateOutage(now time.Duration) {
 	switch {
 	case !sv.isDown(now):
@@ -229,13 +239,14 @@
 	}
 }
 
-// isDownForLong reports whether the service is in an outage that lasts.
+// isDownForLong reports whether the service is in an outage that is assumed to last.
 func (sv *service) isDownForLong(now time.Duration) bool {
 	return sv.downSince > 0 && now-sv.downSince >= longOutage
 }
 
-// trustedAgeLimit returns from which age of its load on an upstream of the service counts as dark.
-// Where most are not heard, the reports are what is missing, and none does.
+// trustedAgeLimit returns the age of its load report from which an upstream is no longer
+// trusted. If most upstreams lack a recent report, the reporting itself has failed, and age is
+// no reason to distrust an upstream.
 func (sv *service) trustedAgeLimit(now time.Duration) time.Duration {
 	trusted, serving := 0, 0
 	for _, u := range sv.active {
@@ -253,11 +264,13 @@
 	return maxTrustedAge
 }
 
-// estimatedLoad estimates the requests at an upstream from the last report and what this host
-// has done since, or from this host's own alone.
+// estimatedLoad estimates the number of requests at an upstream from its last load report and
+// from what this host has sent and finished since. Without a fresh report it uses only this
+// host's own requests.
 func (s *Scheduler) estimatedLoad(u *upstream, now time.Duration) float64 {
 	if !u.load.isFresh(now) {
-		// The other hosts are thought to have as many as this one, evenly spread.
+		// The other hosts are assumed to have as many requests in flight as this host, evenly
+		// spread over the upstreams.
 		mean := float64(u.service.inflight) / float64(max(len(u.service.active), 1))
 		return float64(u.inflight) + float64(s.hosts-1)*mean
 	}
--- a/internal/schedule/passes.go
+++ b/internal/schedule/passes.go
@@ -8,47 +8,49 @@
 )
 
 const (
-	// historySpan is for how long passes are remembered. Popularity that jumps now and then has to
-	// be borne at its next jump too, and ten jumps tell that one better than three.
+	// historySpan is how long pass times are remembered. After a sudden shift of expert
+	// popularity further ones are likely, and ten of them predict the next one better than
+	// three.
 	historySpan = 20 * time.Second
-	// bucketSpan is how long a part of it is, a few passes; peakParts is how many there are.
+	// bucketSpan is the length of a bucket of the history, which covers a few passes.
+	// bucketCount is the number of buckets.
 	bucketSpan  = 250 * time.Millisecond
 	bucketCount = int64(historySpan / bucketSpan)
-	// minObservation is for how long passes have to be seen before they count.
+	// minObservation is how long pass times must have been observed before they are used.
 	minObservation = 8 * time.Second
-	// minSamples is how many pauses of streams tell how long the passes of a part were. Their
-	// median counts, so that a few answers that are held up on their way do not. mostPauses
-	// bounds what is kept of a part.
+	// minSamples is the number of event gaps needed to estimate the pass time of a bucket.
+	// Their median is used, so that a few answers delayed in transit have no effect. maxSamples
+	// limits how many are kept for a bucket.
 	minSamples, maxSamples = 5, 48
-	// maxPassFraction is the part of the gap that passes may take: the next ones may be longer, and
-	// an answer's way to its caller varies.
+	// maxPassFraction is the fraction of the maximum event gap that a pass may take. The rest
+	// allows for longer passes to come and for variation in the transit time to the caller.
 	maxPassFraction = 0.9
 )
 
-// passHistory is what this host sees of how much longer the passes of a group take than they
-// would with the work spread evenly over its ranks: the stretch, without unit. All ranks
-// execute each pass together, and a stream has an event a pass, so every host with a few
-// streams sees the passes of the whole group in the pauses between events. The zero value is
-// ready.
+// passHistory records how much longer the passes of a group take than they would with the work
+// spread evenly over its ranks: the slowdown, a ratio. A pass is a fixed number of decode steps
+// that all ranks execute together, and after each pass a stream gets one event. So any host
+// with a few streams can measure the passes of the whole group by the gaps between events. The
+// zero value is ready to use.
 type passHistory struct {
-	// samples are those of the part with the number part, and of the ones before it if they
-	// had too few.
+	// samples are the event gaps of the current bucket, which has the number bucket. They
+	// include those of preceding buckets that had too few samples.
 	samples []time.Duration
 	bucket  int64
-	// slowdowns is that of each part, 0 where nothing is known.
+	// slowdowns holds the slowdown of each bucket, 0 if unknown.
 	slowdowns [bucketCount]float64
-	// startedAt is when the first pause came.
+	// startedAt is when the first event gap was recorded.
 	startedAt  time.Duration
 	hasStarted bool
-	// cachedLimit is the number of places chosen last: for engines of that shape, while the part
-	// chosenPart ran.
+	// cachedLimit is the result of the last computation of limit. It is valid for engines with
+	// the parameters engineSpec while cachedBucket is the current bucket.
 	cachedLimit  float64
 	cachedBucket int64
 	engineSpec   *routetable.Engine
 }
 
-// add takes in a pause between two events of a stream. Even is how long a pass would take
-// with the work that the ranks have spread evenly.
+// add records the gap between two events of a stream. The time that a pass would take with
+// evenly spread work is given as balanced.
 func (p *passHistory) add(gap, balanced, now time.Duration) {
 	if !p.hasStarted {
 		p.hasStarted, p.startedAt = true, now
@@ -59,7 +61,7 @@
 	}
 }
 
-// advance closes the part that is over.
+// advance completes the current bucket if its time is over and starts the next one.
 func (p *passHistory) advance(balanced, now time.Duration) {
 	current := int64(now / bucketSpan)
 	if current == p.bucket {
@@ -76,12 +78,13 @@
 	p.bucket = current
 }
 
-// balancedPassTime is how long a pass takes where each rank writes for n requests.
+// balancedPassTime returns the duration of a pass in which each rank generates tokens for n
+// requests.
 func balancedPassTime(e *routetable.Engine, n float64) time.Duration {
 	return time.Duration(float64(max(e.Stride, 1)) * (float64(e.StepTime) + n*float64(e.StepTimePerRequest)))
 }
 
-// RecordEventGap tells how long the stream of an attempt paused between two events.
+// RecordEventGap records the gap between two events in the stream of an attempt.
 func (s *Scheduler) RecordEventGap(t *Ticket, gap, now time.Duration) {
 	sv, g := t.service, t.upstream.group
 	if g == nil || sv.engineSpec == nil || sv.maxEventGap <= 0 {
@@ -90,8 +93,8 @@
 	g.passTimes.add(gap, balancedPassTime(sv.engineSpec, g.meanLoad), now)
 }
 
-// setEngine derives how many requests the engines of a service should work on at once. Gap is
-// the longest pause between events that is on time.
+// setEngine sets the performance parameters of a service's engines and the longest gap between
+// events that counts as on time, and recomputes the concurrency limits.
 func (sv *service) setEngine(e *routetable.Engine, gap, now time.Duration) {
 	if sv.engineSpec == e && sv.maxEventGap == gap {
 		return
@@ -100,7 +103,7 @@
 	sv.updateLimits(now)
 }
 
-// updateLimits bounds the ranks of each group by what was seen of its passes.
+// updateLimits sets the concurrency limit of each group from its history of pass times.
 func (sv *service) updateLimits(now time.Duration) {
 	if sv.engineSpec == nil {
 		return
@@ -110,7 +113,7 @@
 	}
 }
 
-// updateMeanLoads derives how many requests the ranks of each group have, on the mean.
+// updateMeanLoads computes the mean number of requests at the ranks of each group.
 func (sv *service) updateMeanLoads() {
 	for _, g := range sv.groups {
 		g.meanLoad, g.ranks = 0, 0
--- a/internal/schedule/passes_test.go
+++ b/internal/schedule/passes_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runWithSlowdown lets the streams of a lab pause as long as passes with that stretch take, for
-// that long. Every tenth pause is of an answer that is held up on its way.
+// runWithSlowdown simulates streams for the given duration. The gaps between their events are
+// those of passes with the given slowdown. Every tenth gap is longer, as for an answer that is
+// delayed in transit.
 func (l *testCluster) runWithSlowdown(slowdown float64, during time.Duration) {
 	t := l.reserve(l.service("s").active[0], l.now)
 	defer l.Release(t, Neutral, l.now)
@@ -25,7 +26,7 @@
 	}
 }
 
-// newSkewedCluster has one group of engines whose experts are unevenly wanted.
+// newSkewedCluster returns a cluster with one group whose experts differ in popularity.
 func newSkewedCluster() *testCluster {
 	l := newGapLimitedCluster(60, 1)
 	l.engine.StepTimePerRequest = time.Millisecond
@@ -35,8 +36,9 @@
 	return l
 }
 
-// runWithJumps lets popularity jump each span: passes have that stretch for half a second, and
-// else the usual one.
+// runWithJumps simulates expert popularity that shifts once per interval. Passes have
+// jumpSlowdown for half a second after each shift and usualSlowdown for the rest of the
+// interval.
 func (l *testCluster) runWithJumps(jumpSlowdown, usualSlowdown float64, interval, during time.Duration) {
 	const jumpDuration = 500 * time.Millisecond
 	for end := l.now + during; l.now < end; {
@@ -45,10 +47,11 @@
 	}
 }
 
-// Load pattern: more callers than places that bear the worst jump of popularity, at a group
-// whose passes are far from that. Its ranks get as many requests as serve most callers: more
-// than the fewest while popularity hardly jumps, the fewest where most streams would meet a
-// jump that these bear, and at once while passes are beyond that.
+// Load pattern: there are more callers than slots at the lowest concurrency limit, which
+// tolerates the worst shift of expert popularity. If passes are rarely that slow, a fixed low
+// limit refuses callers who could be served on time. The limit must rise while passes are
+// regular, and return to the lowest when most streams would meet a shift that only the lowest
+// limit tolerates, or at once when passes are too long at any limit.
 func TestLimitFollowsObservedPassTimes(t *testing.T) {
 	l := newSkewedCluster()
 	minCapacity := float64(60 * ConcurrencyLimit(l.engine, l.gapLimitedRequest().Gap))
@@ -71,9 +74,9 @@
 	require.InDelta(t, usual, capacity(), 1)
 }
 
-// Load pattern: popularity jumps so far that passes are over the gap until the map has
-// followed, however few requests the ranks have. Fewer places would refuse callers and keep
-// no stream on time.
+// Load pattern: after each shift of expert popularity passes exceed the event gap until the
+// expert map is adapted, whatever the limit. A lower limit would refuse callers without keeping
+// any stream on time.
 func TestJumpsThatNoLimitCanAbsorbDoNotLowerIt(t *testing.T) {
 	l := newSkewedCluster()
 	minCapacity := float64(60 * ConcurrencyLimit(l.engine, l.gapLimitedRequest().Gap))
@@ -81,8 +84,8 @@
 	require.Greater(t, l.State("s", l.now).Capacity, 1.2*minCapacity)
 }
 
-// The places of a group are what its passes bear, also where that is no whole number for
-// each rank: rounding down left a fifth of them empty at five a rank.
+// The slots of a group must add up to its fractional limit per rank. When each rank rounded its
+// limit down, a fifth of the group's slots stayed unused at five slots per rank.
 func TestFractionalLimitsAddUpAcrossRanks(t *testing.T) {
 	l := newSkewedCluster()
 	l.runWithSlowdown(1.7, minObservation+time.Second)
@@ -92,8 +95,8 @@
 	require.NotEqual(t, float64(int(limitPerRank)), limitPerRank)
 }
 
-// Where passes are always alike, as many places are used as keep them inside the gap, with
-// room for the way to the caller.
+// With regular passes the limit must be the highest that keeps them within the event gap, less
+// a margin for the transit time to the caller.
 func TestChosenLimitKeepsPassesWithinMaxEventGap(t *testing.T) {
 	for slowdown := 1.0; slowdown < 2; slowdown += 0.1 {
 		l := newSkewedCluster()
@@ -112,7 +115,8 @@
 	require.Equal(t, float64(ConcurrencyLimit(e, 0)), unknown.limit(e, 0, time.Hour))
 }
 
-// Passes of one group say nothing of another, whose popularity is its own.
+// Slow passes of one group must not lower the limit of another, whose expert popularity is its
+// own.
 func TestGroupsHaveSeparateLimits(t *testing.T) {
 	l := newTestCluster(2, 8, 1)
 	l.engine.Slots, l.engine.StepTimePerRequest, l.engine.Experts.WorkShare = 10, time.Millisecond, 0.85
@@ -123,7 +127,7 @@
 	require.Greater(t, groups["0"].limit, groups["1"].limit)
 }
 
-// BenchmarkLimit works the places of a group out, as at the end of each part.
+// BenchmarkLimit computes the limit of a group, as happens once per history bucket.
 func BenchmarkLimit(b *testing.B) {
 	l := newSkewedCluster()
 	l.runWithJumps(1.9, 1.2, 2*time.Second, historySpan)
@@ -134,7 +138,7 @@
 	}
 }
 
-// BenchmarkRecordEventGap takes in one pause after the other, 1,000 a second.
+// BenchmarkRecordEventGap records event gaps that arrive at 1,000 per second.
 func BenchmarkRecordEventGap(b *testing.B) {
 	l := newSkewedCluster()
 	t := l.reserve(l.service("s").active[0], l.now)
--- a/internal/schedule/place.go
+++ b/internal/schedule/place.go
@@ -8,30 +8,33 @@
 )
 
 const (
-	// suspectFailures is how many attempts in a row have to fail at an upstream before
-	// others are preferred: a single one fails by chance too often.
+	// suspectFailures is how many attempts in a row must fail at an upstream before other
+	// upstreams are preferred. A single attempt fails by chance too often.
 	suspectFailures = 2
-	// suspectDuration is how long others are preferred then. It is about the time between
-	// two announcements, which show that an upstream is back.
+	// suspectDuration is how long other upstreams are preferred after that. It is about the
+	// interval between two announcements of an upstream, which show that it is back.
 	suspectDuration = 1500 * time.Millisecond
-	// localBonus is what being near is worth, in parts of a full upstream: less than one
-	// request's part, so that it decides between equals only.
+	// localBonus is the advantage of an upstream in the same data centre, as a fraction of a
+	// fully loaded upstream. It is less than the share of one request, so that it only breaks
+	// ties.
 	localBonus = 0.02
-	// localWeight is how much likelier a near upstream is drawn than a far one that is as
-	// free: its answers cross no data centre.
+	// localWeight is how much more likely an upstream in the same data centre is drawn than an
+	// equally loaded one elsewhere, since its answers don't cross data centres.
 	localWeight = 1.5
-	// maxCountedLoad bounds the requests at an engine that are told apart.
+	// maxCountedLoad is the largest number of requests at an engine that fillLevel counts
+	// exactly.
 	maxCountedLoad = 64
 )
 
-// Ticket is an attempt's hold on an upstream; it ends once.
+// Ticket is an attempt's reservation of a slot at an upstream. It must be released once.
 type Ticket struct {
 	upstream *upstream
 	service  *service
 	born     int64
 	address  string
-	// EstimatedLoad is how many requests the upstream was thought to have, by a report of its
-	// load of the age LoadAge; a negative age is none.
+	// EstimatedLoad is the number of requests that the upstream was assumed to have when the
+	// slot was reserved. LoadAge is the age of the load report used for that; it is negative if
+	// there was none.
 	EstimatedLoad float64
 	LoadAge       time.Duration
 	began         time.Duration
@@ -42,14 +45,15 @@
 // ID returns the id of the upstream.
 func (t *Ticket) ID() string { return t.upstream.ID }
 
-// Born returns when the upstream's incarnation started.
+// Born returns when the upstream's process started.
 func (t *Ticket) Born() int64 { return t.born }
 
-// Address returns where the upstream was when the attempt began, "ip:port".
+// Address returns the address of the upstream when the attempt began, as "ip:port".
 func (t *Ticket) Address() string { return t.address }
 
-// ReserveLeastLoaded takes hold of an upstream of a plain service that was not tried: the least loaded
-// that is trusted. It returns false where there is none.
+// ReserveLeastLoaded reserves the least loaded upstream of a plain service that was not tried
+// yet. Upstreams suspected of failure are used only if there is no other. It returns false if
+// none is left.
 func (s *Scheduler) ReserveLeastLoaded(name string, tried []string, now time.Duration) (registry.Upstream, *Ticket, bool) {
 	sv := s.service(name)
 	for _, mayBeSuspect := range []bool{false, true} {
@@ -60,8 +64,8 @@
 	return registry.Upstream{}, nil, false
 }
 
-// leastLoaded returns the upstream with the least part of its slots taken, drawn between
-// equals; nil if there is none.
+// leastLoaded returns the upstream with the smallest fraction of its slots in use, chosen at
+// random among equals, or nil if there is none.
 func (s *Scheduler) leastLoaded(sv *service, tried []string, mayBeSuspect bool, now time.Duration) *upstream {
 	var best *upstream
 	lowest, ties := 0.0, 0
@@ -77,7 +81,7 @@
 		case best == nil || score < lowest:
 			best, lowest, ties = u, score, 1
 		case score == lowest:
-			// Each of the equals is kept with the same probability.
+			// Reservoir sampling: each of the tied upstreams is kept with the same probability.
 			if ties++; s.cfg.Random.IntN(ties) == 0 {
 				best = u
 			}
@@ -86,17 +90,17 @@
 	return best
 }
 
-// isSuspect reports whether others are preferred to the upstream.
+// isSuspect reports whether the upstream is suspected of failure, so that others are preferred.
 func (u *upstream) isSuspect(now time.Duration) bool { return u.IsSilent || now < u.suspectUntil }
 
-// candidate is an engine at which a request could get a place.
+// candidate is an engine at which a request could get a slot.
 type candidate struct {
 	upstream *upstream
 	load     float64
 }
 
-// pickEngine finds an engine that was not tried and has a place free; suspects only where
-// nobody else serves, not where all others are full.
+// pickEngine chooses an engine that was not tried yet and has a free slot. Suspect engines are
+// used only if no other engine serves, not if all others are merely full.
 func (s *Scheduler) pickEngine(sv *service, tried []string, now time.Duration) (*upstream, bool) {
 	minRatio, maxAge := sv.minStepTimeRatio(now), sv.trustedAgeLimit(now)
 	s.trustedCandidates, s.suspectCandidates = s.trustedCandidates[:0], s.suspectCandidates[:0]
@@ -121,17 +125,17 @@
 	return s.drawCandidate(sv, s.suspectCandidates, now)
 }
 
-// isWithinQuota reports whether a free place of the engine would be this host's to take. Where
-// nothing is heard of the engine, nobody can tell.
+// isWithinQuota reports whether this host may take a free slot of the engine. Without a fresh
+// load report its free slots are unknown, and the quota does not apply.
 func (u *upstream) isWithinQuota(now time.Duration) bool {
 	return u.service.quota > 0 || !u.service.hasQuota || !u.load.isFresh(now)
 }
 
-// drawCandidate returns one of the engines, false if there is none. The requests that other hosts
-// have placed since the loads were read are not known, only about how many there are; all
-// hosts together fill the emptiest engines up to one level. So an engine is drawn by what
-// it is below that level: with few hosts the least loaded, with many one of those with
-// room.
+// drawCandidate chooses one of the engines at random; it returns false if there is none. What
+// other hosts have admitted since the load reports were made can only be estimated, and only in
+// total. Together all hosts fill the least loaded engines up to a common level, so each engine
+// is weighted by how far its load is below that level. With few hosts this picks the least
+// loaded engine; with many hosts it picks one of those with free slots.
 func (s *Scheduler) drawCandidate(sv *service, candidates []candidate, now time.Duration) (*upstream, bool) {
 	fillLevel := fillLevel(candidates, 1+s.unreportedAdmissions(sv, now))
 	var best *upstream
@@ -149,8 +153,8 @@
 	return best, best != nil
 }
 
-// fillLevel returns up to how many requests that many more fill the engines, the emptiest
-// first.
+// fillLevel returns the load that the engines reach when the added requests are placed at the
+// least loaded engines first.
 func fillLevel(candidates []candidate, added float64) float64 {
 	var counts [maxCountedLoad + 1]int
 	var sums [maxCountedLoad + 1]float64
@@ -170,8 +174,8 @@
 	return maxCountedLoad
 }
 
-// unreportedAdmissions is about how many requests the other hosts have placed since the loads were read:
-// as many as this host in that time, each.
+// unreportedAdmissions estimates how many requests the other hosts have admitted since the load
+// reports were made, assuming that each admits as many per second as this host.
 func (s *Scheduler) unreportedAdmissions(sv *service, now time.Duration) float64 {
 	if !sv.hasRecentReports(now) {
 		return 0
@@ -180,7 +184,7 @@
 	return sv.demand.admissions.perSecond(now) * age * float64(s.hosts-1)
 }
 
-// reserve counts an attempt at an upstream.
+// reserve counts an attempt at an upstream and returns its reservation.
 func (s *Scheduler) reserve(u *upstream, now time.Duration) *Ticket {
 	t := &Ticket{upstream: u, service: u.service, born: u.Born, address: u.Address, EstimatedLoad: s.estimatedLoad(u, now), LoadAge: -1, began: now}
 	if u.load.isKnown {
@@ -192,24 +196,24 @@
 	return t
 }
 
-// RecordFirstEvent tells that the first event of an attempt's answer is there.
+// RecordFirstEvent records that the first event of an attempt's answer has arrived.
 func (s *Scheduler) RecordFirstEvent(t *Ticket, now time.Duration) {
 	t.service.demand.began(now - t.began)
 }
 
-// Outcome is how an attempt went, as far as it says something of the upstream.
+// Outcome is the result of an attempt, as far as it says something about the upstream.
 type Outcome uint8
 
 const (
-	// Neutral: the attempt was ended for a reason of the caller's.
+	// Neutral means that the attempt ended for a reason on the caller's side.
 	Neutral Outcome = iota
 	Success
-	// Bad: the upstream broke off, refused or failed.
+	// Failure means that the upstream broke off the answer, refused the attempt or failed.
 	Failure
 )
 
-// Release gives a hold back. It returns what becomes of requests that wait, and whether the
-// upstream is suspected from now on.
+// Release ends a reservation and records the outcome of its attempt. It returns the decisions
+// on queued requests, and whether the upstream is suspected of failure from now on.
 func (s *Scheduler) Release(t *Ticket, outcome Outcome, now time.Duration) (results []Result, isSuspected bool) {
 	if t.isReleased {
 		return nil, false
@@ -219,8 +223,8 @@
 	delete(sv.awaitingHeader, t)
 	u.inflight--
 	sv.inflight--
-	// A place that it gives back is this host's to take, unless the engine still has more
-	// requests than places.
+	// This host may reuse the released slot at once, unless the engine still has more requests
+	// than its concurrency limit.
 	if sv.engineSpec != nil && s.estimatedLoad(u, now) < float64(sv.limitOf(u, sv.minStepTimeRatio(now), now)) {
 		sv.quota++
 	}
--- a/internal/schedule/places.go
+++ b/internal/schedule/places.go
@@ -7,23 +7,25 @@
 )
 
 const (
-	// maxExpectedSkew is the load of a group's most loaded rank over the mean one that passes
-	// have to bear while nothing was seen of them: after popularity has jumped, until the map
-	// has followed. It may be worse; with fewer places batching would lose more than the
-	// passes gain.
+	// maxExpectedSkew is the ratio of the load of a group's most loaded rank to the mean load
+	// that passes must tolerate while there is no history of pass times. Such skew occurs after
+	// expert popularity has shifted and until the expert map has been adapted. It may be
+	// exceeded: a lower concurrency limit would lose more through smaller batches than the
+	// passes would gain.
 	maxExpectedSkew = 2.4
-	// maxGapFraction is the part of the longest pause between events that a pass may take; the
-	// rest is for prompts that are read in it, and the way to the caller.
+	// maxGapFraction is the fraction of the maximum event gap that a pass may take. The rest is
+	// for prompts that are read during the pass, and for the transit time to the caller.
 	maxGapFraction = 0.95
-	// minSlotFraction is the least part of an engine's slots that is used: below, batching is
-	// lost.
+	// minSlotFraction is the smallest fraction of an engine's slots that is used. With fewer
+	// requests, batching is no longer efficient.
 	minSlotFraction = 0.5
 )
 
-// ConcurrencyLimit returns how many requests a rank of an engine should work on at once so that
-// events come within the gap, also while its group's map is behind popularity. The pace
-// of all is set by the slowest: what one request more at each rank adds to a pass, all
-// streams wait for. Without a gap, or an engine's figures, all slots count.
+// ConcurrencyLimit returns how many requests each rank should run at once so that events follow
+// each other within the given gap, even while the group's expert map lags behind expert
+// popularity. The slowest rank sets the speed for all: the time that one more request at each
+// rank adds to a pass delays all streams. Without a gap or the engine's performance parameters,
+// the limit is the number of slots.
 func ConcurrencyLimit(e *routetable.Engine, maxEventGap time.Duration) int {
 	if maxEventGap <= 0 || e.Stride <= 0 || e.StepTimePerRequest <= 0 {
 		return e.Slots
@@ -37,10 +39,10 @@
 	return min(max(limit, int(minSlotFraction*float64(e.Slots)), 1), e.Slots)
 }
 
-// SlowRankLimit returns how many requests a slow rank should work on at once, where the others
-// have that many places: as many as let its step end with theirs, since all ranks wait for
-// the slowest in every pass. It may be none. Slowness is its time for a step over theirs,
-// without unit.
+// SlowRankLimit returns how many requests a slow rank should run at once if the limit of the
+// other ranks is the given one. Its step must not take longer than theirs, because all ranks
+// wait for the slowest in every pass. The result may be 0. The rank's step time is given
+// relative to that of the others.
 func SlowRankLimit(e *routetable.Engine, limit int, relativeStepTime float64) int {
 	if relativeStepTime <= 1 || e.StepTimePerRequest <= 0 {
 		return limit
@@ -50,18 +52,19 @@
 	return min(max(n, 0), limit)
 }
 
-// TimeToFirstEvent is about how long an idle engine takes to the first event of a usual
-// request: to read the prompt, and two passes.
+// TimeToFirstEvent estimates how long an idle engine takes to the first event of an average
+// request: the time to read the prompt plus two passes.
 func TimeToFirstEvent(e *routetable.Engine, limit int) time.Duration {
 	passTime := time.Duration(max(e.Stride, 1)) * (e.StepTime + time.Duration(limit)*e.StepTimePerRequest)
 	return prefillTime(e) + 2*passTime
 }
 
-// typicalSkew is the load of a group's most loaded rank over the mean one while its map
-// follows popularity.
+// typicalSkew is the ratio of the load of a group's most loaded rank to the mean load while the
+// expert map matches expert popularity.
 const typicalSkew = 1.5
 
-// ServiceTime is about how long a usual request keeps its place while all of them are taken.
+// ServiceTime estimates how long an average request holds its slot while the engine runs as
+// many requests as the limit allows.
 func ServiceTime(e *routetable.Engine, limit int) time.Duration {
 	passTime := time.Duration(max(e.Stride, 1)) * (e.StepTime + time.Duration(limit)*e.StepTimePerRequest)
 	skew := 1.0
--- a/internal/schedule/places_test.go
+++ b/internal/schedule/places_test.go
@@ -27,7 +27,8 @@
 	require.Less(t, TimeToFirstEvent(e, 10), 200*time.Millisecond)
 }
 
-// A slow rank gets as many requests as let it keep up with the others.
+// All ranks wait for the slowest one. A slow rank with as many requests as the others would
+// delay every pass.
 func TestSlowRankGetsLowerLimit(t *testing.T) {
 	e := &routetable.Engine{StepTime: 5 * time.Millisecond, StepTimePerRequest: 500 * time.Microsecond}
 	for _, c := range []struct {
--- a/internal/schedule/queue.go
+++ b/internal/schedule/queue.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Abandon takes a request that has waited too long out, and says what its caller is told.
+// Abandon removes a request that has waited too long from the queue, and returns the refusal
+// for its caller.
 func (s *Scheduler) Abandon(w *Waiter, now time.Duration) Decision {
 	sv := w.service
 	if i := slices.Index(sv.waiters, w); i >= 0 {
@@ -14,8 +15,7 @@
 	return s.refuse(NoCapacity, w, now)
 }
 
-// admitWaiters gives up to n places to requests that wait: first to those that can still be on
-// time, in their order.
+// admitWaiters admits up to n requests from the queue, those that can still be on time first.
 func (s *Scheduler) admitWaiters(out []Result, sv *service, n int, now time.Duration) []Result {
 	for ; n > 0 && len(sv.waiters) > 0; n-- {
 		i := sv.nextWaiter(now)
@@ -34,9 +34,9 @@
 	return out
 }
 
-// refuseWaiters refuses the requests that wait in vain, at once: their callers can use the time.
-// Where a group has broken, those go that can come back; the others wait for as long as
-// their callers do, unless the outage lasts.
+// refuseWaiters refuses queued requests that would wait in vain as soon as that is known, so
+// that their callers can use the time otherwise. If the service is down, it refuses those whose
+// callers can retry; the others wait on until their callers give up, unless the outage is long.
 func (s *Scheduler) refuseWaiters(out []Result, sv *service, now time.Duration) []Result {
 	if len(sv.waiters) == 0 || s.awaitsFirstReports(sv, now) {
 		return out
@@ -50,7 +50,8 @@
 	return s.refuseWhere(out, sv, NoCapacity, now, func(w *Waiter) bool { return !w.canBeOnTime(now) && s.cannotBeServedInTime(sv, w, now) })
 }
 
-// refuseWhere refuses the waiters for which isVain holds, the last first.
+// refuseWhere refuses the queued requests for which shouldRefuse returns true, from the end of
+// the queue to its front.
 func (s *Scheduler) refuseWhere(out []Result, sv *service, reason Reason, now time.Duration, shouldRefuse func(*Waiter) bool) []Result {
 	for i := len(sv.waiters) - 1; i >= 0; i-- {
 		w := sv.waiters[i]
@@ -63,7 +64,8 @@
 	return out
 }
 
-// nextWaiter returns the waiter that is served next. There has to be one.
+// nextWaiter returns the index of the queued request to be served next. The queue must not be
+// empty.
 func (sv *service) nextWaiter(now time.Duration) int {
 	best := 0
 	for i, w := range sv.waiters {
@@ -74,11 +76,11 @@
 	return best
 }
 
-// canBeOnTime reports whether the request can be on time if it gets its place now.
+// canBeOnTime reports whether the request's first event can be on time if it gets a slot now.
 func (w *Waiter) canBeOnTime(now time.Duration) bool { return now < w.latestStart }
 
-// precedes reports whether w is served before o: those that can be on time go first, then
-// it is their turns that count.
+// precedes reports whether w is served before o. Requests that can be on time go first, then
+// those with the earlier effective arrival.
 func (w *Waiter) precedes(o *Waiter, now time.Duration) bool {
 	if isOnTime := w.canBeOnTime(now); isOnTime != o.canBeOnTime(now) {
 		return isOnTime
--- a/internal/schedule/room.go
+++ b/internal/schedule/room.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// minStepTimeRatio is the pace of the fastest engine of a service that is heard, 0 where none tells
-// it.
+// minStepTimeRatio returns the step time ratio of the fastest engine of a service with a fresh
+// load report, 0 if it is unknown for all.
 func (sv *service) minStepTimeRatio(now time.Duration) float64 {
 	lowest := 0.0
 	for _, u := range sv.active {
@@ -14,8 +14,8 @@
 	return lowest
 }
 
-// limitOf returns how many requests an engine should work on at once, fewer where it is
-// slower than the fastest.
+// limitOf returns how many requests an engine should run at once. An engine that is slower than
+// the fastest gets a lower limit.
 func (sv *service) limitOf(u *upstream, minRatio float64, now time.Duration) int {
 	limit := sv.limit
 	if u.group != nil && u.group.limit > 0 {
@@ -27,7 +27,8 @@
 	return SlowRankLimit(sv.engineSpec, limit, u.load.stepTimeRatio/minRatio)
 }
 
-// capacity counts the places of a service that serve, and those of them that are free.
+// capacity returns the total number of usable slots at the engines of a service that serve, and
+// how many of them are free.
 func (s *Scheduler) capacity(sv *service, now time.Duration) (total, free float64) {
 	minRatio := sv.minStepTimeRatio(now)
 	for _, u := range sv.active {
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -1,12 +1,15 @@
-// Package schedule decides where the requests of callers go: at which upstream a request
-// gets a place, whether it waits for one, in which order, and when it is refused and what
-// its caller is told.
+// Package schedule decides which upstream a request is sent to, whether and in which order
+// requests are queued, when a request is refused, and when its caller should retry.
 //
-// A Scheduler is what one entry host knows of services, their groups of ranks and their
-// upstreams: what control hosts say of them, the loads that agents tell, and the host's own
-// experience. It is pure: it reads no clock and does no I/O, times are a monotonic clock
-// of the caller's, and draws come from the source that it was given. It is not safe for
-// concurrent use; whoever holds it calls it under one lock.
+// For model engines it limits how many requests each engine runs at once. A slot is the
+// capacity of an engine for one of these requests, and a request needs a free slot to be
+// admitted.
+//
+// A Scheduler holds what one entry host knows of services, their groups of ranks and their
+// upstreams: announcements from control hosts, load reports from agents, and measurements of
+// its own. It reads no clock and does no I/O. The caller passes times of a monotonic clock and
+// the source of random numbers. A Scheduler is not safe for concurrent use, so the caller must
+// hold a lock during each call.
 package schedule
 
 import (
@@ -18,34 +21,35 @@
 	"github.com/sassafraspost/sassafraspost/internal/routetable"
 )
 
-// Config is what a Scheduler needs.
+// Config holds the parameters of a Scheduler.
 type Config struct {
-	// DataCentre is that of the host.
+	// DataCentre is the data centre of this host.
 	DataCentre string
-	// Budget bounds the repeats of all hosts together.
+	// Budget limits the retries of all hosts together.
 	Budget retrybudget.Params
-	// Random decides between equals.
+	// Random is the source of all random choices.
 	Random *rand.Rand
-	// StartupUntil is until when the host has just started. What it does not know yet is on its
-	// way, and groups that broke with it form anew: requests wait for them, since most of
-	// their callers have one try left.
+	// StartupUntil is when the start-up phase of this host ends. Until then its knowledge is
+	// incomplete and groups that failed together with the host are forming again. Requests wait
+	// for that instead of being refused, because most of their callers have one retry left.
 	StartupUntil time.Duration
 }
 
-// Scheduler is the table of one host.
+// Scheduler holds the state of all services as seen by one host.
 type Scheduler struct {
 	cfg   Config
 	hosts int
-	// upstreams holds those that serve, and those that attempts of this host have not left
-	// yet, by id; byAddress those that serve.
+	// upstreams holds, by id, the upstreams that serve and those that still have attempts of
+	// this host in flight. byAddress holds only the upstreams that serve.
 	upstreams map[string]*upstream
 	byAddress map[string]*upstream
 	services  map[string]*service
-	// trustedCandidates and suspect are used by place, so that a decision need not allocate them.
+	// trustedCandidates and suspectCandidates are buffers of pickEngine, kept to avoid an
+	// allocation for each decision.
 	trustedCandidates, suspectCandidates []candidate
 }
 
-// New returns an empty Scheduler of a host that is alone.
+// New returns an empty Scheduler that assumes no other hosts.
 func New(cfg Config) *Scheduler {
 	return &Scheduler{
 		cfg: cfg, hosts: 1,
@@ -53,67 +57,71 @@
 	}
 }
 
-// upstream is one incarnation of an upstream as this host sees it.
+// upstream is the state of one upstream as seen by this host.
 type upstream struct {
 	registry.Upstream
 	service *service
 	group   *group
-	// inflight counts this host's attempts there.
+	// inflight is the number of this host's attempts in flight at the upstream.
 	inflight int
-	// consecutiveFailures counts the attempts that failed in a row.
+	// consecutiveFailures is the number of attempts that failed since the last success.
 	consecutiveFailures int
 	suspectUntil        time.Duration
 	load                load
 	isServing           bool
-	// rounding is by how much the upstream rounds a number of places up, in [0, 1): it differs
-	// between upstreams, so that parts of a place at each make whole ones together.
+	// rounding is added to a fractional concurrency limit before it is rounded down, in [0, 1).
+	// It differs between upstreams, so that the rounded limits add up to the right total.
 	rounding float64
 }
 
-// service is what this host knows of a service.
+// service is the state of a service as seen by this host.
 type service struct {
 	name string
-	// active are the upstreams that serve, in the order of their ids.
+	// active lists the upstreams that serve, ordered by id.
 	active []*upstream
 	groups map[string]*group
 	budget retrybudget.Budget
-	// inflight counts this host's attempts at all upstreams, late those of requests that
-	// had no chance to be on time when they got their place.
+	// inflight is the number of this host's attempts in flight at all upstreams. late is how
+	// many of them could no longer be on time when they got their slot.
 	inflight, late int
-	// lastReport is when the last load of one of them came; wasHeard tells that one ever did.
+	// lastReport is when the last load report of any of the upstreams arrived. hasReported is
+	// set once there has been one.
 	lastReport  time.Duration
 	hasReported bool
-	// engineSpec are the figures of the engines, nil for plain services, gap the longest pause
-	// between events; places is how many requests an engine should work on at once as far
-	// as these tell, groups know better once their passes were seen.
+	// engineSpec holds the performance parameters of the engines, nil for plain services.
+	// maxEventGap is the longest gap between events that counts as on time. limit is the
+	// concurrency limit of an engine derived from these two; groups have limits of their own
+	// once their pass times were observed.
 	engineSpec  *routetable.Engine
 	maxEventGap time.Duration
 	limit       int
-	// quota is how many of the free places are this host's to take; see dealPlaces. Until a
-	// request has told the engines' figures, isDealt is not set and they can't be counted.
+	// quota is how many free slots this host may take; see updateQuotas. hasQuota is set while
+	// quotas apply. They can't be computed before a request has supplied the engines'
+	// performance parameters.
 	quota    int
 	hasQuota bool
-	// downSince is since when no group was heard to serve, 0 while one does.
+	// downSince is when the outage of the service began, 0 while a group serves.
 	downSince time.Duration
-	// scarceUntil is until when its places count as scarce.
+	// scarceUntil is when the slots of the service no longer count as scarce.
 	scarceUntil time.Duration
-	// quotaRate is how many free places a second are this host's part.
+	// quotaRate is this host's share of free slots per second.
 	quotaRate averageRate
 	waiters   []*Waiter
 	demand    demand
-	// awaitingHeader are the attempts that have no head of an answer yet and may be taken back.
+	// awaitingHeader holds the attempts that have not received a response header and may still
+	// be ended.
 	awaitingHeader map[*Ticket]headerWait
 }
 
-// SetHosts tells how many hosts share the upstreams and the budgets.
+// SetHosts sets the number of hosts that share the upstreams and the retry budgets.
 func (s *Scheduler) SetHosts(n int) { s.hosts = max(n, 1) }
 
-// Hosts returns how many hosts share the upstreams.
+// Hosts returns the number of hosts that share the upstreams.
 func (s *Scheduler) Hosts() int { return s.hosts }
 
-// SetUpstreams replaces the upstreams that serve, by service in the order of their ids.
-// The experience with those that stay is kept; one that has started again begins anew. It
-// returns what becomes of requests that wait.
+// SetUpstreams replaces the upstreams that serve, given by service and ordered by id. The state
+// of upstreams that stay is kept; an upstream that was restarted begins with a clean state. It
+// returns the decisions on queued requests.
 func (s *Scheduler) SetUpstreams(serving map[string][]registry.Upstream, now time.Duration) []Result {
 	for _, u := range s.upstreams {
 		u.isServing = false
@@ -147,7 +155,8 @@
 	return out
 }
 
-// record returns the record of an upstream.
+// record returns the state of an announced upstream. It is created for a new upstream and
+// cleared for a restarted one.
 func (s *Scheduler) record(announced registry.Upstream) *upstream {
 	u := s.upstreams[announced.ID]
 	switch {
@@ -170,12 +179,13 @@
 	return sv
 }
 
-// CountRequest counts a caller's request to a service.
+// CountRequest counts a caller's request to a service for its retry budget.
 func (s *Scheduler) CountRequest(name string, now time.Duration) {
 	s.service(name).budget.AddRequest(s.cfg.Budget, now)
 }
 
-// TakeRetry takes one repeat from the service's budget.
+// TakeRetry takes one retry from the service's budget, and reports whether the budget allows
+// it.
 func (s *Scheduler) TakeRetry(name string, now time.Duration) bool {
 	return s.service(name).budget.Take(s.cfg.Budget, s.hosts, now)
 }
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -14,20 +14,20 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// testEngine are the figures of an engine whose usual request stays for 0.8 s: 26 passes of
-// 30 ms, without groups.
+// testEngine holds the parameters of an engine without groups. An average request takes 0.8 s
+// there: 26 passes of 30 ms.
 var testEngine = &routetable.Engine{
 	Slots: 4, StepTime: 5 * time.Millisecond, StepTimePerRequest: 250 * time.Microsecond, Stride: 5, Prompt: 100, Answer: 130, PrefillRate: 10_000,
 }
 
-// groupedEngine are those of engines in groups.
+// groupedEngine returns the parameters of testEngine for engines that are ranks of a group.
 func groupedEngine() *routetable.Engine {
 	e := *testEngine
 	e.Experts = routetable.Experts{Sets: 1, ExpertsPerSet: 8, Slots: 2}
 	return &e
 }
 
-// testCluster is a scheduler among engines of a service "s" that were up for long.
+// testCluster is a scheduler with the engines of a service "s". It was started long ago.
 type testCluster struct {
 	*Scheduler
 	now    time.Duration
@@ -36,7 +36,8 @@
 	loads  map[string]wire.EngineLoad
 }
 
-// newTestCluster has groups of that many ranks each, "0/0" the first of the first group.
+// newTestCluster returns a cluster with groups of the given number of ranks. "0/0" is the first
+// rank of the first group.
 func newTestCluster(groups, size, hosts int) *testCluster {
 	l := &testCluster{
 		Scheduler: New(Config{
@@ -57,7 +58,7 @@
 	return l
 }
 
-// announce lets the scheduler know the upstreams, which started then.
+// announce tells the scheduler about all upstreams, with the given start time.
 func (l *testCluster) announce(born int64) []Result {
 	var all []registry.Upstream
 	for _, id := range l.ids {
@@ -66,7 +67,7 @@
 	return l.SetUpstreams(map[string][]registry.Upstream{"s": all}, l.now)
 }
 
-// report changes the load of an engine and tells that of all.
+// report changes the load of one engine and then reports the loads of all engines.
 func (l *testCluster) report(id string, change func(*wire.EngineLoad)) ([]Result, []StalledAttempt) {
 	if change != nil {
 		load := l.loads[id]
@@ -82,13 +83,13 @@
 	return l.SetLoads(all, l.now)
 }
 
-// reportLoads tells that each engine has that many requests.
+// reportLoads reports that each engine has n requests.
 func (l *testCluster) reportLoads(n int) ([]Result, []StalledAttempt) {
 	l.setLoads(n)
 	return l.report("", nil)
 }
 
-// setLoads lets each engine have that many requests, of which nothing is told yet.
+// setLoads gives each engine n requests without reporting them.
 func (l *testCluster) setLoads(n int) {
 	for id, load := range l.loads {
 		load.Running = n
@@ -96,19 +97,20 @@
 	}
 }
 
-// onTimeRequest is one that can be on time for 400 ms from now.
+// onTimeRequest returns a request that can be on time if its first event is sent within 400 ms.
 func (l *testCluster) onTimeRequest() *Request {
 	return &Request{Service: "s", Engine: l.engine, OnTimeUntil: l.now + 400*time.Millisecond, CanRetry: true}
 }
 
-// lateRequest is one whose caller has been here before.
+// lateRequest returns a request that can no longer be on time and whose caller has no retry
+// left.
 func (l *testCluster) lateRequest() *Request {
 	r := l.onTimeRequest()
 	r.OnTimeUntil, r.CanRetry = l.now, false
 	return r
 }
 
-// admitUntilFull counts where requests go until no place is left.
+// admitUntilFull admits requests until no slot is free, and counts them by upstream.
 func (l *testCluster) admitUntilFull() map[string]int {
 	out := map[string]int{}
 	for {
@@ -152,9 +154,10 @@
 	require.Equal(t, "0/0", u.ID)
 }
 
-// Load pattern: a cut breaks one of two groups. From the first word of one of its ranks on
-// nothing goes there, the other one is used to its places, and the broken one again from
-// the first word of its new epoch on.
+// Load pattern: a network cut breaks one of two groups. Requests sent into a broken group would
+// fail. From the first report of one of its ranks nothing may be sent there, and the other
+// group is used up to its limit. The broken group is used again after the first report of its
+// new epoch.
 func TestNoRequestGoesToBrokenGroup(t *testing.T) {
 	l := newTestCluster(2, 4, 1)
 	l.report("0/2", func(load *wire.EngineLoad) { load.IsOpen = false })
@@ -165,7 +168,7 @@
 	require.Zero(t, used["1/0"])
 }
 
-// A rank that is late with its word does not close the group again.
+// After a group has formed again, a delayed report from its previous epoch must not close it.
 func TestReportsFromEarlierEpochAreIgnored(t *testing.T) {
 	l := newTestCluster(1, 2, 1)
 	l.report("0/0", func(load *wire.EngineLoad) { load.Epoch = 2 })
@@ -175,8 +178,8 @@
 	require.Equal(t, Outage, l.Admit(l.onTimeRequest(), l.now).Reason)
 }
 
-// Load pattern: a host in a data centre that is cut off hears its own ranks only. What
-// serves behind the cut is of no use to it.
+// Load pattern: a host in a data centre that is cut off receives reports only from ranks in
+// that data centre. A group on the other side of the cut can't be reached and must not be used.
 func TestGroupWithoutRecentReportsIsNotUsed(t *testing.T) {
 	l := newTestCluster(2, 2, 1)
 	l.report("", nil)
@@ -191,8 +194,8 @@
 	require.NotNil(t, l.Admit(l.onTimeRequest(), l.now).Ticket, "no word at all is no word on groups")
 }
 
-// An engine whose load is no longer told, while those of most others are, gets nothing:
-// its host is frozen, and what is sent there would be read when the caller has left.
+// An engine whose reports are missing while those of most others arrive is on a frozen host. A
+// request sent there would not be read before its caller has left.
 func TestEngineWithMissingReportsGetsNoRequests(t *testing.T) {
 	l := newTestCluster(1, 4, 1)
 	l.report("", nil)
@@ -206,8 +209,8 @@
 	require.Positive(t, l.admitUntilFull()["0/1"])
 }
 
-// All ranks of a group wait for the slowest in every pass, so a slow one gets fewer
-// requests, or none. Where all are as slow, none counts as slow.
+// All ranks of a group wait for the slowest in every pass, so a slow rank must get fewer
+// requests or none. If all ranks are equally slow, none counts as slow.
 func TestSlowEngineGetsFewerRequests(t *testing.T) {
 	admitted := func(slow, fast float64) map[string]int {
 		l := newTestCluster(1, 2, 1)
@@ -223,8 +226,8 @@
 	require.Equal(t, map[string]int{"0/0": 10, "0/1": 10}, admitted(0, 0), "no pace is told")
 }
 
-// Load pattern: many hosts see the same loads of late. Each alone would send to the
-// emptiest engine; together they would fill it and leave the others.
+// Load pattern: many hosts see the same load reports, which are slightly old. If each of them
+// chose the least loaded engine, together they would overload it and leave the others idle.
 func TestManyHostsDoNotAllChooseTheSameEngine(t *testing.T) {
 	const hosts, size = 42, 64
 	total := make(map[string]int)
@@ -241,7 +244,7 @@
 			l.loads[id] = load
 		}
 		l.report("", nil)
-		// Eight requests a second at each host, as it was in the last seconds.
+		// Each host has admitted eight requests per second during the last two seconds.
 		for range 16 {
 			l.service("s").demand.admissions.add(l.now)
 			l.now += 125 * time.Millisecond
@@ -285,8 +288,9 @@
 	require.Empty(t, results)
 }
 
-// A more urgent request goes before those that came shortly before it, and not before
-// those that have waited long; who can be on time goes first.
+// An urgent request must go before those that arrived shortly before it, but not before those
+// that have waited for long, which would starve otherwise. Requests that can be on time go
+// first.
 func TestWaitersAreOrderedByPunctualityPriorityAndArrival(t *testing.T) {
 	waiter := func(arrived time.Duration, priority int) *Waiter {
 		return &Waiter{latestStart: time.Minute, effectiveArrival: arrived + delayPerPriority*time.Duration(priority)}
@@ -300,13 +304,13 @@
 	require.Equal(t, 1, first(late, waiter(0, 9)))
 }
 
-// Load pattern: service is back after an outage, and the callers of the outage come back
-// with those of now. A late answer is worth less to its caller than one on time, and a
-// late request in a place makes the next one late.
+// Load pattern: after an outage, callers who were refused return together with new ones. A late
+// answer is worth less than one on time. If late requests took all slots, the new requests
+// would become late too.
 func TestLateRequestsGetCapacityLeftByOnTimeRequests(t *testing.T) {
 	l := newTestCluster(1, 8, 1)
 	l.reportLoads(0)
-	// 30 requests a second that stay for 0.8 s need 24 of 32 places.
+	// 30 requests per second that take 0.8 s each need 24 of 32 slots.
 	for range 64 {
 		l.service("s").demand.onTimeArrivals.add(l.now)
 		l.now += rateWindow / 64
@@ -324,7 +328,8 @@
 	require.NotNil(t, l.Admit(l.onTimeRequest(), l.now).Ticket, "one that can be on time does not wait behind them")
 }
 
-// What would wait in vain is refused at once, so that its caller can use the time.
+// A request that would wait in vain must be refused at once, so that its caller can use the
+// time otherwise.
 func TestRequestThatCannotBeServedInTimeIsRefusedAtOnce(t *testing.T) {
 	l := newTestCluster(1, 1, 1)
 	l.service("s").demand.serviceTime = 10 * time.Second
@@ -340,7 +345,8 @@
 	require.NotEqual(t, Outage, l.Admit(resumed, l.now).Reason)
 }
 
-// A request that waited until it can't be on time any more is told so with the next loads.
+// A queued request that can no longer be on time must be refused at the next load report, if it
+// would wait in vain.
 func TestWaiterThatCanNoLongerBeServedInTimeIsRefused(t *testing.T) {
 	l := newTestCluster(1, 4, 1)
 	l.reportLoads(4)
@@ -358,8 +364,8 @@
 	require.Equal(t, NoCapacity, results[0].Reason)
 }
 
-// How long the first event takes is learnt: with it a request is late sooner than the
-// figures of the engines say.
+// Measured times to the first event must replace the estimate from the engine's parameters.
+// Otherwise a request would count as on time for longer than it is.
 func TestTimeToFirstEventIsLearned(t *testing.T) {
 	l := newTestCluster(1, 1, 1)
 	l.reportLoads(0)
@@ -374,8 +380,8 @@
 	require.InDelta(t, 0.2, l.service("s").timeToFirstEvent().Seconds(), 0.01)
 }
 
-// Load pattern: everything has stopped at once and starts again. What a host does not know
-// yet is on its way, and its callers have one try left.
+// Load pattern: all hosts stop and start again together. Missing information is about to arrive
+// and most callers have one retry left, so requests must be queued rather than refused.
 func TestStartingHostQueuesRequests(t *testing.T) {
 	l := newTestCluster(1, 2, 1)
 	l.now = time.Second
@@ -394,8 +400,8 @@
 	require.Equal(t, Outage, l.Admit(unknown, l.now).Reason, "it has been up for long")
 }
 
-// An attempt that waits for its first event in a group that does not serve ends before its
-// caller leaves.
+// An attempt that waits for its first event in a group that does not serve must be ended before
+// its caller gives up.
 func TestAttemptInStalledGroupTimesOut(t *testing.T) {
 	l := newTestCluster(1, 1, 1)
 	l.reportLoads(0)
@@ -412,8 +418,8 @@
 	require.Empty(t, stalled)
 }
 
-// Where another group has places free, attempts leave the broken one at once, as many as
-// there are places for; the others could only be refused.
+// When a group breaks and another has free slots, as many attempts as there are free slots must
+// leave the broken group at once. Any more than that could only be refused.
 func TestAttemptsMoveFromBrokenGroupToFreeSlots(t *testing.T) {
 	l := newTestCluster(2, 1, 1)
 	l.reportLoads(0)
@@ -441,8 +447,8 @@
 	require.Equal(t, "0/0", stalled[0].Ticket.ID())
 }
 
-// An upstream that has started again under its id begins without the experience of before,
-// and a load of the start before says nothing of it.
+// An upstream that was restarted under the same id must not inherit state from before. Load
+// reports of the earlier process must be ignored.
 func TestRestartedUpstreamStartsWithCleanState(t *testing.T) {
 	l := newTestCluster(1, 1, 1)
 	l.reportLoads(4)
@@ -469,14 +475,15 @@
 	require.InDelta(t, 3, s.EstimatedLoad, 0.01)
 }
 
-// reportStall tells that the only group of a lab stands still, or no more.
+// reportStall reports that the only group of the cluster is stalled, or that it makes progress
+// again.
 func (l *testCluster) reportStall(isStalled bool) ([]Result, []StalledAttempt) {
 	return l.report("0/0", func(load *wire.EngineLoad) { load.IsStanding = isStalled })
 }
 
-// Load pattern: ranks hold for some tenths of a second while a change of map comes into
-// force, with callers that have seconds left. They wait and are served; callers of a group
-// that stands for longer are refused at once, those that waited with them.
+// Load pattern: ranks stop for a few tenths of a second while a new expert map is put into
+// force, and callers have seconds left. Requests must be queued and then served. If the stall
+// lasts longer, new and queued requests are refused at once.
 func TestShortStallIsNoOutage(t *testing.T) {
 	l := newTestCluster(1, 4, 1)
 	l.reportStall(true)
@@ -502,8 +509,9 @@
 	require.Equal(t, Outage, l.Admit(l.onTimeRequest(), l.now).Reason, "nobody waits for it any more")
 }
 
-// Load pattern: a rank is killed while requests wait for places. Their callers can use the
-// time until the group is back; those that can't come back wait for as long as they would.
+// Load pattern: a rank is killed while requests are queued. Callers who can retry must be told
+// at once, so that they can use the time until the group is back. The others stay queued until
+// their callers give up.
 func TestWaitersAreRefusedAtOnceWhenGroupBreaks(t *testing.T) {
 	l := newTestCluster(1, 2, 1)
 	l.reportLoads(4)
@@ -516,8 +524,8 @@
 	require.Equal(t, Outage, results[0].Reason)
 }
 
-// A caller comes back within a third of the time that it has left. In an outage it uses all
-// of that; where places are short callers are spread over the second half of it.
+// A caller retries within a third of its remaining time. In an outage it must be told that
+// whole third; without free capacity, callers are spread over the second half of it.
 func TestRetryAfterFollowsCallerTimeLeft(t *testing.T) {
 	l := newTestCluster(1, 2, 1)
 	l.report("0/1", func(load *wire.EngineLoad) { load.IsOpen = false })
@@ -535,7 +543,7 @@
 	require.Zero(t, l.refuse(Outage, w, l.now+7*time.Second).RetryAfter)
 }
 
-// BenchmarkAdmit decides at the present sizes and the target's.
+// BenchmarkAdmit measures decisions at the present cluster sizes and at the target size.
 func BenchmarkAdmit(b *testing.B) {
 	for _, c := range []struct{ groups, size, hosts int }{{1, 16, 7}, {2, 8, 7}, {2, 64, 42}, {5, 120, 330}} {
 		b.Run(fmt.Sprintf("%dx%d", c.groups, c.size), func(b *testing.B) {
@@ -551,27 +559,28 @@
 	}
 }
 
-// gapLimit is how many requests the engines of a tight lab bear: fewer than they have
-// slots.
+// gapLimit is the concurrency limit of engines in a cluster made by newGapLimitedCluster. It is
+// lower than their number of slots.
 const gapLimit = 7
 
-// newGapLimitedCluster has one group of engines whose passes are late before their slots are full.
+// newGapLimitedCluster returns a cluster with one group whose passes exceed the event gap
+// before all slots are in use.
 func newGapLimitedCluster(size, hosts int) *testCluster {
 	l := newTestCluster(1, size, hosts)
 	l.engine.Slots, l.engine.StepTimePerRequest = 10, 2*time.Millisecond
 	return l
 }
 
-// gapLimitedRequest is a request with a gap between its events.
+// gapLimitedRequest returns a request with a maximum gap between events.
 func (l *testCluster) gapLimitedRequest() *Request {
 	r := l.onTimeRequest()
 	r.Gap = 110 * time.Millisecond
 	return r
 }
 
-// In a full group one place is free, and all hosts see it. It is taken about once, not by
-// each host that has a request: ranks with twice the requests that their passes bear keep
-// all streams late.
+// All hosts see the one free slot of a full group. If each host with a request took it, ranks
+// would run twice the requests that their passes can serve on time, and all streams would be
+// late.
 func TestFreeSlotSeenByAllHostsIsTakenAboutOnce(t *testing.T) {
 	const hosts, size, rounds = 44, 63, 100
 	admitted := 0
@@ -596,10 +605,10 @@
 	require.InDelta(t, rounds, admitted, rounds/2, "%d hosts, one request each in each round", hosts)
 }
 
-// Load pattern: a group opens after an outage, and many hosts have a backlog of callers that
-// can't come back. What they place is shown by reports some tenths of a second later. All
-// together they place about as many as there are places until then, not as many with each
-// report.
+// Load pattern: a group opens after an outage, and many hosts have a backlog of callers who
+// can't retry. Load reports show the first admitted requests some tenths of a second later.
+// Until then all hosts together must admit about as many requests as there are slots, not as
+// many again with each report.
 func TestBacklogsOfManyHostsFillReopenedGroupOnce(t *testing.T) {
 	const hosts, size = 100, 60
 	admitted, capacity := 0, float64(size*gapLimit)
@@ -630,8 +639,8 @@
 	require.Greater(t, float64(admitted), 0.8*capacity)
 }
 
-// Where an engine's slots bound it anyway, its own queue takes what comes at once: a host
-// that waited for its part would leave slots empty between two requests.
+// If an engine can use all its slots, its own queue absorbs requests that arrive together. A
+// host that waited for its quota would leave slots idle between two requests.
 func TestNoQuotaWhereAllSlotsAreUsable(t *testing.T) {
 	for h := range 20 {
 		l := newTestCluster(1, 4, 44)
@@ -643,7 +652,8 @@
 	}
 }
 
-// A place that a host gives back is its own to take at once, without a report.
+// A host must be able to reuse a slot that it has released at once, without waiting for a load
+// report.
 func TestHostReusesSlotItReleased(t *testing.T) {
 	l := newGapLimitedCluster(4, 44)
 	held := l.Admit(l.gapLimitedRequest(), l.now).Ticket
@@ -659,8 +669,8 @@
 	require.Equal(t, held.ID(), results[0].Ticket.ID())
 }
 
-// An engine that has more requests than places gives none back when one of them ends:
-// else an overload would last as long as its requests are replaced.
+// An engine that runs more requests than its limit frees no slot when one of them ends.
+// Otherwise each would be replaced and the overload would never end.
 func TestOverloadedEngineFreesNoSlot(t *testing.T) {
 	l := newGapLimitedCluster(4, 44)
 	held := l.Admit(l.gapLimitedRequest(), l.now).Ticket
@@ -674,10 +684,9 @@
 	require.Nil(t, l.Admit(l.gapLimitedRequest(), l.now).Ticket)
 }
 
-// Load pattern: a quiet day at size. Hosts have unequal numbers of callers, so one of them
-// gets more than its part of the requests at once while a third of all places is free. They
-// wait for the next loads, which show places that are the host's to take, and none is
-// refused.
+// Load pattern: a quiet day in a large cluster. Hosts have unequal numbers of callers, and one
+// of them receives a burst above its share while a third of all slots is free. Its requests
+// must wait for the next load reports, which add to its quota, and none may be refused.
 func TestBusyHostCountsOnItsShareOfFreeSlots(t *testing.T) {
 	const hosts, size, burst = 44, 63, 6
 	l := newGapLimitedCluster(size, hosts)
@@ -708,7 +717,7 @@
 	}
 }
 
-// A host that has had no free places for three reports no longer reckons with any: who
+// A host that has seen no free slots in three reports must not count on any. A request that
 // would wait in vain is refused at once.
 func TestHostStopsCountingOnFreeSlotsThatAreGone(t *testing.T) {
 	l := newGapLimitedCluster(63, 44)
--- a/internal/schedule/stall.go
+++ b/internal/schedule/stall.go
@@ -2,40 +2,43 @@
 
 import "time"
 
-// StalledAttemptTimeout is how long a caller is left without an event before its request is given up
-// while its group does not serve. An engine whose group breaks refuses by itself before
-// that; one whose group only stands still says nothing, and can't drop a request before it
-// goes on. Callers leave a stream that is silent for two seconds.
+// StalledAttemptTimeout is how long a caller may go without an event before its request is
+// ended because its group does not serve. An engine whose group breaks refuses the request
+// earlier by itself. An engine whose group is only stalled sends nothing and can't drop a
+// request before the group continues. Callers abandon a stream that is silent for two seconds.
 const StalledAttemptTimeout = 1700 * time.Millisecond
 
-// headerWait is an attempt that waits for the head of its answer.
+// headerWait is the state of an attempt that waits for its response header.
 type headerWait struct {
-	// silentSince is when the request came, or its stream was to go on elsewhere.
+	// silentSince is when the request arrived, or when its stream began to move to another
+	// upstream.
 	silentSince time.Duration
 }
 
-// StalledAttempt is an attempt that is to end since its group does not serve.
+// StalledAttempt is an attempt to be ended because its group does not serve.
 type StalledAttempt struct {
 	Ticket *Ticket
-	// HasOtherGroup tells that another group serves: the request is to be sent there at once.
-	// Otherwise it is given up, and its caller is told RetryAfter.
+	// HasOtherGroup reports that another group serves, so that the request is to be sent there
+	// at once. Otherwise the request is given up, and its caller is told to retry after
+	// RetryAfter.
 	HasOtherGroup bool
 	RetryAfter    time.Duration
 }
 
-// AwaitHeader tells that an attempt waits for the head of its answer and may be taken back;
-// its caller has been without an event since then.
+// AwaitHeader registers an attempt that waits for its response header. It may be ended until
+// the header arrives. The caller has received no event since the given time.
 func (s *Scheduler) AwaitHeader(t *Ticket, since time.Duration) {
 	t.service.awaitingHeader[t] = headerWait{silentSince: since}
 }
 
-// HeaderReceived tells that the head of the answer is there.
+// HeaderReceived records that the response header of an attempt has arrived.
 func (s *Scheduler) HeaderReceived(t *Ticket) { delete(t.service.awaitingHeader, t) }
 
-// stalledAttempts adds the attempts that are in a group which does not serve. Where none does, they
-// are given up after the patience of callers. Where another one has places free, as many
-// as it has leave at once: engines that wait for a lost rank refuse much later. The
-// rest stays, since a group that only stands still may go on before their callers leave.
+// stalledAttempts appends the attempts that wait in a group which does not serve. If no group
+// serves, they are ended after StalledAttemptTimeout. If another group has free slots, as many
+// attempts as it has slots leave a closed group at once, since engines that wait for a lost
+// rank refuse much later. Attempts in a group that is only stalled stay, since it may continue
+// before their callers give up.
 func (s *Scheduler) stalledAttempts(out []StalledAttempt, sv *service, now time.Duration) []StalledAttempt {
 	if len(sv.awaitingHeader) == 0 {
 		return out
@@ -57,7 +60,7 @@
 	return out
 }
 
-// timedOutAttempts adds the attempts whose callers would leave soon.
+// timedOutAttempts appends the attempts whose callers are about to give up.
 func (sv *service) timedOutAttempts(out []StalledAttempt, now time.Duration) []StalledAttempt {
 	for t, u := range sv.awaitingHeader {
 		if now-u.silentSince >= StalledAttemptTimeout {
--- a/internal/schedule/state.go
+++ b/internal/schedule/state.go
@@ -2,23 +2,26 @@
 
 import "time"
 
-// ServiceState is what a host knows of a service, for logs: the grounds of a decision.
+// ServiceState summarises what a host knows of a service, so that logs can explain a decision.
 type ServiceState struct {
-	// Upstreams serve by what they say; Heard are those whose load counts, the oldest of
-	// them OldestLoad old; Serving are in groups that serve.
+	// Upstreams counts the upstreams that announce themselves as serving, Reporting those with
+	// a fresh load report, and Serving those in groups that serve. OldestReport is the age of
+	// the oldest fresh load report.
 	Upstreams, Reporting, Serving int
 	OldestReport                  time.Duration
-	// Groups are known, Closed of them do not serve.
+	// Groups counts the known groups, ClosedGroups those that do not serve.
 	Groups, ClosedGroups int
-	// Capacity are those of the engines that serve, Taken the requests there.
+	// Capacity is the total number of slots at the engines that serve, EstimatedLoad the number
+	// of requests there.
 	Capacity, EstimatedLoad float64
-	// Waiting are the requests that wait here, Late this host's attempts that were late when
-	// they got their place, Need the places that those on time keep taken.
+	// Waiting counts the requests queued at this host, and LateAttempts its attempts that could
+	// no longer be on time when they got their slot. OnTimeDemand is the mean number of slots
+	// occupied by requests that can be on time.
 	Waiting, LateAttempts int
 	OnTimeDemand          float64
 }
 
-// State returns what is known of a service.
+// State returns a summary of what is known of a service.
 func (s *Scheduler) State(name string, now time.Duration) ServiceState {
 	sv := s.service(name)
 	out := ServiceState{
