--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -9,8 +9,8 @@
 
 import "time"
 
-// safetyFactor is the fraction of the budget that is used. An observer's windows may be aligned
-// differently, so that it counts requests in a later window than this host does.
+// safetyFactor is the fraction of the budget that is used. A request that this host counts in
+// one window may fall into the next one for an observer whose windows are aligned differently.
 const safetyFactor = 0.85
 
 // bucketCount is the number of buckets that the window is divided into.
@@ -29,7 +29,7 @@
 // Budget counts the requests and retries of one host for one service. The zero value is ready
 // to use.
 type Budget struct {
-	requests, repeats slidingCounter
+	requests, retries slidingCounter
 }
 
 // AddRequest counts a caller's request.
@@ -39,10 +39,10 @@
 // equally among the given number of hosts.
 func (b *Budget) Take(p Params, hosts int, now time.Duration) bool {
 	allowed := safetyFactor * (p.Ratio*float64(b.requests.sum(p.Window, now)) + p.Extra/float64(max(hosts, 1)))
-	if float64(b.repeats.sum(p.Window, now)+1) > allowed {
+	if float64(b.retries.sum(p.Window, now)+1) > allowed {
 		return false
 	}
-	b.repeats.add(p.Window, now)
+	b.retries.add(p.Window, now)
 	return true
 }
 
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -16,7 +16,7 @@
 	for b.Take(params, 9, time.Second) {
 		taken++
 	}
-	require.Equal(t, 8, taken, "a ninth of 90, with caution")
+	require.Equal(t, 8, taken, "a ninth of 90, times the safety factor")
 	require.False(t, b.Take(params, 9, 9*time.Second))
 	require.True(t, b.Take(params, 9, 12*time.Second))
 }
@@ -29,8 +29,8 @@
 		hosts := rapid.IntRange(1, 5).Draw(t, "hosts")
 		budgets := make([]Budget, hosts)
 		type event struct {
-			at       time.Duration
-			isRepeat bool
+			at      time.Duration
+			isRetry bool
 		}
 		var events []event
 		now := time.Duration(0)
@@ -43,10 +43,10 @@
 				events = append(events, event{now, true})
 			}
 		}
-		count := func(from, end time.Duration, isRepeat bool) float64 {
+		count := func(from, end time.Duration, isRetry bool) float64 {
 			n := 0.0
 			for _, e := range events {
-				if e.isRepeat == isRepeat && e.at > from && e.at <= end {
+				if e.isRetry == isRetry && e.at > from && e.at <= end {
 					n++
 				}
 			}
@@ -56,7 +56,7 @@
 			end, window := e.at, params.Window
 			mostRequests := max(count(end-window, end, false), count(end-2*window, end-window, false), count(end-window*3/2, end-window/2, false))
 			if retries, bound := count(end-window, end, true), params.Ratio*mostRequests+params.Extra; retries > bound {
-				t.Fatalf("%v repeats up to %v, allowed are %v", retries, end, bound)
+				t.Fatalf("%v retries up to %v, allowed are %v", retries, end, bound)
 			}
 		}
 	})
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -118,8 +118,9 @@
 // if the engines don't form groups.
 type Experts struct {
 	// The model's layers are divided into Sets sets. Each set has an expert map of its own,
-	// which places ExpertsPerSet experts on the ranks, with Slots slots per rank. One change may place
-	// at most Spare experts of a set at a rank that did not hold them before.
+	// which assigns ExpertsPerSet experts to the ranks, with room for Slots experts at each
+	// rank. In one change of the map a rank may be assigned at most Spare experts of a set that
+	// it did not hold before.
 	Sets, ExpertsPerSet, Slots, Spare int
 	// WorkShare is the fraction of a step's work that is done by the experts, in [0, 1].
 	WorkShare float64
@@ -128,7 +129,7 @@
 	CopyTime time.Duration
 }
 
-// Workspace is a workspace with its API keys.
+// Workspace holds the API keys and the priority of one workspace.
 type Workspace struct {
 	Name string
 	Keys []string
--- a/internal/routetable/table_test.go
+++ b/internal/routetable/table_test.go
@@ -47,13 +47,13 @@
 
 func TestBuildRejectsInvalidTables(t *testing.T) {
 	for name, change := range map[string]func(*Table){
-		"no number":       func(t *Table) { t.Number = 0 },
-		"unknown service": func(t *Table) { t.Routes[0].ServiceWeights[0].Service = "u" },
-		"same place":      func(t *Table) { t.Routes[1].Prefix = "/" },
-		"no weight":       func(t *Table) { t.Routes[0].ServiceWeights[0].Weight = 0 },
-		"no timeout":      func(t *Table) { t.Routes[0].Timeout = 0 },
-		"shared key":      func(t *Table) { t.Workspaces[1].Keys = []string{"k2"} },
-		"open prefix":     func(t *Table) { t.Routes[0].Prefix = "/x" },
+		"no number":                  func(t *Table) { t.Number = 0 },
+		"unknown service":            func(t *Table) { t.Routes[0].ServiceWeights[0].Service = "u" },
+		"duplicate prefix":           func(t *Table) { t.Routes[1].Prefix = "/" },
+		"no weight":                  func(t *Table) { t.Routes[0].ServiceWeights[0].Weight = 0 },
+		"no timeout":                 func(t *Table) { t.Routes[0].Timeout = 0 },
+		"shared key":                 func(t *Table) { t.Workspaces[1].Keys = []string{"k2"} },
+		"prefix without final slash": func(t *Table) { t.Routes[0].Prefix = "/x" },
 	} {
 		require.Error(t, newTable(change).Build(), name)
 	}
--- a/internal/schedule/deal.go
+++ b/internal/schedule/deal.go
@@ -24,9 +24,9 @@
 // would take longer and more of them would be in flight, so the overload would sustain itself
 // after its cause is gone.
 //
-// Where all of an engine's slots are usable, the engine itself admits no more requests than its
-// passes can serve, and its own queue avoids idle time between two requests. There quotas apply
-// only while slots are scarce, when requests would wait in the engine's queue for longer than
+// An engine with all of its slots usable admits no more requests than its passes can serve, and
+// its own queue avoids idle time between two requests. For such engines quotas apply only while
+// slots are scarce, because requests would otherwise wait in the engine's queue for longer than
 // callers do.
 func (s *Scheduler) updateQuotas(reported []wire.EngineLoad, now time.Duration) {
 	for _, sv := range s.services {
--- a/internal/schedule/demand.go
+++ b/internal/schedule/demand.go
@@ -14,8 +14,8 @@
 	// expected one.
 	maxServiceTimeRatio = 1.5
 	// firstEventWeight is the weight of one request in the moving average of times to the first
-	// event. The average has to follow changes in the engines' pass times; with about ten
-	// requests per second at a host, that takes a second.
+	// event. The average has to follow changes in the engines' pass times, and does so within
+	// about a second at a host that gets ten requests per second.
 	firstEventWeight = 0.1
 )
 
@@ -119,9 +119,9 @@
 const averageRateWeight = 0.5
 
 // add records the amount that came since the previous call.
-func (f *averageRate) add(n float64, now time.Duration) {
-	if f.hasStarted && now > f.lastAt {
-		f.perSecond += averageRateWeight * (n/(now-f.lastAt).Seconds() - f.perSecond)
+func (r *averageRate) add(n float64, now time.Duration) {
+	if r.hasStarted && now > r.lastAt {
+		r.perSecond += averageRateWeight * (n/(now-r.lastAt).Seconds() - r.perSecond)
 	}
-	f.lastAt, f.hasStarted = now, true
+	r.lastAt, r.hasStarted = now, true
 }
--- a/internal/schedule/late.go
+++ b/internal/schedule/late.go
@@ -73,13 +73,13 @@
 // queuePosition returns the position that a request has or would have in the queue, starting
 // from 1.
 func (sv *service) queuePosition(w *Waiter, now time.Duration) float64 {
-	ahead := 1.0
+	position := 1.0
 	for _, o := range sv.waiters {
 		if o != w && o.precedes(w, now) {
-			ahead++
+			position++
 		}
 	}
-	return ahead
+	return position
 }
 
 // forever is longer than any wait.
--- a/internal/schedule/loads.go
+++ b/internal/schedule/loads.go
@@ -11,7 +11,7 @@
 	// maxReportAge is the age above which an engine's load report is ignored.
 	maxReportAge = 700 * time.Millisecond
 	// maxTrustedAge is the age of an engine's load report from which the engine is not trusted
-	// while most others have a younger one. It means that four reports in a row are missing:
+	// while most others have a younger one. At that age four reports in a row are missing, so
 	// the host of the engine is probably frozen or cut off and does not read what is sent to
 	// it.
 	maxTrustedAge = 400 * time.Millisecond
@@ -45,7 +45,8 @@
 // isFresh reports whether the report is recent enough to be used.
 func (l *load) isFresh(now time.Duration) bool { return l.isKnown && now-l.receivedAt <= maxReportAge }
 
-// group is a set of ranks that can serve requests only together.
+// group is a set of ranks: engines that execute each pass together, and so can serve requests
+// only together.
 type group struct {
 	name  string
 	epoch uint64
@@ -150,7 +151,8 @@
 	}
 }
 
-// updateStalledSince records when the group stalled, and clears that once it makes progress.
+// updateStalledSince records when the group stalled, and clears that time once the group makes
+// progress.
 func (g *group) updateStalledSince() {
 	switch {
 	case !g.isStalled:
@@ -229,7 +231,8 @@
 // request waits for a slot, so the outage is not expected to end within that wait.
 const longOutage = 8 * MaxQueueWait
 
-// updateOutage records when the service stopped serving, and clears that once it serves again.
+// updateOutage records when the service stopped serving, and clears that time once the service
+// serves again.
 func (sv *service) updateOutage(now time.Duration) {
 	switch {
 	case !sv.isDown(now):
--- a/internal/schedule/passes.go
+++ b/internal/schedule/passes.go
@@ -8,9 +8,8 @@
 )
 
 const (
-	// historySpan is how long pass times are remembered. After a sudden shift of expert
-	// popularity further ones are likely, and ten of them predict the next one better than
-	// three.
+	// historySpan is how long pass times are remembered. Expert popularity that has shifted
+	// suddenly is likely to shift again, and ten shifts predict the next one better than three.
 	historySpan = 20 * time.Second
 	// bucketSpan is the length of a bucket of the history, which covers a few passes.
 	// bucketCount is the number of buckets.
--- a/internal/schedule/passes_test.go
+++ b/internal/schedule/passes_test.go
@@ -10,10 +10,10 @@
 // runWithSlowdown simulates streams for the given duration. The gaps between their events are
 // those of passes with the given slowdown. Every tenth gap is longer, as for an answer that is
 // delayed in transit.
-func (l *testCluster) runWithSlowdown(slowdown float64, during time.Duration) {
+func (l *testCluster) runWithSlowdown(slowdown float64, duration time.Duration) {
 	t := l.reserve(l.service("s").active[0], l.now)
 	defer l.Release(t, Neutral, l.now)
-	for end, n := l.now+during, 0; l.now < end; n++ {
+	for end, n := l.now+duration, 0; l.now < end; n++ {
 		gap := time.Duration(slowdown * float64(balancedPassTime(l.engine, l.service("s").groups["0"].meanLoad)))
 		if n%10 == 0 {
 			gap += 300 * time.Millisecond
@@ -39,9 +39,9 @@
 // runWithJumps simulates expert popularity that shifts once per interval. Passes have
 // jumpSlowdown for half a second after each shift and usualSlowdown for the rest of the
 // interval.
-func (l *testCluster) runWithJumps(jumpSlowdown, usualSlowdown float64, interval, during time.Duration) {
+func (l *testCluster) runWithJumps(jumpSlowdown, usualSlowdown float64, interval, duration time.Duration) {
 	const jumpDuration = 500 * time.Millisecond
-	for end := l.now + during; l.now < end; {
+	for end := l.now + duration; l.now < end; {
 		l.runWithSlowdown(jumpSlowdown, jumpDuration)
 		l.runWithSlowdown(usualSlowdown, interval-jumpDuration)
 	}
@@ -57,19 +57,19 @@
 	minCapacity := float64(60 * ConcurrencyLimit(l.engine, l.gapLimitedRequest().Gap))
 	capacity := func() float64 { return l.State("s", l.now).Capacity }
 	l.runWithSlowdown(1.2, minObservation-time.Second)
-	require.Equal(t, minCapacity, capacity(), "not seen for long enough")
+	require.Equal(t, minCapacity, capacity(), "pass times were not observed for long enough")
 	l.runWithSlowdown(1.2, 2*time.Second)
 	usual := capacity()
 	require.Greater(t, usual, 1.2*minCapacity)
 	l.runWithSlowdown(1.9, 500*time.Millisecond)
 	l.runWithSlowdown(1.2, 2*time.Second)
-	require.Equal(t, usual, capacity(), "one jump in all that is remembered")
+	require.Equal(t, usual, capacity(), "a single shift of popularity in the whole history")
 	l.runWithSlowdown(2.5, time.Second)
-	require.Equal(t, minCapacity, capacity(), "passes are beyond what any places bear")
+	require.Equal(t, minCapacity, capacity(), "passes are too long at any limit")
 	l.runWithSlowdown(1.2, time.Second)
-	require.Equal(t, usual, capacity(), "they were beyond it whatever the places")
+	require.Equal(t, usual, capacity(), "passes that are too long at any limit are ignored")
 	l.runWithJumps(1.9, 1.2, 2*time.Second, historySpan)
-	require.LessOrEqual(t, capacity(), 1.1*minCapacity, "most streams meet a jump, which about the fewest bear")
+	require.LessOrEqual(t, capacity(), 1.1*minCapacity, "most streams meet a shift that only about the lowest limit tolerates")
 	l.runWithSlowdown(1.2, historySpan+time.Second)
 	require.InDelta(t, usual, capacity(), 1)
 }
@@ -103,10 +103,10 @@
 		l.runWithSlowdown(slowdown, minObservation+time.Second)
 		e, gap, limit := l.engine, l.gapLimitedRequest().Gap, l.service("s").groups["0"].limit
 		if limit > float64(ConcurrencyLimit(e, gap)) {
-			require.LessOrEqual(t, slowdown*float64(balancedPassTime(e, limit)), 1.01*maxPassFraction*float64(gap), "stretch %v", slowdown)
+			require.LessOrEqual(t, slowdown*float64(balancedPassTime(e, limit)), 1.01*maxPassFraction*float64(gap), "slowdown %v", slowdown)
 		}
 		if limit < float64(e.Slots) {
-			require.Greater(t, slowdown*float64(balancedPassTime(e, limit+2*limitStep)), 0.99*maxPassFraction*float64(gap), "stretch %v", slowdown)
+			require.Greater(t, slowdown*float64(balancedPassTime(e, limit+2*limitStep)), 0.99*maxPassFraction*float64(gap), "slowdown %v", slowdown)
 		}
 	}
 	var unknown passHistory
--- a/internal/schedule/place.go
+++ b/internal/schedule/place.go
@@ -11,8 +11,9 @@
 	// suspectFailures is how many attempts in a row must fail at an upstream before other
 	// upstreams are preferred. A single attempt fails by chance too often.
 	suspectFailures = 2
-	// suspectDuration is how long other upstreams are preferred after that. It is about the
-	// interval between two announcements of an upstream, which show that it is back.
+	// suspectDuration is how long other upstreams are preferred after suspectFailures failed
+	// attempts. It is about the interval between two announcements of an upstream, which show
+	// that the upstream is back.
 	suspectDuration = 1500 * time.Millisecond
 	// localBonus is the advantage of an upstream in the same data centre, as a fraction of a
 	// fully loaded upstream. It is less than the share of one request, so that it only breaks
@@ -140,14 +141,14 @@
 	fillLevel := fillLevel(candidates, 1+s.unreportedAdmissions(sv, now))
 	var best *upstream
 	sum := 0.0
-	for _, o := range candidates {
-		weight := max(fillLevel-o.load, 0)
-		if o.upstream.DataCentre == s.cfg.DataCentre {
+	for _, c := range candidates {
+		weight := max(fillLevel-c.load, 0)
+		if c.upstream.DataCentre == s.cfg.DataCentre {
 			weight *= localWeight
 		}
 		sum += weight
 		if weight > 0 && s.cfg.Random.Float64()*sum < weight {
-			best = o.upstream
+			best = c.upstream
 		}
 	}
 	return best, best != nil
@@ -158,10 +159,10 @@
 func fillLevel(candidates []candidate, added float64) float64 {
 	var counts [maxCountedLoad + 1]int
 	var sums [maxCountedLoad + 1]float64
-	for _, o := range candidates {
-		i := min(int(o.load), maxCountedLoad)
+	for _, c := range candidates {
+		i := min(int(c.load), maxCountedLoad)
 		counts[i]++
-		sums[i] += o.load
+		sums[i] += c.load
 	}
 	engines, total := 0, 0.0
 	for next := range maxCountedLoad {
@@ -223,8 +224,8 @@
 	delete(sv.awaitingHeader, t)
 	u.inflight--
 	sv.inflight--
-	// This host may reuse the released slot at once, unless the engine still has more requests
-	// than its concurrency limit.
+	// This host may reuse the released slot at once, unless the engine still has at least as
+	// many requests as its concurrency limit.
 	if sv.engineSpec != nil && s.estimatedLoad(u, now) < float64(sv.limitOf(u, sv.minStepTimeRatio(now), now)) {
 		sv.quota++
 	}
--- a/internal/schedule/places.go
+++ b/internal/schedule/places.go
@@ -9,9 +9,9 @@
 const (
 	// maxExpectedSkew is the ratio of the load of a group's most loaded rank to the mean load
 	// that passes must tolerate while there is no history of pass times. Such skew occurs after
-	// expert popularity has shifted and until the expert map has been adapted. It may be
-	// exceeded: a lower concurrency limit would lose more through smaller batches than the
-	// passes would gain.
+	// expert popularity has shifted and until the expert map has been adapted. The actual skew
+	// may be higher, but a lower concurrency limit would lose more through smaller batches than
+	// the passes would gain.
 	maxExpectedSkew = 2.4
 	// maxGapFraction is the fraction of the maximum event gap that a pass may take. The rest is
 	// for prompts that are read during the pass, and for the transit time to the caller.
--- a/internal/schedule/places_test.go
+++ b/internal/schedule/places_test.go
@@ -20,8 +20,8 @@
 	passTime := time.Duration(slowdown * float64(e.StepTime+time.Duration(limit)*e.StepTimePerRequest))
 	require.Less(t, passTime, 120*time.Millisecond)
 	require.Greater(t, limit, 6)
-	require.Equal(t, 12, ConcurrencyLimit(e, 0), "no gap, no bound")
-	require.Equal(t, 6, ConcurrencyLimit(e, time.Millisecond), "half of the slots at least")
+	require.Equal(t, 12, ConcurrencyLimit(e, 0), "without a gap only the slots limit")
+	require.Equal(t, 6, ConcurrencyLimit(e, time.Millisecond), "at least half of the slots are used")
 	e.Experts.Sets = 0
 	require.Equal(t, 12, ConcurrencyLimit(e, 120*time.Millisecond))
 	require.Less(t, TimeToFirstEvent(e, 10), 200*time.Millisecond)
@@ -37,5 +37,5 @@
 	}{{0, 10}, {0.9, 10}, {1, 10}, {1.25, 6}, {1.6, 2}, {2, 0}, {12, 0}} {
 		require.Equal(t, c.want, SlowRankLimit(e, 10, c.relativeStepTime), c)
 	}
-	require.Equal(t, 10, SlowRankLimit(&routetable.Engine{}, 10, 3), "nothing is known of the engine")
+	require.Equal(t, 10, SlowRankLimit(&routetable.Engine{}, 10, 3), "the engine's parameters are unknown")
 }
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -133,7 +133,7 @@
 	for name, list := range serving {
 		sv := s.service(name)
 		for _, announced := range list {
-			u := s.record(announced)
+			u := s.updateUpstream(announced)
 			u.isServing, u.service = true, sv
 			u.rounding = float64(len(sv.active)) / float64(len(list))
 			sv.active = append(sv.active, u)
@@ -155,9 +155,9 @@
 	return out
 }
 
-// record returns the state of an announced upstream. It is created for a new upstream and
-// cleared for a restarted one.
-func (s *Scheduler) record(announced registry.Upstream) *upstream {
+// updateUpstream stores the announcement of an upstream and returns the upstream's state, which
+// is created for a new upstream and cleared for a restarted one.
+func (s *Scheduler) updateUpstream(announced registry.Upstream) *upstream {
 	u := s.upstreams[announced.ID]
 	switch {
 	case u == nil:
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -27,7 +27,7 @@
 	return &e
 }
 
-// testCluster is a scheduler with the engines of a service "s". It was started long ago.
+// testCluster is a scheduler with the engines of a service "s". It is past its start-up phase.
 type testCluster struct {
 	*Scheduler
 	now    time.Duration
@@ -164,7 +164,7 @@
 	require.Equal(t, map[string]int{"1/0": 4, "1/1": 4, "1/2": 4, "1/3": 4}, l.admitUntilFull())
 	l.report("0/3", func(load *wire.EngineLoad) { load.Epoch = 2 })
 	used := l.admitUntilFull()
-	require.Equal(t, 4, used["0/0"], "all of the group serve")
+	require.Equal(t, 4, used["0/0"], "all ranks of the group serve again")
 	require.Zero(t, used["1/0"])
 }
 
@@ -191,11 +191,11 @@
 	require.Equal(t, Outage, d.Reason)
 	require.Positive(t, d.RetryAfter)
 	l.now += 2 * maxReportAge
-	require.NotNil(t, l.Admit(l.onTimeRequest(), l.now).Ticket, "no word at all is no word on groups")
+	require.NotNil(t, l.Admit(l.onTimeRequest(), l.now).Ticket, "without any reports the groups are not judged")
 }
 
-// An engine whose reports are missing while those of most others arrive is on a frozen host. A
-// request sent there would not be read before its caller has left.
+// An engine whose reports are missing while those of most others arrive is probably on a frozen
+// host. A request sent there would not be read before its caller has left.
 func TestEngineWithMissingReportsGetsNoRequests(t *testing.T) {
 	l := newTestCluster(1, 4, 1)
 	l.report("", nil)
@@ -223,7 +223,7 @@
 	require.Equal(t, map[string]int{"0/0": 2, "0/1": 10}, admitted(1.6, 1))
 	require.Equal(t, map[string]int{"0/1": 10}, admitted(12, 1))
 	require.Equal(t, map[string]int{"0/0": 10, "0/1": 10}, admitted(12, 12))
-	require.Equal(t, map[string]int{"0/0": 10, "0/1": 10}, admitted(0, 0), "no pace is told")
+	require.Equal(t, map[string]int{"0/0": 10, "0/1": 10}, admitted(0, 0), "step times are unknown")
 }
 
 // Load pattern: many hosts see the same load reports, which are slightly old. If each of them
@@ -276,7 +276,7 @@
 	require.Equal(t, second.Waiter, results[0].Waiter)
 	require.NotNil(t, results[0].Ticket)
 	results, _ = l.Release(first.Ticket, Success, l.now)
-	require.Empty(t, results, "a hold ends once")
+	require.Empty(t, results, "a ticket can be released only once")
 }
 
 func TestAbandonedWaiterIsNotAdmitted(t *testing.T) {
@@ -295,13 +295,13 @@
 	waiter := func(arrived time.Duration, priority int) *Waiter {
 		return &Waiter{latestStart: time.Minute, effectiveArrival: arrived + delayPerPriority*time.Duration(priority)}
 	}
-	first := func(all ...*Waiter) int { return (&service{waiters: all}).nextWaiter(time.Second) }
-	require.Equal(t, 1, first(waiter(0, 2), waiter(delayPerPriority, 0)))
-	require.Equal(t, 0, first(waiter(0, 2), waiter(3*delayPerPriority, 0)))
-	require.Equal(t, 0, first(waiter(0, 1), waiter(0, 1)), "equals are served as they came")
+	next := func(all ...*Waiter) int { return (&service{waiters: all}).nextWaiter(time.Second) }
+	require.Equal(t, 1, next(waiter(0, 2), waiter(delayPerPriority, 0)))
+	require.Equal(t, 0, next(waiter(0, 2), waiter(3*delayPerPriority, 0)))
+	require.Equal(t, 0, next(waiter(0, 1), waiter(0, 1)), "equal requests are served in order of arrival")
 	late := waiter(0, 0)
 	late.latestStart = 0
-	require.Equal(t, 1, first(late, waiter(0, 9)))
+	require.Equal(t, 1, next(late, waiter(0, 9)))
 }
 
 // Load pattern: after an outage, callers who were refused return together with new ones. A late
@@ -323,8 +323,8 @@
 			admitted++
 		}
 	}
-	require.Greater(t, admitted, 4, "there is room beside those on time")
-	require.Less(t, admitted, 24, "they do not get all of it")
+	require.Greater(t, admitted, 4, "there is capacity beside requests on time")
+	require.Less(t, admitted, 24, "late requests do not get all capacity")
 	require.NotNil(t, l.Admit(l.onTimeRequest(), l.now).Ticket, "one that can be on time does not wait behind them")
 }
 
@@ -357,7 +357,7 @@
 	}
 	l.service("s").demand.serviceTime = 2 * time.Second
 	results, _ := l.reportLoads(4)
-	require.Empty(t, results, "it can be on time yet")
+	require.Empty(t, results, "it can still be on time")
 	l.now += 400 * time.Millisecond
 	results, _ = l.reportLoads(4)
 	require.Len(t, results, 1)
@@ -369,9 +369,9 @@
 func TestTimeToFirstEventIsLearned(t *testing.T) {
 	l := newTestCluster(1, 1, 1)
 	l.reportLoads(0)
-	byFigures := l.service("s")
-	byFigures.engineSpec, byFigures.limit = l.engine, 4
-	require.Less(t, byFigures.timeToFirstEvent(), 100*time.Millisecond)
+	service := l.service("s")
+	service.engineSpec, service.limit = l.engine, 4
+	require.Less(t, service.timeToFirstEvent(), 100*time.Millisecond)
 	for range 30 {
 		d := l.Admit(l.onTimeRequest(), l.now)
 		l.RecordFirstEvent(d.Ticket, l.now+200*time.Millisecond)
@@ -385,19 +385,19 @@
 func TestStartingHostQueuesRequests(t *testing.T) {
 	l := newTestCluster(1, 2, 1)
 	l.now = time.Second
-	unknown := l.onTimeRequest()
-	unknown.Service = "t"
-	require.NotNil(t, l.Admit(unknown, l.now).Waiter, "no upstream is known yet")
+	unknownService := l.onTimeRequest()
+	unknownService.Service = "t"
+	require.NotNil(t, l.Admit(unknownService, l.now).Waiter, "no upstream is known yet")
 	beforeReports := l.Admit(l.onTimeRequest(), l.now)
-	require.NotNil(t, beforeReports.Waiter, "nothing is heard of the group yet")
+	require.NotNil(t, beforeReports.Waiter, "no rank of the group has reported yet")
 	results, _ := l.report("0/0", func(load *wire.EngineLoad) { load.IsOpen = false })
 	require.Empty(t, results)
-	require.NotNil(t, l.Admit(l.onTimeRequest(), l.now).Waiter, "the group forms anew")
+	require.NotNil(t, l.Admit(l.onTimeRequest(), l.now).Waiter, "the group is forming again")
 	results, _ = l.report("0/0", func(load *wire.EngineLoad) { load.IsOpen, load.Epoch = true, 2 })
 	require.Len(t, results, 2)
 	require.NotNil(t, results[0].Ticket)
 	l.now = 2 * time.Second
-	require.Equal(t, Outage, l.Admit(unknown, l.now).Reason, "it has been up for long")
+	require.Equal(t, Outage, l.Admit(unknownService, l.now).Reason, "the start-up phase is over")
 }
 
 // An attempt that waits for its first event in a group that does not serve must be ended before
@@ -419,7 +419,7 @@
 }
 
 // When a group breaks and another has free slots, as many attempts as there are free slots must
-// leave the broken group at once. Any more than that could only be refused.
+// leave the broken group at once. The other group could only refuse any further ones.
 func TestAttemptsMoveFromBrokenGroupToFreeSlots(t *testing.T) {
 	l := newTestCluster(2, 1, 1)
 	l.reportLoads(0)
@@ -455,7 +455,7 @@
 	require.NotNil(t, l.Admit(l.onTimeRequest(), l.now).Waiter)
 	l.loads["0/0"] = wire.EngineLoad{Address: "0/0", IsOpen: true, Group: "0", Epoch: 1, Running: 4, Born: 1}
 	results := l.announce(2)
-	require.Len(t, results, 1, "its places are free")
+	require.Len(t, results, 1, "its slots are free")
 	l.report("", nil)
 	require.False(t, l.upstreams["0/0"].load.isKnown)
 }
@@ -506,7 +506,7 @@
 	}
 	require.Len(t, results, 1)
 	require.Equal(t, Outage, results[0].Reason)
-	require.Equal(t, Outage, l.Admit(l.onTimeRequest(), l.now).Reason, "nobody waits for it any more")
+	require.Equal(t, Outage, l.Admit(l.onTimeRequest(), l.now).Reason, "requests no longer wait for the group")
 }
 
 // Load pattern: a rank is killed while requests are queued. Callers who can retry must be told
@@ -515,12 +515,12 @@
 func TestWaitersAreRefusedAtOnceWhenGroupBreaks(t *testing.T) {
 	l := newTestCluster(1, 2, 1)
 	l.reportLoads(4)
-	mayReturn, last := l.Admit(l.onTimeRequest(), l.now), l.Admit(l.lateRequest(), l.now)
-	require.NotNil(t, mayReturn.Waiter)
-	require.NotNil(t, last.Waiter)
+	canRetry, cannotRetry := l.Admit(l.onTimeRequest(), l.now), l.Admit(l.lateRequest(), l.now)
+	require.NotNil(t, canRetry.Waiter)
+	require.NotNil(t, cannotRetry.Waiter)
 	results, _ := l.report("0/1", func(load *wire.EngineLoad) { load.IsOpen = false })
 	require.Len(t, results, 1)
-	require.Equal(t, mayReturn.Waiter, results[0].Waiter)
+	require.Equal(t, canRetry.Waiter, results[0].Waiter)
 	require.Equal(t, Outage, results[0].Reason)
 }
 
--- a/internal/schedule/stall.go
+++ b/internal/schedule/stall.go
@@ -18,8 +18,8 @@
 // StalledAttempt is an attempt to be ended because its group does not serve.
 type StalledAttempt struct {
 	Ticket *Ticket
-	// HasOtherGroup reports that another group serves, so that the request is to be sent there
-	// at once. Otherwise the request is given up, and its caller is told to retry after
+	// HasOtherGroup reports that another group serves, so that the request can be sent to that
+	// group at once. Otherwise the request is given up, and its caller is told to retry after
 	// RetryAfter.
 	HasOtherGroup bool
 	RetryAfter    time.Duration
@@ -36,9 +36,9 @@
 
 // stalledAttempts appends the attempts that wait in a group which does not serve. If no group
 // serves, they are ended after StalledAttemptTimeout. If another group has free slots, as many
-// attempts as it has slots leave a closed group at once, since engines that wait for a lost
-// rank refuse much later. Attempts in a group that is only stalled stay, since it may continue
-// before their callers give up.
+// attempts as there are free slots leave a broken group at once, since its engines refuse much
+// later if they wait for a lost rank. Attempts in a group that is only stalled stay, since the
+// group may continue before their callers give up.
 func (s *Scheduler) stalledAttempts(out []StalledAttempt, sv *service, now time.Duration) []StalledAttempt {
 	if len(sv.awaitingHeader) == 0 {
 		return out
