--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -177,7 +177,7 @@
 	for i := range t.Services {
 		s := &t.Services[i]
 		if s.Name == "" || t.serviceByName[s.Name] != nil {
-			return errors.Errorf("service %q has no name or stands twice", s.Name)
+			return errors.Errorf("service %q has no name or is defined twice", s.Name)
 		}
 		t.serviceByName[s.Name] = s
 	}
@@ -211,7 +211,7 @@
 
 func (t *Table) checkRoute(r *Route) error {
 	if r.HostName == "" || !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-		return errors.New("needs a host and a prefix between slashes")
+		return errors.New("needs a host name and a prefix that begins and ends with a slash")
 	}
 	if r.Timeout <= 0 {
 		return errors.New("needs a timeout")
