--- /dev/null
+++ b/internal/schedule/capacity.go
@@ -0,0 +1,43 @@
+package schedule
+
+import "time"
+
+// minStepTimeRatio returns the step time ratio of the fastest engine of a service with a fresh
+// load report, 0 if it is unknown for all.
+func (sv *service) minStepTimeRatio(now time.Duration) float64 {
+	lowest := 0.0
+	for _, u := range sv.active {
+		if u.load.isFresh(now) && u.load.stepTimeRatio > 0 && (lowest == 0 || u.load.stepTimeRatio < lowest) {
+			lowest = u.load.stepTimeRatio
+		}
+	}
+	return lowest
+}
+
+// limitOf returns how many requests an engine should run at once. An engine that is slower than
+// the fastest gets a lower limit.
+func (sv *service) limitOf(u *upstream, minRatio float64, now time.Duration) int {
+	limit := sv.limit
+	if u.group != nil && u.group.limit > 0 {
+		limit = int(u.group.limit + u.rounding)
+	}
+	if !u.load.isFresh(now) || minRatio == 0 {
+		return limit
+	}
+	return SlowRankLimit(sv.engineSpec, limit, u.load.stepTimeRatio/minRatio)
+}
+
+// capacity returns the total number of usable slots at the engines of a service that serve, and
+// how many of them are free.
+func (s *Scheduler) capacity(sv *service, now time.Duration) (total, free float64) {
+	minRatio := sv.minStepTimeRatio(now)
+	for _, u := range sv.active {
+		if !sv.serves(u, now) {
+			continue
+		}
+		limit := float64(sv.limitOf(u, minRatio, now))
+		total += limit
+		free += max(limit-s.estimatedLoad(u, now), 0)
+	}
+	return total, free
+}
--- /dev/null
+++ b/internal/schedule/reserve.go
@@ -0,0 +1,250 @@
+package schedule
+
+import (
+	"slices"
+	"time"
+
+	"github.com/sassafraspost/sassafraspost/internal/registry"
+)
+
+const (
+	// suspectFailures is how many attempts in a row must fail at an upstream before other
+	// upstreams are preferred. A single attempt fails by chance too often.
+	suspectFailures = 2
+	// suspectDuration is how long other upstreams are preferred after suspectFailures failed
+	// attempts. It is about the interval between two announcements of an upstream, which show
+	// that the upstream is back.
+	suspectDuration = 1500 * time.Millisecond
+	// localBonus is the advantage of an upstream in the same data centre, as a fraction of a
+	// fully loaded upstream. It is less than the share of one request, so that it only breaks
+	// ties.
+	localBonus = 0.02
+	// localWeight is how much more likely an upstream in the same data centre is drawn than an
+	// equally loaded one elsewhere, since its answers don't cross data centres.
+	localWeight = 1.5
+	// maxCountedLoad is the largest number of requests at an engine that fillLevel counts
+	// exactly.
+	maxCountedLoad = 64
+)
+
+// Ticket is an attempt's reservation of a slot at an upstream. It must be released once.
+type Ticket struct {
+	upstream *upstream
+	service  *service
+	born     int64
+	address  string
+	// EstimatedLoad is the number of requests that the upstream was assumed to have when the
+	// slot was reserved. LoadAge is the age of the load report used for that; it is negative if
+	// there was none.
+	EstimatedLoad float64
+	LoadAge       time.Duration
+	began         time.Duration
+	isLate        bool
+	isReleased    bool
+}
+
+// ID returns the id of the upstream.
+func (t *Ticket) ID() string { return t.upstream.ID }
+
+// Born returns when the upstream's process started.
+func (t *Ticket) Born() int64 { return t.born }
+
+// Address returns the address of the upstream when the attempt began, as "ip:port".
+func (t *Ticket) Address() string { return t.address }
+
+// ReserveLeastLoaded reserves the least loaded upstream of a plain service that was not tried
+// yet. Upstreams suspected of failure are used only if there is no other. It returns false if
+// none is left.
+func (s *Scheduler) ReserveLeastLoaded(name string, tried []string, now time.Duration) (registry.Upstream, *Ticket, bool) {
+	sv := s.service(name)
+	for _, mayBeSuspect := range []bool{false, true} {
+		if u := s.leastLoaded(sv, tried, mayBeSuspect, now); u != nil {
+			return u.Upstream, s.reserve(u, now), true
+		}
+	}
+	return registry.Upstream{}, nil, false
+}
+
+// leastLoaded returns the upstream with the smallest fraction of its slots in use, chosen at
+// random among equals, or nil if there is none.
+func (s *Scheduler) leastLoaded(sv *service, tried []string, mayBeSuspect bool, now time.Duration) *upstream {
+	var best *upstream
+	lowest, ties := 0.0, 0
+	for _, u := range sv.active {
+		if slices.Contains(tried, u.ID) || !mayBeSuspect && u.isSuspect(now) {
+			continue
+		}
+		score := s.estimatedLoad(u, now) / float64(max(u.Slots, 1))
+		if u.DataCentre == s.cfg.DataCentre {
+			score -= localBonus
+		}
+		switch {
+		case best == nil || score < lowest:
+			best, lowest, ties = u, score, 1
+		case score == lowest:
+			// Reservoir sampling: each of the tied upstreams is kept with the same probability.
+			if ties++; s.cfg.Random.IntN(ties) == 0 {
+				best = u
+			}
+		}
+	}
+	return best
+}
+
+// isSuspect reports whether the upstream is suspected of failure, so that others are preferred.
+func (u *upstream) isSuspect(now time.Duration) bool { return u.IsSilent || now < u.suspectUntil }
+
+// candidate is an engine at which a request could get a slot.
+type candidate struct {
+	upstream *upstream
+	load     float64
+}
+
+// pickEngine chooses an engine that was not tried yet and has a free slot. Suspect engines are
+// used only if no other engine serves, not if all others are merely full.
+func (s *Scheduler) pickEngine(sv *service, tried []string, now time.Duration) (*upstream, bool) {
+	minRatio, maxAge := sv.minStepTimeRatio(now), sv.trustedAgeLimit(now)
+	s.trustedCandidates, s.suspectCandidates = s.trustedCandidates[:0], s.suspectCandidates[:0]
+	hasTrusted := false
+	for _, u := range sv.active {
+		if !sv.serves(u, now) || slices.Contains(tried, u.ID) {
+			continue
+		}
+		isTrusted := !u.isSuspect(now) && (!u.load.isKnown || now-u.load.receivedAt < maxAge)
+		hasTrusted = hasTrusted || isTrusted
+		load := s.estimatedLoad(u, now)
+		switch hasSlot := u.isWithinQuota(now) && load < float64(sv.limitOf(u, minRatio, now)); {
+		case hasSlot && isTrusted:
+			s.trustedCandidates = append(s.trustedCandidates, candidate{u, load})
+		case hasSlot:
+			s.suspectCandidates = append(s.suspectCandidates, candidate{u, load})
+		}
+	}
+	if hasTrusted {
+		return s.drawCandidate(sv, s.trustedCandidates, now)
+	}
+	return s.drawCandidate(sv, s.suspectCandidates, now)
+}
+
+// isWithinQuota reports whether this host may take a free slot of the engine. Without a fresh
+// load report its free slots are unknown, and the quota does not apply.
+func (u *upstream) isWithinQuota(now time.Duration) bool {
+	return u.service.quota > 0 || !u.service.hasQuota || !u.load.isFresh(now)
+}
+
+// drawCandidate chooses one of the engines at random; it returns false if there is none. What
+// other hosts have admitted since the load reports were made can only be estimated, and only in
+// total. Together all hosts fill the least loaded engines up to a common level, so each engine
+// is weighted by how far its load is below that level. With few hosts this picks the least
+// loaded engine; with many hosts it picks one of those with free slots.
+func (s *Scheduler) drawCandidate(sv *service, candidates []candidate, now time.Duration) (*upstream, bool) {
+	fillLevel := fillLevel(candidates, 1+s.unreportedAdmissions(sv, now))
+	var best *upstream
+	sum := 0.0
+	for _, c := range candidates {
+		weight := max(fillLevel-c.load, 0)
+		if c.upstream.DataCentre == s.cfg.DataCentre {
+			weight *= localWeight
+		}
+		sum += weight
+		if weight > 0 && s.cfg.Random.Float64()*sum < weight {
+			best = c.upstream
+		}
+	}
+	return best, best != nil
+}
+
+// fillLevel returns the load that the engines reach when the added requests are placed at the
+// least loaded engines first.
+func fillLevel(candidates []candidate, added float64) float64 {
+	var counts [maxCountedLoad + 1]int
+	var sums [maxCountedLoad + 1]float64
+	for _, c := range candidates {
+		i := min(int(c.load), maxCountedLoad)
+		counts[i]++
+		sums[i] += c.load
+	}
+	engines, total := 0, 0.0
+	for next := range maxCountedLoad {
+		engines += counts[next]
+		total += sums[next]
+		if level := float64(next + 1); float64(engines)*level-total >= added {
+			return level
+		}
+	}
+	return maxCountedLoad
+}
+
+// unreportedAdmissions estimates how many requests the other hosts have admitted since the load
+// reports were made, assuming that each admits as many per second as this host.
+func (s *Scheduler) unreportedAdmissions(sv *service, now time.Duration) float64 {
+	if !sv.hasRecentReports(now) {
+		return 0
+	}
+	age := (now - sv.lastReport + meanReportDelay).Seconds()
+	return sv.demand.admissions.perSecond(now) * age * float64(s.hosts-1)
+}
+
+// reserve counts an attempt at an upstream and returns its reservation.
+func (s *Scheduler) reserve(u *upstream, now time.Duration) *Ticket {
+	t := &Ticket{upstream: u, service: u.service, born: u.Born, address: u.Address, EstimatedLoad: s.estimatedLoad(u, now), LoadAge: -1, began: now}
+	if u.load.isKnown {
+		t.LoadAge = now - u.load.receivedAt
+	}
+	u.inflight++
+	u.service.inflight++
+	u.service.quota = max(u.service.quota-1, 0)
+	return t
+}
+
+// RecordFirstEvent records that the first event of an attempt's answer has arrived.
+func (s *Scheduler) RecordFirstEvent(t *Ticket, now time.Duration) {
+	t.service.demand.began(now - t.began)
+}
+
+// Outcome is the result of an attempt, as far as it says something about the upstream.
+type Outcome uint8
+
+const (
+	// Neutral means that the attempt ended for a reason on the caller's side.
+	Neutral Outcome = iota
+	Success
+	// Failure means that the upstream broke off the answer, refused the attempt or failed.
+	Failure
+)
+
+// Release ends a reservation and records the outcome of its attempt. It returns the decisions
+// on queued requests, and whether the upstream is suspected of failure from now on.
+func (s *Scheduler) Release(t *Ticket, outcome Outcome, now time.Duration) (results []Result, isSuspected bool) {
+	if t.isReleased {
+		return nil, false
+	}
+	t.isReleased = true
+	u, sv := t.upstream, t.service
+	delete(sv.awaitingHeader, t)
+	u.inflight--
+	sv.inflight--
+	// This host may reuse the released slot at once, unless the engine still has at least as
+	// many requests as its concurrency limit.
+	if sv.engineSpec != nil && s.estimatedLoad(u, now) < float64(sv.limitOf(u, sv.minStepTimeRatio(now), now)) {
+		sv.quota++
+	}
+	if t.isLate {
+		sv.late--
+	}
+	switch {
+	case t.born != u.Born:
+	case outcome == Success:
+		u.consecutiveFailures, u.suspectUntil = 0, 0
+		sv.demand.recordServiceTime(now - t.began)
+	case outcome == Failure:
+		u.consecutiveFailures++
+		if isSuspected = u.consecutiveFailures >= suspectFailures; isSuspected {
+			u.suspectUntil = now + suspectDuration
+		}
+	}
+	if len(sv.waiters) > 0 {
+		results = s.admitWaiters(nil, sv, 1, now)
+	}
+	return results, isSuspected
+}
--- a/internal/schedule/stall.go
+++ b/internal/schedule/stall.go
@@ -2,66 +2,69 @@
 
 import "time"
 
-// StalledPatience is how long a caller is left without an event before its request is given up
-// while its group does not serve. An engine whose group breaks refuses by itself before
-// that; one whose group only stands still says nothing, and can't drop a request before it
-// goes on. Callers leave a stream that is silent for two seconds.
-const StalledPatience = 1700 * time.Millisecond
+// StalledAttemptTimeout is how long a caller may go without an event before its request is
+// ended because its group does not serve. An engine whose group breaks refuses the request
+// earlier by itself. An engine whose group is only stalled sends nothing and can't drop a
+// request before the group continues. Callers abandon a stream that is silent for two seconds.
+const StalledAttemptTimeout = 1700 * time.Millisecond
 
-// unheard is an attempt that waits for the head of its answer.
-type unheard struct {
-	// since is when the request came, or its stream was to go on elsewhere.
-	since time.Duration
+// headerWait is the state of an attempt that waits for its response header.
+type headerWait struct {
+	// silentSince is when the request arrived, or when its stream began to move to another
+	// upstream.
+	silentSince time.Duration
 }
 
-// Stalled is an attempt that is to end since its group does not serve.
-type Stalled struct {
+// StalledAttempt is an attempt to be ended because its group does not serve.
+type StalledAttempt struct {
 	Ticket *Ticket
-	// HasOther tells that another group serves: the request is to be sent there at once.
-	// Otherwise it is given up, and its caller is told RetryAfter.
-	HasOther   bool
-	RetryAfter time.Duration
+	// HasOtherGroup reports that another group serves, so that the request can be sent to that
+	// group at once. Otherwise the request is given up, and its caller is told to retry after
+	// RetryAfter.
+	HasOtherGroup bool
+	RetryAfter    time.Duration
 }
 
-// Listen tells that an attempt waits for the head of its answer and may be taken back;
-// its caller has been without an event since then.
-func (s *Scheduler) Listen(t *Ticket, since time.Duration) {
-	t.service.unheard[t] = unheard{since: since}
+// AwaitHeader registers an attempt that waits for its response header. It may be ended until
+// the header arrives. The caller has received no event since the given time.
+func (s *Scheduler) AwaitHeader(t *Ticket, since time.Duration) {
+	t.service.awaitingHeader[t] = headerWait{silentSince: since}
 }
 
-// Heard tells that the head of the answer is there.
-func (s *Scheduler) Heard(t *Ticket) { delete(t.service.unheard, t) }
+// HeaderReceived records that the response header of an attempt has arrived.
+func (s *Scheduler) HeaderReceived(t *Ticket) { delete(t.service.awaitingHeader, t) }
 
-// stalled adds the attempts that are in a group which does not serve. Where none does, they
-// are given up after the patience of callers. Where another one has places free, as many
-// as it has leave at once: engines that wait for a lost rank refuse much later. The
-// rest stays, since a group that only stands still may go on before their callers leave.
-func (s *Scheduler) stalled(out []Stalled, sv *service, now time.Duration) []Stalled {
-	if len(sv.unheard) == 0 {
+// stalledAttempts appends the attempts that wait in a group which does not serve. If no group
+// serves, they are ended after StalledAttemptTimeout. If another group has free slots, as many
+// attempts as there are free slots leave a broken group at once, since its engines refuse much
+// later if they wait for a lost rank. Attempts in a group that is only stalled stay, since the
+// group may continue before their callers give up.
+func (s *Scheduler) stalledAttempts(out []StalledAttempt, sv *service, now time.Duration) []StalledAttempt {
+	if len(sv.awaitingHeader) == 0 {
 		return out
 	}
-	if sv.isOut(now) {
-		return sv.outOfPatience(out, now)
+	if sv.isDown(now) {
+		return sv.timedOutAttempts(out, now)
 	}
 	free := 0
-	if sv.shape != nil {
-		_, places := s.room(sv, now)
-		free = int(places) / s.hosts
+	if sv.engineSpec != nil {
+		_, freeSlots := s.capacity(sv, now)
+		free = int(freeSlots) / s.hosts
 	}
-	for t := range sv.unheard {
-		if free > 0 && t.up.group != nil && t.up.group.isClosed {
-			out = append(out, Stalled{Ticket: t, HasOther: true})
+	for t := range sv.awaitingHeader {
+		if free > 0 && t.upstream.group != nil && t.upstream.group.isClosed {
+			out = append(out, StalledAttempt{Ticket: t, HasOtherGroup: true})
 			free--
 		}
 	}
 	return out
 }
 
-// outOfPatience adds the attempts whose callers would leave soon.
-func (sv *service) outOfPatience(out []Stalled, now time.Duration) []Stalled {
-	for t, u := range sv.unheard {
-		if now-u.since >= StalledPatience {
-			out = append(out, Stalled{Ticket: t, RetryAfter: longestReturn(nil, now)})
+// timedOutAttempts appends the attempts whose callers are about to give up.
+func (sv *service) timedOutAttempts(out []StalledAttempt, now time.Duration) []StalledAttempt {
+	for t, u := range sv.awaitingHeader {
+		if now-u.silentSince >= StalledAttemptTimeout {
+			out = append(out, StalledAttempt{Ticket: t, RetryAfter: maxRetryAfterFor(nil, now)})
 		}
 	}
 	return out
--- a/internal/schedule/state.go
+++ b/internal/schedule/state.go
@@ -2,46 +2,49 @@
 
 import "time"
 
-// State is what a host knows of a service, for logs: the grounds of a decision.
-type State struct {
-	// Upstreams serve by what they say; Heard are those whose load counts, the oldest of
-	// them OldestLoad old; Serving are in groups that serve.
-	Upstreams, Heard, Serving int
-	OldestLoad                time.Duration
-	// Groups are known, Closed of them do not serve.
-	Groups, Closed int
-	// Places are those of the engines that serve, Taken the requests there.
-	Places, Taken float64
-	// Waiting are the requests that wait here, Late this host's attempts that were late when
-	// they got their place, Need the places that those on time keep taken.
-	Waiting, Late int
-	Need          float64
+// ServiceState summarises what a host knows of a service, so that logs can explain a decision.
+type ServiceState struct {
+	// Upstreams counts the upstreams that announce themselves as serving, Reporting those with
+	// a fresh load report, and Serving those in groups that serve. OldestReport is the age of
+	// the oldest fresh load report.
+	Upstreams, Reporting, Serving int
+	OldestReport                  time.Duration
+	// Groups counts the known groups, ClosedGroups those that do not serve.
+	Groups, ClosedGroups int
+	// Capacity is the total number of slots at the engines that serve, EstimatedLoad the number
+	// of requests there.
+	Capacity, EstimatedLoad float64
+	// Waiting counts the requests queued at this host, and LateAttempts its attempts that could
+	// no longer be on time when they got their slot. OnTimeDemand is the mean number of slots
+	// occupied by requests that can be on time.
+	Waiting, LateAttempts int
+	OnTimeDemand          float64
 }
 
-// State returns what is known of a service.
-func (s *Scheduler) State(name string, now time.Duration) State {
+// State returns a summary of what is known of a service.
+func (s *Scheduler) State(name string, now time.Duration) ServiceState {
 	sv := s.service(name)
-	out := State{
-		Upstreams: len(sv.all), Groups: len(sv.groups), Waiting: len(sv.waiters), Late: sv.late,
+	out := ServiceState{
+		Upstreams: len(sv.active), Groups: len(sv.groups), Waiting: len(sv.waiters), LateAttempts: sv.late,
 	}
 	for _, g := range sv.groups {
 		if g.isClosed {
-			out.Closed++
+			out.ClosedGroups++
 		}
 	}
-	for _, u := range sv.all {
+	for _, u := range sv.active {
 		if u.load.isFresh(now) {
-			out.Heard++
-			out.OldestLoad = max(out.OldestLoad, now-u.load.at)
+			out.Reporting++
+			out.OldestReport = max(out.OldestReport, now-u.load.receivedAt)
 		}
 		if sv.serves(u, now) {
 			out.Serving++
-			out.Taken += s.taken(u, now)
+			out.EstimatedLoad += s.estimatedLoad(u, now)
 		}
 	}
-	if sv.shape != nil {
-		out.Places, _ = s.room(sv, now)
-		out.Need = sv.demand.need(sv.usualStay(), now)
+	if sv.engineSpec != nil {
+		out.Capacity, _ = s.capacity(sv, now)
+		out.OnTimeDemand = sv.demand.slotsNeeded(sv.expectedServiceTime(), now)
 	}
 	return out
 }
