--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -18,7 +18,7 @@
 	p.SetCapacity(0, 1)
 	add := func(i int) *Ticket {
 		t := &Ticket{Workspace: fmt.Sprint(i % workspaces), Weight: 1, Class: 3, Cost: 1, Deadline: time.Hour}
-		p.Arrive(0, t)
+		p.Submit(0, t)
 		return t
 	}
 	for i := 0; p.Queued() < limit*9/10; i++ {
@@ -41,8 +41,8 @@
 	for i := range n {
 		key := Key("service", fmt.Sprint(i))
 		d.Items = append(d.Items, wire.DemandItem{Workspace: key, Limit: toWire(Limits{Requests: 200.5, Tokens: 40_000, Concurrent: 64}),
-			Wanted: useToWire(Use{Requests: 33.3, Tokens: 7777.7, Concurrent: 13}), Running: 7})
-		g.Items = append(g.Items, wire.GrantItem{Workspace: key, Given: useToWire(Use{Requests: 33.3, Tokens: 7777.7, Concurrent: 13})})
+			Wanted: useToWire(Amounts{Requests: 33.3, Tokens: 7777.7, Concurrent: 13}), Running: 7})
+		g.Items = append(g.Items, wire.GrantItem{Workspace: key, Given: useToWire(Amounts{Requests: 33.3, Tokens: 7777.7, Concurrent: 13})})
 	}
 	sizes := []int{0, 0}
 	for b.Loop() {
--- a/internal/admission/capacity.go
+++ b/internal/admission/capacity.go
@@ -14,13 +14,13 @@
 // sent about as often, and the same report must not be used twice.
 const borrowEvery = 2 * time.Second
 
-// Part is this host's part of the capacity of one pool. The zero value is ready.
+// CapacityShare is this host's part of the capacity of one pool. The zero value is ready.
 //
 // Each host may always use an equal part. One that needed all that it had for two
 // reports in a row may use more of what they show as free, but takes only its own
 // fraction of that a report: hosts that see the same report at once so never take more
 // together than was free. It gives back what turns out to be used by others.
-type Part struct {
+type CapacityShare struct {
 	size      int
 	isHungry  bool
 	updatedAt time.Duration
@@ -30,7 +30,7 @@
 // Update returns how many requests this host may run at once, where own run now and
 // hosts entry hosts are alive, this one included. It is at least one if there is any
 // capacity.
-func (s *Part) Update(now time.Duration, u Usage, own, hosts int) int {
+func (s *CapacityShare) Update(now time.Duration, u Usage, own, hosts int) int {
 	hosts = max(hosts, 1)
 	equal := (u.Capacity + hosts - 1) / hosts
 	if !s.updated || now-s.updatedAt >= borrowEvery {
@@ -41,7 +41,7 @@
 }
 
 // borrow looks at a new report.
-func (s *Part) borrow(u Usage, own, hosts int) {
+func (s *CapacityShare) borrow(u Usage, own, hosts int) {
 	equal := (u.Capacity + hosts - 1) / hosts
 	wasHungry := s.isHungry
 	s.isHungry = own >= max(equal, s.size)
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -40,8 +40,8 @@
 	Hosts, DataCentres int
 	// Usage returns what the load reports say of a pool; Live how many entry hosts
 	// of the data centre are alive, this one included.
-	Usage func(pool string) Usage
-	Live  func() int
+	Usage     func(pool string) Usage
+	LiveHosts func() int
 	// Now is a monotonic clock; Rand is uniform in [0, 1) and safe for concurrent use.
 	Now     func() time.Duration
 	Rand    func() float64
@@ -58,13 +58,13 @@
 	mu      sync.Mutex
 	pools   map[string]*part
 	quotas  map[uint64]*Quota
-	divider *Divider
+	divider *Allocator
 }
 
 // part is one pool with this host's part of it.
 type part struct {
 	pool *Pool
-	part Part
+	part CapacityShare
 }
 
 type counters struct {
@@ -101,7 +101,7 @@
 		counters: newCounters(cfg.Metrics),
 		pools:    make(map[string]*part),
 		quotas:   make(map[uint64]*Quota),
-		divider:  NewDivider(cfg.Now(), cfg.Hosts),
+		divider:  NewAllocator(cfg.Now(), cfg.Hosts),
 	}
 }
 
@@ -124,7 +124,7 @@
 		return nil, refusal
 	}
 	p := c.part(now, r.Pool)
-	c.settle(p.pool.Arrive(now, t))
+	c.settle(p.pool.Submit(now, t))
 	if t.state == stateRefused {
 		c.refund(quota, t)
 		c.mu.Unlock()
@@ -149,7 +149,7 @@
 		Class:     min(r.Urgency, Classes-1),
 		Cost:      max(float64(r.Cost), 1),
 		Deadline:  now + r.Deadline,
-		Draw:      c.cfg.Rand(),
+		Jitter:    c.cfg.Rand(),
 		wake:      make(chan struct{}),
 	}
 	if t.Weight <= 0 {
@@ -172,7 +172,7 @@
 	}
 	q.SetLimits(limits)
 	service := c.part(now, r.Pool).pool.serviceTime(t.Class, 0)
-	if refusal := q.Take(now, t.Cost, service, t.Draw); refusal != nil {
+	if refusal := q.Take(now, t.Cost, service, t.Jitter); refusal != nil {
 		return nil, refusal
 	}
 	return q, nil
@@ -208,7 +208,7 @@
 
 // update requires mu.
 func (c *Controller) update(now time.Duration, name string, p *part) {
-	n := p.part.Update(now, c.cfg.Usage(name), p.pool.Running(), c.cfg.Live())
+	n := p.part.Update(now, c.cfg.Usage(name), p.pool.Running(), c.cfg.LiveHosts())
 	c.settle(p.pool.SetCapacity(now, n))
 }
 
@@ -249,7 +249,7 @@
 func (c *Controller) patience(p *part, t *Ticket) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return p.pool.HopelessAt(t) - c.cfg.Now()
+	return p.pool.ExpiresAt(t) - c.cfg.Now()
 }
 
 func (c *Controller) expire(p *part) {
@@ -297,9 +297,9 @@
 	c.counters.full.Inc(1)
 }
 
-// UpdateEvery is how often Update is to be called: how long a change of the
+// CapacityUpdateInterval is how often Update is to be called: how long a change of the
 // capacity waits to be used.
-const UpdateEvery = 100 * time.Millisecond
+const CapacityUpdateInterval = 100 * time.Millisecond
 
 // Update takes the capacity that the load reports now show.
 func (c *Controller) Update() {
@@ -318,8 +318,8 @@
 	c.counters.capacity.Update(int64(capacity))
 }
 
-// ReportEvery is how often Demands is to be called.
-const ReportEvery = reportEvery
+// DemandInterval is how often Demands is to be called.
+const DemandInterval = reportEvery
 
 // Demands returns what this host wants of limited workspaces beyond its floors, and
 // forgets idle ones. Of too many, those come first that have not asked for longest.
@@ -333,8 +333,8 @@
 	for _, key := range wanting[:min(len(wanting), maxDemands)] {
 		q := c.quotas[key]
 		u, _ := q.Demand(now)
-		q.Asked(now)
-		out = append(out, wire.DemandItem{Workspace: key, Limit: toWire(q.limits), Wanted: useToWire(u), Running: float32(q.RunningAbove())})
+		q.ResetDemand(now)
+		out = append(out, wire.DemandItem{Workspace: key, Limit: toWire(q.limits), Wanted: useToWire(u), Running: float32(q.RunningAboveFloor())})
 	}
 	return out
 }
@@ -348,7 +348,7 @@
 			continue
 		}
 		if _, ok := q.Demand(now); !ok {
-			q.Asked(now)
+			q.ResetDemand(now)
 			continue
 		}
 		keys = append(keys, key)
@@ -359,21 +359,21 @@
 	return keys
 }
 
-// Divide answers a host's demand, as the owner of the workspaces in it.
-func (c *Controller) Divide(host string, d *wire.Demand) *wire.Grant {
+// Allocate answers a host's demand, as the owner of the workspaces in it.
+func (c *Controller) Allocate(host string, d *wire.Demand) *wire.Grant {
 	now := c.cfg.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	g := &wire.Grant{Seq: d.Seq}
 	for _, item := range d.Items {
-		given := c.divider.Divide(now, host, item.Workspace, fromWire(item.Limit), useFromWire(item.Wanted), float64(item.Running))
+		given := c.divider.Allocate(now, host, item.Workspace, fromWire(item.Limit), useFromWire(item.Wanted), float64(item.Running))
 		g.Items = append(g.Items, wire.GrantItem{Workspace: item.Workspace, Given: useToWire(given)})
 	}
 	return g
 }
 
-// Granted takes an owner's answer to a demand that was sent at the time asked.
-func (c *Controller) Granted(asked time.Duration, g *wire.Grant) {
+// ApplyGrant takes an owner's answer to a demand that was sent at the time asked.
+func (c *Controller) ApplyGrant(asked time.Duration, g *wire.Grant) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, item := range g.Items {
@@ -391,10 +391,10 @@
 	return Limits{Requests: float64(r.Requests), Tokens: float64(r.Tokens), Concurrent: int(r.Concurrent)}
 }
 
-func useToWire(u Use) wire.LimitRates {
+func useToWire(u Amounts) wire.LimitRates {
 	return wire.LimitRates{Requests: float32(u.Requests), Tokens: float32(u.Tokens), Concurrent: float32(u.Concurrent)}
 }
 
-func useFromWire(r wire.LimitRates) Use {
-	return Use{Requests: float64(r.Requests), Tokens: float64(r.Tokens), Concurrent: float64(r.Concurrent)}
+func useFromWire(r wire.LimitRates) Amounts {
+	return Amounts{Requests: float64(r.Requests), Tokens: float64(r.Tokens), Concurrent: float64(r.Concurrent)}
 }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -24,7 +24,7 @@
 		QueueLimit: queue,
 		Hosts:      1,
 		Usage:      func(string) Usage { return Usage{Capacity: capacity} },
-		Live:       func() int { return 1 },
+		LiveHosts:  func() int { return 1 },
 		Now:        func() time.Duration { return time.Since(start) },
 		Rand:       func() float64 { return 0.5 },
 		Metrics:    reg,
@@ -124,10 +124,10 @@
 	now := func() time.Duration { return leaseSpan + time.Since(start) }
 	cfg := Config{
 		QueueLimit: 10, Hosts: 4,
-		Usage: func(string) Usage { return Usage{Capacity: 1000} },
-		Live:  func() int { return 4 },
-		Rand:  func() float64 { return 0 },
-		Now:   func() time.Duration { return 0 },
+		Usage:     func(string) Usage { return Usage{Capacity: 1000} },
+		LiveHosts: func() int { return 4 },
+		Rand:      func() float64 { return 0 },
+		Now:       func() time.Duration { return 0 },
 	}
 	owner := New(cfg)
 	owner.cfg.Now = now
@@ -146,9 +146,9 @@
 	require.Equal(t, 1, admitted(), "the floor")
 	d := &wire.Demand{Seq: 7, Items: host.Demands()}
 	require.Len(t, d.Items, 1)
-	g := owner.Divide("host", d)
+	g := owner.Allocate("host", d)
 	require.EqualValues(t, 7, g.Seq)
-	host.Granted(now(), g)
+	host.ApplyGrant(now(), g)
 	require.Equal(t, 35, admitted(), "what the owner hands out of forty")
 }
 
--- a/internal/admission/divide.go
+++ b/internal/admission/divide.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Divider divides the limits of the workspaces that a host owns among the hosts that
+// Allocator divides the limits of the workspaces that a host owns among the hosts that
 // ask. It is pure and not safe for concurrent use.
 //
 // Invariant: for each workspace, what all unexpired grants give away together is no
 // more than what the hosts' floors leave of its limit. A grant expires here no
 // sooner than at the host that has it, since that one counts from before it asked.
-type Divider struct {
+type Allocator struct {
 	hosts int
 	// since is when this host began to own; for one lease span after that, grants of
 	// the owner before may be in force.
@@ -21,7 +21,7 @@
 
 // share is what one host wants and was given of one workspace.
 type share struct {
-	demand Use
+	demand Amounts
 	// running is what the host still runs at once above its floor, grant or not.
 	running float64
 	// grants are those that may be in force at the host: a reply can be lost, so
@@ -30,20 +30,20 @@
 }
 
 type grant struct {
-	given Use
+	given Amounts
 	until time.Duration
 }
 
-// NewDivider returns a Divider at one of that many hosts.
-func NewDivider(now time.Duration, hosts int) *Divider {
-	return &Divider{hosts: max(hosts, 1), since: now, shares: make(map[uint64]map[string]*share)}
+// NewAllocator returns a Divider at one of that many hosts.
+func NewAllocator(now time.Duration, hosts int) *Allocator {
+	return &Allocator{hosts: max(hosts, 1), since: now, shares: make(map[uint64]map[string]*share)}
 }
 
-// Divide returns what the host gets of a workspace above its floor, where running are
+// Allocate returns what the host gets of a workspace above its floor, where running are
 // the requests above the floor that it runs now.
-func (d *Divider) Divide(now time.Duration, host string, workspace uint64, l Limits, demand Use, running float64) Use {
+func (d *Allocator) Allocate(now time.Duration, host string, workspace uint64, l Limits, demand Amounts, running float64) Amounts {
 	if now < d.since+leaseSpan || d.hosts == 1 {
-		return Use{}
+		return Amounts{}
 	}
 	hosts := d.shares[workspace]
 	if hosts == nil {
@@ -59,10 +59,10 @@
 	for _, o := range hosts {
 		o.expire(now)
 	}
-	given := Use{
-		Requests:   one(hosts, s, l.Requests, func(u Use) float64 { return u.Requests }),
-		Tokens:     one(hosts, s, l.Tokens, func(u Use) float64 { return u.Tokens }),
-		Concurrent: one(hosts, s, float64(l.Concurrent), func(u Use) float64 { return u.Concurrent }),
+	given := Amounts{
+		Requests:   one(hosts, s, l.Requests, func(u Amounts) float64 { return u.Requests }),
+		Tokens:     one(hosts, s, l.Tokens, func(u Amounts) float64 { return u.Tokens }),
+		Concurrent: one(hosts, s, float64(l.Concurrent), func(u Amounts) float64 { return u.Concurrent }),
 	}
 	s.grants = append(s.grants, grant{given: given, until: now + leaseSpan})
 	return given
@@ -70,7 +70,7 @@
 
 // one divides one limit: a host gets its max-min fair part, as far as what the others
 // hold leaves it.
-func one(hosts map[string]*share, s *share, limit float64, of func(Use) float64) float64 {
+func one(hosts map[string]*share, s *share, limit float64, of func(Amounts) float64) float64 {
 	left := limit * (1 - floorShare)
 	demands := []float64{of(s.demand)}
 	held := 0.0
@@ -85,8 +85,8 @@
 }
 
 // holds is the most that a host may use above its floor.
-func (s *share) holds() Use {
-	u := Use{Concurrent: s.running}
+func (s *share) holds() Amounts {
+	u := Amounts{Concurrent: s.running}
 	for _, g := range s.grants {
 		u.Requests = max(u.Requests, g.given.Requests)
 		u.Tokens = max(u.Tokens, g.given.Tokens)
@@ -114,7 +114,7 @@
 }
 
 // Expire forgets hosts without a grant in force.
-func (d *Divider) Expire(now time.Duration) {
+func (d *Allocator) Expire(now time.Duration) {
 	for workspace, hosts := range d.shares {
 		for host, s := range hosts {
 			if s.expire(now); len(s.grants) == 0 {
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -55,8 +55,8 @@
 // burst is at least one, so that a host with a small part of a rate can use it.
 func burst(rate float64) float64 { return max(1, rate*burstSpan.Seconds()) }
 
-// Use is what one workspace uses, or wants to use, on one host.
-type Use struct {
+// Amounts is what one workspace uses, or wants to use, on one host.
+type Amounts struct {
 	Requests, Tokens float64
 	Concurrent       float64
 }
@@ -74,13 +74,13 @@
 	running  int
 	// wanted counts what arrived since Asked was last called, refused or not; peak is
 	// the most that ran at once, denied what was refused for that since then.
-	wanted  Use
+	wanted  Amounts
 	peak    int
 	denied  int
 	askedAt time.Duration
 	usedAt  time.Duration
 	// extra is granted above the floor until extraUntil.
-	extra      Use
+	extra      Amounts
 	extraUntil time.Duration
 }
 
@@ -96,12 +96,12 @@
 func (q *Quota) SetLimits(l Limits) { q.limits = l }
 
 // floor is what the host has without asking. Each host may always run one request.
-func (q *Quota) floor() Use {
+func (q *Quota) floor() Amounts {
 	f := floorShare / float64(q.hosts)
 	if q.hosts == 1 {
 		f = 1
 	}
-	return Use{
+	return Amounts{
 		Requests:   q.limits.Requests * f,
 		Tokens:     q.limits.Tokens * f,
 		Concurrent: max(1, float64(q.limits.Concurrent)*f),
@@ -109,7 +109,7 @@
 }
 
 // part is what the host has now.
-func (q *Quota) part(now time.Duration) Use {
+func (q *Quota) part(now time.Duration) Amounts {
 	u := q.floor()
 	if now >= q.extraUntil {
 		return u
@@ -158,20 +158,20 @@
 
 // Demand returns what the host uses or wants beyond its floor, a second, since Asked
 // was last called. It is false where the floor is enough.
-func (q *Quota) Demand(now time.Duration) (Use, bool) {
+func (q *Quota) Demand(now time.Duration) (Amounts, bool) {
 	span := max(now-q.askedAt, time.Millisecond).Seconds()
 	floor := q.floor()
-	u := Use{
+	u := Amounts{
 		Requests:   above(q.wanted.Requests/span, floor.Requests, q.limits.Requests),
 		Tokens:     above(q.wanted.Tokens/span, floor.Tokens, q.limits.Tokens),
 		Concurrent: above(float64(q.peak+q.denied), floor.Concurrent, float64(q.limits.Concurrent)),
 	}
-	return u, u != Use{}
+	return u, u != Amounts{}
 }
 
-// Asked begins to measure the demand anew.
-func (q *Quota) Asked(now time.Duration) {
-	q.wanted, q.peak, q.denied, q.askedAt = Use{}, q.running, 0, now
+// ResetDemand begins to measure the demand anew.
+func (q *Quota) ResetDemand(now time.Duration) {
+	q.wanted, q.peak, q.denied, q.askedAt = Amounts{}, q.running, 0, now
 }
 
 // above is the part of a demand above the floor, none without a limit, and no more
@@ -183,14 +183,14 @@
 	return max(0, min(demand, limit)-floor)
 }
 
-// RunningAbove is what runs at once above the floor.
-func (q *Quota) RunningAbove() float64 {
+// RunningAboveFloor is what runs at once above the floor.
+func (q *Quota) RunningAboveFloor() float64 {
 	return max(0, float64(q.running)-q.floor().Concurrent)
 }
 
 // Grant holds extra above the floor until a lease ends that began when the host
 // asked. A grant that was asked for earlier than the one in force is dropped.
-func (q *Quota) Grant(asked time.Duration, extra Use) {
+func (q *Quota) Grant(asked time.Duration, extra Amounts) {
 	if asked+leaseSpan < q.extraUntil {
 		return
 	}
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -56,8 +56,8 @@
 	Cost float64
 	// Deadline is when the answer has to be whole, on the clock of the Pool's caller.
 	Deadline time.Duration
-	// Draw is uniform in [0, 1); it spreads the returns of callers who are refused.
-	Draw float64
+	// Jitter is uniform in [0, 1); it spreads the returns of callers who are refused.
+	Jitter float64
 
 	state state
 	began time.Duration
@@ -108,9 +108,9 @@
 	return p.dispatch(now)
 }
 
-// Arrive settles a new request or lets it wait. It returns all that are settled by
+// Submit settles a new request or lets it wait. It returns all that are settled by
 // that.
-func (p *Pool) Arrive(now time.Duration, t *Ticket) []*Ticket {
+func (p *Pool) Submit(now time.Duration, t *Ticket) []*Ticket {
 	settled := p.Expire(now)
 	if p.capacity == 0 {
 		return append(settled, p.refuse(t, verdict.CodeNoUpstream, "no upstream is ready", unknownRetryAfter))
@@ -186,8 +186,8 @@
 	return out
 }
 
-// HopelessAt is when Expire refuses t if it still waits.
-func (p *Pool) HopelessAt(t *Ticket) time.Duration {
+// ExpiresAt is when Expire refuses t if it still waits.
+func (p *Pool) ExpiresAt(t *Ticket) time.Duration {
 	return t.Deadline - p.serviceTime(t.Class, hopelessDeviations)
 }
 
@@ -255,7 +255,7 @@
 		after = unknownRetryAfter
 	}
 	t.state = stateRefused
-	t.err = verdict.New(verdict.NotRun, code, text).After(spread(after, t.Draw))
+	t.err = verdict.New(verdict.NotRun, code, text).After(spread(after, t.Jitter))
 	return t
 }
 
--- a/internal/admission/pool_test.go
+++ b/internal/admission/pool_test.go
@@ -59,12 +59,12 @@
 		require.GreaterOrEqual(d.t, d.pool.Running(), d.pool.Capacity(), "one waits while a slot is free")
 	}
 	for _, t := range d.waiting {
-		require.Less(d.t, d.now, d.pool.HopelessAt(t), "a hopeless request is held back")
+		require.Less(d.t, d.now, d.pool.ExpiresAt(t), "a hopeless request is held back")
 	}
 }
 
 func (d *driver) add(t *Ticket) {
-	settled := d.pool.Arrive(d.now, t)
+	settled := d.pool.Submit(d.now, t)
 	if t.state == stateWaiting {
 		d.waiting = append(d.waiting, t)
 	}
@@ -84,7 +84,7 @@
 	for {
 		next := end
 		for _, t := range d.waiting {
-			next = min(next, d.pool.HopelessAt(t))
+			next = min(next, d.pool.ExpiresAt(t))
 		}
 		d.now = max(d.now, next)
 		d.take(d.pool.Expire(d.now))
@@ -298,7 +298,7 @@
 			d.add(d.ticket(fmt.Sprint(i), 1, 3, 1, time.Hour))
 		}
 		k := d.ticket("last", 1, 3, 1, time.Hour)
-		k.Draw = draw
+		k.Jitter = draw
 		d.add(k)
 		require.Equal(t, stateRefused, k.state)
 		return k.err.RetryAfter
--- a/internal/admission/quota_test.go
+++ b/internal/admission/quota_test.go
@@ -22,7 +22,7 @@
 		}
 		const step, span = 100 * time.Millisecond, 15 * time.Second
 		const maxCost = 200.0
-		divider := NewDivider(-leaseSpan, n)
+		divider := NewAllocator(-leaseSpan, n)
 		quotas := make([]*Quota, n)
 		for i := range quotas {
 			quotas[i] = NewQuota(0, l, n)
@@ -30,7 +30,7 @@
 		type late struct {
 			host         int
 			asked, comes time.Duration
-			given        Use
+			given        Amounts
 		}
 		var replies []late
 		var requests, tokens float64
@@ -55,11 +55,11 @@
 				}
 				if now%reportEvery == 0 {
 					if u, ok := q.Demand(now); ok {
-						r := late{host: i, asked: now, given: divider.Divide(now, fmt.Sprint(i), 1, l, u, q.RunningAbove())}
+						r := late{host: i, asked: now, given: divider.Allocate(now, fmt.Sprint(i), 1, l, u, q.RunningAboveFloor())}
 						r.comes = now + time.Duration(rapid.SampledFrom([]int{0, 1, 25, 100}).Draw(t, "delay"))*step
 						replies = append(replies, r)
 					}
-					q.Asked(now)
+					q.ResetDemand(now)
 				}
 			}
 			for _, r := range replies {
@@ -79,15 +79,15 @@
 func TestOneHostGetsWhatTheOthersLeave(t *testing.T) {
 	const hosts = 8
 	l := Limits{Requests: 80}
-	divider := NewDivider(-leaseSpan, hosts)
+	divider := NewAllocator(-leaseSpan, hosts)
 	q := NewQuota(0, l, hosts)
 	passed := 0
 	for now := time.Duration(0); now < 20*time.Second; now += 5 * time.Millisecond {
 		if now%reportEvery == 0 {
 			if u, ok := q.Demand(now); ok {
-				q.Grant(now, divider.Divide(now, "one", 1, l, u, 0))
+				q.Grant(now, divider.Allocate(now, "one", 1, l, u, 0))
 			}
-			q.Asked(now)
+			q.ResetDemand(now)
 		}
 		if now >= 10*time.Second && q.Take(now, 1, 0, 0) == nil {
 			passed++
@@ -100,11 +100,11 @@
 
 func TestDividerIsFairAmongHosts(t *testing.T) {
 	l := Limits{Requests: 80}
-	divider := NewDivider(-leaseSpan, 4)
-	var got [3]Use
+	divider := NewAllocator(-leaseSpan, 4)
+	var got [3]Amounts
 	for now := time.Duration(0); now < 10*time.Second; now += reportEvery {
 		for i, want := range []float64{5, 100, 100} {
-			got[i] = divider.Divide(now, fmt.Sprint(i), 1, l, Use{Requests: want}, 0)
+			got[i] = divider.Allocate(now, fmt.Sprint(i), 1, l, Amounts{Requests: want}, 0)
 		}
 	}
 	require.InDelta(t, 5, got[0].Requests, 0.01)
@@ -115,9 +115,9 @@
 }
 
 func TestNewOwnerWaitsForTheFormerOnesGrantsToEnd(t *testing.T) {
-	divider := NewDivider(0, 4)
-	require.Zero(t, divider.Divide(leaseSpan-1, "a", 1, Limits{Requests: 10}, Use{Requests: 5}, 0))
-	require.NotZero(t, divider.Divide(leaseSpan, "a", 1, Limits{Requests: 10}, Use{Requests: 5}, 0))
+	divider := NewAllocator(0, 4)
+	require.Zero(t, divider.Allocate(leaseSpan-1, "a", 1, Limits{Requests: 10}, Amounts{Requests: 5}, 0))
+	require.NotZero(t, divider.Allocate(leaseSpan, "a", 1, Limits{Requests: 10}, Amounts{Requests: 5}, 0))
 }
 
 func TestRefusedCallerIsToldWhenTheLimitAllows(t *testing.T) {
@@ -136,7 +136,7 @@
 		n := rapid.IntRange(1, 9).Draw(t, "hosts")
 		capacity := rapid.IntRange(0, 500).Draw(t, "capacity")
 		running := make([]int, n)
-		parts := make([]Part, n)
+		parts := make([]CapacityShare, n)
 		for round := range 30 {
 			used := 0
 			for _, r := range running {
@@ -163,7 +163,7 @@
 }
 
 func TestLoneBusyHostGetsNearlyAll(t *testing.T) {
-	var p Part
+	var p CapacityShare
 	running := 0
 	for round := range 40 {
 		running = p.Update(time.Duration(round)*borrowEvery, Usage{Capacity: 400, InUse: running}, running, 4)
@@ -174,19 +174,19 @@
 
 func TestOwnerCountsAGrantUntilItsLeaseEnds(t *testing.T) {
 	l := Limits{Requests: 80}
-	divider := NewDivider(-leaseSpan, 2)
-	require.InDelta(t, 70, divider.Divide(0, "a", 1, l, Use{Requests: 80}, 0).Requests, 1e-9)
-	require.InDelta(t, 10, divider.Divide(time.Second, "a", 1, l, Use{Requests: 10}, 0).Requests, 1e-9)
-	require.Zero(t, divider.Divide(time.Second, "b", 1, l, Use{Requests: 80}, 0), "the answer to a may be lost")
-	require.InDelta(t, 60, divider.Divide(leaseSpan, "b", 1, l, Use{Requests: 80}, 0).Requests, 1e-9)
+	divider := NewAllocator(-leaseSpan, 2)
+	require.InDelta(t, 70, divider.Allocate(0, "a", 1, l, Amounts{Requests: 80}, 0).Requests, 1e-9)
+	require.InDelta(t, 10, divider.Allocate(time.Second, "a", 1, l, Amounts{Requests: 10}, 0).Requests, 1e-9)
+	require.Zero(t, divider.Allocate(time.Second, "b", 1, l, Amounts{Requests: 80}, 0), "the answer to a may be lost")
+	require.InDelta(t, 60, divider.Allocate(leaseSpan, "b", 1, l, Amounts{Requests: 80}, 0).Requests, 1e-9)
 }
 
 func TestGrantEndsWithItsLease(t *testing.T) {
 	q := NewQuota(0, Limits{Requests: 80}, 8)
 	floor := q.part(0)
-	q.Grant(time.Second, Use{Requests: 50})
+	q.Grant(time.Second, Amounts{Requests: 50})
 	require.InDelta(t, floor.Requests+50, q.part(2*time.Second).Requests, 1e-9)
-	q.Grant(0, Use{Requests: 70})
+	q.Grant(0, Amounts{Requests: 70})
 	require.InDelta(t, floor.Requests+50, q.part(2*time.Second).Requests, 1e-9, "an older grant came late")
 	require.Equal(t, floor, q.part(time.Second+leaseSpan))
 }
@@ -199,7 +199,7 @@
 		capacity := n * rapid.IntRange(1, 60).Draw(t, "a host")
 		late := rapid.IntRange(0, 6).Draw(t, "reports that come late")
 		running := make([]int, n)
-		parts := make([]Part, n)
+		parts := make([]CapacityShare, n)
 		sum := 0
 		for round := range late + 4 {
 			used := sum
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -145,7 +145,7 @@
 func (f *fleet) load(s *peer.Session, m *wire.EngineLoad) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.engines.Take(*m, s.Remote().Address, f.now())
+	f.engines.Update(*m, s.Remote().Address, f.now())
 	f.passSoon()
 }
 
@@ -163,7 +163,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.isPassing = false
-	next := f.prepareLoads(f.engines.Next(f.now()))
+	next := f.prepareLoads(f.engines.Flush(f.now()))
 	var all *peer.Prepared
 	if len(f.newcomers) > 0 {
 		all = f.prepareLoads(f.engines.All(f.now()))
--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -50,7 +50,7 @@
 		Hosts:       len(hosts),
 		DataCentres: set.DataCentres,
 		Usage:       func(pool string) admission.Usage { return usageOf(entries(), pool) },
-		Live:        a.live,
+		LiveHosts:   a.live,
 		Now:         d.now,
 		Rand:        rand.Float64,
 		Metrics:     d.metrics,
@@ -120,9 +120,9 @@
 
 // run keeps the capacity and the limits up to date until ctx ends.
 func (a *admitter) run(ctx context.Context) {
-	update := time.NewTicker(admission.UpdateEvery)
+	update := time.NewTicker(admission.CapacityUpdateInterval)
 	defer update.Stop()
-	report := time.NewTicker(admission.ReportEvery)
+	report := time.NewTicker(admission.DemandInterval)
 	defer report.Stop()
 	for {
 		select {
@@ -149,7 +149,7 @@
 	now := a.now()
 	for owner, d := range byOwner {
 		if owner.Name == a.self {
-			a.controller.Granted(now, a.controller.Divide(a.self, d))
+			a.controller.ApplyGrant(now, a.controller.Allocate(a.self, d))
 			continue
 		}
 		d.Seq = a.remember(now)
@@ -187,7 +187,7 @@
 func (a *admitter) handlePeer(s *peer.Session, m wire.Message) bool {
 	switch m := m.(type) {
 	case *wire.Demand:
-		_ = s.Post(a.controller.Divide(s.Remote().Host, m))
+		_ = s.Post(a.controller.Allocate(s.Remote().Host, m))
 	case *wire.Grant:
 		a.granted(m)
 	default:
@@ -202,6 +202,6 @@
 	delete(a.asked, m.Seq)
 	a.mu.Unlock()
 	if ok {
-		a.controller.Granted(at, m)
+		a.controller.ApplyGrant(at, m)
 	}
 }
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -46,11 +46,11 @@
 	store := catalog.NewStore(d.log, d.metrics)
 	entries := func() []directory.Entry { return r.directory.Entries() }
 	router := routing.NewRouter(routing.Config{
-		Policy:       routing.DefaultPolicy(),
-		Entries:      entries,
-		Now:          d.now,
-		Rand:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		HistoryLimit: set.PrefixCacheSize,
+		Policy:           routing.DefaultPolicy(),
+		Entries:          entries,
+		Now:              d.now,
+		Rand:             rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		PrefixIndexLimit: set.PrefixCacheSize,
 	})
 	hosts, mates := entryHosts(d.set.Host.Name, set.Entries)
 	r.directory = directory.NewService(directory.ServiceConfig{
@@ -61,7 +61,7 @@
 		Now:         d.now,
 		Log:         d.log,
 		Metrics:     d.metrics,
-		OnEvents:    router.CacheEvents,
+		OnEvents:    router.ApplyCacheEvents,
 	})
 	r.follower = catalog.NewFollower(catalog.FollowerConfig{
 		Store:   store,
--- a/internal/engineload/engineload_test.go
+++ b/internal/engineload/engineload_test.go
@@ -23,9 +23,9 @@
 	var table Table
 	for round := range 3 {
 		for n := range 129 {
-			table.Take(load(n, round), "h", 0)
+			table.Update(load(n, round), "h", 0)
 		}
-		m := table.Next(0)
+		m := table.Flush(0)
 		if round == 0 {
 			require.Len(t, m.All, 129)
 			continue
@@ -34,7 +34,7 @@
 		require.NoError(t, err)
 		require.LessOrEqual(t, len(data), 129*4+40)
 	}
-	require.Nil(t, table.Next(0), "nothing was heard")
+	require.Nil(t, table.Flush(0), "nothing was heard")
 }
 
 // Whatever is heard in whatever order, a receiver that misses nothing has the newest record
@@ -42,14 +42,14 @@
 func TestReceiversHaveWhatTheSenderHas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
-		views := []*View{{}}
+		views := []*Decoder{{}}
 		newest := make([]map[string]wire.EngineLoad, 1, 2)
 		newest[0] = map[string]wire.EngineLoad{}
 		read := func(i int, m *wire.EngineLoads) {
 			if m == nil {
 				return
 			}
-			all, unread := views[i].Read(m)
+			all, unread := views[i].Decode(m)
 			require.Zero(t, unread)
 			for _, l := range all {
 				newest[i][l.Address] = l
@@ -61,15 +61,15 @@
 				l := load(rapid.IntRange(1, 8).Draw(t, "engine"), rapid.IntRange(0, 300).Draw(t, "running"))
 				l.IsOpen = rapid.Bool().Draw(t, "open")
 				l.Waiting = rapid.IntRange(0, 3).Draw(t, "waiting")
-				table.Take(l, "h", 0)
+				table.Update(l, "h", 0)
 				truth[l.Address] = l
 			}
-			m := table.Next(0)
+			m := table.Flush(0)
 			for i := range views {
 				read(i, m)
 			}
 			if len(views) == 1 && rapid.Bool().Draw(t, "comes") {
-				views, newest = append(views, &View{}), append(newest, map[string]wire.EngineLoad{})
+				views, newest = append(views, &Decoder{}), append(newest, map[string]wire.EngineLoad{})
 				read(1, table.All(0))
 			}
 		}
@@ -86,27 +86,27 @@
 // Bytes that are no loads, or of engines that nobody has told of, change nothing.
 func TestBriefLoadsThatCannotBeReadAreLeftOut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var v View
-		all, _ := v.Read(&wire.EngineLoads{Brief: rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")})
+		var v Decoder
+		all, _ := v.Decode(&wire.EngineLoads{Brief: rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")})
 		require.Empty(t, all)
 	})
-	var v View
-	all, unread := v.Read(&wire.EngineLoads{All: []wire.EngineLoad{{Number: 1, Address: "a"}}, Brief: []byte{1, 2, 3}})
+	var v Decoder
+	all, unread := v.Decode(&wire.EngineLoads{All: []wire.EngineLoad{{Number: 1, Address: "a"}}, Brief: []byte{1, 2, 3}})
 	require.Len(t, all, 1)
 	require.Equal(t, 1, unread)
 }
 
 func TestMembersAreThoseOfTheEpochThatAreHeard(t *testing.T) {
 	var table Table
-	table.Take(load(0, 0), "h0", 0)
-	table.Take(load(1, 0), "h1", 3*time.Second)
+	table.Update(load(0, 0), "h0", 0)
+	table.Update(load(1, 0), "h1", 3*time.Second)
 	other := load(2, 0)
 	other.Epoch = 2
-	table.Take(other, "h2", 3*time.Second)
+	table.Update(other, "h2", 3*time.Second)
 	require.Equal(t, []wire.GroupMember{{Address: "h1", FirstRank: 1, Ranks: 1}}, table.Members("g", 3, 3*time.Second))
 	require.Len(t, table.Members("g", 3, time.Second), 2)
-	table.Next(2 * forgetAfter)
-	table.Next(2 * forgetAfter)
+	table.Flush(2 * forgetAfter)
+	table.Flush(2 * forgetAfter)
 	require.Empty(t, table.engines)
 }
 
@@ -124,9 +124,9 @@
 			var table Table
 			for b.Loop() {
 				for n := range engines {
-					table.Take(load(n, 3), "h", 0)
+					table.Update(load(n, 3), "h", 0)
 				}
-				table.Next(0)
+				table.Flush(0)
 			}
 		})
 	}
@@ -134,9 +134,9 @@
 
 func TestEngineThatWasSilentIsToldWhole(t *testing.T) {
 	var table Table
-	table.Take(load(1, 0), "h", 0)
-	require.Len(t, table.Next(0).All, 1)
+	table.Update(load(1, 0), "h", 0)
+	require.Len(t, table.Flush(0).All, 1)
 	require.Nil(t, table.All(2*currentSpan))
-	table.Take(load(1, 0), "h", 2*currentSpan)
-	require.Len(t, table.Next(2*currentSpan).All, 1)
+	table.Update(load(1, 0), "h", 2*currentSpan)
+	require.Len(t, table.Flush(2*currentSpan).All, 1)
 }
--- a/internal/engineload/table.go
+++ b/internal/engineload/table.go
@@ -45,9 +45,9 @@
 	last    uint64
 }
 
-// Take takes in what the agent with the peer listener host says of its engine. Now is a
+// Update takes in what the agent with the peer listener host says of its engine. Now is a
 // monotonic clock of the caller's.
-func (t *Table) Take(l wire.EngineLoad, host string, now time.Duration) {
+func (t *Table) Update(l wire.EngineLoad, host string, now time.Duration) {
 	e := t.engines[l.Address]
 	if e == nil {
 		if t.engines == nil {
@@ -69,9 +69,9 @@
 	return l
 }
 
-// Next returns what has been heard since the last call, and forgets engines that were not
+// Flush returns what has been heard since the last call, and forgets engines that were not
 // heard for long. It returns nil where there is nothing.
-func (t *Table) Next(now time.Duration) *wire.EngineLoads {
+func (t *Table) Flush(now time.Duration) *wire.EngineLoads {
 	m := &wire.EngineLoads{}
 	last := uint64(0)
 	for _, e := range t.inOrder() {
--- a/internal/engineload/view.go
+++ b/internal/engineload/view.go
@@ -6,15 +6,15 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// View is what a receiver knows of one sender's engines. The zero value is ready.
-type View struct {
+// Decoder is what a receiver knows of one sender's engines. The zero value is ready.
+type Decoder struct {
 	records map[uint64]wire.EngineLoad
 }
 
-// Read returns the records that a message stands for. Brief loads of engines whose record
+// Decode returns the records that a message stands for. Brief loads of engines whose record
 // did not come are left out, and so is what follows bytes that can't be read; the number of
 // those left out at least is unread.
-func (v *View) Read(m *wire.EngineLoads) (loads []wire.EngineLoad, unread int) {
+func (v *Decoder) Decode(m *wire.EngineLoads) (loads []wire.EngineLoad, unread int) {
 	if v.records == nil {
 		v.records = make(map[uint64]wire.EngineLoad)
 	}
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -72,7 +72,7 @@
 		Peers: without(n.set.seedPeers(), own), Address: own, Founders: n.founders(own),
 		Voters: n.set.voters(), HearingSpan: hearingSpan, ElectionTicks: electionTicks, SnapshotEntries: snapshotEntries,
 		Registry: registry.Limits{
-			Silence: time.Duration(silentAnnounces * float64(n.set.AnnounceInterval)), Forget: forgetAfter,
+			SilenceTimeout: time.Duration(silentAnnounces * float64(n.set.AnnounceInterval)), ForgetTimeout: forgetAfter,
 		},
 		Recall: control.NewRecall(journal.OS{}, set.DataFolder+recallSuffix),
 		Log:    n.log, Metrics: n.metrics,
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -68,13 +68,13 @@
 	isCurrent bool
 	isBusy    bool
 	// views are what each control host has told of engines.
-	views map[*peer.Session]*engineload.View
+	views map[*peer.Session]*engineload.Decoder
 }
 
 func newFollower(n *Node, role string) *follower {
 	f := &follower{
 		n: n, role: role, book: control.NewBook(n.set.seedPeers()...), started: time.Now(),
-		views: make(map[*peer.Session]*engineload.View),
+		views: make(map[*peer.Session]*engineload.Decoder),
 	}
 	n.up = f.up
 	n.handle = f.handle
@@ -168,10 +168,10 @@
 	defer f.mu.Unlock()
 	v := f.views[s]
 	if v == nil {
-		v = &engineload.View{}
+		v = &engineload.Decoder{}
 		f.views[s] = v
 	}
-	loads, unread := v.Read(m)
+	loads, unread := v.Decode(m)
 	metrics.GetOrRegisterCounter("engine-loads.unread", f.n.metrics).Inc(int64(unread))
 	return loads
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -38,8 +38,8 @@
 	State      State  `cbor:"6,keyasint,omitempty"`
 	// Sequence grows with each announcement of the incarnation.
 	Sequence uint64 `cbor:"7,keyasint,omitempty"`
-	// ColdMS is how much longer the upstream is slow after its start, in milliseconds.
-	ColdMS int64 `cbor:"8,keyasint,omitempty"`
+	// ColdRemainingMS is how much longer the upstream is slow after its start, in milliseconds.
+	ColdRemainingMS int64 `cbor:"8,keyasint,omitempty"`
 	// IsSilent is set by a control host that has not heard the upstream for long.
 	IsSilent bool `cbor:"9,keyasint,omitempty"`
 	// Born is when the incarnation started, in Unix milliseconds by its own clock; 0 where
@@ -60,7 +60,7 @@
 	before := *u
 	if next.Sequence > u.Sequence {
 		u.Sequence = next.Sequence
-		u.ColdMS = next.ColdMS
+		u.ColdRemainingMS = next.ColdRemainingMS
 		u.Slots = next.Slots
 		u.Service = cmp.Or(next.Service, u.Service)
 		u.Address = cmp.Or(next.Address, u.Address)
@@ -72,11 +72,11 @@
 
 // Limits of a Registry.
 type Limits struct {
-	// Silence is after how long without an announcement an upstream counts as silent.
-	Silence time.Duration
-	// Forget is after how long a silent or gone upstream is forgotten. It has to outlast
+	// SilenceTimeout is after how long without an announcement an upstream counts as silent.
+	SilenceTimeout time.Duration
+	// ForgetTimeout is after how long a silent or gone upstream is forgotten. It has to outlast
 	// an announcement that is late on its way.
-	Forget time.Duration
+	ForgetTimeout time.Duration
 }
 
 type entry struct {
@@ -130,11 +130,11 @@
 	var out []Upstream
 	for id, e := range r.byID {
 		quiet := now - e.heard
-		if quiet > r.limits.Forget {
+		if quiet > r.limits.ForgetTimeout {
 			delete(r.byID, id)
 			continue
 		}
-		if quiet > r.limits.Silence && !e.IsSilent && e.State == Ready {
+		if quiet > r.limits.SilenceTimeout && !e.IsSilent && e.State == Ready {
 			e.IsSilent = true
 			out = append(out, e.Upstream)
 		}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var limits = Limits{Silence: 4 * time.Second, Forget: time.Minute}
+var limits = Limits{SilenceTimeout: 4 * time.Second, ForgetTimeout: time.Minute}
 
 func up(id string, sequence uint64, s State) Upstream {
 	return Upstream{ID: id, Service: "s", Address: "10.0.0.1:80", State: s, Sequence: sequence, Slots: 4}
@@ -133,7 +133,7 @@
 		"ready": born(up("a", 900, Ready), 5), "draining": born(up("a", 900, Draining), 5),
 		"gone": born(Upstream{ID: "a", State: Gone}, 5),
 	} {
-		r := New(Limits{Silence: 4 * time.Second, Forget: time.Minute})
+		r := New(Limits{SilenceTimeout: 4 * time.Second, ForgetTimeout: time.Minute})
 		v := NewView()
 		say := func(u Upstream) Upstream {
 			known, _ := r.Announce(u, 0)
@@ -173,7 +173,7 @@
 // What was known before a restart is a first guess: what an upstream says since goes
 // before it, and one that says nothing becomes silent.
 func TestRestoredUpstreamsAreAFirstGuess(t *testing.T) {
-	r := New(Limits{Silence: 4 * time.Second, Forget: time.Minute})
+	r := New(Limits{SilenceTimeout: 4 * time.Second, ForgetTimeout: time.Minute})
 	r.Announce(up("b", 9, Draining), time.Second)
 	r.Restore([]Upstream{up("a", 5, Ready), up("b", 7, Ready)}, time.Second)
 	require.Len(t, r.All(), 2)
--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -54,7 +54,7 @@
 // roundRobin takes the candidates in turn.
 type roundRobin struct{ next int }
 
-func (p *roundRobin) Pick(scored []Scored, _ *rand.Rand) int {
+func (p *roundRobin) Pick(scored []ScoredCandidate, _ *rand.Rand) int {
 	p.next++
 	return p.next % len(scored)
 }
@@ -62,7 +62,7 @@
 // leastCost takes the cheapest, a random one of equals.
 type leastCost struct{}
 
-func (leastCost) Pick(scored []Scored, rng *rand.Rand) int {
+func (leastCost) Pick(scored []ScoredCandidate, rng *rand.Rand) int {
 	best := rng.IntN(len(scored))
 	for i := range scored {
 		if scored[i].Cost < scored[best].Cost {
@@ -76,7 +76,7 @@
 type twoChoices struct{}
 
 // Pick implements Picker.
-func (twoChoices) Pick(scored []Scored, rng *rand.Rand) int {
+func (twoChoices) Pick(scored []ScoredCandidate, rng *rand.Rand) int {
 	if len(scored) == 1 {
 		return 0
 	}
@@ -98,8 +98,8 @@
 func (ownInFlight) Cost(_ *Request, c *Candidate) float64 { return float64(c.InFlight) }
 
 func benchPolicies() map[string]func() *Policy {
-	with := func(p Picker, s ...Score) *Policy {
-		return &Policy{Filters: DefaultPolicy().Filters, Scores: s, Picker: p}
+	with := func(p Picker, s ...Scorer) *Policy {
+		return &Policy{Filters: DefaultPolicy().Filters, Scorers: s, Picker: p}
 	}
 	return map[string]func() *Policy{
 		"round-robin":     func() *Policy { return with(&roundRobin{}) },
@@ -122,7 +122,7 @@
 	slow    float64
 	running int
 	queue   []*benchRequest
-	cache   *History
+	cache   *PrefixIndex
 	served  time.Duration
 	first   float64
 }
@@ -167,7 +167,7 @@
 func newBenchRun(sc benchScenario, policy func() *Policy) *benchRun {
 	b := &benchRun{scenario: sc, rng: rand.New(rand.NewPCG(benchSeed, 1)), first: hdrhistogram.New(1, time.Hour.Microseconds(), 3)}
 	for i := range benchUpstreams {
-		u := &benchUpstream{slow: 1, cache: NewHistory(benchCacheBlocks)}
+		u := &benchUpstream{slow: 1, cache: NewPrefixIndex(benchCacheBlocks)}
 		if i == 0 {
 			u.slow = sc.slow
 		}
@@ -178,11 +178,11 @@
 	}
 	for h := range sc.hosts {
 		b.routers = append(b.routers, NewRouter(Config{
-			Policy:       policy(),
-			Entries:      func() []directory.Entry { return b.seen },
-			Now:          func() time.Duration { return b.now },
-			Rand:         rand.New(rand.NewPCG(benchSeed, uint64(h)+2)),
-			HistoryLimit: 100_000,
+			Policy:           policy(),
+			Entries:          func() []directory.Entry { return b.seen },
+			Now:              func() time.Duration { return b.now },
+			Rand:             rand.New(rand.NewPCG(benchSeed, uint64(h)+2)),
+			PrefixIndexLimit: 100_000,
 		}))
 	}
 	return b
@@ -250,8 +250,8 @@
 		r := u.queue[0]
 		u.queue = u.queue[1:]
 		u.running++
-		cached := u.cache.Cached("", r.prefixes)
-		u.cache.Sent("", r.prefixes)
+		cached := u.cache.CachedFraction("", r.prefixes)
+		u.cache.RecordSent("", r.prefixes)
 		b.blocks++
 		b.hits += cached
 		prefill := time.Duration(float64(benchPrefill) * (1 - cached) * u.slow)
--- a/internal/routing/history.go
+++ b/internal/routing/history.go
@@ -6,11 +6,11 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// History remembers which prompt prefixes an upstream should have in its cache:
+// PrefixIndex remembers which prompt prefixes an upstream should have in its cache:
 // from the requests that this host sent there, corrected by the cache events,
 // which come late and with gaps. It holds a bounded number of prefixes by least
 // recent use and is not safe for concurrent use.
-type History struct {
+type PrefixIndex struct {
 	limit int
 	order *list.List
 	where map[uint64]*list.Element
@@ -24,9 +24,9 @@
 	at map[string]bool
 }
 
-// NewHistory returns a History of at most limit prefixes.
-func NewHistory(limit int) *History {
-	return &History{
+// NewPrefixIndex returns a History of at most limit prefixes.
+func NewPrefixIndex(limit int) *PrefixIndex {
+	return &PrefixIndex{
 		limit: limit,
 		order: list.New(),
 		where: make(map[uint64]*list.Element),
@@ -34,16 +34,16 @@
 	}
 }
 
-// Sent notes that a prompt with these prefixes went to the upstream.
-func (h *History) Sent(upstream string, prefixes []uint64) {
+// RecordSent notes that a prompt with these prefixes went to the upstream.
+func (h *PrefixIndex) RecordSent(upstream string, prefixes []uint64) {
 	for _, p := range prefixes {
 		h.store(upstream, p)
 	}
 }
 
-// Event corrects the history. An event that is older than one already taken is
+// ApplyEvent corrects the history. An event that is older than one already taken is
 // ignored: what it says may have been undone since.
-func (h *History) Event(upstream string, e wire.CacheEvent) {
+func (h *PrefixIndex) ApplyEvent(upstream string, e wire.CacheEvent) {
 	if e.Seq <= h.last[upstream] {
 		return
 	}
@@ -58,16 +58,16 @@
 }
 
 // Forget drops all that is known of an upstream, after a restart of its engine.
-func (h *History) Forget(upstream string) {
+func (h *PrefixIndex) Forget(upstream string) {
 	delete(h.last, upstream)
 	for el := h.order.Front(); el != nil; el = el.Next() {
 		delete(el.Value.(*prefix).at, upstream)
 	}
 }
 
-// Cached returns the share of the prompt's leading blocks that the upstream
+// CachedFraction returns the share of the prompt's leading blocks that the upstream
 // should have, 0 to 1.
-func (h *History) Cached(upstream string, prefixes []uint64) float64 {
+func (h *PrefixIndex) CachedFraction(upstream string, prefixes []uint64) float64 {
 	if len(prefixes) == 0 {
 		return 0
 	}
@@ -82,7 +82,7 @@
 	return float64(n) / float64(len(prefixes))
 }
 
-func (h *History) store(upstream string, hash uint64) {
+func (h *PrefixIndex) store(upstream string, hash uint64) {
 	if el := h.where[hash]; el != nil {
 		el.Value.(*prefix).at[upstream] = true
 		h.order.MoveToFront(el)
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -31,9 +31,9 @@
 	// Entries returns the upstreams known now.
 	Entries func() []directory.Entry
 	// Now is the clock that directory.Entry.LoadAt counts on.
-	Now          func() time.Duration
-	Rand         *rand.Rand
-	HistoryLimit int
+	Now              func() time.Duration
+	Rand             *rand.Rand
+	PrefixIndexLimit int
 }
 
 // Router chooses upstreams and keeps this host's own experience with them. It is
@@ -44,7 +44,7 @@
 	// mu guards the fields below and cfg.Rand.
 	mu      sync.Mutex
 	own     map[string]*experience
-	history *History
+	history *PrefixIndex
 	picks   int
 }
 
@@ -88,7 +88,7 @@
 
 // NewRouter returns a Router without experience.
 func NewRouter(cfg Config) *Router {
-	return &Router{cfg: cfg, own: make(map[string]*experience), history: NewHistory(cfg.HistoryLimit)}
+	return &Router{cfg: cfg, own: make(map[string]*experience), history: NewPrefixIndex(cfg.PrefixIndexLimit)}
 }
 
 // Pick chooses the upstream for an attempt and counts the attempt as in flight
@@ -112,7 +112,7 @@
 	up = candidates[i].Upstream
 	x := r.experience(up)
 	x.note(now, 1)
-	r.history.Sent(up.Name, req.Prefixes)
+	r.history.RecordSent(up.Name, req.Prefixes)
 	var once sync.Once
 	return up, func(o Outcome) { once.Do(func() { r.finish(x, o) }) }, nil
 }
@@ -142,13 +142,13 @@
 	load := e.Upstream.Load
 	age := now - e.LoadAt + time.Duration(load.AgeMS)*time.Millisecond
 	return Candidate{
-		Upstream:  e.Upstream,
-		Suspect:   e.Suspect,
-		Failing:   now < x.failedUntil,
-		ReportAge: age,
-		InFlight:  x.inFlight,
-		Others:    max(0, int(load.Running+load.Queued)-x.inFlightAt(now-age)),
-		Cached:    r.history.Cached(e.Upstream.Name, req.Prefixes),
+		Upstream:       e.Upstream,
+		Suspect:        e.Suspect,
+		Failing:        now < x.failedUntil,
+		ReportAge:      age,
+		InFlight:       x.inFlight,
+		OtherHostsLoad: max(0, int(load.Running+load.Queued)-x.inFlightAt(now-age)),
+		CachedFraction: r.history.CachedFraction(e.Upstream.Name, req.Prefixes),
 	}
 }
 
@@ -178,11 +178,11 @@
 	x.failedUntil = 0
 }
 
-// CacheEvents corrects what is known of an upstream's prefix cache.
-func (r *Router) CacheEvents(upstream string, events []wire.CacheEvent) {
+// ApplyCacheEvents corrects what is known of an upstream's prefix cache.
+func (r *Router) ApplyCacheEvents(upstream string, events []wire.CacheEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range events {
-		r.history.Event(upstream, e)
+		r.history.ApplyEvent(upstream, e)
 	}
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -37,10 +37,10 @@
 	ReportAge time.Duration
 	// InFlight counts this host's attempts in progress there.
 	InFlight int
-	// Others is what the report counts beyond this host's own attempts at its time.
-	Others int
-	// Cached is the share of the prompt's blocks that should be in the cache, 0 to 1.
-	Cached float64
+	// OtherHostsLoad is what the report counts beyond this host's own attempts at its time.
+	OtherHostsLoad int
+	// CachedFraction is the share of the prompt's blocks that should be in the cache, 0 to 1.
+	CachedFraction float64
 }
 
 // Filter keeps the candidates that fit a request.
@@ -53,8 +53,8 @@
 	IsHard() bool
 }
 
-// Score estimates a cost.
-type Score interface {
+// Scorer estimates a cost.
+type Scorer interface {
 	// Name identifies the score in metrics.
 	Name() string
 	// Cost is in times to the first token of an idle upstream; less is better.
@@ -63,11 +63,11 @@
 
 // Picker takes one of the scored candidates. There is at least one.
 type Picker interface {
-	Pick(scored []Scored, rng *rand.Rand) int
+	Pick(scored []ScoredCandidate, rng *rand.Rand) int
 }
 
-// Scored is a candidate with the sum of its costs.
-type Scored struct {
+// ScoredCandidate is a candidate with the sum of its costs.
+type ScoredCandidate struct {
 	Candidate *Candidate
 	Cost      float64
 }
@@ -75,7 +75,7 @@
 // Policy is a way to choose.
 type Policy struct {
 	Filters []Filter
-	Scores  []Score
+	Scorers []Scorer
 	Picker  Picker
 }
 
@@ -83,8 +83,8 @@
 func DefaultPolicy() *Policy {
 	return &Policy{
 		Filters: []Filter{PoolFilter{}, ReadyFilter{}, UntriedFilter{}, VersionFilter{}, HealthyFilter{}},
-		Scores:  []Score{WaitScore{}, PrefillScore{}},
-		Picker:  Choices{Draws: 3},
+		Scorers: []Scorer{WaitScorer{}, PrefillScorer{}},
+		Picker:  PowerOfDChoices{Draws: 3},
 	}
 }
 
@@ -103,9 +103,9 @@
 	if len(kept) == 0 {
 		return 0, ErrNoUpstream
 	}
-	scored := make([]Scored, len(kept))
+	scored := make([]ScoredCandidate, len(kept))
 	for n, i := range kept {
-		scored[n] = Scored{Candidate: &candidates[i], Cost: p.cost(r, &candidates[i])}
+		scored[n] = ScoredCandidate{Candidate: &candidates[i], Cost: p.cost(r, &candidates[i])}
 	}
 	return kept[p.Picker.Pick(scored, rng)], nil
 }
@@ -126,7 +126,7 @@
 
 func (p *Policy) cost(r *Request, c *Candidate) float64 {
 	sum := 0.0
-	for _, s := range p.Scores {
+	for _, s := range p.Scorers {
 		sum += s.Cost(r, c)
 	}
 	return sum
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -81,12 +81,12 @@
 		cheap, costly Candidate
 	}{
 		{"own in flight", ready("a"), with("b", func(c *Candidate) { c.InFlight = 1 })},
-		{"others", ready("a"), with("b", func(c *Candidate) { c.Others = 1 })},
-		{"an old report says less", with("a", func(c *Candidate) { c.Others, c.ReportAge = 4, 4*time.Second }), with("b", func(c *Candidate) { c.Others = 4 })},
+		{"others", ready("a"), with("b", func(c *Candidate) { c.OtherHostsLoad = 1 })},
+		{"an old report says less", with("a", func(c *Candidate) { c.OtherHostsLoad, c.ReportAge = 4, 4*time.Second }), with("b", func(c *Candidate) { c.OtherHostsLoad = 4 })},
 		{"a small upstream", with("a", func(c *Candidate) { c.InFlight, c.Upstream.Load.Capacity = 8, 64 }), with("b", func(c *Candidate) { c.InFlight = 7 })},
-		{"cache", with("a", func(c *Candidate) { c.Cached = 1 }), with("b", func(c *Candidate) { c.Cached = 0.5 })},
-		{"cache before a little load", with("a", func(c *Candidate) { c.Cached, c.InFlight = 1, 4 }), ready("b")},
-		{"a free upstream before a queue at the cache", ready("a"), with("b", func(c *Candidate) { c.Cached, c.InFlight = 1, 9 })},
+		{"cache", with("a", func(c *Candidate) { c.CachedFraction = 1 }), with("b", func(c *Candidate) { c.CachedFraction = 0.5 })},
+		{"cache before a little load", with("a", func(c *Candidate) { c.CachedFraction, c.InFlight = 1, 4 }), ready("b")},
+		{"a free upstream before a queue at the cache", ready("a"), with("b", func(c *Candidate) { c.CachedFraction, c.InFlight = 1, 9 })},
 	}
 	p := DefaultPolicy()
 	for _, c := range cases {
@@ -101,7 +101,7 @@
 	for i := range 100 {
 		list = append(list, ready(fmt.Sprint(i)))
 	}
-	list[77].Cached = 0.9
+	list[77].CachedFraction = 0.9
 	rng := testRand()
 	for range 100 {
 		i, err := DefaultPolicy().Choose(&Request{Pool: "p"}, list, rng)
@@ -116,7 +116,7 @@
 	var list []Candidate
 	for i := range 20 {
 		list = append(list, ready(fmt.Sprint(i)))
-		list[i].Others = i
+		list[i].OtherHostsLoad = i
 	}
 	rng := testRand()
 	counts := make([]int, 20)
@@ -140,8 +140,8 @@
 			c.Suspect = rapid.Bool().Draw(t, "suspect")
 			c.Failing = rapid.Bool().Draw(t, "failing")
 			c.InFlight = rapid.IntRange(0, 30).Draw(t, "in flight")
-			c.Others = rapid.IntRange(0, 30).Draw(t, "others")
-			c.Cached = rapid.Float64Range(0, 1).Draw(t, "cached")
+			c.OtherHostsLoad = rapid.IntRange(0, 30).Draw(t, "others")
+			c.CachedFraction = rapid.Float64Range(0, 1).Draw(t, "cached")
 			if rapid.Bool().Draw(t, "tried") {
 				tried = append(tried, c.Upstream.Name)
 			}
@@ -174,11 +174,11 @@
 		f.entries = append(f.entries, directory.Entry{Upstream: ready(name).Upstream, LoadAt: f.now})
 	}
 	f.Router = NewRouter(Config{
-		Policy:       DefaultPolicy(),
-		Entries:      func() []directory.Entry { return f.entries },
-		Now:          func() time.Duration { return f.now },
-		Rand:         testRand(),
-		HistoryLimit: 100,
+		Policy:           DefaultPolicy(),
+		Entries:          func() []directory.Entry { return f.entries },
+		Now:              func() time.Duration { return f.now },
+		Rand:             testRand(),
+		PrefixIndexLimit: 100,
 	})
 	return f
 }
@@ -205,10 +205,10 @@
 	}
 	got := f.look(0)
 	require.Equal(t, 2, got.InFlight, "own, as it is now")
-	require.Equal(t, 4, got.Others)
+	require.Equal(t, 4, got.OtherHostsLoad)
 	require.Equal(t, time.Second, got.ReportAge)
 	f.now += time.Hour
-	require.Equal(t, 4, f.look(0).Others, "an old report goes on to be split at its own time")
+	require.Equal(t, 4, f.look(0).OtherHostsLoad, "an old report goes on to be split at its own time")
 }
 
 func TestOldReportOfAnIdleUpstreamCountsNothingSentSince(t *testing.T) {
@@ -220,7 +220,7 @@
 		done(Outcome{})
 	}
 	require.Zero(t, f.look(0).InFlight)
-	require.Zero(t, f.look(0).Others)
+	require.Zero(t, f.look(0).OtherHostsLoad)
 	require.LessOrEqual(t, len(f.own["a"].marks), maxMarks)
 }
 
@@ -250,10 +250,10 @@
 	prefixes := []uint64{1, 2}
 	_, _, err := f.Pick(&Request{Pool: "p", Prefixes: prefixes})
 	require.NoError(t, err)
-	require.InDelta(t, 1, f.history.Cached("a", prefixes), 0)
+	require.InDelta(t, 1, f.history.CachedFraction("a", prefixes), 0)
 	f.entries[0].Upstream.Incarnation++
 	require.Zero(t, f.look(0).InFlight)
-	require.Zero(t, f.history.Cached("a", prefixes))
+	require.Zero(t, f.history.CachedFraction("a", prefixes))
 }
 
 func TestForgottenUpstreamLeavesNothing(t *testing.T) {
@@ -273,7 +273,7 @@
 // never undoes it.
 func TestHistoryTakesLateAndGappedEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := NewHistory(1000)
+		h := NewPrefixIndex(1000)
 		model := make(map[uint64]bool)
 		last := uint64(0)
 		for range rapid.IntRange(0, 60).Draw(t, "events") {
@@ -282,14 +282,14 @@
 				Prefix: rapid.Uint64Range(0, 5).Draw(t, "prefix"),
 				Stored: rapid.Bool().Draw(t, "stored"),
 			}
-			h.Event("a", e)
+			h.ApplyEvent("a", e)
 			if e.Seq > last {
 				last = e.Seq
 				model[e.Prefix] = e.Stored
 			}
 			if rapid.Bool().Draw(t, "sent") {
 				p := rapid.Uint64Range(0, 5).Draw(t, "prefix sent")
-				h.Sent("a", []uint64{p})
+				h.RecordSent("a", []uint64{p})
 				model[p] = true
 			}
 			for p := range uint64(6) {
@@ -297,24 +297,24 @@
 				if model[p] {
 					want = 1
 				}
-				require.InDelta(t, want, h.Cached("a", []uint64{p}), 0)
-				require.Zero(t, h.Cached("b", []uint64{p}), "another upstream")
+				require.InDelta(t, want, h.CachedFraction("a", []uint64{p}), 0)
+				require.Zero(t, h.CachedFraction("b", []uint64{p}), "another upstream")
 			}
 		}
 		h.Forget("a")
 		for p := range uint64(6) {
-			require.Zero(t, h.Cached("a", []uint64{p}))
+			require.Zero(t, h.CachedFraction("a", []uint64{p}))
 		}
 	})
 }
 
 func TestHistoryCountsLeadingBlocksAndForgetsTheOldest(t *testing.T) {
-	h := NewHistory(3)
-	h.Sent("a", []uint64{1, 2, 3})
-	require.InDelta(t, 0.5, h.Cached("a", []uint64{1, 2, 9, 3}), 0)
-	h.Sent("a", []uint64{1, 4})
+	h := NewPrefixIndex(3)
+	h.RecordSent("a", []uint64{1, 2, 3})
+	require.InDelta(t, 0.5, h.CachedFraction("a", []uint64{1, 2, 9, 3}), 0)
+	h.RecordSent("a", []uint64{1, 4})
 	require.Equal(t, 3, h.order.Len())
 	require.Len(t, h.where, 3)
-	require.Zero(t, h.Cached("a", []uint64{2}), "the least recently used goes")
-	require.InDelta(t, 1, h.Cached("a", []uint64{1, 4}), 0)
+	require.Zero(t, h.CachedFraction("a", []uint64{2}), "the least recently used goes")
+	require.InDelta(t, 1, h.CachedFraction("a", []uint64{1, 4}), 0)
 }
--- a/internal/routing/scores.go
+++ b/internal/routing/scores.go
@@ -19,48 +19,48 @@
 	prefillCost = 0.8
 )
 
-// WaitScore estimates how long the request waits behind others. What this host has
+// WaitScorer estimates how long the request waits behind others. What this host has
 // there is known exactly; what others have is known from the report, which counts
 // less with its age.
-type WaitScore struct{}
+type WaitScorer struct{}
 
 // Name implements Score.
-func (WaitScore) Name() string { return "wait" }
+func (WaitScorer) Name() string { return "wait" }
 
 // Cost implements Score.
-func (WaitScore) Cost(_ *Request, c *Candidate) float64 {
+func (WaitScorer) Cost(_ *Request, c *Candidate) float64 {
 	discount := math.Exp2(-c.ReportAge.Seconds() / reportHalfLife.Seconds())
-	expected := float64(c.InFlight) + float64(c.Others)*discount + 1
+	expected := float64(c.InFlight) + float64(c.OtherHostsLoad)*discount + 1
 	full := expected / math.Max(float64(c.Upstream.Load.Capacity), 1)
 	return busyCost*full + queueCost*math.Max(0, full-1)
 }
 
-// PrefillScore estimates the time to compute the part of the prompt that is not
+// PrefillScorer estimates the time to compute the part of the prompt that is not
 // in the upstream's cache.
-type PrefillScore struct{}
+type PrefillScorer struct{}
 
 // Name implements Score.
-func (PrefillScore) Name() string { return "prefill" }
+func (PrefillScorer) Name() string { return "prefill" }
 
 // Cost implements Score.
-func (PrefillScore) Cost(_ *Request, c *Candidate) float64 {
-	return prefillCost * (1 - c.Cached)
+func (PrefillScorer) Cost(_ *Request, c *Candidate) float64 {
+	return prefillCost * (1 - c.CachedFraction)
 }
 
-// Choices takes the cheapest of some candidates: Draws at random, so that entry hosts
+// PowerOfDChoices takes the cheapest of some candidates: Draws at random, so that entry hosts
 // which see the same late reports do not all go to the same upstream, and the one that
 // has most of the prompt in its cache, which a draw would rarely find.
-type Choices struct{ Draws int }
+type PowerOfDChoices struct{ Draws int }
 
 // Pick implements Picker.
-func (p Choices) Pick(scored []Scored, rng *rand.Rand) int {
+func (p PowerOfDChoices) Pick(scored []ScoredCandidate, rng *rand.Rand) int {
 	best := 0
 	for i := range scored {
-		if scored[i].Candidate.Cached > scored[best].Candidate.Cached {
+		if scored[i].Candidate.CachedFraction > scored[best].Candidate.CachedFraction {
 			best = i
 		}
 	}
-	if scored[best].Candidate.Cached == 0 {
+	if scored[best].Candidate.CachedFraction == 0 {
 		best = rng.IntN(len(scored))
 	}
 	for range p.Draws {
