--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -10,9 +10,9 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// BenchmarkArriveAtAFullQueue is the dearest case: a request that is refused, or lets
+// BenchmarkSubmitToFullQueue is the dearest case: a request that is refused, or lets
 // another one go, beside a full queue of many workspaces.
-func BenchmarkArriveAtAFullQueue(b *testing.B) {
+func BenchmarkSubmitToFullQueue(b *testing.B) {
 	const limit, workspaces = 1024, 200
 	p := NewPool(limit)
 	p.SetCapacity(0, 1)
@@ -40,9 +40,9 @@
 	d, g := &wire.Demand{Seq: 1}, &wire.Grant{Seq: 1}
 	for i := range n {
 		key := Key("service", fmt.Sprint(i))
-		d.Items = append(d.Items, wire.DemandItem{Workspace: key, Limit: toWire(Limits{Requests: 200.5, Tokens: 40_000, Concurrent: 64}),
-			Wanted: useToWire(Amounts{Requests: 33.3, Tokens: 7777.7, Concurrent: 13}), Running: 7})
-		g.Items = append(g.Items, wire.GrantItem{Workspace: key, Given: useToWire(Amounts{Requests: 33.3, Tokens: 7777.7, Concurrent: 13})})
+		d.Items = append(d.Items, wire.DemandItem{Workspace: key, Limit: limitsToWire(Limits{Requests: 200.5, Tokens: 40_000, Concurrent: 64}),
+			Wanted: amountsToWire(Amounts{Requests: 33.3, Tokens: 7777.7, Concurrent: 13}), Running: 7})
+		g.Items = append(g.Items, wire.GrantItem{Workspace: key, Given: amountsToWire(Amounts{Requests: 33.3, Tokens: 7777.7, Concurrent: 13})})
 	}
 	sizes := []int{0, 0}
 	for b.Loop() {
--- a/internal/admission/capacity.go
+++ b/internal/admission/capacity.go
@@ -10,9 +10,9 @@
 	InUse int
 }
 
-// borrowEvery is how often a host takes more than its equal part: load reports are
+// borrowInterval is how often a host takes more than its equal part: load reports are
 // sent about as often, and the same report must not be used twice.
-const borrowEvery = 2 * time.Second
+const borrowInterval = 2 * time.Second
 
 // CapacityShare is this host's part of the capacity of one pool. The zero value is ready.
 //
@@ -21,10 +21,10 @@
 // fraction of that a report: hosts that see the same report at once so never take more
 // together than was free. It gives back what turns out to be used by others.
 type CapacityShare struct {
-	size      int
-	isHungry  bool
-	updatedAt time.Duration
-	updated   bool
+	limit         int
+	wasSaturated  bool
+	updatedAt     time.Duration
+	isInitialized bool
 }
 
 // Update returns how many requests this host may run at once, where own run now and
@@ -33,25 +33,25 @@
 func (s *CapacityShare) Update(now time.Duration, u Usage, own, hosts int) int {
 	hosts = max(hosts, 1)
 	equal := (u.Capacity + hosts - 1) / hosts
-	if !s.updated || now-s.updatedAt >= borrowEvery {
+	if !s.isInitialized || now-s.updatedAt >= borrowInterval {
 		s.borrow(u, own, hosts)
-		s.updatedAt, s.updated = now, true
+		s.updatedAt, s.isInitialized = now, true
 	}
-	return min(max(equal, s.size), u.Capacity)
+	return min(max(equal, s.limit), u.Capacity)
 }
 
 // borrow looks at a new report.
 func (s *CapacityShare) borrow(u Usage, own, hosts int) {
 	equal := (u.Capacity + hosts - 1) / hosts
-	wasHungry := s.isHungry
-	s.isHungry = own >= max(equal, s.size)
+	wasHungry := s.wasSaturated
+	s.wasSaturated = own >= max(equal, s.limit)
 	free := u.Capacity - max(u.InUse, own)
 	if free < 0 {
-		s.size = max(equal, own+free)
+		s.limit = max(equal, own+free)
 		return
 	}
-	s.size = max(equal, own)
-	if s.isHungry && wasHungry {
-		s.size = own + free/hosts
+	s.limit = max(equal, own)
+	if s.wasSaturated && wasHungry {
+		s.limit = own + free/hosts
 	}
 }
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -51,43 +51,43 @@
 // Controller lets requests in. It is safe for concurrent use. One lock guards all
 // its decisions, which do no I/O; waiting requests sleep outside of it.
 type Controller struct {
-	cfg      Config
-	counters counters
+	cfg         Config
+	instruments instruments
 
 	// mu guards the fields below.
-	mu      sync.Mutex
-	pools   map[string]*part
-	quotas  map[uint64]*Quota
-	divider *Allocator
-}
-
-// part is one pool with this host's part of it.
-type part struct {
-	pool *Pool
-	part CapacityShare
-}
-
-type counters struct {
-	admitted, waited, limited, full, late, empty, left metrics.Counter
-	queued, running, capacity                          metrics.Gauge
-	wait                                               metrics.Histogram
-}
-
-const sampleSize = 1028
-
-func newCounters(r metrics.Registry) counters {
-	return counters{
-		admitted: metrics.GetOrRegisterCounter("admission.admitted", r),
-		waited:   metrics.GetOrRegisterCounter("admission.waited", r),
-		limited:  metrics.GetOrRegisterCounter("admission.refused.limit", r),
-		full:     metrics.GetOrRegisterCounter("admission.refused.arrival", r),
-		late:     metrics.GetOrRegisterCounter("admission.refused.queued", r),
-		empty:    metrics.GetOrRegisterCounter("admission.refused.no-upstream", r),
-		left:     metrics.GetOrRegisterCounter("admission.left", r),
-		queued:   metrics.GetOrRegisterGauge("admission.queued", r),
-		running:  metrics.GetOrRegisterGauge("admission.running", r),
-		capacity: metrics.GetOrRegisterGauge("admission.capacity", r),
-		wait:     metrics.GetOrRegisterHistogram("admission.wait-us", r, metrics.NewUniformSample(sampleSize)),
+	mu        sync.Mutex
+	pools     map[string]*poolState
+	quotas    map[uint64]*Quota
+	allocator *Allocator
+}
+
+// poolState is one pool with this host's part of it.
+type poolState struct {
+	pool  *Pool
+	share CapacityShare
+}
+
+type instruments struct {
+	admitted, waited, refusedByLimit, refusedOnArrival, refusedInQueue, refusedNoUpstream, abandoned metrics.Counter
+	queued, running, capacity                                                                        metrics.Gauge
+	wait                                                                                             metrics.Histogram
+}
+
+const waitSampleSize = 1028
+
+func newInstruments(r metrics.Registry) instruments {
+	return instruments{
+		admitted:          metrics.GetOrRegisterCounter("admission.admitted", r),
+		waited:            metrics.GetOrRegisterCounter("admission.waited", r),
+		refusedByLimit:    metrics.GetOrRegisterCounter("admission.refused.limit", r),
+		refusedOnArrival:  metrics.GetOrRegisterCounter("admission.refused.arrival", r),
+		refusedInQueue:    metrics.GetOrRegisterCounter("admission.refused.queued", r),
+		refusedNoUpstream: metrics.GetOrRegisterCounter("admission.refused.no-upstream", r),
+		abandoned:         metrics.GetOrRegisterCounter("admission.left", r),
+		queued:            metrics.GetOrRegisterGauge("admission.queued", r),
+		running:           metrics.GetOrRegisterGauge("admission.running", r),
+		capacity:          metrics.GetOrRegisterGauge("admission.capacity", r),
+		wait:              metrics.GetOrRegisterHistogram("admission.wait-us", r, metrics.NewUniformSample(waitSampleSize)),
 	}
 }
 
@@ -97,11 +97,11 @@
 		cfg.Metrics = metrics.NewRegistry()
 	}
 	return &Controller{
-		cfg:      cfg,
-		counters: newCounters(cfg.Metrics),
-		pools:    make(map[string]*part),
-		quotas:   make(map[uint64]*Quota),
-		divider:  NewAllocator(cfg.Now(), cfg.Hosts),
+		cfg:         cfg,
+		instruments: newInstruments(cfg.Metrics),
+		pools:       make(map[string]*poolState),
+		quotas:      make(map[uint64]*Quota),
+		allocator:   NewAllocator(cfg.Now(), cfg.Hosts),
 	}
 }
 
@@ -115,16 +115,16 @@
 // when the request has ended.
 func (c *Controller) Admit(ctx context.Context, r Request) (release func(), err error) {
 	now := c.cfg.Now()
-	t := c.ticket(now, r)
+	t := c.newTicket(now, r)
 	c.mu.Lock()
 	quota, refusal := c.takeQuota(now, &r, t)
 	if refusal != nil {
 		c.mu.Unlock()
-		c.counters.limited.Inc(1)
+		c.instruments.refusedByLimit.Inc(1)
 		return nil, refusal
 	}
-	p := c.part(now, r.Pool)
-	c.settle(p.pool.Submit(now, t))
+	p := c.poolFor(now, r.Pool)
+	c.notify(p.pool.Submit(now, t))
 	if t.state == stateRefused {
 		c.refund(quota, t)
 		c.mu.Unlock()
@@ -138,11 +138,11 @@
 		c.mu.Unlock()
 		return nil, err
 	}
-	c.counters.admitted.Inc(1)
+	c.instruments.admitted.Inc(1)
 	return func() { c.release(p, quota, t) }, nil
 }
 
-func (c *Controller) ticket(now time.Duration, r Request) *Ticket {
+func (c *Controller) newTicket(now time.Duration, r Request) *Ticket {
 	t := &Ticket{
 		Workspace: r.Service + "\x00" + r.Workspace,
 		Weight:    r.Share,
@@ -150,7 +150,7 @@
 		Cost:      max(float64(r.Cost), 1),
 		Deadline:  now + r.Deadline,
 		Jitter:    c.cfg.Rand(),
-		wake:      make(chan struct{}),
+		decided:   make(chan struct{}),
 	}
 	if t.Weight <= 0 {
 		t.Weight = 1
@@ -163,7 +163,7 @@
 	if !r.Limits.IsSet() {
 		return nil, nil
 	}
-	limits := c.inCentre(r.Limits)
+	limits := c.dataCentreLimits(r.Limits)
 	key := Key(r.Service, r.Workspace)
 	q := c.quotas[key]
 	if q == nil {
@@ -171,16 +171,16 @@
 		c.quotas[key] = q
 	}
 	q.SetLimits(limits)
-	service := c.part(now, r.Pool).pool.serviceTime(t.Class, 0)
+	service := c.poolFor(now, r.Pool).pool.serviceTime(t.Class, 0)
 	if refusal := q.Take(now, t.Cost, service, t.Jitter); refusal != nil {
 		return nil, refusal
 	}
 	return q, nil
 }
 
-// inCentre is the data centre's part of the limits. A limit on concurrency stays one
+// dataCentreLimits is the data centre's part of the limits. A limit on concurrency stays one
 // at least.
-func (c *Controller) inCentre(l Limits) Limits {
+func (c *Controller) dataCentreLimits(l Limits) Limits {
 	n := max(c.cfg.DataCentres, 1)
 	l.Requests /= float64(n)
 	l.Tokens /= float64(n)
@@ -195,84 +195,84 @@
 	}
 }
 
-// part requires mu.
-func (c *Controller) part(now time.Duration, name string) *part {
+// poolFor requires mu.
+func (c *Controller) poolFor(now time.Duration, name string) *poolState {
 	p := c.pools[name]
 	if p == nil {
-		p = &part{pool: NewPool(c.cfg.QueueLimit)}
+		p = &poolState{pool: NewPool(c.cfg.QueueLimit)}
 		c.pools[name] = p
-		c.update(now, name, p)
+		c.refreshCapacity(now, name, p)
 	}
 	return p
 }
 
-// update requires mu.
-func (c *Controller) update(now time.Duration, name string, p *part) {
-	n := p.part.Update(now, c.cfg.Usage(name), p.pool.Running(), c.cfg.LiveHosts())
-	c.settle(p.pool.SetCapacity(now, n))
+// refreshCapacity requires mu.
+func (c *Controller) refreshCapacity(now time.Duration, name string, p *poolState) {
+	n := p.share.Update(now, c.cfg.Usage(name), p.pool.Running(), c.cfg.LiveHosts())
+	c.notify(p.pool.SetCapacity(now, n))
 }
 
-// settle wakes the requests that were decided. It requires mu.
-func (c *Controller) settle(tickets []*Ticket) {
+// notify wakes the requests that were decided. It requires mu.
+func (c *Controller) notify(tickets []*Ticket) {
 	for _, t := range tickets {
-		close(t.wake)
+		close(t.decided)
 	}
 }
 
 // await sleeps until t is settled. The error is a *verdict.Error.
-func (c *Controller) await(ctx context.Context, p *part, t *Ticket) error {
+func (c *Controller) await(ctx context.Context, p *poolState, t *Ticket) error {
 	began := c.cfg.Now()
 	select {
-	case <-t.wake:
-		c.counters.wait.Update(0)
+	case <-t.decided:
+		c.instruments.wait.Update(0)
 		return nil
 	default:
 	}
-	c.counters.waited.Inc(1)
+	c.instruments.waited.Inc(1)
 	for {
-		timer := time.NewTimer(c.patience(p, t))
+		timer := time.NewTimer(c.remainingWait(p, t))
 		select {
-		case <-t.wake:
+		case <-t.decided:
 			timer.Stop()
-			c.counters.wait.Update((c.cfg.Now() - began).Microseconds())
-			return c.outcome(t)
+			c.instruments.wait.Update((c.cfg.Now() - began).Microseconds())
+			return c.result(t)
 		case <-ctx.Done():
 			timer.Stop()
-			return c.leave(p, t, ctx.Err())
+			return c.abandon(p, t, ctx.Err())
 		case <-timer.C:
 			c.expire(p)
 		}
 	}
 }
 
-// patience is how long t may still wait.
-func (c *Controller) patience(p *part, t *Ticket) time.Duration {
+// remainingWait is how long t may still wait.
+func (c *Controller) remainingWait(p *poolState, t *Ticket) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return p.pool.ExpiresAt(t) - c.cfg.Now()
 }
 
-func (c *Controller) expire(p *part) {
+func (c *Controller) expire(p *poolState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.settle(p.pool.Expire(c.cfg.Now()))
+	c.notify(p.pool.Expire(c.cfg.Now()))
 }
 
-func (c *Controller) outcome(t *Ticket) error {
+func (c *Controller) result(t *Ticket) error {
 	if t.err == nil {
 		return nil
 	}
-	c.counters.late.Inc(1)
+	c.instruments.refusedInQueue.Inc(1)
 	return t.err
 }
 
-// leave gives up a request whose caller left, or whose time ended, while it waited.
-func (c *Controller) leave(p *part, t *Ticket, cause error) error {
+// abandon gives up a request whose caller left, or whose time ended, while it waited.
+func (c *Controller) abandon(p *poolState, t *Ticket, cause error) error {
 	c.mu.Lock()
 	p.pool.Withdraw(t)
-	c.settle(p.pool.Release(c.cfg.Now(), t))
+	c.notify(p.pool.Release(c.cfg.Now(), t))
 	c.mu.Unlock()
-	c.counters.left.Inc(1)
+	c.instruments.abandoned.Inc(1)
 	code := verdict.CodeCancelled
 	if errors.Is(cause, context.DeadlineExceeded) {
 		code = verdict.CodeDeadline
@@ -280,10 +280,10 @@
 	return &verdict.Error{Verdict: verdict.NotRun, Code: code, Text: "ended while it waited", Cause: cause}
 }
 
-func (c *Controller) release(p *part, q *Quota, t *Ticket) {
+func (c *Controller) release(p *poolState, q *Quota, t *Ticket) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.settle(p.pool.Release(c.cfg.Now(), t))
+	c.notify(p.pool.Release(c.cfg.Now(), t))
 	if q != nil {
 		q.Done()
 	}
@@ -291,10 +291,10 @@
 
 func (c *Controller) countRefusal(t *Ticket) {
 	if t.err.Code == verdict.CodeNoUpstream {
-		c.counters.empty.Inc(1)
+		c.instruments.refusedNoUpstream.Inc(1)
 		return
 	}
-	c.counters.full.Inc(1)
+	c.instruments.refusedOnArrival.Inc(1)
 }
 
 // CapacityUpdateInterval is how often Update is to be called: how long a change of the
@@ -308,18 +308,18 @@
 	defer c.mu.Unlock()
 	var queued, running, capacity int
 	for name, p := range c.pools {
-		c.update(now, name, p)
+		c.refreshCapacity(now, name, p)
 		queued += p.pool.Queued()
 		running += p.pool.Running()
 		capacity += p.pool.Capacity()
 	}
-	c.counters.queued.Update(int64(queued))
-	c.counters.running.Update(int64(running))
-	c.counters.capacity.Update(int64(capacity))
+	c.instruments.queued.Update(int64(queued))
+	c.instruments.running.Update(int64(running))
+	c.instruments.capacity.Update(int64(capacity))
 }
 
 // DemandInterval is how often Demands is to be called.
-const DemandInterval = reportEvery
+const DemandInterval = demandInterval
 
 // Demands returns what this host wants of limited workspaces beyond its floors, and
 // forgets idle ones. Of too many, those come first that have not asked for longest.
@@ -327,20 +327,20 @@
 	now := c.cfg.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.divider.Expire(now)
-	wanting := c.wanting(now)
+	c.allocator.Expire(now)
+	wanting := c.workspacesAboveFloor(now)
 	var out []wire.DemandItem
-	for _, key := range wanting[:min(len(wanting), maxDemands)] {
+	for _, key := range wanting[:min(len(wanting), maxDemandsPerReport)] {
 		q := c.quotas[key]
 		u, _ := q.Demand(now)
 		q.ResetDemand(now)
-		out = append(out, wire.DemandItem{Workspace: key, Limit: toWire(q.limits), Wanted: useToWire(u), Running: float32(q.RunningAboveFloor())})
+		out = append(out, wire.DemandItem{Workspace: key, Limit: limitsToWire(q.limits), Wanted: amountsToWire(u), Running: float32(q.RunningAboveFloor())})
 	}
 	return out
 }
 
-// wanting returns the workspaces whose floor is not enough. It requires mu.
-func (c *Controller) wanting(now time.Duration) []uint64 {
+// workspacesAboveFloor returns the workspaces whose floor is not enough. It requires mu.
+func (c *Controller) workspacesAboveFloor(now time.Duration) []uint64 {
 	var keys []uint64
 	for key, q := range c.quotas {
 		if q.IsIdle(now) {
@@ -354,7 +354,7 @@
 		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, func(a, b uint64) int {
-		return cmp.Compare(c.quotas[a].askedAt, c.quotas[b].askedAt)
+		return cmp.Compare(c.quotas[a].demandSince, c.quotas[b].demandSince)
 	})
 	return keys
 }
@@ -366,8 +366,8 @@
 	defer c.mu.Unlock()
 	g := &wire.Grant{Seq: d.Seq}
 	for _, item := range d.Items {
-		given := c.divider.Allocate(now, host, item.Workspace, fromWire(item.Limit), useFromWire(item.Wanted), float64(item.Running))
-		g.Items = append(g.Items, wire.GrantItem{Workspace: item.Workspace, Given: useToWire(given)})
+		given := c.allocator.Allocate(now, host, item.Workspace, limitsFromWire(item.Limit), amountsFromWire(item.Wanted), float64(item.Running))
+		g.Items = append(g.Items, wire.GrantItem{Workspace: item.Workspace, Given: amountsToWire(given)})
 	}
 	return g
 }
@@ -378,23 +378,23 @@
 	defer c.mu.Unlock()
 	for _, item := range g.Items {
 		if q := c.quotas[item.Workspace]; q != nil {
-			q.Grant(asked, useFromWire(item.Given))
+			q.Grant(asked, amountsFromWire(item.Given))
 		}
 	}
 }
 
-func toWire(l Limits) wire.LimitRates {
+func limitsToWire(l Limits) wire.LimitRates {
 	return wire.LimitRates{Requests: float32(l.Requests), Tokens: float32(l.Tokens), Concurrent: float32(l.Concurrent)}
 }
 
-func fromWire(r wire.LimitRates) Limits {
+func limitsFromWire(r wire.LimitRates) Limits {
 	return Limits{Requests: float64(r.Requests), Tokens: float64(r.Tokens), Concurrent: int(r.Concurrent)}
 }
 
-func useToWire(u Amounts) wire.LimitRates {
+func amountsToWire(u Amounts) wire.LimitRates {
 	return wire.LimitRates{Requests: float32(u.Requests), Tokens: float32(u.Tokens), Concurrent: float32(u.Concurrent)}
 }
 
-func useFromWire(r wire.LimitRates) Amounts {
+func amountsFromWire(r wire.LimitRates) Amounts {
 	return Amounts{Requests: float64(r.Requests), Tokens: float64(r.Tokens), Concurrent: float64(r.Concurrent)}
 }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -15,9 +15,9 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-const testWait = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-func newController(capacity, queue int) (*Controller, metrics.Registry) {
+func newTestController(capacity, queue int) (*Controller, metrics.Registry) {
 	start := time.Now()
 	reg := metrics.NewRegistry()
 	return New(Config{
@@ -31,19 +31,19 @@
 	}), reg
 }
 
-func request(workspace string) Request {
-	return Request{Service: "s", Workspace: workspace, Pool: "p", Cost: 1, Deadline: testWait}
+func newRequest(workspace string) Request {
+	return Request{Service: "s", Workspace: workspace, Pool: "p", Cost: 1, Deadline: testTimeout}
 }
 
-func TestControllerNeverExceedsTheCapacityAndLetsAllIn(t *testing.T) {
-	c, _ := newController(3, 1000)
+func TestControllerAdmitsAllWithoutExceedingTheCapacity(t *testing.T) {
+	c, _ := newTestController(3, 1000)
 	var running, most, done atomic.Int64
 	var wg sync.WaitGroup
 	for i := range 60 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			release, err := c.Admit(context.Background(), request(fmt.Sprint(i%4)))
+			release, err := c.Admit(context.Background(), newRequest(fmt.Sprint(i%4)))
 			if err != nil {
 				return
 			}
@@ -60,34 +60,34 @@
 	require.LessOrEqual(t, most.Load(), int64(3))
 }
 
-func TestCallerThatLeavesFreesItsPlace(t *testing.T) {
-	c, reg := newController(1, 10)
-	release, err := c.Admit(context.Background(), request("a"))
+func TestCancelledCallerLeavesTheQueue(t *testing.T) {
+	c, reg := newTestController(1, 10)
+	release, err := c.Admit(context.Background(), newRequest("a"))
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	left := make(chan error, 1)
 	go func() {
-		_, err := c.Admit(ctx, request("b"))
+		_, err := c.Admit(ctx, newRequest("b"))
 		left <- err
 	}()
 	waits := func() bool { c.Update(); return reg.Get("admission.queued").(metrics.Gauge).Value() == 1 }
-	require.Eventually(t, waits, testWait, time.Millisecond)
+	require.Eventually(t, waits, testTimeout, time.Millisecond)
 	cancel()
 	require.Equal(t, verdict.NotRun, verdict.Of(<-left).Verdict)
 	c.Update()
 	require.Zero(t, reg.Get("admission.queued").(metrics.Gauge).Value())
 	release()
-	release, err = c.Admit(context.Background(), request("c"))
+	release, err = c.Admit(context.Background(), newRequest("c"))
 	require.NoError(t, err)
 	release()
 }
 
-func TestQueuedRequestIsRefusedWhenItBecomesHopeless(t *testing.T) {
-	c, reg := newController(1, 10)
-	release, err := c.Admit(context.Background(), request("a"))
+func TestQueuedRequestIsRefusedWhenItsDeadlineIsTooClose(t *testing.T) {
+	c, reg := newTestController(1, 10)
+	release, err := c.Admit(context.Background(), newRequest("a"))
 	require.NoError(t, err)
 	defer release()
-	r := request("b")
+	r := newRequest("b")
 	r.Deadline = 50 * time.Millisecond
 	_, err = c.Admit(context.Background(), r)
 	require.Equal(t, verdict.NotRun, verdict.Of(err).Verdict)
@@ -95,18 +95,18 @@
 	require.EqualValues(t, 1, reg.Get("admission.refused.queued").(metrics.Counter).Count())
 }
 
-func TestNoUpstreamIsToldAtOnce(t *testing.T) {
-	c, _ := newController(0, 10)
-	_, err := c.Admit(context.Background(), request("a"))
+func TestRequestIsRefusedAtOnceWithoutUpstreams(t *testing.T) {
+	c, _ := newTestController(0, 10)
+	_, err := c.Admit(context.Background(), newRequest("a"))
 	require.Equal(t, verdict.CodeNoUpstream, verdict.Of(err).Code)
 	require.Equal(t, verdict.NotRun, verdict.Of(err).Verdict)
 }
 
 func TestLimitedWorkspaceIsRefusedAndRefunded(t *testing.T) {
-	c, _ := newController(1, 0)
-	r := request("a")
+	c, _ := newTestController(1, 0)
+	r := newRequest("a")
 	r.Limits = Limits{Concurrent: 1}
-	hold, err := c.Admit(context.Background(), request("b"))
+	hold, err := c.Admit(context.Background(), newRequest("b"))
 	require.NoError(t, err)
 	_, err = c.Admit(context.Background(), r)
 	require.Equal(t, verdict.CodeOverloaded, verdict.Of(err).Code, "the queue is full")
@@ -121,7 +121,7 @@
 
 func TestDemandAndGrantOverTheWire(t *testing.T) {
 	start := time.Now()
-	now := func() time.Duration { return leaseSpan + time.Since(start) }
+	now := func() time.Duration { return leaseDuration + time.Since(start) }
 	cfg := Config{
 		QueueLimit: 10, Hosts: 4,
 		Usage:     func(string) Usage { return Usage{Capacity: 1000} },
@@ -133,7 +133,7 @@
 	owner.cfg.Now = now
 	cfg.Now = now
 	host := New(cfg)
-	r := request("a")
+	r := newRequest("a")
 	r.Limits = Limits{Concurrent: 40}
 	admitted := func() (n int) {
 		for range 60 {
@@ -152,23 +152,23 @@
 	require.Equal(t, 35, admitted(), "what the owner hands out of forty")
 }
 
-// TestReportsAreBoundedAndReachAll lets more workspaces want more than one report may
+// TestDemandReportsAreBoundedAndCoverAllWorkspaces lets more workspaces want more than one report may
 // carry.
-func TestReportsAreBoundedAndReachAll(t *testing.T) {
-	c, _ := newController(10_000, 0)
+func TestDemandReportsAreBoundedAndCoverAllWorkspaces(t *testing.T) {
+	c, _ := newTestController(10_000, 0)
 	c.cfg.Hosts = 8
-	const workspaces = 3 * maxDemands
+	const workspaces = 3 * maxDemandsPerReport
 	seen := make(map[uint64]bool)
 	for range 3 {
 		for i := range workspaces {
-			r := request(fmt.Sprint(i))
+			r := newRequest(fmt.Sprint(i))
 			r.Limits = Limits{Requests: 10}
 			for range 5 {
 				_, _ = c.Admit(context.Background(), r)
 			}
 		}
 		items := c.Demands()
-		require.LessOrEqual(t, len(items), maxDemands)
+		require.LessOrEqual(t, len(items), maxDemandsPerReport)
 		for _, item := range items {
 			seen[item.Workspace] = true
 		}
--- a/internal/admission/divide.go
+++ b/internal/admission/divide.go
@@ -13,65 +13,65 @@
 // sooner than at the host that has it, since that one counts from before it asked.
 type Allocator struct {
 	hosts int
-	// since is when this host began to own; for one lease span after that, grants of
+	// ownerSince is when this host began to own; for one lease span after that, grants of
 	// the owner before may be in force.
-	since  time.Duration
-	shares map[uint64]map[string]*share
+	ownerSince time.Duration
+	shares     map[uint64]map[string]*hostShare
 }
 
-// share is what one host wants and was given of one workspace.
-type share struct {
+// hostShare is what one host wants and was given of one workspace.
+type hostShare struct {
 	demand Amounts
-	// running is what the host still runs at once above its floor, grant or not.
-	running float64
+	// runningAboveFloor is what the host still runs at once above its floor, grant or not.
+	runningAboveFloor float64
 	// grants are those that may be in force at the host: a reply can be lost, so
 	// that a larger one before it holds on.
 	grants []grant
 }
 
 type grant struct {
-	given Amounts
-	until time.Duration
+	amounts   Amounts
+	expiresAt time.Duration
 }
 
 // NewAllocator returns a Divider at one of that many hosts.
 func NewAllocator(now time.Duration, hosts int) *Allocator {
-	return &Allocator{hosts: max(hosts, 1), since: now, shares: make(map[uint64]map[string]*share)}
+	return &Allocator{hosts: max(hosts, 1), ownerSince: now, shares: make(map[uint64]map[string]*hostShare)}
 }
 
 // Allocate returns what the host gets of a workspace above its floor, where running are
 // the requests above the floor that it runs now.
 func (d *Allocator) Allocate(now time.Duration, host string, workspace uint64, l Limits, demand Amounts, running float64) Amounts {
-	if now < d.since+leaseSpan || d.hosts == 1 {
+	if now < d.ownerSince+leaseDuration || d.hosts == 1 {
 		return Amounts{}
 	}
 	hosts := d.shares[workspace]
 	if hosts == nil {
-		hosts = make(map[string]*share)
+		hosts = make(map[string]*hostShare)
 		d.shares[workspace] = hosts
 	}
 	s := hosts[host]
 	if s == nil {
-		s = &share{}
+		s = &hostShare{}
 		hosts[host] = s
 	}
-	s.demand, s.running = demand, running
+	s.demand, s.runningAboveFloor = demand, running
 	for _, o := range hosts {
 		o.expire(now)
 	}
 	given := Amounts{
-		Requests:   one(hosts, s, l.Requests, func(u Amounts) float64 { return u.Requests }),
-		Tokens:     one(hosts, s, l.Tokens, func(u Amounts) float64 { return u.Tokens }),
-		Concurrent: one(hosts, s, float64(l.Concurrent), func(u Amounts) float64 { return u.Concurrent }),
+		Requests:   allocateLimit(hosts, s, l.Requests, func(u Amounts) float64 { return u.Requests }),
+		Tokens:     allocateLimit(hosts, s, l.Tokens, func(u Amounts) float64 { return u.Tokens }),
+		Concurrent: allocateLimit(hosts, s, float64(l.Concurrent), func(u Amounts) float64 { return u.Concurrent }),
 	}
-	s.grants = append(s.grants, grant{given: given, until: now + leaseSpan})
+	s.grants = append(s.grants, grant{amounts: given, expiresAt: now + leaseDuration})
 	return given
 }
 
-// one divides one limit: a host gets its max-min fair part, as far as what the others
+// allocateLimit divides one limit: a host gets its max-min fair part, as far as what the others
 // hold leaves it.
-func one(hosts map[string]*share, s *share, limit float64, of func(Amounts) float64) float64 {
-	left := limit * (1 - floorShare)
+func allocateLimit(hosts map[string]*hostShare, s *hostShare, limit float64, of func(Amounts) float64) float64 {
+	left := limit * (1 - floorFraction)
 	demands := []float64{of(s.demand)}
 	held := 0.0
 	for _, o := range hosts {
@@ -79,29 +79,29 @@
 			continue
 		}
 		demands = append(demands, of(o.demand))
-		held += of(o.holds())
+		held += of(o.reserved())
 	}
-	return max(0, min(of(s.demand), fairLevel(demands, left), left-held))
+	return max(0, min(of(s.demand), maxMinLevel(demands, left), left-held))
 }
 
-// holds is the most that a host may use above its floor.
-func (s *share) holds() Amounts {
-	u := Amounts{Concurrent: s.running}
+// reserved is the most that a host may use above its floor.
+func (s *hostShare) reserved() Amounts {
+	u := Amounts{Concurrent: s.runningAboveFloor}
 	for _, g := range s.grants {
-		u.Requests = max(u.Requests, g.given.Requests)
-		u.Tokens = max(u.Tokens, g.given.Tokens)
-		u.Concurrent = max(u.Concurrent, g.given.Concurrent)
+		u.Requests = max(u.Requests, g.amounts.Requests)
+		u.Tokens = max(u.Tokens, g.amounts.Tokens)
+		u.Concurrent = max(u.Concurrent, g.amounts.Concurrent)
 	}
 	return u
 }
 
-func (s *share) expire(now time.Duration) {
-	s.grants = slices.DeleteFunc(s.grants, func(g grant) bool { return g.until <= now })
+func (s *hostShare) expire(now time.Duration) {
+	s.grants = slices.DeleteFunc(s.grants, func(g grant) bool { return g.expiresAt <= now })
 }
 
-// fairLevel returns the level up to which each demand can be met from what there is:
+// maxMinLevel returns the level up to which each demand can be met from what there is:
 // the max-min fair division.
-func fairLevel(demands []float64, total float64) float64 {
+func maxMinLevel(demands []float64, total float64) float64 {
 	slices.Sort(demands)
 	for i, x := range demands {
 		level := total / float64(len(demands)-i)
--- a/internal/admission/fair.go
+++ b/internal/admission/fair.go
@@ -15,14 +15,14 @@
 // The times belong to workspaces, not to requests: one that is withdrawn costs its
 // workspace nothing.
 type fairQueue struct {
-	// virtual is the start time of the last request that went.
-	virtual float64
-	flows   map[string]*flow
-	heap    flowHeap
-	arrived uint64
-	size    int
-	weights float64
-	turns   turns
+	// virtualTime is the start time of the last request that went.
+	virtualTime float64
+	flows       map[string]*flow
+	heap        flowHeap
+	activations uint64
+	size        int
+	totalWeight float64
+	dequeues    dequeueIntervals
 }
 
 // flow is one workspace of a class.
@@ -31,40 +31,40 @@
 	// start is the virtual time at which the head of queue goes, finish that at
 	// which the last one that went is paid for.
 	start, finish float64
-	// arrival orders flows of the same start.
-	arrival uint64
-	queue   []*Ticket
-	index   int
-	turns   turns
+	// activation orders flows of the same start.
+	activation uint64
+	queue      []*Ticket
+	index      int
+	dequeues   dequeueIntervals
 }
 
-// turns measures how long a backlogged queue waits from one turn to the next.
-type turns struct {
-	last time.Duration
-	gap  mean
+// dequeueIntervals measures how long a backlogged queue waits from one turn to the next.
+type dequeueIntervals struct {
+	last     time.Duration
+	interval movingMean
 }
 
-// begin starts to measure where a backlog begins, taken notes a turn.
-func (u *turns) begin(now time.Duration) { u.last = now }
+// restart starts to measure where a backlog begins, taken notes a turn.
+func (u *dequeueIntervals) restart(now time.Duration) { u.last = now }
 
-func (u *turns) taken(now time.Duration) {
-	u.gap.add(now - u.last)
+func (u *dequeueIntervals) record(now time.Duration) {
+	u.interval.add(now - u.last)
 	u.last = now
 }
 
-// timeFor is how long n turns take, zero where too few were measured.
-func (u *turns) timeFor(n int) time.Duration {
-	if u.gap.samples < minTurns {
+// expectedTime is how long n turns take, zero where too few were measured.
+func (u *dequeueIntervals) expectedTime(n int) time.Duration {
+	if u.interval.samples < minDequeues {
 		return 0
 	}
-	return u.gap.times(n, turnDeviations)
+	return u.interval.sumOf(n, dequeueDeviations)
 }
 
-// minTurns is how many turns have to be measured before they say anything.
-const minTurns = 8
+// minDequeues is how many turns have to be measured before they say anything.
+const minDequeues = 8
 
-// pruneAbove is how many flows without requests are kept for their finish times.
-const pruneAbove = 256
+// pruneThreshold is how many flows without requests are kept for their finish times.
+const pruneThreshold = 256
 
 func (q *fairQueue) add(now time.Duration, t *Ticket) {
 	if q.flows == nil {
@@ -76,29 +76,29 @@
 		q.flows[t.Workspace] = f
 	}
 	if q.size == 0 {
-		q.turns.begin(now)
+		q.dequeues.restart(now)
 	}
 	q.size++
 	f.queue = append(f.queue, t)
 	if len(f.queue) > 1 {
 		return
 	}
-	f.turns.begin(now)
+	f.dequeues.restart(now)
 	f.weight = t.Weight
-	f.start = max(q.virtual, f.finish)
-	q.arrived++
-	f.arrival = q.arrived
-	q.weights += f.weight
+	f.start = max(q.virtualTime, f.finish)
+	q.activations++
+	f.activation = q.activations
+	q.totalWeight += f.weight
 	heap.Push(&q.heap, f)
 }
 
 // next removes the request that goes next. There is at least one.
 func (q *fairQueue) next(now time.Duration) *Ticket {
 	f := q.heap[0]
-	f.turns.taken(now)
-	q.turns.taken(now)
+	f.dequeues.record(now)
+	q.dequeues.record(now)
 	t := f.queue[0]
-	q.virtual = f.start
+	q.virtualTime = f.start
 	f.finish = f.start + t.Cost/f.weight
 	f.start = f.finish
 	f.queue[0] = nil
@@ -108,7 +108,7 @@
 		heap.Fix(&q.heap, 0)
 		return t
 	}
-	q.idle(f)
+	q.deactivate(f)
 	return t
 }
 
@@ -119,31 +119,31 @@
 	f.queue = slices.Delete(f.queue, i, i+1)
 	q.size--
 	if len(f.queue) == 0 {
-		q.idle(f)
+		q.deactivate(f)
 	}
 }
 
-// idle takes a flow without requests out of the order. What it has had is
+// deactivate takes a flow without requests out of the order. What it has had is
 // remembered until the others have had as much.
-func (q *fairQueue) idle(f *flow) {
+func (q *fairQueue) deactivate(f *flow) {
 	heap.Remove(&q.heap, f.index)
-	q.weights -= f.weight
+	q.totalWeight -= f.weight
 	if q.size == 0 {
 		*q = fairQueue{}
 		return
 	}
-	if len(q.flows) <= 2*len(q.heap)+pruneAbove {
+	if len(q.flows) <= 2*len(q.heap)+pruneThreshold {
 		return
 	}
 	for name, g := range q.flows {
-		if len(g.queue) == 0 && g.finish <= q.virtual {
+		if len(g.queue) == 0 && g.finish <= q.virtualTime {
 			delete(q.flows, name)
 		}
 	}
 }
 
-// length is how many requests of a workspace wait.
-func (q *fairQueue) length(workspace string) int {
+// queuedBy is how many requests of a workspace wait.
+func (q *fairQueue) queuedBy(workspace string) int {
 	if f := q.flows[workspace]; f != nil {
 		return len(f.queue)
 	}
@@ -153,22 +153,22 @@
 // relativeWeight is a workspace's weight over the mean of those that wait, itself
 // included.
 func (q *fairQueue) relativeWeight(t *Ticket) float64 {
-	sum, n := q.weights, float64(len(q.heap))
-	if q.length(t.Workspace) == 0 {
+	sum, n := q.totalWeight, float64(len(q.heap))
+	if q.queuedBy(t.Workspace) == 0 {
 		sum += t.Weight
 		n++
 	}
 	return t.Weight * n / sum
 }
 
-// ahead counts the requests that go before t, were it added now.
-func (q *fairQueue) ahead(t *Ticket) int {
-	tag := q.virtual
+// countAhead counts the requests that go before t, were it added now.
+func (q *fairQueue) countAhead(t *Ticket) int {
+	tag := q.virtualTime
 	own := q.flows[t.Workspace]
 	if own != nil {
 		tag = max(tag, own.finish)
 		if len(own.queue) > 0 {
-			tag = own.start + costOf(own.queue)/own.weight
+			tag = own.start + totalCost(own.queue)/own.weight
 		}
 	}
 	n := 0
@@ -177,13 +177,13 @@
 			n += len(f.queue)
 			continue
 		}
-		n += f.before(tag)
+		n += f.countStartingBy(tag)
 	}
 	return n
 }
 
-// before counts the requests that start no later than a virtual time.
-func (f *flow) before(tag float64) int {
+// countStartingBy counts the requests that start no later than a virtual time.
+func (f *flow) countStartingBy(tag float64) int {
 	start := f.start
 	for i, t := range f.queue {
 		if start > tag {
@@ -194,7 +194,7 @@
 	return len(f.queue)
 }
 
-func costOf(tickets []*Ticket) float64 {
+func totalCost(tickets []*Ticket) float64 {
 	sum := 0.0
 	for _, t := range tickets {
 		sum += t.Cost
@@ -202,9 +202,9 @@
 	return sum
 }
 
-// hopeless returns the requests that can't end in time any more, and the earliest
+// findExpired returns the requests that can't end in time any more, and the earliest
 // deadline of the others.
-func (q *fairQueue) hopeless(now, service time.Duration) (late []*Ticket, earliest time.Duration) {
+func (q *fairQueue) findExpired(now, service time.Duration) (late []*Ticket, earliest time.Duration) {
 	earliest = never
 	for _, f := range q.heap {
 		for _, t := range f.queue {
@@ -229,7 +229,7 @@
 	if h[i].start != h[j].start {
 		return h[i].start < h[j].start
 	}
-	return h[i].arrival < h[j].arrival
+	return h[i].activation < h[j].activation
 }
 
 // Swap implements heap.Interface.
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -10,24 +10,24 @@
 const (
 	// Classes is the number of urgencies of RFC 9218; 0 goes first.
 	Classes = 8
-	// classCycle is how many requests of other classes may go before one of a class
+	// maxClassBypasses is how many requests of other classes may go before one of a class
 	// that waits: each class so has one in classCycle of the work at least.
-	classCycle = 50
-	// meanSamples is over how many requests the measured means reach back.
-	meanSamples = 64
+	maxClassBypasses = 50
+	// meanWindow is over how many requests the measured means reach back.
+	meanWindow = 64
 	// admitDeviations is how many mean deviations above its mean a service time counts
 	// where a request asks to wait, hopelessDeviations where it waits already: what was
 	// let wait is refused only where it got clearly worse. turnDeviations is the same
 	// for the turns ahead of a request that asks to wait.
-	admitDeviations    = 2
-	hopelessDeviations = 1
-	turnDeviations     = 1
-	// driftPart is the part of an expected wait, as its inverse, by which the mix of
+	admitDeviations   = 2
+	expiryDeviations  = 1
+	dequeueDeviations = 1
+	// waitMarginDivisor is the part of an expected wait, as its inverse, by which the mix of
 	// requests may change it meanwhile.
-	driftPart = 2
-	// unknownRetryAfter is when to ask again where no upstream is known, or no service
+	waitMarginDivisor = 2
+	// defaultRetryAfter is when to ask again where no upstream is known, or no service
 	// time yet: an agent announces once a second.
-	unknownRetryAfter = time.Second
+	defaultRetryAfter = time.Second
 	// maxRetryAfter bounds how long a caller is told to stay away.
 	maxRetryAfter = 30 * time.Second
 
@@ -40,7 +40,7 @@
 const (
 	stateNew state = iota
 	stateWaiting
-	stateGranted
+	stateRunning
 	stateRefused
 	stateEnded
 )
@@ -59,11 +59,11 @@
 	// Jitter is uniform in [0, 1); it spreads the returns of callers who are refused.
 	Jitter float64
 
-	state state
-	began time.Duration
-	err   *verdict.Error
-	// wake belongs to the Controller.
-	wake chan struct{}
+	state     state
+	startedAt time.Duration
+	err       *verdict.Error
+	// decided belongs to the Controller.
+	decided chan struct{}
 }
 
 // Pool decides who may use this host's share of a pool's capacity. It is pure: time
@@ -77,16 +77,16 @@
 	queued   int
 	classes  [Classes]class
 	// service is over all classes.
-	service mean
+	service movingMean
 	// earliest is no later than any deadline of those that wait.
 	earliest time.Duration
 }
 
 type class struct {
 	fairQueue
-	service mean
-	// passed counts the requests of other classes that went while some waited here.
-	passed int
+	service movingMean
+	// bypasses counts the requests of other classes that went while some waited here.
+	bypasses int
 }
 
 // NewPool returns a Pool without capacity in which up to limit requests may wait.
@@ -113,16 +113,16 @@
 func (p *Pool) Submit(now time.Duration, t *Ticket) []*Ticket {
 	settled := p.Expire(now)
 	if p.capacity == 0 {
-		return append(settled, p.refuse(t, verdict.CodeNoUpstream, "no upstream is ready", unknownRetryAfter))
+		return append(settled, p.refuse(t, verdict.CodeNoUpstream, "no upstream is ready", defaultRetryAfter))
 	}
 	if p.queued == 0 && p.running < p.capacity {
-		return append(settled, p.grant(now, t))
+		return append(settled, p.start(now, t))
 	}
-	wait := p.wait(t)
-	if !p.hasRoom(t) {
+	wait := p.expectedWait(t)
+	if !p.mayQueue(t) {
 		return append(settled, p.refuse(t, verdict.CodeOverloaded, "queue is full", wait))
 	}
-	late := now + wait + wait/driftPart + p.serviceTime(t.Class, admitDeviations) - t.Deadline
+	late := now + wait + wait/waitMarginDivisor + p.serviceTime(t.Class, admitDeviations) - t.Deadline
 	if late >= 0 {
 		return append(settled, p.refuse(t, verdict.CodeOverloaded, "expected wait is past the deadline", late))
 	}
@@ -133,29 +133,29 @@
 	return settled
 }
 
-// hasRoom tells whether t may wait. A workspace may hold no more of the queue than
+// mayQueue tells whether t may wait. A workspace may hold no more of the queue than
 // is still free, times its weight over the mean: so those who send most can't shut
 // others out, and no one who waits has to be sent away for another.
-func (p *Pool) hasRoom(t *Ticket) bool {
+func (p *Pool) mayQueue(t *Ticket) bool {
 	free := p.limit - p.queued
 	if free <= 0 {
 		return false
 	}
 	c := &p.classes[t.Class]
-	own := c.length(t.Workspace)
+	own := c.queuedBy(t.Workspace)
 	return own == 0 || float64(own) < float64(free)*c.relativeWeight(t)
 }
 
 // Release ends a request that was granted. It returns the waiting ones that are
 // settled by that.
 func (p *Pool) Release(now time.Duration, t *Ticket) []*Ticket {
-	if t.state != stateGranted {
+	if t.state != stateRunning {
 		return nil
 	}
 	t.state = stateEnded
 	p.running--
-	p.service.add(now - t.began)
-	p.classes[t.Class].service.add(now - t.began)
+	p.service.add(now - t.startedAt)
+	p.classes[t.Class].service.add(now - t.startedAt)
 	return p.dispatch(now)
 }
 
@@ -176,11 +176,11 @@
 	p.earliest = never
 	var out []*Ticket
 	for i := range p.classes {
-		late, earliest := p.classes[i].hopeless(now, p.serviceTime(uint8(i), hopelessDeviations))
+		late, earliest := p.classes[i].findExpired(now, p.serviceTime(uint8(i), expiryDeviations))
 		p.earliest = min(p.earliest, earliest)
 		for _, t := range late {
 			p.remove(t)
-			out = append(out, p.refuse(t, verdict.CodeOverloaded, "deadline is too close", p.drain()))
+			out = append(out, p.refuse(t, verdict.CodeOverloaded, "deadline is too close", p.drainTime()))
 		}
 	}
 	return out
@@ -188,7 +188,7 @@
 
 // ExpiresAt is when Expire refuses t if it still waits.
 func (p *Pool) ExpiresAt(t *Ticket) time.Duration {
-	return t.Deadline - p.serviceTime(t.Class, hopelessDeviations)
+	return t.Deadline - p.serviceTime(t.Class, expiryDeviations)
 }
 
 func (p *Pool) remove(t *Ticket) {
@@ -196,26 +196,26 @@
 	c.remove(t)
 	p.queued--
 	if c.size == 0 {
-		c.passed = 0
+		c.bypasses = 0
 	}
 }
 
 func (p *Pool) dispatch(now time.Duration) []*Ticket {
 	out := p.Expire(now)
 	for p.queued > 0 && p.running < p.capacity {
-		c := p.pickClass()
+		c := p.nextClass()
 		t := c.next(now)
 		p.queued--
 		if c.size == 0 {
-			c.passed = 0
+			c.bypasses = 0
 		}
-		out = append(out, p.grant(now, t))
+		out = append(out, p.start(now, t))
 	}
 	return out
 }
 
-// pickClass takes the most urgent class, or one that was passed over too often.
-func (p *Pool) pickClass() *class {
+// nextClass takes the most urgent class, or one that was passed over too often.
+func (p *Pool) nextClass() *class {
 	var first, starved *class
 	for i := range p.classes {
 		c := &p.classes[i]
@@ -225,7 +225,7 @@
 		if first == nil {
 			first = c
 		}
-		if c.passed >= classCycle && (starved == nil || c.passed > starved.passed) {
+		if c.bypasses >= maxClassBypasses && (starved == nil || c.bypasses > starved.bypasses) {
 			starved = c
 		}
 	}
@@ -234,56 +234,56 @@
 	}
 	for i := range p.classes {
 		if c := &p.classes[i]; c.size > 0 {
-			c.passed++
+			c.bypasses++
 		}
 	}
-	first.passed = 0
+	first.bypasses = 0
 	return first
 }
 
-func (p *Pool) grant(now time.Duration, t *Ticket) *Ticket {
+func (p *Pool) start(now time.Duration, t *Ticket) *Ticket {
 	p.running++
-	t.state = stateGranted
-	t.began = now
+	t.state = stateRunning
+	t.startedAt = now
 	return t
 }
 
 // refuse settles t as not run. after is no less than the time of one request.
 func (p *Pool) refuse(t *Ticket, code verdict.Code, text string, after time.Duration) *Ticket {
-	after = max(after, p.timeFor(1))
+	after = max(after, p.expectedTime(1))
 	if after <= 0 {
-		after = unknownRetryAfter
+		after = defaultRetryAfter
 	}
 	t.state = stateRefused
-	t.err = verdict.New(verdict.NotRun, code, text).After(spread(after, t.Jitter))
+	t.err = verdict.New(verdict.NotRun, code, text).After(addJitter(after, t.Jitter))
 	return t
 }
 
-// wait is how long t would wait: the work ahead of it over the measured rate. Others
+// expectedWait is how long t would wait: the work ahead of it over the measured rate. Others
 // will come and go first, as they did lately: so it is no less than what the class and
 // the workspace, where they are backlogged, have needed for each of their requests.
-func (p *Pool) wait(t *Ticket) time.Duration {
+func (p *Pool) expectedWait(t *Ticket) time.Duration {
 	c := &p.classes[t.Class]
-	inClass := c.ahead(t)
+	inClass := c.countAhead(t)
 	ahead := inClass
 	for i := range t.Class {
 		ahead += p.classes[i].size
 	}
-	ahead = min(ahead, (inClass+1)*classCycle)
-	wait := max(p.timeFor(ahead+1), c.turns.timeFor(inClass+1))
+	ahead = min(ahead, (inClass+1)*maxClassBypasses)
+	wait := max(p.expectedTime(ahead+1), c.dequeues.expectedTime(inClass+1))
 	if f := c.flows[t.Workspace]; f != nil && len(f.queue) > 0 {
-		wait = max(wait, f.turns.timeFor(len(f.queue)+1))
+		wait = max(wait, f.dequeues.expectedTime(len(f.queue)+1))
 	}
 	return wait
 }
 
-// drain is how long what waits now takes.
-func (p *Pool) drain() time.Duration {
-	return min(p.timeFor(p.queued+1), maxRetryAfter)
+// drainTime is how long what waits now takes.
+func (p *Pool) drainTime() time.Duration {
+	return min(p.expectedTime(p.queued+1), maxRetryAfter)
 }
 
-// timeFor is how long it takes until n more requests have ended.
-func (p *Pool) timeFor(n int) time.Duration {
+// expectedTime is how long it takes until n more requests have ended.
+func (p *Pool) expectedTime(n int) time.Duration {
 	return time.Duration(float64(n) * float64(p.service.value) / float64(max(p.capacity, 1)))
 }
 
@@ -291,34 +291,34 @@
 // all classes where the class has had none yet.
 func (p *Pool) serviceTime(class uint8, deviations float64) time.Duration {
 	if m := p.classes[class].service; m.samples > 0 {
-		return m.times(1, deviations)
+		return m.sumOf(1, deviations)
 	}
-	return p.service.times(1, deviations)
+	return p.service.sumOf(1, deviations)
 }
 
 func (p *Pool) longestService() time.Duration {
-	longest := p.service.times(1, hopelessDeviations)
+	longest := p.service.sumOf(1, expiryDeviations)
 	for i := range p.classes {
-		longest = max(longest, p.classes[i].service.times(1, hopelessDeviations))
+		longest = max(longest, p.classes[i].service.sumOf(1, expiryDeviations))
 	}
 	return longest
 }
 
-// spread draws a time between d and twice d, so that callers who were refused
+// addJitter draws a time between d and twice d, so that callers who were refused
 // together do not come back together.
-func spread(d time.Duration, draw float64) time.Duration {
+func addJitter(d time.Duration, draw float64) time.Duration {
 	return min(d+time.Duration(draw*float64(d)), maxRetryAfter)
 }
 
-// mean is an exponentially weighted mean over about meanSamples samples, with the
+// movingMean is an exponentially weighted mean over about meanSamples samples, with the
 // mean deviation from it.
-type mean struct {
+type movingMean struct {
 	value, deviation time.Duration
 	samples          int
 }
 
-func (m *mean) add(d time.Duration) {
-	m.samples = min(m.samples+1, meanSamples)
+func (m *movingMean) add(d time.Duration) {
+	m.samples = min(m.samples+1, meanWindow)
 	m.deviation += ((d - m.value).Abs() - m.deviation) / time.Duration(m.samples)
 	if m.samples == 1 {
 		m.deviation = 0
@@ -326,7 +326,7 @@
 	m.value += (d - m.value) / time.Duration(m.samples)
 }
 
-// times is the sum of n samples, with some deviations of that sum more.
-func (m *mean) times(n int, deviations float64) time.Duration {
+// sumOf is the sum of n samples, with some deviations of that sum more.
+func (m *movingMean) sumOf(n int, deviations float64) time.Duration {
 	return time.Duration(n)*m.value + time.Duration(deviations*math.Sqrt(float64(n))*float64(m.deviation))
 }
--- a/internal/admission/pool_test.go
+++ b/internal/admission/pool_test.go
@@ -11,8 +11,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// driver plays the caller of a Pool and checks its invariants after each call.
-type driver struct {
+// poolHarness plays the caller of a Pool and checks its invariants after each call.
+type poolHarness struct {
 	t       require.TestingT
 	pool    *Pool
 	now     time.Duration
@@ -21,17 +21,17 @@
 	refused []*Ticket
 }
 
-func newDriver(t require.TestingT, limit, capacity int) *driver {
-	d := &driver{t: t, pool: NewPool(limit)}
-	d.take(d.pool.SetCapacity(0, capacity))
+func newPoolHarness(t require.TestingT, limit, capacity int) *poolHarness {
+	d := &poolHarness{t: t, pool: NewPool(limit)}
+	d.collect(d.pool.SetCapacity(0, capacity))
 	return d
 }
 
-// take sorts the settled tickets and checks what must always hold.
-func (d *driver) take(settled []*Ticket) {
+// collect sorts the settled tickets and checks what must always hold.
+func (d *poolHarness) collect(settled []*Ticket) {
 	for _, t := range settled {
 		switch t.state {
-		case stateGranted:
+		case stateRunning:
 			d.running = append(d.running, t)
 		case stateRefused:
 			require.Equal(d.t, verdict.NotRun, t.err.Verdict)
@@ -48,10 +48,10 @@
 		}
 	}
 	d.waiting = kept
-	d.check()
+	d.checkInvariants()
 }
 
-func (d *driver) check() {
+func (d *poolHarness) checkInvariants() {
 	require.Equal(d.t, len(d.running), d.pool.Running())
 	require.Equal(d.t, len(d.waiting), d.pool.Queued())
 	require.LessOrEqual(d.t, d.pool.Queued(), d.pool.limit, "queue bound")
@@ -63,23 +63,23 @@
 	}
 }
 
-func (d *driver) add(t *Ticket) {
+func (d *poolHarness) submit(t *Ticket) {
 	settled := d.pool.Submit(d.now, t)
 	if t.state == stateWaiting {
 		d.waiting = append(d.waiting, t)
 	}
-	d.take(settled)
+	d.collect(settled)
 }
 
-func (d *driver) release(i int) {
+func (d *poolHarness) release(i int) {
 	t := d.running[i]
 	d.running = append(d.running[:i:i], d.running[i+1:]...)
-	d.take(d.pool.Release(d.now, t))
+	d.collect(d.pool.Release(d.now, t))
 }
 
 // advance lets time pass; as the Controller's timers do, it wakes the pool when
 // the next request becomes hopeless.
-func (d *driver) advance(span time.Duration) {
+func (d *poolHarness) advance(span time.Duration) {
 	end := d.now + span
 	for {
 		next := end
@@ -87,20 +87,20 @@
 			next = min(next, d.pool.ExpiresAt(t))
 		}
 		d.now = max(d.now, next)
-		d.take(d.pool.Expire(d.now))
+		d.collect(d.pool.Expire(d.now))
 		if next >= end {
 			return
 		}
 	}
 }
 
-func (d *driver) ticket(workspace string, weight float64, class uint8, cost float64, span time.Duration) *Ticket {
+func (d *poolHarness) ticket(workspace string, weight float64, class uint8, cost float64, span time.Duration) *Ticket {
 	return &Ticket{Workspace: workspace, Weight: weight, Class: class, Cost: cost, Deadline: d.now + span}
 }
 
-func TestPoolKeepsItsInvariantsUnderAnyCalls(t *testing.T) {
+func TestPoolInvariantsHoldForAnyCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDriver(t, rapid.IntRange(0, 12).Draw(t, "limit"), rapid.IntRange(0, 4).Draw(t, "capacity"))
+		d := newPoolHarness(t, rapid.IntRange(0, 12).Draw(t, "limit"), rapid.IntRange(0, 4).Draw(t, "capacity"))
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
 				before := d.pool.Queued()
@@ -110,7 +110,7 @@
 					uint8(rapid.IntRange(0, Classes-1).Draw(t, "class")),
 					rapid.SampledFrom([]float64{1, 10, 1000}).Draw(t, "cost"),
 					time.Duration(rapid.IntRange(1, 3000).Draw(t, "deadline"))*time.Millisecond)
-				d.add(k)
+				d.submit(k)
 				if d.pool.Capacity() > 0 && before == 0 && k.state == stateRefused {
 					require.GreaterOrEqual(t, d.pool.Running(), d.pool.Capacity(), "refused beside a free slot")
 				}
@@ -123,14 +123,14 @@
 			"withdraw": func(t *rapid.T) {
 				if len(d.waiting) > 0 {
 					d.pool.Withdraw(d.waiting[rapid.IntRange(0, len(d.waiting)-1).Draw(t, "which")])
-					d.take(nil)
+					d.collect(nil)
 				}
 			},
 			"advance": func(t *rapid.T) {
 				d.advance(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			},
 			"capacity": func(t *rapid.T) {
-				d.take(d.pool.SetCapacity(d.now, rapid.IntRange(0, 5).Draw(t, "capacity")))
+				d.collect(d.pool.SetCapacity(d.now, rapid.IntRange(0, 5).Draw(t, "capacity")))
 			},
 		})
 	})
@@ -144,20 +144,20 @@
 		n := rapid.IntRange(2, 5).Draw(t, "workspaces")
 		weights := rapid.SliceOfN(rapid.Float64Range(0.1, 20), n, n).Draw(t, "weights")
 		cost := rapid.Float64Range(1, maxCost)
-		d := newDriver(t, 100_000, 1)
-		d.add(d.ticket("first", 1, 3, 1, time.Hour))
+		d := newPoolHarness(t, 100_000, 1)
+		d.submit(d.ticket("first", 1, 3, 1, time.Hour))
 		served := make([]float64, n)
 		fill := func() {
 			for i := range n {
 				own := fmt.Sprint(i)
-				for d.pool.classes[3].length(own) < 2 {
+				for d.pool.classes[3].queuedBy(own) < 2 {
 					for range rapid.IntRange(1, 6).Draw(t, "burst") {
-						d.add(d.ticket(own, weights[i], 3, cost.Draw(t, "cost"), time.Hour))
+						d.submit(d.ticket(own, weights[i], 3, cost.Draw(t, "cost"), time.Hour))
 					}
 				}
 			}
 			if rapid.Bool().Draw(t, "guest") {
-				d.add(d.ticket("guest", 1, 3, cost.Draw(t, "cost"), time.Hour))
+				d.submit(d.ticket("guest", 1, 3, cost.Draw(t, "cost"), time.Hour))
 			}
 		}
 		for range rapid.IntRange(20, 80).Draw(t, "rounds") {
@@ -178,12 +178,12 @@
 	})
 }
 
-// TestLatecomerNeitherPaysNorGains lets a workspace come after another one had all.
-func TestLatecomerNeitherPaysNorGains(t *testing.T) {
-	d := newDriver(t, 100_000, 1)
+// TestWorkspaceThatWasIdleGetsItsFairShareOnly lets a workspace come after another one had all.
+func TestWorkspaceThatWasIdleGetsItsFairShareOnly(t *testing.T) {
+	d := newPoolHarness(t, 100_000, 1)
 	backlog := func(name string) {
 		for range 300 {
-			d.add(d.ticket(name, 1, 3, 1, time.Hour))
+			d.submit(d.ticket(name, 1, 3, 1, time.Hour))
 		}
 	}
 	backlog("early")
@@ -203,8 +203,8 @@
 // urgent ones, and the more urgent ones all the rest.
 func TestNoClassStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDriver(t, 100_000, 1)
-		d.add(d.ticket("first", 1, 0, 1, time.Hour))
+		d := newPoolHarness(t, 100_000, 1)
+		d.submit(d.ticket("first", 1, 0, 1, time.Hour))
 		classes := rapid.SliceOfNDistinct(rapid.Uint8Range(0, Classes-1), 2, Classes, rapid.ID[uint8]).Draw(t, "classes")
 		since := make(map[uint8]int)
 		urgent := 0
@@ -212,24 +212,24 @@
 		for range rounds {
 			for _, c := range classes {
 				for d.pool.classes[c].size == 0 {
-					d.add(d.ticket("w", 1, c, 1, time.Hour))
+					d.submit(d.ticket("w", 1, c, 1, time.Hour))
 				}
 			}
 			d.release(0)
 			for _, c := range classes {
 				since[c]++
-				require.LessOrEqual(t, since[c], classCycle+Classes, "class %d starves", c)
+				require.LessOrEqual(t, since[c], maxClassBypasses+Classes, "class %d starves", c)
 			}
 			since[d.running[0].Class] = 0
-			if d.running[0].Class == minOf(classes) {
+			if d.running[0].Class == minClass(classes) {
 				urgent++
 			}
 		}
-		require.GreaterOrEqual(t, urgent, rounds-rounds*(len(classes)-1)/classCycle-1, "the most urgent class has the rest")
+		require.GreaterOrEqual(t, urgent, rounds-rounds*(len(classes)-1)/maxClassBypasses-1, "the most urgent class has the rest")
 	})
 }
 
-func minOf(list []uint8) uint8 {
+func minClass(list []uint8) uint8 {
 	least := list[0]
 	for _, x := range list {
 		least = min(least, x)
@@ -237,28 +237,28 @@
 	return least
 }
 
-// TestWhoeverMayWaitEndsInTime runs a pool with equal service times, in which the
+// TestQueuedRequestsFinishByTheirDeadlines runs a pool with equal service times, in which the
 // slots come free one after another. All who were let
 // in end before their deadlines; and where no one can overtake them, none of those
 // who may wait is refused afterwards: who can't end in time is told so at once.
-func TestWhoeverMayWaitEndsInTime(t *testing.T) {
+func TestQueuedRequestsFinishByTheirDeadlines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const service = 100 * time.Millisecond
 		capacity := rapid.IntRange(1, 4).Draw(t, "capacity")
 		workspaces := rapid.SampledFrom([]int{1, 3}).Draw(t, "workspaces")
-		d := newDriver(t, 1000, capacity)
+		d := newPoolHarness(t, 1000, capacity)
 		gap := service / time.Duration(capacity)
 		for range capacity {
 			d.now += gap
-			d.add(d.ticket("first", 1, 3, 1, time.Hour))
+			d.submit(d.ticket("first", 1, 3, 1, time.Hour))
 		}
 		for range capacity {
 			d.now += gap
 			d.release(0)
-			d.add(d.ticket("first", 1, 3, 1, time.Hour))
+			d.submit(d.ticket("first", 1, 3, 1, time.Hour))
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "arrivals") {
-			d.add(d.ticket(fmt.Sprint(rapid.IntRange(1, workspaces).Draw(t, "workspace")), 1, 3, 1,
+			d.submit(d.ticket(fmt.Sprint(rapid.IntRange(1, workspaces).Draw(t, "workspace")), 1, 3, 1,
 				time.Duration(rapid.IntRange(1, 3000).Draw(t, "deadline"))*time.Millisecond))
 		}
 		refusedAtOnce := len(d.refused)
@@ -273,33 +273,33 @@
 	})
 }
 
-func TestGreedyWorkspaceLeavesRoomInTheQueue(t *testing.T) {
-	d := newDriver(t, 100, 1)
-	d.add(d.ticket("first", 1, 3, 1, time.Hour))
+func TestOneWorkspaceCannotFillTheQueue(t *testing.T) {
+	d := newPoolHarness(t, 100, 1)
+	d.submit(d.ticket("first", 1, 3, 1, time.Hour))
 	for range 1000 {
-		d.add(d.ticket("greedy", 1, 3, 1, time.Hour))
+		d.submit(d.ticket("greedy", 1, 3, 1, time.Hour))
 	}
 	require.Less(t, d.pool.Queued(), 60)
 	for i := range 20 {
 		k := d.ticket(fmt.Sprint("small", i), 1, 3, 1, time.Hour)
-		d.add(k)
+		d.submit(k)
 		require.Equal(t, stateWaiting, k.state, "a small workspace finds the queue full")
 	}
 }
 
-func TestRetryAfterFollowsTheWorkAheadAndSpreads(t *testing.T) {
+func TestRetryAfterGrowsWithTheQueueAndHasJitter(t *testing.T) {
 	at := func(queued int, draw float64) time.Duration {
-		d := newDriver(t, queued, 1)
-		d.add(d.ticket("first", 1, 3, 1, time.Hour))
+		d := newPoolHarness(t, queued, 1)
+		d.submit(d.ticket("first", 1, 3, 1, time.Hour))
 		d.now = 100 * time.Millisecond
 		d.release(0)
-		d.add(d.ticket("first", 1, 3, 1, time.Hour))
+		d.submit(d.ticket("first", 1, 3, 1, time.Hour))
 		for i := range queued {
-			d.add(d.ticket(fmt.Sprint(i), 1, 3, 1, time.Hour))
+			d.submit(d.ticket(fmt.Sprint(i), 1, 3, 1, time.Hour))
 		}
 		k := d.ticket("last", 1, 3, 1, time.Hour)
 		k.Jitter = draw
-		d.add(k)
+		d.submit(k)
 		require.Equal(t, stateRefused, k.state)
 		return k.err.RetryAfter
 	}
--- a/internal/admission/quota_test.go
+++ b/internal/admission/quota_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestHostsKeepTheLimitTogether runs the quotas of some hosts against one owner by any
+// TestHostsTogetherStayWithinTheLimit runs the quotas of some hosts against one owner by any
 // demand, with replies that are lost or late. Over the whole span the hosts together
 // stay within the limit, one burst and one request a host.
-func TestHostsKeepTheLimitTogether(t *testing.T) {
+func TestHostsTogetherStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "hosts")
 		l := Limits{
@@ -22,7 +22,7 @@
 		}
 		const step, span = 100 * time.Millisecond, 15 * time.Second
 		const maxCost = 200.0
-		divider := NewAllocator(-leaseSpan, n)
+		divider := NewAllocator(-leaseDuration, n)
 		quotas := make([]*Quota, n)
 		for i := range quotas {
 			quotas[i] = NewQuota(0, l, n)
@@ -53,7 +53,7 @@
 					running++
 					ends[i] = append(ends[i], now+500*time.Millisecond)
 				}
-				if now%reportEvery == 0 {
+				if now%demandInterval == 0 {
 					if u, ok := q.Demand(now); ok {
 						r := late{host: i, asked: now, given: divider.Allocate(now, fmt.Sprint(i), 1, l, u, q.RunningAboveFloor())}
 						r.comes = now + time.Duration(rapid.SampledFrom([]int{0, 1, 25, 100}).Draw(t, "delay"))*step
@@ -69,21 +69,21 @@
 			}
 			require.LessOrEqual(t, running, l.Concurrent+n, "concurrency over all hosts")
 			seconds := now.Seconds()
-			require.LessOrEqual(t, requests, l.Requests*(seconds+burstSpan.Seconds())+float64(n), "requests over all hosts")
-			require.LessOrEqual(t, tokens, l.Tokens*(seconds+burstSpan.Seconds())+maxCost*float64(n), "tokens over all hosts")
+			require.LessOrEqual(t, requests, l.Requests*(seconds+burstWindow.Seconds())+float64(n), "requests over all hosts")
+			require.LessOrEqual(t, tokens, l.Tokens*(seconds+burstWindow.Seconds())+maxCost*float64(n), "tokens over all hosts")
 		}
 	})
 }
 
-// TestOneHostGetsWhatTheOthersLeave shows that an uneven demand is met nearly in full.
-func TestOneHostGetsWhatTheOthersLeave(t *testing.T) {
+// TestBusyHostGetsWhatIdleHostsLeaveOfALimit shows that an uneven demand is met nearly in full.
+func TestBusyHostGetsWhatIdleHostsLeaveOfALimit(t *testing.T) {
 	const hosts = 8
 	l := Limits{Requests: 80}
-	divider := NewAllocator(-leaseSpan, hosts)
+	divider := NewAllocator(-leaseDuration, hosts)
 	q := NewQuota(0, l, hosts)
 	passed := 0
 	for now := time.Duration(0); now < 20*time.Second; now += 5 * time.Millisecond {
-		if now%reportEvery == 0 {
+		if now%demandInterval == 0 {
 			if u, ok := q.Demand(now); ok {
 				q.Grant(now, divider.Allocate(now, "one", 1, l, u, 0))
 			}
@@ -95,14 +95,14 @@
 			_ = q.Take(now, 1, 0, 0)
 		}
 	}
-	require.InDelta(t, 80*(1-floorShare+floorShare/hosts), float64(passed)/10, 3)
+	require.InDelta(t, 80*(1-floorFraction+floorFraction/hosts), float64(passed)/10, 3)
 }
 
-func TestDividerIsFairAmongHosts(t *testing.T) {
+func TestAllocatorIsMaxMinFair(t *testing.T) {
 	l := Limits{Requests: 80}
-	divider := NewAllocator(-leaseSpan, 4)
+	divider := NewAllocator(-leaseDuration, 4)
 	var got [3]Amounts
-	for now := time.Duration(0); now < 10*time.Second; now += reportEvery {
+	for now := time.Duration(0); now < 10*time.Second; now += demandInterval {
 		for i, want := range []float64{5, 100, 100} {
 			got[i] = divider.Allocate(now, fmt.Sprint(i), 1, l, Amounts{Requests: want}, 0)
 		}
@@ -114,13 +114,13 @@
 	require.Empty(t, divider.shares)
 }
 
-func TestNewOwnerWaitsForTheFormerOnesGrantsToEnd(t *testing.T) {
+func TestNewOwnerGrantsNothingUntilOldGrantsExpire(t *testing.T) {
 	divider := NewAllocator(0, 4)
-	require.Zero(t, divider.Allocate(leaseSpan-1, "a", 1, Limits{Requests: 10}, Amounts{Requests: 5}, 0))
-	require.NotZero(t, divider.Allocate(leaseSpan, "a", 1, Limits{Requests: 10}, Amounts{Requests: 5}, 0))
+	require.Zero(t, divider.Allocate(leaseDuration-1, "a", 1, Limits{Requests: 10}, Amounts{Requests: 5}, 0))
+	require.NotZero(t, divider.Allocate(leaseDuration, "a", 1, Limits{Requests: 10}, Amounts{Requests: 5}, 0))
 }
 
-func TestRefusedCallerIsToldWhenTheLimitAllows(t *testing.T) {
+func TestRetryAfterIsWhenTheLimitAllowsTheRequest(t *testing.T) {
 	q := NewQuota(0, Limits{Requests: 2}, 1)
 	require.Nil(t, q.Take(0, 1, 0, 0))
 	require.Nil(t, q.Take(0, 1, 0, 0))
@@ -130,8 +130,8 @@
 	require.Nil(t, q.Take(500*time.Millisecond, 1, 0, 0))
 }
 
-// TestHostsThatSeeTheSameReportTakeNoMoreThanWasFree is about Part.
-func TestHostsThatSeeTheSameReportTakeNoMoreThanWasFree(t *testing.T) {
+// TestHostsWithTheSameReportBorrowNoMoreThanIsFree is about Part.
+func TestHostsWithTheSameReportBorrowNoMoreThanIsFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(t, "hosts")
 		capacity := rapid.IntRange(0, 500).Draw(t, "capacity")
@@ -146,12 +146,12 @@
 			for _, r := range running {
 				bound = max(bound, r)
 			}
-			now := time.Duration(round) * borrowEvery
+			now := time.Duration(round) * borrowInterval
 			sum := 0
 			for i := range parts {
 				c := parts[i].Update(now, Usage{Capacity: capacity, InUse: used}, running[i], n)
 				require.LessOrEqual(t, c, capacity)
-				require.Equal(t, c, parts[i].Update(now+borrowEvery/2, Usage{Capacity: capacity, InUse: used}, running[i]+1, n), "one report is used twice")
+				require.Equal(t, c, parts[i].Update(now+borrowInterval/2, Usage{Capacity: capacity, InUse: used}, running[i]+1, n), "one report is used twice")
 				equal := (capacity + n - 1) / n
 				require.GreaterOrEqual(t, c, min(equal, capacity), "equal part")
 				sum += max(0, c-max(equal, running[i]))
@@ -162,38 +162,38 @@
 	})
 }
 
-func TestLoneBusyHostGetsNearlyAll(t *testing.T) {
+func TestOnlyBusyHostBorrowsNearlyAllCapacity(t *testing.T) {
 	var p CapacityShare
 	running := 0
 	for round := range 40 {
-		running = p.Update(time.Duration(round)*borrowEvery, Usage{Capacity: 400, InUse: running}, running, 4)
+		running = p.Update(time.Duration(round)*borrowInterval, Usage{Capacity: 400, InUse: running}, running, 4)
 	}
 	require.GreaterOrEqual(t, running, 396)
 	require.Equal(t, 100, p.Update(time.Hour, Usage{Capacity: 400, InUse: 800}, 40, 4), "others took their part back")
 }
 
-func TestOwnerCountsAGrantUntilItsLeaseEnds(t *testing.T) {
+func TestOwnerCountsAGrantUntilItExpires(t *testing.T) {
 	l := Limits{Requests: 80}
-	divider := NewAllocator(-leaseSpan, 2)
+	divider := NewAllocator(-leaseDuration, 2)
 	require.InDelta(t, 70, divider.Allocate(0, "a", 1, l, Amounts{Requests: 80}, 0).Requests, 1e-9)
 	require.InDelta(t, 10, divider.Allocate(time.Second, "a", 1, l, Amounts{Requests: 10}, 0).Requests, 1e-9)
 	require.Zero(t, divider.Allocate(time.Second, "b", 1, l, Amounts{Requests: 80}, 0), "the answer to a may be lost")
-	require.InDelta(t, 60, divider.Allocate(leaseSpan, "b", 1, l, Amounts{Requests: 80}, 0).Requests, 1e-9)
+	require.InDelta(t, 60, divider.Allocate(leaseDuration, "b", 1, l, Amounts{Requests: 80}, 0).Requests, 1e-9)
 }
 
-func TestGrantEndsWithItsLease(t *testing.T) {
+func TestGrantExpires(t *testing.T) {
 	q := NewQuota(0, Limits{Requests: 80}, 8)
-	floor := q.part(0)
+	floor := q.allowance(0)
 	q.Grant(time.Second, Amounts{Requests: 50})
-	require.InDelta(t, floor.Requests+50, q.part(2*time.Second).Requests, 1e-9)
+	require.InDelta(t, floor.Requests+50, q.allowance(2*time.Second).Requests, 1e-9)
 	q.Grant(0, Amounts{Requests: 70})
-	require.InDelta(t, floor.Requests+50, q.part(2*time.Second).Requests, 1e-9, "an older grant came late")
-	require.Equal(t, floor, q.part(time.Second+leaseSpan))
+	require.InDelta(t, floor.Requests+50, q.allowance(2*time.Second).Requests, 1e-9, "an older grant came late")
+	require.Equal(t, floor, q.allowance(time.Second+leaseDuration))
 }
 
-// TestHostsGiveBackWhatOldReportsMadeThemTake lets all hosts become busy at once while
+// TestHostsReturnCapacityBorrowedOnStaleReports lets all hosts become busy at once while
 // the reports still show an idle pool.
-func TestHostsGiveBackWhatOldReportsMadeThemTake(t *testing.T) {
+func TestHostsReturnCapacityBorrowedOnStaleReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "hosts")
 		capacity := n * rapid.IntRange(1, 60).Draw(t, "a host")
@@ -208,7 +208,7 @@
 			}
 			sum = 0
 			for i := range parts {
-				running[i] = parts[i].Update(time.Duration(round)*borrowEvery, Usage{Capacity: capacity, InUse: used}, running[i], n)
+				running[i] = parts[i].Update(time.Duration(round)*borrowInterval, Usage{Capacity: capacity, InUse: used}, running[i], n)
 				sum += running[i]
 			}
 			if late <= 2 {
--- a/internal/engineload/engineload_test.go
+++ b/internal/engineload/engineload_test.go
@@ -11,7 +11,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-func load(n, running int) wire.EngineLoad {
+func newLoad(n, running int) wire.EngineLoad {
 	return wire.EngineLoad{
 		Address: fmt.Sprintf("10.0.0.%d:80", n), IsOpen: true, Group: "g", Epoch: 3, Rank: uint32(n), Born: int64(n), Running: running, Pace: 1,
 	}
@@ -19,11 +19,11 @@
 
 // What one host sends for the loads of a fleet is the number of receivers times this, ten
 // times a second: whole records of 129 engines are 8 KB.
-func TestLoadsOfManyEnginesAreSmall(t *testing.T) {
+func TestRepeatedLoadsAreEncodedCompactly(t *testing.T) {
 	var table Table
 	for round := range 3 {
 		for n := range 129 {
-			table.Update(load(n, round), "h", 0)
+			table.Update(newLoad(n, round), "h", 0)
 		}
 		m := table.Flush(0)
 		if round == 0 {
@@ -39,7 +39,7 @@
 
 // Whatever is heard in whatever order, a receiver that misses nothing has the newest record
 // of every engine; one that comes later has it from the records of that moment on.
-func TestReceiversHaveWhatTheSenderHas(t *testing.T) {
+func TestDecodersHaveTheLatestRecordOfEveryEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
 		views := []*Decoder{{}}
@@ -58,7 +58,7 @@
 		truth := map[string]wire.EngineLoad{}
 		for range rapid.IntRange(1, 12).Draw(t, "rounds") {
 			for range rapid.IntRange(0, 6).Draw(t, "heard") {
-				l := load(rapid.IntRange(1, 8).Draw(t, "engine"), rapid.IntRange(0, 300).Draw(t, "running"))
+				l := newLoad(rapid.IntRange(1, 8).Draw(t, "engine"), rapid.IntRange(0, 300).Draw(t, "running"))
 				l.IsOpen = rapid.Bool().Draw(t, "open")
 				l.Waiting = rapid.IntRange(0, 3).Draw(t, "waiting")
 				table.Update(l, "h", 0)
@@ -84,7 +84,7 @@
 }
 
 // Bytes that are no loads, or of engines that nobody has told of, change nothing.
-func TestBriefLoadsThatCannotBeReadAreLeftOut(t *testing.T) {
+func TestUnreadableCompactLoadsAreSkipped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var v Decoder
 		all, _ := v.Decode(&wire.EngineLoads{Brief: rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")})
@@ -96,35 +96,35 @@
 	require.Equal(t, 1, unread)
 }
 
-func TestMembersAreThoseOfTheEpochThatAreHeard(t *testing.T) {
+func TestGroupMembersAreThoseHeardLatelyInTheEpoch(t *testing.T) {
 	var table Table
-	table.Update(load(0, 0), "h0", 0)
-	table.Update(load(1, 0), "h1", 3*time.Second)
-	other := load(2, 0)
+	table.Update(newLoad(0, 0), "h0", 0)
+	table.Update(newLoad(1, 0), "h1", 3*time.Second)
+	other := newLoad(2, 0)
 	other.Epoch = 2
 	table.Update(other, "h2", 3*time.Second)
 	require.Equal(t, []wire.GroupMember{{Address: "h1", FirstRank: 1, Ranks: 1}}, table.Members("g", 3, 3*time.Second))
 	require.Len(t, table.Members("g", 3, time.Second), 2)
-	table.Flush(2 * forgetAfter)
-	table.Flush(2 * forgetAfter)
+	table.Flush(2 * forgetTimeout)
+	table.Flush(2 * forgetTimeout)
 	require.Empty(t, table.engines)
 }
 
-func TestPaceIsToldWithinTwoInAHundred(t *testing.T) {
+func TestStepRatioIsEncodedWithinTwoPercent(t *testing.T) {
 	for _, pace := range []float64{0.5, 1, 1.07, 3.5, 12} {
-		require.InEpsilon(t, pace, paceOf(paceCode(pace)), 0.02)
+		require.InEpsilon(t, pace, decodeStepRatio(encodeStepRatio(pace)), 0.02)
 	}
-	require.Zero(t, paceOf(paceCode(0)))
-	require.InDelta(t, 1, paceOf(paceCode(1)), 0)
+	require.Zero(t, decodeStepRatio(encodeStepRatio(0)))
+	require.InDelta(t, 1, decodeStepRatio(encodeStepRatio(1)), 0)
 }
 
-func BenchmarkNext(b *testing.B) {
+func BenchmarkFlush(b *testing.B) {
 	for _, engines := range []int{16, 129, 600} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			var table Table
 			for b.Loop() {
 				for n := range engines {
-					table.Update(load(n, 3), "h", 0)
+					table.Update(newLoad(n, 3), "h", 0)
 				}
 				table.Flush(0)
 			}
@@ -132,11 +132,11 @@
 	}
 }
 
-func TestEngineThatWasSilentIsToldWhole(t *testing.T) {
+func TestFullRecordIsSentAgainAfterASilence(t *testing.T) {
 	var table Table
-	table.Update(load(1, 0), "h", 0)
+	table.Update(newLoad(1, 0), "h", 0)
 	require.Len(t, table.Flush(0).All, 1)
-	require.Nil(t, table.All(2*currentSpan))
-	table.Update(load(1, 0), "h", 2*currentSpan)
-	require.Len(t, table.Flush(2*currentSpan).All, 1)
+	require.Nil(t, table.All(2*maxSnapshotAge))
+	table.Update(newLoad(1, 0), "h", 2*maxSnapshotAge)
+	require.Len(t, table.Flush(2*maxSnapshotAge).All, 1)
 }
--- a/internal/engineload/view.go
+++ b/internal/engineload/view.go
@@ -24,7 +24,7 @@
 	}
 	number := uint64(0)
 	for b := m.Brief; len(b) > 0; {
-		step, running, waiting, pace, rest, ok := readBrief(b)
+		step, running, waiting, pace, rest, ok := readCompact(b)
 		if !ok {
 			return loads, unread + 1
 		}
@@ -41,10 +41,10 @@
 	return loads, unread
 }
 
-// mostRequests bounds the requests that a brief load may tell.
-const mostRequests = 1 << 20
+// maxRequests bounds the requests that a brief load may tell.
+const maxRequests = 1 << 20
 
-func readBrief(b []byte) (step uint64, running, waiting int, pace float64, rest []byte, ok bool) {
+func readCompact(b []byte) (step uint64, running, waiting int, pace float64, rest []byte, ok bool) {
 	var fields [3]uint64
 	for i := range fields {
 		n, size := binary.Uvarint(b)
@@ -53,8 +53,8 @@
 		}
 		fields[i], b = n, b[size:]
 	}
-	if len(b) == 0 || fields[1] > mostRequests || fields[2] > mostRequests {
+	if len(b) == 0 || fields[1] > maxRequests || fields[2] > maxRequests {
 		return 0, 0, 0, 0, nil, false
 	}
-	return fields[0], int(fields[1]), int(fields[2]), paceOf(b[0]), b[1:], true
+	return fields[0], int(fields[1]), int(fields[2]), decodeStepRatio(b[0]), b[1:], true
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -81,7 +81,7 @@
 
 type entry struct {
 	Upstream
-	heard time.Duration
+	heardAt time.Duration
 }
 
 // Registry holds the upstreams that announced themselves to one control host. Times are
@@ -100,14 +100,14 @@
 	e := r.byID[u.ID]
 	if e == nil {
 		u.IsSilent = false
-		r.byID[u.ID] = &entry{Upstream: u, heard: now}
+		r.byID[u.ID] = &entry{Upstream: u, heardAt: now}
 		return u, true
 	}
 	if u.Born < e.Born || u.Born == e.Born && u.Sequence != 0 && u.Sequence <= e.Sequence && u.State <= e.State {
 		return e.Upstream, false
 	}
 	wasSilent := e.IsSilent
-	e.heard = now
+	e.heardAt = now
 	changed := e.merge(u)
 	e.IsSilent = false
 	return e.Upstream, changed || wasSilent
@@ -119,7 +119,7 @@
 	for _, u := range all {
 		if r.byID[u.ID] == nil {
 			u.IsSilent = false
-			r.byID[u.ID] = &entry{Upstream: u, heard: now}
+			r.byID[u.ID] = &entry{Upstream: u, heardAt: now}
 		}
 	}
 }
@@ -129,7 +129,7 @@
 func (r *Registry) Tick(now time.Duration) []Upstream {
 	var out []Upstream
 	for id, e := range r.byID {
-		quiet := now - e.heard
+		quiet := now - e.heardAt
 		if quiet > r.limits.ForgetTimeout {
 			delete(r.byID, id)
 			continue
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -9,44 +9,44 @@
 	"pgregory.net/rapid"
 )
 
-var limits = Limits{SilenceTimeout: 4 * time.Second, ForgetTimeout: time.Minute}
+var testLimits = Limits{SilenceTimeout: 4 * time.Second, ForgetTimeout: time.Minute}
 
-func up(id string, sequence uint64, s State) Upstream {
+func newUpstream(id string, sequence uint64, s State) Upstream {
 	return Upstream{ID: id, Service: "s", Address: "10.0.0.1:80", State: s, Sequence: sequence, Slots: 4}
 }
 
-func TestLateAnnouncementDoesNotBringALeavingUpstreamBack(t *testing.T) {
-	r := New(limits)
-	_, changed := r.Announce(up("a", 1, Ready), 0)
+func TestDrainingUpstreamNeverBecomesReadyAgain(t *testing.T) {
+	r := New(testLimits)
+	_, changed := r.Announce(newUpstream("a", 1, Ready), 0)
 	require.True(t, changed)
-	_, changed = r.Announce(up("a", 3, Draining), time.Second)
+	_, changed = r.Announce(newUpstream("a", 3, Draining), time.Second)
 	require.True(t, changed)
-	known, changed := r.Announce(up("a", 2, Ready), 2*time.Second)
+	known, changed := r.Announce(newUpstream("a", 2, Ready), 2*time.Second)
 	require.False(t, changed)
 	require.Equal(t, Draining, known.State)
-	known, _ = r.Announce(up("a", 4, Ready), 3*time.Second)
+	known, _ = r.Announce(newUpstream("a", 4, Ready), 3*time.Second)
 	require.Equal(t, Draining, known.State, "not even by a later number")
 }
 
-func TestLeaveIsKnownWithoutAnAnnouncementBefore(t *testing.T) {
-	r, v := New(limits), NewView()
+func TestLeaveCountsWithoutAnEarlierAnnouncement(t *testing.T) {
+	r, v := New(testLimits), NewView()
 	known, changed := r.Announce(Upstream{ID: "a", State: Gone}, 0)
 	require.True(t, changed)
-	require.True(t, v.Merge("c1", []Upstream{up("a", 5, Ready)}))
+	require.True(t, v.Merge("c1", []Upstream{newUpstream("a", 5, Ready)}))
 	require.Len(t, v.Serving()["s"], 1)
 	require.True(t, v.Merge("c2", []Upstream{known}))
 	require.Empty(t, v.Serving()["s"])
 }
 
-func TestSilenceIsToldOnceAndTakenBack(t *testing.T) {
-	r := New(limits)
-	r.Announce(up("a", 1, Ready), 0)
+func TestSilenceIsReportedOnceAndEndsWithAnAnnouncement(t *testing.T) {
+	r := New(testLimits)
+	r.Announce(newUpstream("a", 1, Ready), 0)
 	require.Empty(t, r.Tick(3*time.Second))
 	silent := r.Tick(5 * time.Second)
 	require.Len(t, silent, 1)
 	require.True(t, silent[0].IsSilent)
 	require.Empty(t, r.Tick(6*time.Second))
-	known, changed := r.Announce(up("a", 2, Ready), 7*time.Second)
+	known, changed := r.Announce(newUpstream("a", 2, Ready), 7*time.Second)
 	require.True(t, changed)
 	require.False(t, known.IsSilent)
 	require.Empty(t, r.Tick(8*time.Second))
@@ -56,11 +56,11 @@
 
 // An upstream announces itself to one control host at a time: that another one has
 // stopped hearing it says nothing.
-func TestSilentOnlyWhereAllControlHostsSaySo(t *testing.T) {
+func TestUpstreamIsSilentOnlyIfAllControlHostsReportIt(t *testing.T) {
 	v := NewView()
-	u := up("a", 1, Ready)
+	u := newUpstream("a", 1, Ready)
 	v.Merge("c1", []Upstream{u})
-	v.Merge("c2", []Upstream{up("a", 9, Ready)})
+	v.Merge("c2", []Upstream{newUpstream("a", 9, Ready)})
 	u.IsSilent = true
 	v.Merge("c1", []Upstream{u})
 	require.False(t, v.Serving()["s"][0].IsSilent)
@@ -68,19 +68,19 @@
 	require.True(t, v.Serving()["s"][0].IsSilent)
 }
 
-func TestRevokedIncarnationStaysOut(t *testing.T) {
+func TestRevokedIncarnationIsNeverServedAgain(t *testing.T) {
 	v := NewView()
-	v.Merge("c1", []Upstream{up("old", 9, Ready), up("new", 1, Ready)})
+	v.Merge("c1", []Upstream{newUpstream("old", 9, Ready), newUpstream("new", 1, Ready)})
 	require.True(t, v.Revoke("old", 0))
 	require.False(t, v.Revoke("old", 0))
-	v.Merge("c1", []Upstream{up("old", 10, Ready)})
+	v.Merge("c1", []Upstream{newUpstream("old", 10, Ready)})
 	list := v.Serving()["s"]
 	require.Len(t, list, 1)
 	require.Equal(t, "new", list[0].ID)
 }
 
 // Whatever the order in which announcements come, the latest state wins.
-func TestOrderOfAnnouncementsDoesNotMatter(t *testing.T) {
+func TestLatestStateWinsInAnyOrderOfAnnouncements(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		last := rapid.IntRange(1, 6).Draw(t, "last")
 		drained := rapid.IntRange(1, last).Draw(t, "drained")
@@ -90,10 +90,10 @@
 			if i >= drained {
 				s = Draining
 			}
-			all = append(all, up("a", uint64(i), s))
+			all = append(all, newUpstream("a", uint64(i), s))
 		}
 		v := NewView()
-		for _, i := range rapid.Permutation(indexes(len(all))).Draw(t, "order") {
+		for _, i := range rapid.Permutation(indices(len(all))).Draw(t, "order") {
 			v.Merge("c", []Upstream{all[i]})
 		}
 		if got := v.All()[0]; got.State != Draining || got.Sequence != uint64(last) {
@@ -102,18 +102,18 @@
 	})
 }
 
-func TestGoneIncarnationsAreForgottenInTheEnd(t *testing.T) {
+func TestGoneIncarnationsAreBounded(t *testing.T) {
 	v := NewView()
-	for i := range keepGone + 10 {
-		v.Merge("c", []Upstream{up(fmt.Sprint("u", i), 1, Gone)})
-		v.Merge("c", []Upstream{up(fmt.Sprint("u", i), 2, Gone)})
+	for i := range maxGone + 10 {
+		v.Merge("c", []Upstream{newUpstream(fmt.Sprint("u", i), 1, Gone)})
+		v.Merge("c", []Upstream{newUpstream(fmt.Sprint("u", i), 2, Gone)})
 	}
-	require.Len(t, v.All(), keepGone)
-	v.Merge("c", []Upstream{up(fmt.Sprint("u", keepGone), 9, Ready)})
+	require.Len(t, v.All(), maxGone)
+	v.Merge("c", []Upstream{newUpstream(fmt.Sprint("u", maxGone), 9, Ready)})
 	require.Empty(t, v.Serving()["s"])
 }
 
-func indexes(n int) []int {
+func indices(n int) []int {
 	out := make([]int, n)
 	for i := range out {
 		out[i] = i
@@ -121,17 +121,17 @@
 	return out
 }
 
-func born(u Upstream, at int64) Upstream {
+func withBorn(u Upstream, at int64) Upstream {
 	u.Born = at
 	return u
 }
 
 // An upstream that starts again under its id serves, whatever its earlier start said or
 // still says, and one word of the earlier start that is late changes nothing.
-func TestUpstreamThatStartsAgainHoldsNothingOfBefore(t *testing.T) {
+func TestRestartedUpstreamIsNotAffectedByItsEarlierIncarnation(t *testing.T) {
 	for name, last := range map[string]Upstream{
-		"ready": born(up("a", 900, Ready), 5), "draining": born(up("a", 900, Draining), 5),
-		"gone": born(Upstream{ID: "a", State: Gone}, 5),
+		"ready": withBorn(newUpstream("a", 900, Ready), 5), "draining": withBorn(newUpstream("a", 900, Draining), 5),
+		"gone": withBorn(Upstream{ID: "a", State: Gone}, 5),
 	} {
 		r := New(Limits{SilenceTimeout: 4 * time.Second, ForgetTimeout: time.Minute})
 		v := NewView()
@@ -140,13 +140,13 @@
 			v.Merge("c", []Upstream{known})
 			return known
 		}
-		say(born(up("a", 1, Ready), 5))
+		say(withBorn(newUpstream("a", 1, Ready), 5))
 		say(last)
 		v.Revoke("a", 5)
 		require.Empty(t, v.Serving()["s"], name)
-		say(born(up("a", 1, Ready), 6))
+		say(withBorn(newUpstream("a", 1, Ready), 6))
 		require.Len(t, v.Serving()["s"], 1, name)
-		for _, late := range []Upstream{last, born(up("a", 901, Draining), 5), up("a", 999, Draining), {ID: "a", State: Gone}} {
+		for _, late := range []Upstream{last, withBorn(newUpstream("a", 901, Draining), 5), newUpstream("a", 999, Draining), {ID: "a", State: Gone}} {
 			require.Equal(t, int64(6), say(late).Born, name)
 			v.Merge("other", []Upstream{late})
 			require.Len(t, v.Serving()["s"], 1, name)
@@ -154,35 +154,35 @@
 		}
 		require.False(t, v.Revoke("a", 5), "a revocation of the earlier start")
 		require.Len(t, v.Serving()["s"], 1, name)
-		say(born(Upstream{ID: "a", State: Gone}, 6))
+		say(withBorn(Upstream{ID: "a", State: Gone}, 6))
 		require.Empty(t, v.Serving()["s"], name)
 	}
 }
 
 // What a control host said of the silence of the earlier start is no word on the new one.
-func TestSilenceOfAnEarlierStartIsForgotten(t *testing.T) {
+func TestSilenceOfAnEarlierIncarnationIsIgnored(t *testing.T) {
 	v := NewView()
-	silent := born(up("a", 3, Ready), 5)
+	silent := withBorn(newUpstream("a", 3, Ready), 5)
 	silent.IsSilent = true
 	v.Merge("c", []Upstream{silent})
-	v.Merge("d", []Upstream{born(up("a", 1, Ready), 6)})
+	v.Merge("d", []Upstream{withBorn(newUpstream("a", 1, Ready), 6)})
 	v.Merge("c", []Upstream{silent})
 	require.False(t, v.Serving()["s"][0].IsSilent)
 }
 
 // What was known before a restart is a first guess: what an upstream says since goes
 // before it, and one that says nothing becomes silent.
-func TestRestoredUpstreamsAreAFirstGuess(t *testing.T) {
+func TestAnnouncementsTakePrecedenceOverRestoredUpstreams(t *testing.T) {
 	r := New(Limits{SilenceTimeout: 4 * time.Second, ForgetTimeout: time.Minute})
-	r.Announce(up("b", 9, Draining), time.Second)
-	r.Restore([]Upstream{up("a", 5, Ready), up("b", 7, Ready)}, time.Second)
+	r.Announce(newUpstream("b", 9, Draining), time.Second)
+	r.Restore([]Upstream{newUpstream("a", 5, Ready), newUpstream("b", 7, Ready)}, time.Second)
 	require.Len(t, r.All(), 2)
 	require.Equal(t, Draining, r.All()[1].State)
 	require.Empty(t, r.Tick(4*time.Second))
 	silent := r.Tick(6 * time.Second)
 	require.Len(t, silent, 1)
 	require.Equal(t, "a", silent[0].ID)
-	known, changed := r.Announce(up("a", 6, Ready), 7*time.Second)
+	known, changed := r.Announce(newUpstream("a", 6, Ready), 7*time.Second)
 	require.True(t, changed)
 	require.False(t, known.IsSilent)
 }
@@ -190,7 +190,7 @@
 // Load pattern: everything has lost power, and 129 workers are back under new ids at their
 // addresses while the old ones do not yet count as silent. Loads and requests go by address:
 // shared with an old one, half of them would find the wrong incarnation.
-func TestOnlyTheNewestAtAnAddressServes(t *testing.T) {
+func TestOnlyTheNewestUpstreamAtAnAddressServes(t *testing.T) {
 	v := NewView()
 	old := Upstream{ID: "z", Service: "s", Address: "10.0.0.1:80", Sequence: 90}
 	v.Merge("c1", []Upstream{old, {ID: "y", Service: "s", Address: "10.0.0.2:80"}})
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -6,41 +6,43 @@
 // only where every control host that speaks of it says so: its announcements reach one
 // of them at a time.
 type View struct {
-	byID map[string]*seen
+	byID map[string]*viewEntry
 	// revoked holds the incarnations found to have lost their address to another one, by
 	// id: when they were born.
 	revoked map[string]int64
 	// gone lists the incarnations that have left, the first to leave first.
 	gone []string
-	// merges counts the calls of Merge.
-	merges uint64
+	// mergeCount counts the calls of Merge.
+	mergeCount uint64
 }
 
-// keepGone is how many incarnations that have left are remembered, so that a late
+// maxGone is how many incarnations that have left are remembered, so that a late
 // announcement does not bring one back: hours of replacements at the target's size.
-const keepGone = 4096
+const maxGone = 4096
 
-type seen struct {
+type viewEntry struct {
 	Upstream
 	// silentBy holds what each control host that is in touch said last.
 	silentBy map[string]bool
-	// isListed tells that it stands in View.gone.
-	isListed bool
-	// since is the Merge in which the incarnation was first heard of.
-	since uint64
+	// isInGone tells that it stands in View.gone.
+	isInGone bool
+	// firstMerge is the Merge in which the incarnation was first heard of.
+	firstMerge uint64
 }
 
 // NewView returns an empty View.
-func NewView() *View { return &View{byID: make(map[string]*seen), revoked: make(map[string]int64)} }
+func NewView() *View {
+	return &View{byID: make(map[string]*viewEntry), revoked: make(map[string]int64)}
+}
 
 // Merge takes what a control host says. It reports whether anything has changed.
 func (v *View) Merge(source string, all []Upstream) bool {
 	changed := false
-	v.merges++
+	v.mergeCount++
 	for _, u := range all {
 		s := v.byID[u.ID]
 		if s == nil {
-			s = &seen{Upstream: u, silentBy: make(map[string]bool), since: v.merges}
+			s = &viewEntry{Upstream: u, silentBy: make(map[string]bool), firstMerge: v.mergeCount}
 			s.IsSilent = false
 			v.byID[u.ID] = s
 			changed = true
@@ -48,36 +50,36 @@
 			born := s.Born
 			changed = s.merge(u) || changed
 			if s.Born != born {
-				v.renew(s)
+				v.resetIncarnation(s)
 			}
 		}
-		v.noteGone(s)
+		v.recordGone(s)
 		if u.Born == s.Born {
 			s.silentBy[source] = u.IsSilent
 		}
-		changed = s.judge() || changed
+		changed = s.updateSilence() || changed
 	}
 	return changed
 }
 
-// renew lets an incarnation start without what was known of the one before.
-func (v *View) renew(s *seen) {
-	s.IsSilent, s.since = false, v.merges
+// resetIncarnation lets an incarnation start without what was known of the one before.
+func (v *View) resetIncarnation(s *viewEntry) {
+	s.IsSilent, s.firstMerge = false, v.mergeCount
 	clear(s.silentBy)
-	if s.isListed {
-		s.isListed = false
+	if s.isInGone {
+		s.isInGone = false
 		v.gone = slices.DeleteFunc(v.gone, func(id string) bool { return id == s.ID })
 	}
 }
 
-// noteGone remembers an incarnation that has left, and forgets the oldest such ones.
-func (v *View) noteGone(s *seen) {
-	if s.State != Gone || s.isListed {
+// recordGone remembers an incarnation that has left, and forgets the oldest such ones.
+func (v *View) recordGone(s *viewEntry) {
+	if s.State != Gone || s.isInGone {
 		return
 	}
-	s.isListed = true
+	s.isInGone = true
 	v.gone = append(v.gone, s.ID)
-	if len(v.gone) > keepGone {
+	if len(v.gone) > maxGone {
 		delete(v.byID, v.gone[0])
 		delete(v.revoked, v.gone[0])
 		v.gone = v.gone[1:]
@@ -89,14 +91,14 @@
 	changed := false
 	for _, s := range v.byID {
 		delete(s.silentBy, source)
-		changed = s.judge() || changed
+		changed = s.updateSilence() || changed
 	}
 	return changed
 }
 
-// judge derives IsSilent and reports whether it changed. With nobody to ask, the last
+// updateSilence derives IsSilent and reports whether it changed. With nobody to ask, the last
 // judgement stands.
-func (s *seen) judge() bool {
+func (s *viewEntry) updateSilence() bool {
 	if len(s.silentBy) == 0 {
 		return false
 	}
@@ -129,18 +131,18 @@
 // upstreams are back under new ids before the old ones count as silent. One that is wrongly
 // taken for the newest, by a word of its that came late, is revoked with the first request.
 func (v *View) Serving() map[string][]Upstream {
-	newest := make(map[string]*seen)
+	newest := make(map[string]*viewEntry)
 	for _, s := range v.byID {
 		if !v.mayServe(s) {
 			continue
 		}
-		if other := newest[s.Address]; other == nil || s.isAfter(other) {
+		if other := newest[s.Address]; other == nil || s.isNewerThan(other) {
 			newest[s.Address] = s
 		}
 	}
 	out := make(map[string][]Upstream)
 	for _, s := range v.byID {
-		if v.mayServe(s) && !newest[s.Address].isAfter(s) {
+		if v.mayServe(s) && !newest[s.Address].isNewerThan(s) {
 			out[s.Service] = append(out[s.Service], s.Upstream)
 		}
 	}
@@ -156,17 +158,17 @@
 	return s != nil && s.Born == born && s.State != Ready
 }
 
-func (v *View) mayServe(s *seen) bool {
+func (v *View) mayServe(s *viewEntry) bool {
 	return s.State == Ready && !v.isRevoked(&s.Upstream) && s.Address != ""
 }
 
-// isAfter reports whether an incarnation is newer than another at its address, as far as
+// isNewerThan reports whether an incarnation is newer than another at its address, as far as
 // can be told.
-func (s *seen) isAfter(o *seen) bool {
+func (s *viewEntry) isNewerThan(o *viewEntry) bool {
 	if s.Born != o.Born {
 		return s.Born > o.Born
 	}
-	return s.since > o.since
+	return s.firstMerge > o.firstMerge
 }
 
 // All returns every upstream known, those that have left included.
--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -17,38 +17,38 @@
 // The stand-in of the benchmark: upstreams with a queue, some slots and a prefix
 // cache. Only queues and caches are modelled, to compare ways to choose.
 const (
-	benchUpstreams   = 16
-	benchSlots       = 8
-	benchDecode      = 300 * time.Millisecond
-	benchPrefill     = 200 * time.Millisecond // of a prompt that is not cached
-	benchBlocks      = 10                     // in a prompt
-	benchShared      = 8                      // of them shared by the prompts of a group
-	benchGroups      = 200
-	benchCacheBlocks = 400
-	benchReport      = 2 * time.Second
-	benchSpan        = 40 * time.Second
-	benchLoad        = 0.75
-	benchFailTime    = 50 * time.Millisecond
-	benchSeed        = 7
+	benchUpstreams      = 16
+	benchSlots          = 8
+	benchDecodeTime     = 300 * time.Millisecond
+	benchPrefillTime    = 200 * time.Millisecond // of a prompt that is not cached
+	benchPromptBlocks   = 10                     // in a prompt
+	benchSharedBlocks   = 8                      // of them shared by the prompts of a group
+	benchPromptGroups   = 200
+	benchCacheBlocks    = 400
+	benchReportInterval = 2 * time.Second
+	benchDuration       = 40 * time.Second
+	benchUtilization    = 0.75
+	benchFailureDelay   = 50 * time.Millisecond
+	benchSeed           = 7
 )
 
 type benchScenario struct {
 	name  string
 	hosts int
-	// late is how old reports are when they come.
-	late time.Duration
-	// slow is the factor of the first upstream's times.
-	slow float64
-	// dies is when the first upstream begins to fail.
-	dies time.Duration
+	// reportDelay is how old reports are when they come.
+	reportDelay time.Duration
+	// slowdown is the factor of the first upstream's times.
+	slowdown float64
+	// failsAt is when the first upstream begins to fail.
+	failsAt time.Duration
 }
 
 var benchScenarios = []benchScenario{
-	{name: "steady", hosts: 2, slow: 1, dies: benchSpan},
-	{name: "slow", hosts: 2, slow: 4, dies: benchSpan},
-	{name: "dying", hosts: 2, slow: 1, dies: benchSpan / 4},
-	{name: "late", hosts: 2, late: 2 * time.Second, slow: 1, dies: benchSpan},
-	{name: "late-8-hosts", hosts: 8, late: 2 * time.Second, slow: 1, dies: benchSpan},
+	{name: "steady", hosts: 2, slowdown: 1, failsAt: benchDuration},
+	{name: "slow", hosts: 2, slowdown: 4, failsAt: benchDuration},
+	{name: "dying", hosts: 2, slowdown: 1, failsAt: benchDuration / 4},
+	{name: "late", hosts: 2, reportDelay: 2 * time.Second, slowdown: 1, failsAt: benchDuration},
+	{name: "late-8-hosts", hosts: 8, reportDelay: 2 * time.Second, slowdown: 1, failsAt: benchDuration},
 }
 
 // roundRobin takes the candidates in turn.
@@ -91,11 +91,11 @@
 	return a
 }
 
-// ownInFlight costs what this host has there.
-type ownInFlight struct{}
+// ownInFlightScorer costs what this host has there.
+type ownInFlightScorer struct{}
 
-func (ownInFlight) Name() string                          { return "own" }
-func (ownInFlight) Cost(_ *Request, c *Candidate) float64 { return float64(c.InFlight) }
+func (ownInFlightScorer) Name() string                          { return "own" }
+func (ownInFlightScorer) Cost(_ *Request, c *Candidate) float64 { return float64(c.InFlight) }
 
 func benchPolicies() map[string]func() *Policy {
 	with := func(p Picker, s ...Scorer) *Policy {
@@ -103,28 +103,28 @@
 	}
 	return map[string]func() *Policy{
 		"round-robin":     func() *Policy { return with(&roundRobin{}) },
-		"least-in-flight": func() *Policy { return with(leastCost{}, ownInFlight{}) },
-		"two-choices":     func() *Policy { return with(twoChoices{}, ownInFlight{}) },
+		"least-in-flight": func() *Policy { return with(leastCost{}, ownInFlightScorer{}) },
+		"two-choices":     func() *Policy { return with(twoChoices{}, ownInFlightScorer{}) },
 		"default":         DefaultPolicy,
 	}
 }
 
 type benchRequest struct {
-	host     int
-	prefixes []uint64
-	arrived  time.Duration
-	tried    []string
-	done     func(Outcome)
+	host      int
+	prefixes  []uint64
+	arrivedAt time.Duration
+	tried     []string
+	done      func(Outcome)
 }
 
 type benchUpstream struct {
-	entry   directory.Entry
-	slow    float64
-	running int
-	queue   []*benchRequest
-	cache   *PrefixIndex
-	served  time.Duration
-	first   float64
+	entry      directory.Entry
+	slowdown   float64
+	running    int
+	queue      []*benchRequest
+	cache      *PrefixIndex
+	busyTime   time.Duration
+	firstToken float64
 }
 
 type benchEvent struct {
@@ -149,37 +149,37 @@
 }
 
 type benchRun struct {
-	scenario  benchScenario
-	now       time.Duration
-	events    benchEvents
-	seq       int
-	rng       *rand.Rand
-	upstreams []*benchUpstream
-	seen      []directory.Entry
-	routers   []*Router
-	first     *hdrhistogram.Histogram
-	blocks    int
-	hits      float64
-	failed    int
-	refused   int
+	scenario   benchScenario
+	now        time.Duration
+	events     benchEvents
+	seq        int
+	rng        *rand.Rand
+	upstreams  []*benchUpstream
+	reported   []directory.Entry
+	routers    []*Router
+	firstToken *hdrhistogram.Histogram
+	prompts    int
+	cachedSum  float64
+	failures   int
+	refusals   int
 }
 
 func newBenchRun(sc benchScenario, policy func() *Policy) *benchRun {
-	b := &benchRun{scenario: sc, rng: rand.New(rand.NewPCG(benchSeed, 1)), first: hdrhistogram.New(1, time.Hour.Microseconds(), 3)}
+	b := &benchRun{scenario: sc, rng: rand.New(rand.NewPCG(benchSeed, 1)), firstToken: hdrhistogram.New(1, time.Hour.Microseconds(), 3)}
 	for i := range benchUpstreams {
-		u := &benchUpstream{slow: 1, cache: NewPrefixIndex(benchCacheBlocks)}
+		u := &benchUpstream{slowdown: 1, cache: NewPrefixIndex(benchCacheBlocks)}
 		if i == 0 {
-			u.slow = sc.slow
+			u.slowdown = sc.slowdown
 		}
 		u.entry.Upstream = wire.Upstream{Name: fmt.Sprint("u", i), Pool: "p", Incarnation: 1, State: wire.UpstreamReady}
 		u.entry.Upstream.Load.Capacity = benchSlots
 		b.upstreams = append(b.upstreams, u)
-		b.seen = append(b.seen, u.entry)
+		b.reported = append(b.reported, u.entry)
 	}
 	for h := range sc.hosts {
 		b.routers = append(b.routers, NewRouter(Config{
 			Policy:           policy(),
-			Entries:          func() []directory.Entry { return b.seen },
+			Entries:          func() []directory.Entry { return b.reported },
 			Now:              func() time.Duration { return b.now },
 			Rand:             rand.New(rand.NewPCG(benchSeed, uint64(h)+2)),
 			PrefixIndexLimit: 100_000,
@@ -188,14 +188,14 @@
 	return b
 }
 
-func (b *benchRun) after(d time.Duration, run func()) {
+func (b *benchRun) schedule(d time.Duration, run func()) {
 	b.seq++
 	heap.Push(&b.events, benchEvent{at: b.now + d, seq: b.seq, run: run})
 }
 
-func (b *benchRun) start() {
-	b.after(0, b.arrive)
-	b.after(0, b.report)
+func (b *benchRun) simulate() {
+	b.schedule(0, b.arrive)
+	b.schedule(0, b.sendReport)
 	for len(b.events) > 0 {
 		e := heap.Pop(&b.events).(benchEvent)
 		b.now = e.at
@@ -205,17 +205,17 @@
 
 // arrive makes a request of a group of prompts; a few groups have most of them.
 func (b *benchRun) arrive() {
-	if b.now >= benchSpan {
+	if b.now >= benchDuration {
 		return
 	}
-	mean := (benchDecode + benchPrefill).Seconds()
-	rate := benchLoad * benchUpstreams * benchSlots / mean
-	b.after(time.Duration(b.rng.ExpFloat64()/rate*float64(time.Second)), b.arrive)
-	group := uint64(math.Pow(b.rng.Float64(), 2) * benchGroups)
-	r := &benchRequest{host: b.rng.IntN(len(b.routers)), arrived: b.now}
-	for i := range uint64(benchBlocks) {
-		if i < benchShared {
-			r.prefixes = append(r.prefixes, group*benchBlocks+i)
+	mean := (benchDecodeTime + benchPrefillTime).Seconds()
+	rate := benchUtilization * benchUpstreams * benchSlots / mean
+	b.schedule(time.Duration(b.rng.ExpFloat64()/rate*float64(time.Second)), b.arrive)
+	group := uint64(math.Pow(b.rng.Float64(), 2) * benchPromptGroups)
+	r := &benchRequest{host: b.rng.IntN(len(b.routers)), arrivedAt: b.now}
+	for i := range uint64(benchPromptBlocks) {
+		if i < benchSharedBlocks {
+			r.prefixes = append(r.prefixes, group*benchPromptBlocks+i)
 		} else {
 			r.prefixes = append(r.prefixes, b.rng.Uint64())
 		}
@@ -226,7 +226,7 @@
 func (b *benchRun) send(r *benchRequest) {
 	up, done, err := b.routers[r.host].Pick(&Request{Pool: "p", Prefixes: r.prefixes, Tried: r.tried})
 	if err != nil {
-		b.refused++
+		b.refusals++
 		return
 	}
 	r.done = done
@@ -235,42 +235,42 @@
 		if u.entry.Upstream.Name != up.Name {
 			continue
 		}
-		if i == 0 && b.now >= b.scenario.dies {
-			b.failed++
-			b.after(benchFailTime, func() { done(Outcome{HasFailed: true}); b.send(r) })
+		if i == 0 && b.now >= b.scenario.failsAt {
+			b.failures++
+			b.schedule(benchFailureDelay, func() { done(Outcome{HasFailed: true}); b.send(r) })
 			return
 		}
 		u.queue = append(u.queue, r)
-		b.next(u)
+		b.startQueued(u)
 	}
 }
 
-func (b *benchRun) next(u *benchUpstream) {
+func (b *benchRun) startQueued(u *benchUpstream) {
 	for u.running < benchSlots && len(u.queue) > 0 {
 		r := u.queue[0]
 		u.queue = u.queue[1:]
 		u.running++
 		cached := u.cache.CachedFraction("", r.prefixes)
 		u.cache.RecordSent("", r.prefixes)
-		b.blocks++
-		b.hits += cached
-		prefill := time.Duration(float64(benchPrefill) * (1 - cached) * u.slow)
-		whole := prefill + time.Duration(float64(benchDecode)*u.slow)
-		first := b.now + prefill - r.arrived
-		_ = b.first.RecordValue(max(1, first.Microseconds()))
-		u.first += 0.1 * (float64(prefill.Microseconds()) - u.first)
-		u.served += whole
-		b.after(whole, func() {
+		b.prompts++
+		b.cachedSum += cached
+		prefill := time.Duration(float64(benchPrefillTime) * (1 - cached) * u.slowdown)
+		whole := prefill + time.Duration(float64(benchDecodeTime)*u.slowdown)
+		first := b.now + prefill - r.arrivedAt
+		_ = b.firstToken.RecordValue(max(1, first.Microseconds()))
+		u.firstToken += 0.1 * (float64(prefill.Microseconds()) - u.firstToken)
+		u.busyTime += whole
+		b.schedule(whole, func() {
 			u.running--
 			r.done(Outcome{})
-			b.next(u)
+			b.startQueued(u)
 		})
 	}
 }
 
-// report takes the loads now and shows them late.
-func (b *benchRun) report() {
-	if b.now >= benchSpan {
+// sendReport takes the loads now and shows them late.
+func (b *benchRun) sendReport() {
+	if b.now >= benchDuration {
 		return
 	}
 	entries := make([]directory.Entry, 0, len(b.upstreams))
@@ -278,25 +278,25 @@
 	for i, u := range b.upstreams {
 		e := u.entry
 		e.Upstream.Load = wire.Load{Running: uint32(u.running), Queued: uint32(len(u.queue)), Capacity: benchSlots,
-			FirstTokenUS: uint64(u.first), AgeMS: uint32(b.scenario.late.Milliseconds())}
-		e.Suspect = i == 0 && b.now >= b.scenario.dies+3*time.Second
+			FirstTokenUS: uint64(u.firstToken), AgeMS: uint32(b.scenario.reportDelay.Milliseconds())}
+		e.Suspect = i == 0 && b.now >= b.scenario.failsAt+3*time.Second
 		entries = append(entries, e)
 	}
-	b.after(b.scenario.late, func() {
+	b.schedule(b.scenario.reportDelay, func() {
 		for i := range entries {
-			entries[i].LoadAt = made + b.scenario.late
+			entries[i].LoadAt = made + b.scenario.reportDelay
 		}
-		b.seen = entries
+		b.reported = entries
 	})
-	b.after(benchReport, b.report)
+	b.schedule(benchReportInterval, b.sendReport)
 }
 
 // imbalance is the busiest upstream's work over the mean, in time.
 func (b *benchRun) imbalance() float64 {
 	var most, sum time.Duration
 	for _, u := range b.upstreams {
-		most = max(most, u.served)
-		sum += u.served
+		most = max(most, u.busyTime)
+		sum += u.busyTime
 	}
 	return float64(most) * benchUpstreams / float64(sum)
 }
@@ -309,14 +309,14 @@
 				var run *benchRun
 				for b.Loop() {
 					run = newBenchRun(sc, policy)
-					run.start()
+					run.simulate()
 				}
 				for _, q := range []float64{50, 95, 99} {
-					b.ReportMetric(float64(run.first.ValueAtQuantile(q))/1000, fmt.Sprintf("p%.0f-ms", q))
+					b.ReportMetric(float64(run.firstToken.ValueAtQuantile(q))/1000, fmt.Sprintf("p%.0f-ms", q))
 				}
-				b.ReportMetric(100*run.hits/float64(run.blocks), "cached-%")
+				b.ReportMetric(100*run.cachedSum/float64(run.prompts), "cached-%")
 				b.ReportMetric(run.imbalance(), "imbalance")
-				b.ReportMetric(float64(run.failed), "failed")
+				b.ReportMetric(float64(run.failures), "failed")
 				b.ReportMetric(0, "ns/op")
 			})
 		}
--- a/internal/routing/history.go
+++ b/internal/routing/history.go
@@ -11,26 +11,26 @@
 // which come late and with gaps. It holds a bounded number of prefixes by least
 // recent use and is not safe for concurrent use.
 type PrefixIndex struct {
-	limit int
-	order *list.List
-	where map[uint64]*list.Element
-	// last is the sequence number of the last cache event by upstream.
-	last map[string]uint64
+	limit  int
+	lru    *list.List
+	byHash map[uint64]*list.Element
+	// lastSeq is the sequence number of the last cache event by upstream.
+	lastSeq map[string]uint64
 }
 
-type prefix struct {
+type prefixEntry struct {
 	hash uint64
-	// at holds the upstreams that have the prefix.
-	at map[string]bool
+	// upstreams holds the upstreams that have the prefix.
+	upstreams map[string]bool
 }
 
 // NewPrefixIndex returns a History of at most limit prefixes.
 func NewPrefixIndex(limit int) *PrefixIndex {
 	return &PrefixIndex{
-		limit: limit,
-		order: list.New(),
-		where: make(map[uint64]*list.Element),
-		last:  make(map[string]uint64),
+		limit:   limit,
+		lru:     list.New(),
+		byHash:  make(map[uint64]*list.Element),
+		lastSeq: make(map[string]uint64),
 	}
 }
 
@@ -44,24 +44,24 @@
 // ApplyEvent corrects the history. An event that is older than one already taken is
 // ignored: what it says may have been undone since.
 func (h *PrefixIndex) ApplyEvent(upstream string, e wire.CacheEvent) {
-	if e.Seq <= h.last[upstream] {
+	if e.Seq <= h.lastSeq[upstream] {
 		return
 	}
-	h.last[upstream] = e.Seq
+	h.lastSeq[upstream] = e.Seq
 	if e.Stored {
 		h.store(upstream, e.Prefix)
 		return
 	}
-	if el := h.where[e.Prefix]; el != nil {
-		delete(el.Value.(*prefix).at, upstream)
+	if el := h.byHash[e.Prefix]; el != nil {
+		delete(el.Value.(*prefixEntry).upstreams, upstream)
 	}
 }
 
 // Forget drops all that is known of an upstream, after a restart of its engine.
 func (h *PrefixIndex) Forget(upstream string) {
-	delete(h.last, upstream)
-	for el := h.order.Front(); el != nil; el = el.Next() {
-		delete(el.Value.(*prefix).at, upstream)
+	delete(h.lastSeq, upstream)
+	for el := h.lru.Front(); el != nil; el = el.Next() {
+		delete(el.Value.(*prefixEntry).upstreams, upstream)
 	}
 }
 
@@ -73,8 +73,8 @@
 	}
 	n := 0
 	for _, p := range prefixes {
-		el := h.where[p]
-		if el == nil || !el.Value.(*prefix).at[upstream] {
+		el := h.byHash[p]
+		if el == nil || !el.Value.(*prefixEntry).upstreams[upstream] {
 			break
 		}
 		n++
@@ -83,15 +83,15 @@
 }
 
 func (h *PrefixIndex) store(upstream string, hash uint64) {
-	if el := h.where[hash]; el != nil {
-		el.Value.(*prefix).at[upstream] = true
-		h.order.MoveToFront(el)
+	if el := h.byHash[hash]; el != nil {
+		el.Value.(*prefixEntry).upstreams[upstream] = true
+		h.lru.MoveToFront(el)
 		return
 	}
-	h.where[hash] = h.order.PushFront(&prefix{hash: hash, at: map[string]bool{upstream: true}})
-	if h.order.Len() > h.limit {
-		oldest := h.order.Back()
-		h.order.Remove(oldest)
-		delete(h.where, oldest.Value.(*prefix).hash)
+	h.byHash[hash] = h.lru.PushFront(&prefixEntry{hash: hash, upstreams: map[string]bool{upstream: true}})
+	if h.lru.Len() > h.limit {
+		oldest := h.lru.Back()
+		h.lru.Remove(oldest)
+		delete(h.byHash, oldest.Value.(*prefixEntry).hash)
 	}
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// failingSpan is how long an upstream is avoided after a failed attempt.
-	failingSpan = 3 * time.Second
-	// maxMarks bounds what is remembered of the own load before the last report.
-	maxMarks = 4096
-	// pruneEvery is after how many picks upstreams that are gone are forgotten.
-	pruneEvery = 4096
+	// failureCooldown is how long an upstream is avoided after a failed attempt.
+	failureCooldown = 3 * time.Second
+	// maxSamples bounds what is remembered of the own load before the last report.
+	maxSamples = 4096
+	// pruneInterval is after how many picks upstreams that are gone are forgotten.
+	pruneInterval = 4096
 )
 
 // Outcome is how an attempt ended.
@@ -42,53 +42,53 @@
 	cfg Config
 
 	// mu guards the fields below and cfg.Rand.
-	mu      sync.Mutex
-	own     map[string]*experience
-	history *PrefixIndex
-	picks   int
+	mu        sync.Mutex
+	stats     map[string]*upstreamStats
+	prefixes  *PrefixIndex
+	pickCount int
 }
 
-// experience is what this host knows of one upstream by itself.
-type experience struct {
+// upstreamStats is what this host knows of one upstream by itself.
+type upstreamStats struct {
 	incarnation uint64
 	inFlight    int
 	failedUntil time.Duration
-	// marks hold how many attempts were in flight from each moment on, so that a
+	// samples hold how many attempts were in flight from each moment on, so that a
 	// report can be told apart from what this host itself had there when it was made.
-	marks []mark
+	samples []inFlightSample
 }
 
-type mark struct {
+type inFlightSample struct {
 	at       time.Duration
 	inFlight int
 }
 
-// note remembers that the number in flight changed.
-func (x *experience) note(now time.Duration, by int) {
+// addInFlight remembers that the number in flight changed.
+func (x *upstreamStats) addInFlight(now time.Duration, by int) {
 	x.inFlight += by
-	x.marks = append(x.marks, mark{at: now, inFlight: x.inFlight})
-	if len(x.marks) > maxMarks {
-		x.marks = slices.Delete(x.marks, 0, maxMarks/2)
+	x.samples = append(x.samples, inFlightSample{at: now, inFlight: x.inFlight})
+	if len(x.samples) > maxSamples {
+		x.samples = slices.Delete(x.samples, 0, maxSamples/2)
 	}
 }
 
 // inFlightAt is how many attempts were in flight when a report was made. It forgets
 // all before that: reports come in the order in which they were made.
-func (x *experience) inFlightAt(made time.Duration) int {
+func (x *upstreamStats) inFlightAt(made time.Duration) int {
 	n := 0
-	for n < len(x.marks) && x.marks[n].at <= made {
+	for n < len(x.samples) && x.samples[n].at <= made {
 		n++
 	}
 	if n == 0 {
 		return 0
 	}
-	x.marks = slices.Delete(x.marks, 0, n-1)
-	return x.marks[0].inFlight
+	x.samples = slices.Delete(x.samples, 0, n-1)
+	return x.samples[0].inFlight
 }
 
 // NewRouter returns a Router without experience.
 func NewRouter(cfg Config) *Router {
-	return &Router{cfg: cfg, own: make(map[string]*experience), history: NewPrefixIndex(cfg.PrefixIndexLimit)}
+	return &Router{cfg: cfg, stats: make(map[string]*upstreamStats), prefixes: NewPrefixIndex(cfg.PrefixIndexLimit)}
 }
 
 // Pick chooses the upstream for an attempt and counts the attempt as in flight
@@ -102,7 +102,7 @@
 	candidates := make([]Candidate, 0, len(entries))
 	for i := range entries {
 		if entries[i].Upstream.Pool == req.Pool {
-			candidates = append(candidates, r.candidate(&entries[i], req, now))
+			candidates = append(candidates, r.newCandidate(&entries[i], req, now))
 		}
 	}
 	i, err := r.cfg.Policy.Choose(req, candidates, r.cfg.Rand)
@@ -110,9 +110,9 @@
 		return wire.Upstream{}, nil, err
 	}
 	up = candidates[i].Upstream
-	x := r.experience(up)
-	x.note(now, 1)
-	r.history.RecordSent(up.Name, req.Prefixes)
+	x := r.statsOf(up)
+	x.addInFlight(now, 1)
+	r.prefixes.RecordSent(up.Name, req.Prefixes)
 	var once sync.Once
 	return up, func(o Outcome) { once.Do(func() { r.finish(x, o) }) }, nil
 }
@@ -120,25 +120,25 @@
 // prune forgets, now and then, the upstreams that the directory has forgotten. The
 // caller holds mu.
 func (r *Router) prune(entries []directory.Entry) {
-	r.picks++
-	if r.picks%pruneEvery != 0 {
+	r.pickCount++
+	if r.pickCount%pruneInterval != 0 {
 		return
 	}
 	known := make(map[string]bool, len(entries))
 	for i := range entries {
 		known[entries[i].Upstream.Name] = true
 	}
-	for name := range r.own {
+	for name := range r.stats {
 		if !known[name] {
-			delete(r.own, name)
-			r.history.Forget(name)
+			delete(r.stats, name)
+			r.prefixes.Forget(name)
 		}
 	}
 }
 
-// candidate joins what the directory and this host know. The caller holds mu.
-func (r *Router) candidate(e *directory.Entry, req *Request, now time.Duration) Candidate {
-	x := r.experience(e.Upstream)
+// newCandidate joins what the directory and this host know. The caller holds mu.
+func (r *Router) newCandidate(e *directory.Entry, req *Request, now time.Duration) Candidate {
+	x := r.statsOf(e.Upstream)
 	load := e.Upstream.Load
 	age := now - e.LoadAt + time.Duration(load.AgeMS)*time.Millisecond
 	return Candidate{
@@ -148,31 +148,31 @@
 		ReportAge:      age,
 		InFlight:       x.inFlight,
 		OtherHostsLoad: max(0, int(load.Running+load.Queued)-x.inFlightAt(now-age)),
-		CachedFraction: r.history.CachedFraction(e.Upstream.Name, req.Prefixes),
+		CachedFraction: r.prefixes.CachedFraction(e.Upstream.Name, req.Prefixes),
 	}
 }
 
-// experience returns what is known of the upstream, anew after a restart of its
+// statsOf returns what is known of the upstream, anew after a restart of its
 // agent. The caller holds mu.
-func (r *Router) experience(up wire.Upstream) *experience {
-	x := r.own[up.Name]
+func (r *Router) statsOf(up wire.Upstream) *upstreamStats {
+	x := r.stats[up.Name]
 	if x == nil || x.incarnation < up.Incarnation {
 		if x != nil {
-			r.history.Forget(up.Name)
+			r.prefixes.Forget(up.Name)
 		}
-		x = &experience{incarnation: up.Incarnation}
-		r.own[up.Name] = x
+		x = &upstreamStats{incarnation: up.Incarnation}
+		r.stats[up.Name] = x
 	}
 	return x
 }
 
-func (r *Router) finish(x *experience, o Outcome) {
+func (r *Router) finish(x *upstreamStats, o Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.cfg.Now()
-	x.note(now, -1)
+	x.addInFlight(now, -1)
 	if o.HasFailed {
-		x.failedUntil = now + failingSpan
+		x.failedUntil = now + failureCooldown
 		return
 	}
 	x.failedUntil = 0
@@ -183,6 +183,6 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range events {
-		r.history.ApplyEvent(upstream, e)
+		r.prefixes.ApplyEvent(upstream, e)
 	}
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -98,7 +98,7 @@
 		kept = append(kept, i)
 	}
 	for _, f := range p.Filters {
-		kept = apply(f, r, candidates, kept)
+		kept = applyFilter(f, r, candidates, kept)
 	}
 	if len(kept) == 0 {
 		return 0, ErrNoUpstream
@@ -110,8 +110,8 @@
 	return kept[p.Picker.Pick(scored, rng)], nil
 }
 
-// apply keeps what f keeps. A soft filter that would drop all drops none.
-func apply(f Filter, r *Request, candidates []Candidate, in []int) []int {
+// applyFilter keeps what f keeps. A soft filter that would drop all drops none.
+func applyFilter(f Filter, r *Request, candidates []Candidate, in []int) []int {
 	out := make([]int, 0, len(in))
 	for _, i := range in {
 		if f.Keep(r, &candidates[i]) {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -14,26 +14,26 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-func testRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+func newTestRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func ready(name string) Candidate {
+func readyCandidate(name string) Candidate {
 	return Candidate{Upstream: wire.Upstream{Name: name, Pool: "p", State: wire.UpstreamReady, Load: wire.Load{Capacity: 8}}}
 }
 
-func with(name string, change func(*Candidate)) Candidate {
-	c := ready(name)
+func modifiedCandidate(name string, change func(*Candidate)) Candidate {
+	c := readyCandidate(name)
 	change(&c)
 	return c
 }
 
 func TestFilters(t *testing.T) {
-	other := with("other", func(c *Candidate) { c.Upstream.Pool = "q" })
-	leaving := with("leaving", func(c *Candidate) { c.Upstream.State = wire.UpstreamLeaving })
-	starting := with("starting", func(c *Candidate) { c.Upstream.State = wire.UpstreamStarting })
-	suspect := with("suspect", func(c *Candidate) { c.Suspect = true })
-	failing := with("failing", func(c *Candidate) { c.Failing = true })
-	newer := with("newer", func(c *Candidate) { c.Upstream.Version = "v2" })
-	good := ready("good")
+	other := modifiedCandidate("other", func(c *Candidate) { c.Upstream.Pool = "q" })
+	leaving := modifiedCandidate("leaving", func(c *Candidate) { c.Upstream.State = wire.UpstreamLeaving })
+	starting := modifiedCandidate("starting", func(c *Candidate) { c.Upstream.State = wire.UpstreamStarting })
+	suspect := modifiedCandidate("suspect", func(c *Candidate) { c.Suspect = true })
+	failing := modifiedCandidate("failing", func(c *Candidate) { c.Failing = true })
+	newer := modifiedCandidate("newer", func(c *Candidate) { c.Upstream.Version = "v2" })
+	good := readyCandidate("good")
 	cases := []struct {
 		name       string
 		request    Request
@@ -58,7 +58,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			c.request.Pool = "p"
-			rng := testRand()
+			rng := newTestRand()
 			var got []string
 			for range 100 {
 				i, err := DefaultPolicy().Choose(&c.request, c.candidates, rng)
@@ -75,18 +75,18 @@
 	}
 }
 
-func TestScoresOrderTheUpstreams(t *testing.T) {
+func TestCheaperUpstreamHasTheLowerCost(t *testing.T) {
 	cases := []struct {
 		name          string
 		cheap, costly Candidate
 	}{
-		{"own in flight", ready("a"), with("b", func(c *Candidate) { c.InFlight = 1 })},
-		{"others", ready("a"), with("b", func(c *Candidate) { c.OtherHostsLoad = 1 })},
-		{"an old report says less", with("a", func(c *Candidate) { c.OtherHostsLoad, c.ReportAge = 4, 4*time.Second }), with("b", func(c *Candidate) { c.OtherHostsLoad = 4 })},
-		{"a small upstream", with("a", func(c *Candidate) { c.InFlight, c.Upstream.Load.Capacity = 8, 64 }), with("b", func(c *Candidate) { c.InFlight = 7 })},
-		{"cache", with("a", func(c *Candidate) { c.CachedFraction = 1 }), with("b", func(c *Candidate) { c.CachedFraction = 0.5 })},
-		{"cache before a little load", with("a", func(c *Candidate) { c.CachedFraction, c.InFlight = 1, 4 }), ready("b")},
-		{"a free upstream before a queue at the cache", ready("a"), with("b", func(c *Candidate) { c.CachedFraction, c.InFlight = 1, 9 })},
+		{"own in flight", readyCandidate("a"), modifiedCandidate("b", func(c *Candidate) { c.InFlight = 1 })},
+		{"others", readyCandidate("a"), modifiedCandidate("b", func(c *Candidate) { c.OtherHostsLoad = 1 })},
+		{"an old report says less", modifiedCandidate("a", func(c *Candidate) { c.OtherHostsLoad, c.ReportAge = 4, 4*time.Second }), modifiedCandidate("b", func(c *Candidate) { c.OtherHostsLoad = 4 })},
+		{"a small upstream", modifiedCandidate("a", func(c *Candidate) { c.InFlight, c.Upstream.Load.Capacity = 8, 64 }), modifiedCandidate("b", func(c *Candidate) { c.InFlight = 7 })},
+		{"cache", modifiedCandidate("a", func(c *Candidate) { c.CachedFraction = 1 }), modifiedCandidate("b", func(c *Candidate) { c.CachedFraction = 0.5 })},
+		{"cache before a little load", modifiedCandidate("a", func(c *Candidate) { c.CachedFraction, c.InFlight = 1, 4 }), readyCandidate("b")},
+		{"a free upstream before a queue at the cache", readyCandidate("a"), modifiedCandidate("b", func(c *Candidate) { c.CachedFraction, c.InFlight = 1, 9 })},
 	}
 	p := DefaultPolicy()
 	for _, c := range cases {
@@ -96,13 +96,13 @@
 	}
 }
 
-func TestChoiceFindsTheCachedUpstreamAmongMany(t *testing.T) {
+func TestUpstreamWithTheLongestCachedPrefixIsAlwaysACandidate(t *testing.T) {
 	var list []Candidate
 	for i := range 100 {
-		list = append(list, ready(fmt.Sprint(i)))
+		list = append(list, readyCandidate(fmt.Sprint(i)))
 	}
 	list[77].CachedFraction = 0.9
-	rng := testRand()
+	rng := newTestRand()
 	for range 100 {
 		i, err := DefaultPolicy().Choose(&Request{Pool: "p"}, list, rng)
 		require.NoError(t, err)
@@ -115,10 +115,10 @@
 func TestChoiceSpreadsOverEqualUpstreams(t *testing.T) {
 	var list []Candidate
 	for i := range 20 {
-		list = append(list, ready(fmt.Sprint(i)))
+		list = append(list, readyCandidate(fmt.Sprint(i)))
 		list[i].OtherHostsLoad = i
 	}
-	rng := testRand()
+	rng := newTestRand()
 	counts := make([]int, 20)
 	for range 1000 {
 		i, err := DefaultPolicy().Choose(&Request{Pool: "p"}, list, rng)
@@ -134,7 +134,7 @@
 		var list []Candidate
 		var tried []string
 		for i := range rapid.IntRange(0, 12).Draw(t, "n") {
-			c := ready(fmt.Sprint(i))
+			c := readyCandidate(fmt.Sprint(i))
 			c.Upstream.State = wire.UpstreamState(rapid.IntRange(0, 2).Draw(t, "state"))
 			c.Upstream.Pool = rapid.SampledFrom([]string{"p", "q"}).Draw(t, "pool")
 			c.Suspect = rapid.Bool().Draw(t, "suspect")
@@ -171,23 +171,23 @@
 func newRouterFixture(names ...string) *routerFixture {
 	f := &routerFixture{now: time.Minute}
 	for _, name := range names {
-		f.entries = append(f.entries, directory.Entry{Upstream: ready(name).Upstream, LoadAt: f.now})
+		f.entries = append(f.entries, directory.Entry{Upstream: readyCandidate(name).Upstream, LoadAt: f.now})
 	}
 	f.Router = NewRouter(Config{
 		Policy:           DefaultPolicy(),
 		Entries:          func() []directory.Entry { return f.entries },
 		Now:              func() time.Duration { return f.now },
-		Rand:             testRand(),
+		Rand:             newTestRand(),
 		PrefixIndexLimit: 100,
 	})
 	return f
 }
 
-func (f *routerFixture) look(i int) Candidate {
-	return f.candidate(&f.entries[i], &Request{Pool: "p"}, f.now)
+func (f *routerFixture) candidateAt(i int) Candidate {
+	return f.newCandidate(&f.entries[i], &Request{Pool: "p"}, f.now)
 }
 
-func TestReportIsSplitIntoOwnAndOthers(t *testing.T) {
+func TestOwnRequestsAreSubtractedFromALoadReport(t *testing.T) {
 	f := newRouterFixture("a")
 	var done []func(Outcome)
 	for range 5 {
@@ -203,28 +203,28 @@
 		d(Outcome{})
 		d(Outcome{})
 	}
-	got := f.look(0)
+	got := f.candidateAt(0)
 	require.Equal(t, 2, got.InFlight, "own, as it is now")
 	require.Equal(t, 4, got.OtherHostsLoad)
 	require.Equal(t, time.Second, got.ReportAge)
 	f.now += time.Hour
-	require.Equal(t, 4, f.look(0).OtherHostsLoad, "an old report goes on to be split at its own time")
+	require.Equal(t, 4, f.candidateAt(0).OtherHostsLoad, "an old report goes on to be split at its own time")
 }
 
-func TestOldReportOfAnIdleUpstreamCountsNothingSentSince(t *testing.T) {
+func TestInFlightSamplesAreBounded(t *testing.T) {
 	f := newRouterFixture("a")
-	for range 3 * maxMarks {
+	for range 3 * maxSamples {
 		f.now += time.Millisecond
 		_, done, err := f.Pick(&Request{Pool: "p"})
 		require.NoError(t, err)
 		done(Outcome{})
 	}
-	require.Zero(t, f.look(0).InFlight)
-	require.Zero(t, f.look(0).OtherHostsLoad)
-	require.LessOrEqual(t, len(f.own["a"].marks), maxMarks)
+	require.Zero(t, f.candidateAt(0).InFlight)
+	require.Zero(t, f.candidateAt(0).OtherHostsLoad)
+	require.LessOrEqual(t, len(f.stats["a"].samples), maxSamples)
 }
 
-func TestFailedUpstreamIsAvoidedForAWhile(t *testing.T) {
+func TestFailedUpstreamIsAvoidedDuringItsCooldown(t *testing.T) {
 	f := newRouterFixture("a", "b")
 	for {
 		up, done, err := f.Pick(&Request{Pool: "p"})
@@ -241,37 +241,37 @@
 		require.Equal(t, "b", up.Name)
 		done(Outcome{})
 	}
-	f.now += failingSpan
-	require.False(t, f.look(0).Failing)
+	f.now += failureCooldown
+	require.False(t, f.candidateAt(0).Failing)
 }
 
-func TestRestartOfAnAgentDropsWhatWasKnown(t *testing.T) {
+func TestAgentRestartResetsTheUpstreamStats(t *testing.T) {
 	f := newRouterFixture("a")
 	prefixes := []uint64{1, 2}
 	_, _, err := f.Pick(&Request{Pool: "p", Prefixes: prefixes})
 	require.NoError(t, err)
-	require.InDelta(t, 1, f.history.CachedFraction("a", prefixes), 0)
+	require.InDelta(t, 1, f.prefixes.CachedFraction("a", prefixes), 0)
 	f.entries[0].Upstream.Incarnation++
-	require.Zero(t, f.look(0).InFlight)
-	require.Zero(t, f.history.CachedFraction("a", prefixes))
+	require.Zero(t, f.candidateAt(0).InFlight)
+	require.Zero(t, f.prefixes.CachedFraction("a", prefixes))
 }
 
-func TestForgottenUpstreamLeavesNothing(t *testing.T) {
+func TestStatsOfRemovedUpstreamsArePruned(t *testing.T) {
 	f := newRouterFixture("a", "b")
-	f.look(0)
+	f.candidateAt(0)
 	f.entries = f.entries[1:]
-	for range pruneEvery {
+	for range pruneInterval {
 		_, done, err := f.Pick(&Request{Pool: "p"})
 		require.NoError(t, err)
 		done(Outcome{})
 	}
-	require.Len(t, f.own, 1)
+	require.Len(t, f.stats, 1)
 }
 
-// TestHistoryTakesLateAndGappedEvents delivers the events of a cache in any order
+// TestPrefixIndexIgnoresOutOfOrderCacheEvents delivers the events of a cache in any order
 // and with gaps: what the newest event taken says of a prefix holds, and a late one
 // never undoes it.
-func TestHistoryTakesLateAndGappedEvents(t *testing.T) {
+func TestPrefixIndexIgnoresOutOfOrderCacheEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := NewPrefixIndex(1000)
 		model := make(map[uint64]bool)
@@ -308,13 +308,13 @@
 	})
 }
 
-func TestHistoryCountsLeadingBlocksAndForgetsTheOldest(t *testing.T) {
+func TestPrefixIndexCountsLeadingBlocksAndEvictsTheLeastRecentlyUsed(t *testing.T) {
 	h := NewPrefixIndex(3)
 	h.RecordSent("a", []uint64{1, 2, 3})
 	require.InDelta(t, 0.5, h.CachedFraction("a", []uint64{1, 2, 9, 3}), 0)
 	h.RecordSent("a", []uint64{1, 4})
-	require.Equal(t, 3, h.order.Len())
-	require.Len(t, h.where, 3)
+	require.Equal(t, 3, h.lru.Len())
+	require.Len(t, h.byHash, 3)
 	require.Zero(t, h.CachedFraction("a", []uint64{2}), "the least recently used goes")
 	require.InDelta(t, 1, h.CachedFraction("a", []uint64{1, 4}), 0)
 }
--- a/internal/routing/scores.go
+++ b/internal/routing/scores.go
@@ -9,14 +9,14 @@
 const (
 	// reportHalfLife is the age at which what a report says of others counts half.
 	reportHalfLife = 500 * time.Millisecond
-	// busyCost is what a full upstream costs against an idle one: its steps are longer.
-	busyCost = 1
-	// queueCost is what a request costs that waits for as many to end as the upstream
+	// fullLoadCost is what a full upstream costs against an idle one: its steps are longer.
+	fullLoadCost = 1
+	// queuedBatchCost is what a request costs that waits for as many to end as the upstream
 	// runs at once: a whole answer takes several times the time to its first token.
-	queueCost = 8
-	// prefillCost is the part of the time to the first token that a prompt saves that is
+	queuedBatchCost = 8
+	// uncachedPromptCost is the part of the time to the first token that a prompt saves that is
 	// in the cache.
-	prefillCost = 0.8
+	uncachedPromptCost = 0.8
 )
 
 // WaitScorer estimates how long the request waits behind others. What this host has
@@ -32,7 +32,7 @@
 	discount := math.Exp2(-c.ReportAge.Seconds() / reportHalfLife.Seconds())
 	expected := float64(c.InFlight) + float64(c.OtherHostsLoad)*discount + 1
 	full := expected / math.Max(float64(c.Upstream.Load.Capacity), 1)
-	return busyCost*full + queueCost*math.Max(0, full-1)
+	return fullLoadCost*full + queuedBatchCost*math.Max(0, full-1)
 }
 
 // PrefillScorer estimates the time to compute the part of the prompt that is not
@@ -44,7 +44,7 @@
 
 // Cost implements Score.
 func (PrefillScorer) Cost(_ *Request, c *Candidate) float64 {
-	return prefillCost * (1 - c.CachedFraction)
+	return uncachedPromptCost * (1 - c.CachedFraction)
 }
 
 // PowerOfDChoices takes the cheapest of some candidates: Draws at random, so that entry hosts
