--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,9 +1,11 @@
-// Package admission decides, before a request is routed, whether and when it may run:
-// at once, after a wait in a bounded and fair queue, or not at all. It says so at
-// once, and never lets a request wait that can't end in time.
+// Package admission decides, before a request is routed, whether it runs now, waits in a
+// bounded fair queue, or is refused. A refusal comes immediately, and a request does not
+// wait if it can't finish by its deadline.
 //
-// Pool decides over one pool's capacity, Part over this host's part of it, Quota over
-// this host's part of a workspace's limits and Divider, at the owner of a workspace,
-// over the parts of all hosts. These are pure: time and randomness are arguments.
-// Controller is the thin concurrent shell around them. No decision needs a message.
+// Pool decides over the capacity of one pool of upstreams. CapacityShare computes how much
+// of that capacity this entry host may use. Quota applies this host's share of a workspace's
+// limits. Allocator runs on the host that owns a workspace and divides the workspace's
+// limits among all entry hosts. These four are pure: time and randomness are arguments.
+// Controller adds locking and waiting around them. Deciding on a request needs no message
+// to another host.
 package admission
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// BenchmarkSubmitToFullQueue is the dearest case: a request that is refused, or lets
-// another one go, beside a full queue of many workspaces.
+// BenchmarkSubmitToFullQueue measures the most expensive case: submitting a request to a
+// nearly full queue with many workspaces. The request is refused, or queued and withdrawn.
 func BenchmarkSubmitToFullQueue(b *testing.B) {
 	const limit, workspaces = 1024, 200
 	p := NewPool(limit)
@@ -33,20 +33,20 @@
 	}
 }
 
-// BenchmarkDemandBytes tells what a limited workspace above its floor costs on the
-// wire, each reportEvery, there and back.
+// BenchmarkDemandBytes measures the message bytes per workspace with a demand above its
+// floor. Each demandInterval costs one demand and one grant.
 func BenchmarkDemandBytes(b *testing.B) {
 	const n = 100
-	d, g := &wire.Demand{Seq: 1}, &wire.Grant{Seq: 1}
+	demand, grant := &wire.Demand{Seq: 1}, &wire.Grant{Seq: 1}
 	for i := range n {
 		key := Key("service", fmt.Sprint(i))
-		d.Items = append(d.Items, wire.DemandItem{Workspace: key, Limit: limitsToWire(Limits{Requests: 200.5, Tokens: 40_000, Concurrent: 64}),
+		demand.Items = append(demand.Items, wire.DemandItem{Workspace: key, Limit: limitsToWire(Limits{Requests: 200.5, Tokens: 40_000, Concurrent: 64}),
 			Wanted: amountsToWire(Amounts{Requests: 33.3, Tokens: 7777.7, Concurrent: 13}), Running: 7})
-		g.Items = append(g.Items, wire.GrantItem{Workspace: key, Given: amountsToWire(Amounts{Requests: 33.3, Tokens: 7777.7, Concurrent: 13})})
+		grant.Items = append(grant.Items, wire.GrantItem{Workspace: key, Given: amountsToWire(Amounts{Requests: 33.3, Tokens: 7777.7, Concurrent: 13})})
 	}
 	sizes := []int{0, 0}
 	for b.Loop() {
-		for i, m := range []wire.Message{d, g} {
+		for i, m := range []wire.Message{demand, grant} {
 			data, err := wire.Encode(0, false, m)
 			require.NoError(b, err)
 			sizes[i] = len(data)
--- a/internal/admission/capacity.go
+++ b/internal/admission/capacity.go
@@ -2,24 +2,27 @@
 
 import "time"
 
-// Usage is what the load reports say of the upstreams of a pool.
+// Usage sums the load reports of the upstreams of a pool.
 type Usage struct {
-	// Capacity is how many requests all ready upstreams run at once.
+	// Capacity is how many requests all ready upstreams can run concurrently.
 	Capacity int
-	// InUse is how many run or wait there, those of all entry hosts together.
+	// InUse is how many requests of all entry hosts run or wait at these upstreams.
 	InUse int
 }
 
-// borrowInterval is how often a host takes more than its equal part: load reports are
-// sent about as often, and the same report must not be used twice.
+// borrowInterval is how often a host may raise its limit above an equal share. Load
+// reports are sent about as often, and a host must not borrow twice on the same report.
 const borrowInterval = 2 * time.Second
 
-// CapacityShare is this host's part of the capacity of one pool. The zero value is ready.
+// CapacityShare computes how many requests this entry host may run in one pool. The zero
+// value is ready to use.
 //
-// Each host may always use an equal part. One that needed all that it had for two
-// reports in a row may use more of what they show as free, but takes only its own
-// fraction of that a report: hosts that see the same report at once so never take more
-// together than was free. It gives back what turns out to be used by others.
+// Each host may always use an equal share of the capacity. A host that used its whole limit
+// in two consecutive reports may borrow from the capacity that the last report shows as
+// free. It borrows at most the free capacity divided by the number of hosts, so hosts that
+// act on the same report together never borrow more than was free. Otherwise each report
+// lowers the limit to what the host runs now, and by the excess if the report shows more
+// requests than the pool's capacity, but never below the equal share.
 type CapacityShare struct {
 	limit         int
 	wasSaturated  bool
@@ -27,9 +30,9 @@
 	isInitialized bool
 }
 
-// Update returns how many requests this host may run at once, where own run now and
-// hosts entry hosts are alive, this one included. It is at least one if there is any
-// capacity.
+// Update returns how many requests this host may run concurrently. own is how many it runs
+// now, and hosts is the number of live entry hosts including this one. The result is at
+// least one if the pool has any capacity.
 func (s *CapacityShare) Update(now time.Duration, u Usage, own, hosts int) int {
 	hosts = max(hosts, 1)
 	equal := (u.Capacity + hosts - 1) / hosts
@@ -40,10 +43,10 @@
 	return min(max(equal, s.limit), u.Capacity)
 }
 
-// borrow looks at a new report.
+// borrow adjusts the limit to a new load report.
 func (s *CapacityShare) borrow(u Usage, own, hosts int) {
 	equal := (u.Capacity + hosts - 1) / hosts
-	wasHungry := s.wasSaturated
+	saturatedBefore := s.wasSaturated
 	s.wasSaturated = own >= max(equal, s.limit)
 	free := u.Capacity - max(u.InUse, own)
 	if free < 0 {
@@ -51,7 +54,7 @@
 		return
 	}
 	s.limit = max(equal, own)
-	if s.wasSaturated && wasHungry {
+	if s.wasSaturated && saturatedBefore {
 		s.limit = own + free/hosts
 	}
 }
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -15,41 +15,44 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// Request is what admission has to know of a request.
+// Request describes a request to be admitted.
 type Request struct {
-	// Service is the name of the document, Workspace that of the workspace in it.
+	// Service is the name of a service's document, and Workspace the name of a workspace
+	// in that document.
 	Service, Workspace string
 	Pool               string
-	// Urgency is that of RFC 9218: 0 goes first, 7 last.
+	// Urgency is the urgency of RFC 9218, from 0 (most urgent) to 7 (least urgent).
 	Urgency uint8
-	// Share is the weight of the workspace; one if it is not above zero.
+	// Share is the weight of the workspace in fair queueing. Zero or less counts as one.
 	Share  float64
 	Limits Limits
-	// Cost is the expected work in tokens.
+	// Cost is the expected number of tokens that the request takes.
 	Cost uint64
-	// Deadline is how long the whole answer may take from now on.
+	// Deadline is how much time is left until the answer must be complete.
 	Deadline time.Duration
 }
 
-// Config is what a Controller needs.
+// Config configures a Controller.
 type Config struct {
-	// QueueLimit bounds how many requests wait for one pool.
+	// QueueLimit is the maximum number of requests that wait for one pool.
 	QueueLimit int
-	// Hosts is how many entry hosts of the data centre the limits are divided among;
-	// DataCentres how many data centres have an equal part of each. One if zero.
+	// DataCentres is the number of data centres, each of which gets an equal share of every
+	// limit. Hosts is the number of entry hosts that divide a data centre's share. Zero
+	// counts as one.
 	Hosts, DataCentres int
-	// Usage returns what the load reports say of a pool; Live how many entry hosts
-	// of the data centre are alive, this one included.
+	// Usage returns the sum of the latest load reports of a pool. LiveHosts returns the
+	// number of live entry hosts of the data centre, including this one.
 	Usage     func(pool string) Usage
 	LiveHosts func() int
-	// Now is a monotonic clock; Rand is uniform in [0, 1) and safe for concurrent use.
+	// Now is a monotonic clock. Rand returns uniform values in [0, 1) and must be safe for
+	// concurrent use.
 	Now     func() time.Duration
 	Rand    func() float64
 	Metrics metrics.Registry
 }
 
-// Controller lets requests in. It is safe for concurrent use. One lock guards all
-// its decisions, which do no I/O; waiting requests sleep outside of it.
+// Controller admits or refuses requests. It is safe for concurrent use. One lock guards
+// all decisions, which do no I/O. Waiting requests block without holding the lock.
 type Controller struct {
 	cfg         Config
 	instruments instruments
@@ -61,7 +64,7 @@
 	allocator *Allocator
 }
 
-// poolState is one pool with this host's part of it.
+// poolState is one pool and this host's share of its capacity.
 type poolState struct {
 	pool  *Pool
 	share CapacityShare
@@ -73,6 +76,7 @@
 	wait                                                                                             metrics.Histogram
 }
 
+// waitSampleSize is the number of samples that the wait-time histogram keeps.
 const waitSampleSize = 1028
 
 func newInstruments(r metrics.Registry) instruments {
@@ -91,7 +95,7 @@
 	}
 }
 
-// New returns a Controller.
+// New returns a Controller without pools; each pool is added with its first request.
 func New(cfg Config) *Controller {
 	if cfg.Metrics == nil {
 		cfg.Metrics = metrics.NewRegistry()
@@ -105,13 +109,13 @@
 	}
 }
 
-// Key identifies a workspace among those of all documents.
+// Key returns a hash that identifies a workspace of a service on all hosts.
 func Key(service, workspace string) uint64 {
 	return xxhash.Sum64String(service + "\x00" + workspace)
 }
 
-// Admit lets a request in, waits for its turn, or refuses it with a *verdict.Error
-// that says NotRun. It waits no longer than ctx lasts. release is to be called once
+// Admit returns once the request may run, or with a *verdict.Error of verdict NotRun if it
+// is refused or ctx ends while it waits in the queue. The caller must call release once,
 // when the request has ended.
 func (c *Controller) Admit(ctx context.Context, r Request) (release func(), err error) {
 	now := c.cfg.Now()
@@ -158,7 +162,8 @@
 	return t
 }
 
-// takeQuota requires mu.
+// takeQuota charges the request to its workspace's quota. It returns nil for both results
+// if the workspace has no limits. The caller holds mu.
 func (c *Controller) takeQuota(now time.Duration, r *Request, t *Ticket) (*Quota, error) {
 	if !r.Limits.IsSet() {
 		return nil, nil
@@ -171,15 +176,15 @@
 		c.quotas[key] = q
 	}
 	q.SetLimits(limits)
-	service := c.poolFor(now, r.Pool).pool.serviceTime(t.Class, 0)
-	if refusal := q.Take(now, t.Cost, service, t.Jitter); refusal != nil {
+	serviceTime := c.poolFor(now, r.Pool).pool.serviceTime(t.Class, 0)
+	if refusal := q.Take(now, t.Cost, serviceTime, t.Jitter); refusal != nil {
 		return nil, refusal
 	}
 	return q, nil
 }
 
-// dataCentreLimits is the data centre's part of the limits. A limit on concurrency stays one
-// at least.
+// dataCentreLimits returns this data centre's share of the limits. A concurrency limit is
+// rounded up, so it never becomes zero, which means unlimited.
 func (c *Controller) dataCentreLimits(l Limits) Limits {
 	n := max(c.cfg.DataCentres, 1)
 	l.Requests /= float64(n)
@@ -188,14 +193,14 @@
 	return l
 }
 
-// refund requires mu.
+// refund undoes takeQuota for a request that did not run. The caller holds mu.
 func (c *Controller) refund(q *Quota, t *Ticket) {
 	if q != nil {
 		q.Refund(t.Cost)
 	}
 }
 
-// poolFor requires mu.
+// poolFor returns the state of a pool and creates it if necessary. The caller holds mu.
 func (c *Controller) poolFor(now time.Duration, name string) *poolState {
 	p := c.pools[name]
 	if p == nil {
@@ -206,22 +211,22 @@
 	return p
 }
 
-// refreshCapacity requires mu.
+// refreshCapacity sets a pool's capacity from the latest load reports. The caller holds mu.
 func (c *Controller) refreshCapacity(now time.Duration, name string, p *poolState) {
-	n := p.share.Update(now, c.cfg.Usage(name), p.pool.Running(), c.cfg.LiveHosts())
-	c.notify(p.pool.SetCapacity(now, n))
+	capacity := p.share.Update(now, c.cfg.Usage(name), p.pool.Running(), c.cfg.LiveHosts())
+	c.notify(p.pool.SetCapacity(now, capacity))
 }
 
-// notify wakes the requests that were decided. It requires mu.
+// notify wakes the goroutines that wait for these tickets. The caller holds mu.
 func (c *Controller) notify(tickets []*Ticket) {
 	for _, t := range tickets {
 		close(t.decided)
 	}
 }
 
-// await sleeps until t is settled. The error is a *verdict.Error.
+// await blocks until t is running, is refused, or ctx ends. The error is a *verdict.Error.
 func (c *Controller) await(ctx context.Context, p *poolState, t *Ticket) error {
-	began := c.cfg.Now()
+	waitStart := c.cfg.Now()
 	select {
 	case <-t.decided:
 		c.instruments.wait.Update(0)
@@ -234,7 +239,7 @@
 		select {
 		case <-t.decided:
 			timer.Stop()
-			c.instruments.wait.Update((c.cfg.Now() - began).Microseconds())
+			c.instruments.wait.Update((c.cfg.Now() - waitStart).Microseconds())
 			return c.result(t)
 		case <-ctx.Done():
 			timer.Stop()
@@ -245,7 +250,7 @@
 	}
 }
 
-// remainingWait is how long t may still wait.
+// remainingWait returns how long t may still wait before it expires.
 func (c *Controller) remainingWait(p *poolState, t *Ticket) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -266,7 +271,8 @@
 	return t.err
 }
 
-// abandon gives up a request whose caller left, or whose time ended, while it waited.
+// abandon removes a request whose ctx was cancelled or timed out while it waited. It may
+// have been admitted at the same moment, in which case its slot is released.
 func (c *Controller) abandon(p *poolState, t *Ticket, cause error) error {
 	c.mu.Lock()
 	p.pool.Withdraw(t)
@@ -297,11 +303,11 @@
 	c.instruments.refusedOnArrival.Inc(1)
 }
 
-// CapacityUpdateInterval is how often Update is to be called: how long a change of the
-// capacity waits to be used.
+// CapacityUpdateInterval is how often Update must be called. It bounds the delay until a
+// change of the capacity takes effect.
 const CapacityUpdateInterval = 100 * time.Millisecond
 
-// Update takes the capacity that the load reports now show.
+// Update applies the capacity of the latest load reports to all pools.
 func (c *Controller) Update() {
 	now := c.cfg.Now()
 	c.mu.Lock()
@@ -318,28 +324,30 @@
 	c.instruments.capacity.Update(int64(capacity))
 }
 
-// DemandInterval is how often Demands is to be called.
+// DemandInterval is how often Demands must be called.
 const DemandInterval = demandInterval
 
-// Demands returns what this host wants of limited workspaces beyond its floors, and
-// forgets idle ones. Of too many, those come first that have not asked for longest.
+// Demands returns this host's demand for limited workspaces, as far as it exceeds the floor
+// that the host may use without a grant. It drops the quotas of idle workspaces. If more
+// than maxDemandsPerReport workspaces have a demand, those reported longest ago come first.
 func (c *Controller) Demands() []wire.DemandItem {
 	now := c.cfg.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.allocator.Expire(now)
-	wanting := c.workspacesAboveFloor(now)
+	keys := c.workspacesAboveFloor(now)
 	var out []wire.DemandItem
-	for _, key := range wanting[:min(len(wanting), maxDemandsPerReport)] {
+	for _, key := range keys[:min(len(keys), maxDemandsPerReport)] {
 		q := c.quotas[key]
-		u, _ := q.Demand(now)
+		demand, _ := q.Demand(now)
 		q.ResetDemand(now)
-		out = append(out, wire.DemandItem{Workspace: key, Limit: limitsToWire(q.limits), Wanted: amountsToWire(u), Running: float32(q.RunningAboveFloor())})
+		out = append(out, wire.DemandItem{Workspace: key, Limit: limitsToWire(q.limits), Wanted: amountsToWire(demand), Running: float32(q.RunningAboveFloor())})
 	}
 	return out
 }
 
-// workspacesAboveFloor returns the workspaces whose floor is not enough. It requires mu.
+// workspacesAboveFloor returns the workspaces whose demand exceeds this host's floor, the
+// one reported longest ago first. The caller holds mu.
 func (c *Controller) workspacesAboveFloor(now time.Duration) []uint64 {
 	var keys []uint64
 	for key, q := range c.quotas {
@@ -359,26 +367,26 @@
 	return keys
 }
 
-// Allocate answers a host's demand, as the owner of the workspaces in it.
-func (c *Controller) Allocate(host string, d *wire.Demand) *wire.Grant {
+// Allocate answers another host's demand. This host owns the workspaces in the demand.
+func (c *Controller) Allocate(host string, demand *wire.Demand) *wire.Grant {
 	now := c.cfg.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	g := &wire.Grant{Seq: d.Seq}
-	for _, item := range d.Items {
-		given := c.allocator.Allocate(now, host, item.Workspace, limitsFromWire(item.Limit), amountsFromWire(item.Wanted), float64(item.Running))
-		g.Items = append(g.Items, wire.GrantItem{Workspace: item.Workspace, Given: amountsToWire(given)})
+	grant := &wire.Grant{Seq: demand.Seq}
+	for _, item := range demand.Items {
+		granted := c.allocator.Allocate(now, host, item.Workspace, limitsFromWire(item.Limit), amountsFromWire(item.Wanted), float64(item.Running))
+		grant.Items = append(grant.Items, wire.GrantItem{Workspace: item.Workspace, Given: amountsToWire(granted)})
 	}
-	return g
+	return grant
 }
 
-// ApplyGrant takes an owner's answer to a demand that was sent at the time asked.
-func (c *Controller) ApplyGrant(asked time.Duration, g *wire.Grant) {
+// ApplyGrant applies an owner's answer to a demand that this host sent at sentAt.
+func (c *Controller) ApplyGrant(sentAt time.Duration, g *wire.Grant) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, item := range g.Items {
 		if q := c.quotas[item.Workspace]; q != nil {
-			q.Grant(asked, amountsFromWire(item.Given))
+			q.Grant(sentAt, amountsFromWire(item.Given))
 		}
 	}
 }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -15,6 +15,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
+// testTimeout bounds waits in these tests, and is the deadline of their requests.
 const testTimeout = 20 * time.Second
 
 func newTestController(capacity, queue int) (*Controller, metrics.Registry) {
@@ -37,7 +38,7 @@
 
 func TestControllerAdmitsAllWithoutExceedingTheCapacity(t *testing.T) {
 	c, _ := newTestController(3, 1000)
-	var running, most, done atomic.Int64
+	var running, peak, done atomic.Int64
 	var wg sync.WaitGroup
 	for i := range 60 {
 		wg.Add(1)
@@ -47,8 +48,8 @@
 			if err != nil {
 				return
 			}
-			if n := running.Add(1); n > most.Load() {
-				most.Store(n)
+			if n := running.Add(1); n > peak.Load() {
+				peak.Store(n)
 			}
 			done.Add(1)
 			running.Add(-1)
@@ -57,7 +58,7 @@
 	}
 	wg.Wait()
 	require.EqualValues(t, 60, done.Load())
-	require.LessOrEqual(t, most.Load(), int64(3))
+	require.LessOrEqual(t, peak.Load(), int64(3))
 }
 
 func TestCancelledCallerLeavesTheQueue(t *testing.T) {
@@ -65,15 +66,15 @@
 	release, err := c.Admit(context.Background(), newRequest("a"))
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	left := make(chan error, 1)
+	refusal := make(chan error, 1)
 	go func() {
 		_, err := c.Admit(ctx, newRequest("b"))
-		left <- err
+		refusal <- err
 	}()
-	waits := func() bool { c.Update(); return reg.Get("admission.queued").(metrics.Gauge).Value() == 1 }
-	require.Eventually(t, waits, testTimeout, time.Millisecond)
+	isQueued := func() bool { c.Update(); return reg.Get("admission.queued").(metrics.Gauge).Value() == 1 }
+	require.Eventually(t, isQueued, testTimeout, time.Millisecond)
 	cancel()
-	require.Equal(t, verdict.NotRun, verdict.Of(<-left).Verdict)
+	require.Equal(t, verdict.NotRun, verdict.Of(<-refusal).Verdict)
 	c.Update()
 	require.Zero(t, reg.Get("admission.queued").(metrics.Gauge).Value())
 	release()
@@ -106,11 +107,11 @@
 	c, _ := newTestController(1, 0)
 	r := newRequest("a")
 	r.Limits = Limits{Concurrent: 1}
-	hold, err := c.Admit(context.Background(), newRequest("b"))
+	releaseOther, err := c.Admit(context.Background(), newRequest("b"))
 	require.NoError(t, err)
 	_, err = c.Admit(context.Background(), r)
 	require.Equal(t, verdict.CodeOverloaded, verdict.Of(err).Code, "the queue is full")
-	hold()
+	releaseOther()
 	release, err := c.Admit(context.Background(), r)
 	require.NoError(t, err, "what the queue refused does not count against the limit")
 	_, err = c.Admit(context.Background(), r)
@@ -135,7 +136,7 @@
 	host := New(cfg)
 	r := newRequest("a")
 	r.Limits = Limits{Concurrent: 40}
-	admitted := func() (n int) {
+	countAdmitted := func() (n int) {
 		for range 60 {
 			if _, err := host.Admit(context.Background(), r); err == nil {
 				n++
@@ -143,17 +144,18 @@
 		}
 		return n
 	}
-	require.Equal(t, 1, admitted(), "the floor")
-	d := &wire.Demand{Seq: 7, Items: host.Demands()}
-	require.Len(t, d.Items, 1)
-	g := owner.Allocate("host", d)
-	require.EqualValues(t, 7, g.Seq)
-	host.ApplyGrant(now(), g)
-	require.Equal(t, 35, admitted(), "what the owner hands out of forty")
+	require.Equal(t, 1, countAdmitted(), "the floor")
+	demand := &wire.Demand{Seq: 7, Items: host.Demands()}
+	require.Len(t, demand.Items, 1)
+	grant := owner.Allocate("host", demand)
+	require.EqualValues(t, 7, grant.Seq)
+	host.ApplyGrant(now(), grant)
+	require.Equal(t, 35, countAdmitted(), "what the owner hands out of forty")
 }
 
-// TestDemandReportsAreBoundedAndCoverAllWorkspaces lets more workspaces want more than one report may
-// carry.
+// TestDemandReportsAreBoundedAndCoverAllWorkspaces has more workspaces with a demand than
+// fit into one report. Each report must stay within the bound, and successive reports must
+// cover all workspaces.
 func TestDemandReportsAreBoundedAndCoverAllWorkspaces(t *testing.T) {
 	c, _ := newTestController(10_000, 0)
 	c.cfg.Hosts = 8
--- a/internal/admission/divide.go
+++ b/internal/admission/divide.go
@@ -5,27 +5,29 @@
 	"time"
 )
 
-// Allocator divides the limits of the workspaces that a host owns among the hosts that
-// ask. It is pure and not safe for concurrent use.
+// Allocator divides the limits of the workspaces that this host owns among the hosts that
+// send demands. It is pure and not safe for concurrent use.
 //
-// Invariant: for each workspace, what all unexpired grants give away together is no
-// more than what the hosts' floors leave of its limit. A grant expires here no
-// sooner than at the host that has it, since that one counts from before it asked.
+// Invariant: for each workspace, the sum of all unexpired grants is at most the limit minus
+// the floors of all hosts. A grant expires at its owner no earlier than at the host that
+// received it, because that host counts the lease from before it sent its demand.
 type Allocator struct {
 	hosts int
-	// ownerSince is when this host began to own; for one lease span after that, grants of
-	// the owner before may be in force.
+	// ownerSince is when this host became an owner. For one leaseDuration after that,
+	// grants of the previous owner may still be valid.
 	ownerSince time.Duration
-	shares     map[uint64]map[string]*hostShare
+	// shares is indexed by workspace key, then by host name.
+	shares map[uint64]map[string]*hostShare
 }
 
-// hostShare is what one host wants and was given of one workspace.
+// hostShare is the demand of one host for one workspace, with the grants it received.
 type hostShare struct {
 	demand Amounts
-	// runningAboveFloor is what the host still runs at once above its floor, grant or not.
+	// runningAboveFloor is how many requests the host runs above its floor. They may
+	// outlive the grant under which they started.
 	runningAboveFloor float64
-	// grants are those that may be in force at the host: a reply can be lost, so
-	// that a larger one before it holds on.
+	// grants are those that may be valid at the host. A reply can be lost, so an earlier,
+	// larger grant may still be the one that the host uses.
 	grants []grant
 }
 
@@ -34,13 +36,14 @@
 	expiresAt time.Duration
 }
 
-// NewAllocator returns a Divider at one of that many hosts.
+// NewAllocator returns an Allocator for limits that are divided among that many hosts.
 func NewAllocator(now time.Duration, hosts int) *Allocator {
 	return &Allocator{hosts: max(hosts, 1), ownerSince: now, shares: make(map[uint64]map[string]*hostShare)}
 }
 
-// Allocate returns what the host gets of a workspace above its floor, where running are
-// the requests above the floor that it runs now.
+// Allocate returns what the host may use of a workspace's limits above its floor, for one
+// lease. running is how many requests it runs above its floor now. For one leaseDuration
+// after this host became an owner the result is zero.
 func (d *Allocator) Allocate(now time.Duration, host string, workspace uint64, l Limits, demand Amounts, running float64) Amounts {
 	if now < d.ownerSince+leaseDuration || d.hosts == 1 {
 		return Amounts{}
@@ -56,35 +59,35 @@
 		hosts[host] = s
 	}
 	s.demand, s.runningAboveFloor = demand, running
-	for _, o := range hosts {
-		o.expire(now)
+	for _, other := range hosts {
+		other.expire(now)
 	}
-	given := Amounts{
+	granted := Amounts{
 		Requests:   allocateLimit(hosts, s, l.Requests, func(u Amounts) float64 { return u.Requests }),
 		Tokens:     allocateLimit(hosts, s, l.Tokens, func(u Amounts) float64 { return u.Tokens }),
 		Concurrent: allocateLimit(hosts, s, float64(l.Concurrent), func(u Amounts) float64 { return u.Concurrent }),
 	}
-	s.grants = append(s.grants, grant{amounts: given, expiresAt: now + leaseDuration})
-	return given
+	s.grants = append(s.grants, grant{amounts: granted, expiresAt: now + leaseDuration})
+	return granted
 }
 
-// allocateLimit divides one limit: a host gets its max-min fair part, as far as what the others
-// hold leaves it.
-func allocateLimit(hosts map[string]*hostShare, s *hostShare, limit float64, of func(Amounts) float64) float64 {
-	left := limit * (1 - floorFraction)
-	demands := []float64{of(s.demand)}
-	held := 0.0
-	for _, o := range hosts {
-		if o == s || len(o.grants) == 0 {
+// allocateLimit computes one host's grant of one limit: its max-min fair share, reduced to
+// what the reservations of the other hosts leave. of selects the limit.
+func allocateLimit(hosts map[string]*hostShare, self *hostShare, limit float64, of func(Amounts) float64) float64 {
+	available := limit * (1 - floorFraction)
+	demands := []float64{of(self.demand)}
+	reserved := 0.0
+	for _, other := range hosts {
+		if other == self || len(other.grants) == 0 {
 			continue
 		}
-		demands = append(demands, of(o.demand))
-		held += of(o.reserved())
+		demands = append(demands, of(other.demand))
+		reserved += of(other.reserved())
 	}
-	return max(0, min(of(s.demand), maxMinLevel(demands, left), left-held))
+	return max(0, min(of(self.demand), maxMinLevel(demands, available), available-reserved))
 }
 
-// reserved is the most that a host may use above its floor.
+// reserved returns the most that the host may be using above its floor.
 func (s *hostShare) reserved() Amounts {
 	u := Amounts{Concurrent: s.runningAboveFloor}
 	for _, g := range s.grants {
@@ -99,21 +102,21 @@
 	s.grants = slices.DeleteFunc(s.grants, func(g grant) bool { return g.expiresAt <= now })
 }
 
-// maxMinLevel returns the level up to which each demand can be met from what there is:
-// the max-min fair division.
+// maxMinLevel returns the max-min fair level: if every demand is capped at this level, their
+// sum is at most total.
 func maxMinLevel(demands []float64, total float64) float64 {
 	slices.Sort(demands)
-	for i, x := range demands {
+	for i, demand := range demands {
 		level := total / float64(len(demands)-i)
-		if x >= level {
+		if demand >= level {
 			return level
 		}
-		total -= x
+		total -= demand
 	}
 	return total
 }
 
-// Expire forgets hosts without a grant in force.
+// Expire drops hosts without an unexpired grant.
 func (d *Allocator) Expire(now time.Duration) {
 	for workspace, hosts := range d.shares {
 		for host, s := range hosts {
--- a/internal/admission/fair.go
+++ b/internal/admission/fair.go
@@ -6,53 +6,56 @@
 	"time"
 )
 
-// fairQueue orders the waiting requests of one class by start-time fair queueing:
-// each workspace has a virtual start time, which moves on by cost over weight with
-// each request that goes; the earliest start goes next. Workspaces that stay
-// backlogged so get work in proportion to their weights, whatever their arrivals,
-// and one that comes late neither pays for nor gains from the time it was away.
+// fairQueue orders the waiting requests of one class by start-time fair queueing. Each
+// workspace has a virtual start time, which advances by cost divided by weight with each
+// request that is dequeued. The workspace with the earliest start time is served next. So
+// backlogged workspaces get work in proportion to their weights, whatever their arrival
+// patterns, and a workspace that was idle is neither penalised nor compensated for that.
 //
-// The times belong to workspaces, not to requests: one that is withdrawn costs its
-// workspace nothing.
+// Start times belong to workspaces rather than to requests, so a withdrawn request costs
+// its workspace nothing.
 type fairQueue struct {
-	// virtualTime is the start time of the last request that went.
+	// virtualTime is the virtual start time of the last dequeued request.
 	virtualTime float64
 	flows       map[string]*flow
 	heap        flowHeap
+	// activations counts the times that an idle flow got a request.
 	activations uint64
 	size        int
 	totalWeight float64
 	dequeues    dequeueIntervals
 }
 
-// flow is one workspace of a class.
+// flow is the queue of one workspace within a class.
 type flow struct {
 	weight float64
-	// start is the virtual time at which the head of queue goes, finish that at
-	// which the last one that went is paid for.
+	// start is the virtual start time of the head of queue. finish is the virtual finish
+	// time of the last dequeued request.
 	start, finish float64
-	// activation orders flows of the same start.
+	// activation breaks ties between flows with the same start time.
 	activation uint64
 	queue      []*Ticket
-	index      int
-	dequeues   dequeueIntervals
+	// index is the position in the flowHeap.
+	index    int
+	dequeues dequeueIntervals
 }
 
-// dequeueIntervals measures how long a backlogged queue waits from one turn to the next.
+// dequeueIntervals measures the time between dequeues of a backlogged queue.
 type dequeueIntervals struct {
 	last     time.Duration
 	interval movingMean
 }
 
-// restart starts to measure where a backlog begins, taken notes a turn.
+// restart starts a measurement when a backlog begins.
 func (u *dequeueIntervals) restart(now time.Duration) { u.last = now }
 
+// record adds the interval since the previous dequeue.
 func (u *dequeueIntervals) record(now time.Duration) {
 	u.interval.add(now - u.last)
 	u.last = now
 }
 
-// expectedTime is how long n turns take, zero where too few were measured.
+// expectedTime returns how long n dequeues take, or zero if too few were measured.
 func (u *dequeueIntervals) expectedTime(n int) time.Duration {
 	if u.interval.samples < minDequeues {
 		return 0
@@ -60,10 +63,11 @@
 	return u.interval.sumOf(n, dequeueDeviations)
 }
 
-// minDequeues is how many turns have to be measured before they say anything.
+// minDequeues is how many intervals must be measured before they are used as an estimate.
 const minDequeues = 8
 
-// pruneThreshold is how many flows without requests are kept for their finish times.
+// pruneThreshold is how many idle flows are kept, for their finish times, before flows that
+// no longer matter are deleted.
 const pruneThreshold = 256
 
 func (q *fairQueue) add(now time.Duration, t *Ticket) {
@@ -92,7 +96,7 @@
 	heap.Push(&q.heap, f)
 }
 
-// next removes the request that goes next. There is at least one.
+// next dequeues a request. The queue must not be empty.
 func (q *fairQueue) next(now time.Duration) *Ticket {
 	f := q.heap[0]
 	f.dequeues.record(now)
@@ -112,7 +116,7 @@
 	return t
 }
 
-// remove withdraws a request that waits.
+// remove takes a waiting request out of the queue without serving it.
 func (q *fairQueue) remove(t *Ticket) {
 	f := q.flows[t.Workspace]
 	i := slices.Index(f.queue, t)
@@ -123,8 +127,8 @@
 	}
 }
 
-// deactivate takes a flow without requests out of the order. What it has had is
-// remembered until the others have had as much.
+// deactivate removes a flow without requests from the heap. The flow keeps its finish time
+// until virtualTime reaches it, so a workspace gains nothing by emptying its queue.
 func (q *fairQueue) deactivate(f *flow) {
 	heap.Remove(&q.heap, f.index)
 	q.totalWeight -= f.weight
@@ -142,7 +146,7 @@
 	}
 }
 
-// queuedBy is how many requests of a workspace wait.
+// queuedBy returns how many requests of a workspace wait.
 func (q *fairQueue) queuedBy(workspace string) int {
 	if f := q.flows[workspace]; f != nil {
 		return len(f.queue)
@@ -150,8 +154,8 @@
 	return 0
 }
 
-// relativeWeight is a workspace's weight over the mean of those that wait, itself
-// included.
+// relativeWeight returns the weight of t's workspace divided by the mean weight of all
+// backlogged workspaces, including that of t.
 func (q *fairQueue) relativeWeight(t *Ticket) float64 {
 	sum, n := q.totalWeight, float64(len(q.heap))
 	if q.queuedBy(t.Workspace) == 0 {
@@ -161,14 +165,14 @@
 	return t.Weight * n / sum
 }
 
-// countAhead counts the requests that go before t, were it added now.
+// countAhead returns how many waiting requests would be served before t if t were added now.
 func (q *fairQueue) countAhead(t *Ticket) int {
-	tag := q.virtualTime
+	start := q.virtualTime
 	own := q.flows[t.Workspace]
 	if own != nil {
-		tag = max(tag, own.finish)
+		start = max(start, own.finish)
 		if len(own.queue) > 0 {
-			tag = own.start + totalCost(own.queue)/own.weight
+			start = own.start + totalCost(own.queue)/own.weight
 		}
 	}
 	n := 0
@@ -177,16 +181,16 @@
 			n += len(f.queue)
 			continue
 		}
-		n += f.countStartingBy(tag)
+		n += f.countStartingBy(start)
 	}
 	return n
 }
 
-// countStartingBy counts the requests that start no later than a virtual time.
-func (f *flow) countStartingBy(tag float64) int {
+// countStartingBy returns how many requests of the flow start no later than a virtual time.
+func (f *flow) countStartingBy(limit float64) int {
 	start := f.start
 	for i, t := range f.queue {
-		if start > tag {
+		if start > limit {
 			return i
 		}
 		start += t.Cost / f.weight
@@ -202,23 +206,23 @@
 	return sum
 }
 
-// findExpired returns the requests that can't end in time any more, and the earliest
-// deadline of the others.
-func (q *fairQueue) findExpired(now, service time.Duration) (late []*Ticket, earliest time.Duration) {
+// findExpired returns the requests that can no longer finish by their deadlines if they
+// take the given service time, and the earliest deadline of the others.
+func (q *fairQueue) findExpired(now, service time.Duration) (expired []*Ticket, earliest time.Duration) {
 	earliest = never
 	for _, f := range q.heap {
 		for _, t := range f.queue {
 			if now+service >= t.Deadline {
-				late = append(late, t)
+				expired = append(expired, t)
 				continue
 			}
 			earliest = min(earliest, t.Deadline)
 		}
 	}
-	return late, earliest
+	return expired, earliest
 }
 
-// flowHeap has the flow with the earliest start on top.
+// flowHeap is a min-heap of flows by virtual start time.
 type flowHeap []*flow
 
 // Len implements heap.Interface.
--- a/internal/admission/pool_test.go
+++ b/internal/admission/pool_test.go
@@ -11,7 +11,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// poolHarness plays the caller of a Pool and checks its invariants after each call.
+// poolHarness calls a Pool as a Controller does, and checks its invariants after each call.
 type poolHarness struct {
 	t       require.TestingT
 	pool    *Pool
@@ -27,9 +27,9 @@
 	return d
 }
 
-// collect sorts the settled tickets and checks what must always hold.
-func (d *poolHarness) collect(settled []*Ticket) {
-	for _, t := range settled {
+// collect records the tickets that a call started or refused, and checks the invariants.
+func (d *poolHarness) collect(decided []*Ticket) {
+	for _, t := range decided {
 		switch t.state {
 		case stateRunning:
 			d.running = append(d.running, t)
@@ -38,16 +38,16 @@
 			require.Positive(d.t, t.err.RetryAfter)
 			d.refused = append(d.refused, t)
 		default:
-			require.Fail(d.t, "settled, but neither granted nor refused")
+			require.Fail(d.t, "returned, but neither running nor refused")
 		}
 	}
-	kept := d.waiting[:0]
+	waiting := d.waiting[:0]
 	for _, t := range d.waiting {
 		if t.state == stateWaiting {
-			kept = append(kept, t)
+			waiting = append(waiting, t)
 		}
 	}
-	d.waiting = kept
+	d.waiting = waiting
 	d.checkInvariants()
 }
 
@@ -56,19 +56,19 @@
 	require.Equal(d.t, len(d.waiting), d.pool.Queued())
 	require.LessOrEqual(d.t, d.pool.Queued(), d.pool.limit, "queue bound")
 	if d.pool.Queued() > 0 {
-		require.GreaterOrEqual(d.t, d.pool.Running(), d.pool.Capacity(), "one waits while a slot is free")
+		require.GreaterOrEqual(d.t, d.pool.Running(), d.pool.Capacity(), "a request waits while a slot is free")
 	}
 	for _, t := range d.waiting {
-		require.Less(d.t, d.now, d.pool.ExpiresAt(t), "a hopeless request is held back")
+		require.Less(d.t, d.now, d.pool.ExpiresAt(t), "an expired request still waits")
 	}
 }
 
 func (d *poolHarness) submit(t *Ticket) {
-	settled := d.pool.Submit(d.now, t)
+	decided := d.pool.Submit(d.now, t)
 	if t.state == stateWaiting {
 		d.waiting = append(d.waiting, t)
 	}
-	d.collect(settled)
+	d.collect(decided)
 }
 
 func (d *poolHarness) release(i int) {
@@ -77,8 +77,8 @@
 	d.collect(d.pool.Release(d.now, t))
 }
 
-// advance lets time pass; as the Controller's timers do, it wakes the pool when
-// the next request becomes hopeless.
+// advance moves the clock forward. Like the Controller's timers, it calls Expire whenever
+// the next request expires.
 func (d *poolHarness) advance(span time.Duration) {
 	end := d.now + span
 	for {
@@ -103,16 +103,16 @@
 		d := newPoolHarness(t, rapid.IntRange(0, 12).Draw(t, "limit"), rapid.IntRange(0, 4).Draw(t, "capacity"))
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
-				before := d.pool.Queued()
-				k := d.ticket(
+				queuedBefore := d.pool.Queued()
+				ticket := d.ticket(
 					rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "workspace"),
 					rapid.SampledFrom([]float64{0.5, 1, 8}).Draw(t, "weight"),
 					uint8(rapid.IntRange(0, Classes-1).Draw(t, "class")),
 					rapid.SampledFrom([]float64{1, 10, 1000}).Draw(t, "cost"),
 					time.Duration(rapid.IntRange(1, 3000).Draw(t, "deadline"))*time.Millisecond)
-				d.submit(k)
-				if d.pool.Capacity() > 0 && before == 0 && k.state == stateRefused {
-					require.GreaterOrEqual(t, d.pool.Running(), d.pool.Capacity(), "refused beside a free slot")
+				d.submit(ticket)
+				if d.pool.Capacity() > 0 && queuedBefore == 0 && ticket.state == stateRefused {
+					require.GreaterOrEqual(t, d.pool.Running(), d.pool.Capacity(), "refused although a slot is free")
 				}
 			},
 			"release": func(t *rapid.T) {
@@ -136,8 +136,9 @@
 	})
 }
 
-// TestSharesFollowTheWeightsUnderBacklog keeps a few workspaces backlogged by any
-// pattern of arrivals beside one that comes and goes.
+// TestSharesFollowTheWeightsUnderBacklog keeps several workspaces backlogged with arbitrary
+// arrivals, while another workspace sends requests intermittently. The work that each
+// backlogged workspace gets must stay proportional to its weight.
 func TestSharesFollowTheWeightsUnderBacklog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const maxCost = 50.0
@@ -149,10 +150,10 @@
 		served := make([]float64, n)
 		fill := func() {
 			for i := range n {
-				own := fmt.Sprint(i)
-				for d.pool.classes[3].queuedBy(own) < 2 {
+				name := fmt.Sprint(i)
+				for d.pool.classes[3].queuedBy(name) < 2 {
 					for range rapid.IntRange(1, 6).Draw(t, "burst") {
-						d.submit(d.ticket(own, weights[i], 3, cost.Draw(t, "cost"), time.Hour))
+						d.submit(d.ticket(name, weights[i], 3, cost.Draw(t, "cost"), time.Hour))
 					}
 				}
 			}
@@ -164,21 +165,23 @@
 			fill()
 			d.release(0)
 			for i := range n {
-				if k := d.running[0]; k.Workspace == fmt.Sprint(i) {
-					served[i] += k.Cost
+				if running := d.running[0]; running.Workspace == fmt.Sprint(i) {
+					served[i] += running.Cost
 				}
 			}
 			for i := range n {
 				for j := range n {
-					gap := served[i]/weights[i] - served[j]/weights[j]
-					require.LessOrEqual(t, gap, maxCost/weights[i]+maxCost/weights[j]+1e-6, "share out of bound")
+					difference := served[i]/weights[i] - served[j]/weights[j]
+					require.LessOrEqual(t, difference, maxCost/weights[i]+maxCost/weights[j]+1e-6, "shares are not proportional to the weights")
 				}
 			}
 		}
 	})
 }
 
-// TestWorkspaceThatWasIdleGetsItsFairShareOnly lets a workspace come after another one had all.
+// TestWorkspaceThatWasIdleGetsItsFairShareOnly starts a second workspace after the first
+// one alone was served for a while. From then on each must get half of the work: the second
+// neither makes up for the time before, nor does it wait for the first.
 func TestWorkspaceThatWasIdleGetsItsFairShareOnly(t *testing.T) {
 	d := newPoolHarness(t, 100_000, 1)
 	backlog := func(name string) {
@@ -199,8 +202,8 @@
 	require.InDelta(t, 50, served["early"], 1)
 }
 
-// TestNoClassStarves gives the less urgent classes work beside any backlog of more
-// urgent ones, and the more urgent ones all the rest.
+// TestNoClassStarves keeps several urgency classes backlogged. Each class must be served at
+// a minimum rate, and the most urgent class must get all the rest.
 func TestNoClassStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newPoolHarness(t, 100_000, 1)
@@ -237,10 +240,10 @@
 	return least
 }
 
-// TestQueuedRequestsFinishByTheirDeadlines runs a pool with equal service times, in which the
-// slots come free one after another. All who were let
-// in end before their deadlines; and where no one can overtake them, none of those
-// who may wait is refused afterwards: who can't end in time is told so at once.
+// TestQueuedRequestsFinishByTheirDeadlines runs a pool with equal service times, in which
+// slots become free at regular intervals. Every request that runs must finish by its
+// deadline. With a single workspace, where requests can't overtake each other, no queued
+// request may be refused later: one that can't finish in time must be refused on arrival.
 func TestQueuedRequestsFinishByTheirDeadlines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const service = 100 * time.Millisecond
@@ -264,11 +267,11 @@
 		refusedAtOnce := len(d.refused)
 		for len(d.running) > 0 {
 			d.now += gap
-			require.LessOrEqual(t, d.now, d.running[0].Deadline, "let in, but late")
+			require.LessOrEqual(t, d.now, d.running[0].Deadline, "an admitted request ends after its deadline")
 			d.release(0)
 		}
 		if workspaces == 1 {
-			require.Len(t, d.refused, refusedAtOnce, "let wait without hope")
+			require.Len(t, d.refused, refusedAtOnce, "a queued request was refused later")
 		}
 	})
 }
@@ -281,14 +284,14 @@
 	}
 	require.Less(t, d.pool.Queued(), 60)
 	for i := range 20 {
-		k := d.ticket(fmt.Sprint("small", i), 1, 3, 1, time.Hour)
-		d.submit(k)
-		require.Equal(t, stateWaiting, k.state, "a small workspace finds the queue full")
+		ticket := d.ticket(fmt.Sprint("small", i), 1, 3, 1, time.Hour)
+		d.submit(ticket)
+		require.Equal(t, stateWaiting, ticket.state, "a small workspace finds the queue full")
 	}
 }
 
 func TestRetryAfterGrowsWithTheQueueAndHasJitter(t *testing.T) {
-	at := func(queued int, draw float64) time.Duration {
+	retryAfter := func(queued int, draw float64) time.Duration {
 		d := newPoolHarness(t, queued, 1)
 		d.submit(d.ticket("first", 1, 3, 1, time.Hour))
 		d.now = 100 * time.Millisecond
@@ -297,14 +300,14 @@
 		for i := range queued {
 			d.submit(d.ticket(fmt.Sprint(i), 1, 3, 1, time.Hour))
 		}
-		k := d.ticket("last", 1, 3, 1, time.Hour)
-		k.Jitter = draw
-		d.submit(k)
-		require.Equal(t, stateRefused, k.state)
-		return k.err.RetryAfter
+		ticket := d.ticket("last", 1, 3, 1, time.Hour)
+		ticket.Jitter = draw
+		d.submit(ticket)
+		require.Equal(t, stateRefused, ticket.state)
+		return ticket.err.RetryAfter
 	}
-	require.Equal(t, 1100*time.Millisecond, at(10, 0))
-	require.Equal(t, 2100*time.Millisecond, at(20, 0))
-	require.Equal(t, 1650*time.Millisecond, at(10, 0.5))
-	require.Equal(t, maxRetryAfter, at(500, 0.5))
+	require.Equal(t, 1100*time.Millisecond, retryAfter(10, 0))
+	require.Equal(t, 2100*time.Millisecond, retryAfter(20, 0))
+	require.Equal(t, 1650*time.Millisecond, retryAfter(10, 0.5))
+	require.Equal(t, maxRetryAfter, retryAfter(500, 0.5))
 }
--- a/internal/admission/quota_test.go
+++ b/internal/admission/quota_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestHostsTogetherStayWithinTheLimit runs the quotas of some hosts against one owner by any
-// demand, with replies that are lost or late. Over the whole span the hosts together
-// stay within the limit, one burst and one request a host.
+// TestHostsTogetherStayWithinTheLimit runs the quotas of several hosts against one owner,
+// with arbitrary demands and with grants that are delayed or lost. At any time the hosts
+// together must stay within the limit, plus one burst and one request per host.
 func TestHostsTogetherStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "hosts")
@@ -75,7 +75,8 @@
 	})
 }
 
-// TestBusyHostGetsWhatIdleHostsLeaveOfALimit shows that an uneven demand is met nearly in full.
+// TestBusyHostGetsWhatIdleHostsLeaveOfALimit has demand on one of eight hosts only. That
+// host must get nearly the whole limit: all but the floors of the other hosts.
 func TestBusyHostGetsWhatIdleHostsLeaveOfALimit(t *testing.T) {
 	const hosts = 8
 	l := Limits{Requests: 80}
@@ -130,7 +131,8 @@
 	require.Nil(t, q.Take(500*time.Millisecond, 1, 0, 0))
 }
 
-// TestHostsWithTheSameReportBorrowNoMoreThanIsFree is about Part.
+// TestHostsWithTheSameReportBorrowNoMoreThanIsFree checks CapacityShare: if all hosts act on
+// one load report, the capacity that they borrow must not exceed what the report shows free.
 func TestHostsWithTheSameReportBorrowNoMoreThanIsFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(t, "hosts")
@@ -138,38 +140,38 @@
 		running := make([]int, n)
 		parts := make([]CapacityShare, n)
 		for round := range 30 {
-			used := 0
+			inUse := 0
 			for _, r := range running {
-				used += r
+				inUse += r
 			}
-			bound := max(used, 0)
+			bound := max(inUse, 0)
 			for _, r := range running {
 				bound = max(bound, r)
 			}
 			now := time.Duration(round) * borrowInterval
-			sum := 0
+			borrowed := 0
 			for i := range parts {
-				c := parts[i].Update(now, Usage{Capacity: capacity, InUse: used}, running[i], n)
-				require.LessOrEqual(t, c, capacity)
-				require.Equal(t, c, parts[i].Update(now+borrowInterval/2, Usage{Capacity: capacity, InUse: used}, running[i]+1, n), "one report is used twice")
-				equal := (capacity + n - 1) / n
-				require.GreaterOrEqual(t, c, min(equal, capacity), "equal part")
-				sum += max(0, c-max(equal, running[i]))
-				running[i] = min(c, rapid.IntRange(0, capacity).Draw(t, "demand"))
+				limit := parts[i].Update(now, Usage{Capacity: capacity, InUse: inUse}, running[i], n)
+				require.LessOrEqual(t, limit, capacity)
+				require.Equal(t, limit, parts[i].Update(now+borrowInterval/2, Usage{Capacity: capacity, InUse: inUse}, running[i]+1, n), "a host borrows twice on one report")
+				equalShare := (capacity + n - 1) / n
+				require.GreaterOrEqual(t, limit, min(equalShare, capacity), "less than an equal share")
+				borrowed += max(0, limit-max(equalShare, running[i]))
+				running[i] = min(limit, rapid.IntRange(0, capacity).Draw(t, "demand"))
 			}
-			require.LessOrEqual(t, sum, max(0, capacity-used), "borrowed more than was free")
+			require.LessOrEqual(t, borrowed, max(0, capacity-inUse), "borrowed more than was free")
 		}
 	})
 }
 
 func TestOnlyBusyHostBorrowsNearlyAllCapacity(t *testing.T) {
-	var p CapacityShare
+	var share CapacityShare
 	running := 0
 	for round := range 40 {
-		running = p.Update(time.Duration(round)*borrowInterval, Usage{Capacity: 400, InUse: running}, running, 4)
+		running = share.Update(time.Duration(round)*borrowInterval, Usage{Capacity: 400, InUse: running}, running, 4)
 	}
 	require.GreaterOrEqual(t, running, 396)
-	require.Equal(t, 100, p.Update(time.Hour, Usage{Capacity: 400, InUse: 800}, 40, 4), "others took their part back")
+	require.Equal(t, 100, share.Update(time.Hour, Usage{Capacity: 400, InUse: 800}, 40, 4), "the others use their share again")
 }
 
 func TestOwnerCountsAGrantUntilItExpires(t *testing.T) {
@@ -177,7 +179,7 @@
 	divider := NewAllocator(-leaseDuration, 2)
 	require.InDelta(t, 70, divider.Allocate(0, "a", 1, l, Amounts{Requests: 80}, 0).Requests, 1e-9)
 	require.InDelta(t, 10, divider.Allocate(time.Second, "a", 1, l, Amounts{Requests: 10}, 0).Requests, 1e-9)
-	require.Zero(t, divider.Allocate(time.Second, "b", 1, l, Amounts{Requests: 80}, 0), "the answer to a may be lost")
+	require.Zero(t, divider.Allocate(time.Second, "b", 1, l, Amounts{Requests: 80}, 0), "the smaller grant may not have reached host a")
 	require.InDelta(t, 60, divider.Allocate(leaseDuration, "b", 1, l, Amounts{Requests: 80}, 0).Requests, 1e-9)
 }
 
@@ -187,34 +189,35 @@
 	q.Grant(time.Second, Amounts{Requests: 50})
 	require.InDelta(t, floor.Requests+50, q.allowance(2*time.Second).Requests, 1e-9)
 	q.Grant(0, Amounts{Requests: 70})
-	require.InDelta(t, floor.Requests+50, q.allowance(2*time.Second).Requests, 1e-9, "an older grant came late")
+	require.InDelta(t, floor.Requests+50, q.allowance(2*time.Second).Requests, 1e-9, "a grant for an earlier demand is ignored")
 	require.Equal(t, floor, q.allowance(time.Second+leaseDuration))
 }
 
-// TestHostsReturnCapacityBorrowedOnStaleReports lets all hosts become busy at once while
-// the reports still show an idle pool.
+// TestHostsReturnCapacityBorrowedOnStaleReports makes all hosts busy at the same time while
+// the load reports still show an idle pool. After up to two such reports the hosts must not
+// exceed the capacity. After four current reports they must use exactly all of it.
 func TestHostsReturnCapacityBorrowedOnStaleReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "hosts")
 		capacity := n * rapid.IntRange(1, 60).Draw(t, "a host")
-		late := rapid.IntRange(0, 6).Draw(t, "reports that come late")
+		staleReports := rapid.IntRange(0, 6).Draw(t, "reports that come late")
 		running := make([]int, n)
 		parts := make([]CapacityShare, n)
-		sum := 0
-		for round := range late + 4 {
-			used := sum
-			if round < late {
-				used = 0
+		total := 0
+		for round := range staleReports + 4 {
+			inUse := total
+			if round < staleReports {
+				inUse = 0
 			}
-			sum = 0
+			total = 0
 			for i := range parts {
-				running[i] = parts[i].Update(time.Duration(round)*borrowInterval, Usage{Capacity: capacity, InUse: used}, running[i], n)
-				sum += running[i]
+				running[i] = parts[i].Update(time.Duration(round)*borrowInterval, Usage{Capacity: capacity, InUse: inUse}, running[i], n)
+				total += running[i]
 			}
-			if late <= 2 {
-				require.LessOrEqual(t, sum, capacity, "two late reports make the hosts take too much")
+			if staleReports <= 2 {
+				require.LessOrEqual(t, total, capacity, "hosts exceed the capacity after two stale reports")
 			}
 		}
-		require.Equal(t, capacity, sum, "not given back")
+		require.Equal(t, capacity, total, "the hosts together must use the whole capacity")
 	})
 }
