--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -14,15 +14,15 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// The stand-in of the benchmark: upstreams with a queue, some slots and a prefix
-// cache. Only queues and caches are modelled, to compare ways to choose.
+// Parameters of the simulated pool of upstreams. Each upstream has a queue, some slots and a
+// prefix cache. The simulation models only queues and caches, in order to compare policies.
 const (
 	benchUpstreams      = 16
 	benchSlots          = 8
 	benchDecodeTime     = 300 * time.Millisecond
-	benchPrefillTime    = 200 * time.Millisecond // of a prompt that is not cached
-	benchPromptBlocks   = 10                     // in a prompt
-	benchSharedBlocks   = 8                      // of them shared by the prompts of a group
+	benchPrefillTime    = 200 * time.Millisecond // for a prompt that is not cached
+	benchPromptBlocks   = 10                     // in each prompt
+	benchSharedBlocks   = 8                      // of these, identical in all prompts of a group
 	benchPromptGroups   = 200
 	benchCacheBlocks    = 400
 	benchReportInterval = 2 * time.Second
@@ -32,14 +32,15 @@
 	benchSeed           = 7
 )
 
+// benchScenario is one set of conditions under which the policies are compared.
 type benchScenario struct {
 	name  string
 	hosts int
-	// reportDelay is how old reports are when they come.
+	// reportDelay is the age of load reports when they arrive.
 	reportDelay time.Duration
-	// slowdown is the factor of the first upstream's times.
+	// slowdown multiplies the first upstream's processing times.
 	slowdown float64
-	// failsAt is when the first upstream begins to fail.
+	// failsAt is when the first upstream starts to fail every request.
 	failsAt time.Duration
 }
 
@@ -51,7 +52,7 @@
 	{name: "late-8-hosts", hosts: 8, reportDelay: 2 * time.Second, slowdown: 1, failsAt: benchDuration},
 }
 
-// roundRobin takes the candidates in turn.
+// roundRobin picks the candidates in rotation.
 type roundRobin struct{ next int }
 
 func (p *roundRobin) Pick(scored []ScoredCandidate, _ *rand.Rand) int {
@@ -59,7 +60,7 @@
 	return p.next % len(scored)
 }
 
-// leastCost takes the cheapest, a random one of equals.
+// leastCost picks the cheapest of all candidates. Ties go to a random one or the first.
 type leastCost struct{}
 
 func (leastCost) Pick(scored []ScoredCandidate, rng *rand.Rand) int {
@@ -72,7 +73,7 @@
 	return best
 }
 
-// twoChoices draws two candidates and takes the cheaper one.
+// twoChoices draws two candidates at random and picks the cheaper one.
 type twoChoices struct{}
 
 // Pick implements Picker.
@@ -91,7 +92,7 @@
 	return a
 }
 
-// ownInFlightScorer costs what this host has there.
+// ownInFlightScorer uses the number of this host's attempts in flight as the cost.
 type ownInFlightScorer struct{}
 
 func (ownInFlightScorer) Name() string                          { return "own" }
@@ -109,6 +110,7 @@
 	}
 }
 
+// benchRequest is one simulated request.
 type benchRequest struct {
 	host      int
 	prefixes  []uint64
@@ -117,6 +119,7 @@
 	done      func(Outcome)
 }
 
+// benchUpstream is one simulated upstream.
 type benchUpstream struct {
 	entry      directory.Entry
 	slowdown   float64
@@ -127,12 +130,14 @@
 	firstToken float64
 }
 
+// benchEvent is an action at a point in simulated time.
 type benchEvent struct {
 	at  time.Duration
 	seq int
 	run func()
 }
 
+// benchEvents is a min-heap of events by time, then by seq.
 type benchEvents []benchEvent
 
 func (h benchEvents) Len() int { return len(h) }
@@ -148,6 +153,7 @@
 	return e
 }
 
+// benchRun is one discrete-event simulation of a scenario under a policy.
 type benchRun struct {
 	scenario   benchScenario
 	now        time.Duration
@@ -203,7 +209,8 @@
 	}
 }
 
-// arrive makes a request of a group of prompts; a few groups have most of them.
+// arrive creates a request with a prompt from a random group, and schedules the next arrival.
+// A few groups get most of the requests.
 func (b *benchRun) arrive() {
 	if b.now >= benchDuration {
 		return
@@ -255,12 +262,12 @@
 		b.prompts++
 		b.cachedSum += cached
 		prefill := time.Duration(float64(benchPrefillTime) * (1 - cached) * u.slowdown)
-		whole := prefill + time.Duration(float64(benchDecodeTime)*u.slowdown)
-		first := b.now + prefill - r.arrivedAt
-		_ = b.firstToken.RecordValue(max(1, first.Microseconds()))
+		serviceTime := prefill + time.Duration(float64(benchDecodeTime)*u.slowdown)
+		firstToken := b.now + prefill - r.arrivedAt
+		_ = b.firstToken.RecordValue(max(1, firstToken.Microseconds()))
 		u.firstToken += 0.1 * (float64(prefill.Microseconds()) - u.firstToken)
-		u.busyTime += whole
-		b.schedule(whole, func() {
+		u.busyTime += serviceTime
+		b.schedule(serviceTime, func() {
 			u.running--
 			r.done(Outcome{})
 			b.startQueued(u)
@@ -268,13 +275,13 @@
 	}
 }
 
-// sendReport takes the loads now and shows them late.
+// sendReport captures the current loads and makes them visible after reportDelay.
 func (b *benchRun) sendReport() {
 	if b.now >= benchDuration {
 		return
 	}
 	entries := make([]directory.Entry, 0, len(b.upstreams))
-	made := b.now
+	reportedAt := b.now
 	for i, u := range b.upstreams {
 		e := u.entry
 		e.Upstream.Load = wire.Load{Running: uint32(u.running), Queued: uint32(len(u.queue)), Capacity: benchSlots,
@@ -284,14 +291,14 @@
 	}
 	b.schedule(b.scenario.reportDelay, func() {
 		for i := range entries {
-			entries[i].LoadAt = made + b.scenario.reportDelay
+			entries[i].LoadAt = reportedAt + b.scenario.reportDelay
 		}
 		b.reported = entries
 	})
 	b.schedule(benchReportInterval, b.sendReport)
 }
 
-// imbalance is the busiest upstream's work over the mean, in time.
+// imbalance returns the busiest upstream's processing time divided by the mean.
 func (b *benchRun) imbalance() float64 {
 	var most, sum time.Duration
 	for _, u := range b.upstreams {
@@ -301,7 +308,7 @@
 	return float64(most) * benchUpstreams / float64(sum)
 }
 
-// BenchmarkPolicies compares ways to choose on the same arrivals.
+// BenchmarkPolicies compares routing policies under the same arrivals.
 func BenchmarkPolicies(b *testing.B) {
 	for _, sc := range benchScenarios {
 		for name, policy := range benchPolicies() {
--- a/internal/routing/filters.go
+++ b/internal/routing/filters.go
@@ -6,7 +6,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// PoolFilter keeps the upstreams of the request's pool.
+// PoolFilter keeps the upstreams in the request's pool.
 type PoolFilter struct{}
 
 // Name implements Filter.
@@ -18,7 +18,8 @@
 // IsHard implements Filter.
 func (PoolFilter) IsHard() bool { return true }
 
-// ReadyFilter keeps the upstreams that take new work. One that leaves gets none.
+// ReadyFilter keeps the upstreams that accept new requests. Upstreams that are starting or
+// leaving are dropped.
 type ReadyFilter struct{}
 
 // Name implements Filter.
@@ -32,7 +33,7 @@
 // IsHard implements Filter.
 func (ReadyFilter) IsHard() bool { return true }
 
-// UntriedFilter drops the upstreams of earlier attempts.
+// UntriedFilter drops the upstreams that earlier attempts of the request used.
 type UntriedFilter struct{}
 
 // Name implements Filter.
@@ -46,8 +47,8 @@
 // IsHard implements Filter.
 func (UntriedFilter) IsHard() bool { return true }
 
-// VersionFilter prefers the upstreams that have the wanted version loaded. While
-// no one has it, the others go on serving.
+// VersionFilter prefers the upstreams that have the requested model version loaded. While
+// no upstream has it, the others continue to serve.
 type VersionFilter struct{}
 
 // Name implements Filter.
@@ -61,7 +62,8 @@
 // IsHard implements Filter.
 func (VersionFilter) IsHard() bool { return false }
 
-// HealthyFilter prefers the upstreams that are neither silent nor failing.
+// HealthyFilter prefers the upstreams that still announce themselves and at which no recent
+// attempt of this host failed.
 type HealthyFilter struct{}
 
 // Name implements Filter.
--- a/internal/routing/history.go
+++ b/internal/routing/history.go
@@ -6,25 +6,26 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// PrefixIndex remembers which prompt prefixes an upstream should have in its cache:
-// from the requests that this host sent there, corrected by the cache events,
-// which come late and with gaps. It holds a bounded number of prefixes by least
-// recent use and is not safe for concurrent use.
+// PrefixIndex estimates which prompt prefixes each upstream has in its prefix cache. It
+// assumes that an upstream caches the prompts which this host sent there, and is corrected by
+// the upstreams' cache events, which are delayed and can be missing. It keeps a bounded
+// number of prefixes and evicts the least recently used. It is not safe for concurrent use.
 type PrefixIndex struct {
-	limit  int
+	limit int
+	// lru has the most recently used *prefixEntry in front.
 	lru    *list.List
 	byHash map[uint64]*list.Element
-	// lastSeq is the sequence number of the last cache event by upstream.
+	// lastSeq is the highest sequence number of the cache events of each upstream.
 	lastSeq map[string]uint64
 }
 
 type prefixEntry struct {
 	hash uint64
-	// upstreams holds the upstreams that have the prefix.
+	// upstreams are the names of the upstreams that should have the prefix.
 	upstreams map[string]bool
 }
 
-// NewPrefixIndex returns a History of at most limit prefixes.
+// NewPrefixIndex returns a PrefixIndex of at most limit prefixes.
 func NewPrefixIndex(limit int) *PrefixIndex {
 	return &PrefixIndex{
 		limit:   limit,
@@ -34,15 +35,15 @@
 	}
 }
 
-// RecordSent notes that a prompt with these prefixes went to the upstream.
+// RecordSent records that a prompt with these prefixes was sent to the upstream.
 func (h *PrefixIndex) RecordSent(upstream string, prefixes []uint64) {
-	for _, p := range prefixes {
-		h.store(upstream, p)
+	for _, hash := range prefixes {
+		h.store(upstream, hash)
 	}
 }
 
-// ApplyEvent corrects the history. An event that is older than one already taken is
-// ignored: what it says may have been undone since.
+// ApplyEvent applies a cache event. An event older than one already applied is ignored,
+// because the cache may have changed again since.
 func (h *PrefixIndex) ApplyEvent(upstream string, e wire.CacheEvent) {
 	if e.Seq <= h.lastSeq[upstream] {
 		return
@@ -57,7 +58,8 @@
 	}
 }
 
-// Forget drops all that is known of an upstream, after a restart of its engine.
+// Forget removes an upstream from the index, for example because its engine has restarted
+// with an empty cache.
 func (h *PrefixIndex) Forget(upstream string) {
 	delete(h.lastSeq, upstream)
 	for el := h.lru.Front(); el != nil; el = el.Next() {
@@ -65,21 +67,21 @@
 	}
 }
 
-// CachedFraction returns the share of the prompt's leading blocks that the upstream
-// should have, 0 to 1.
+// CachedFraction returns the fraction, 0 to 1, of the prompt's blocks that the upstream
+// should have in its cache. Only blocks before the first missing one count.
 func (h *PrefixIndex) CachedFraction(upstream string, prefixes []uint64) float64 {
 	if len(prefixes) == 0 {
 		return 0
 	}
-	n := 0
-	for _, p := range prefixes {
-		el := h.byHash[p]
+	cached := 0
+	for _, hash := range prefixes {
+		el := h.byHash[hash]
 		if el == nil || !el.Value.(*prefixEntry).upstreams[upstream] {
 			break
 		}
-		n++
+		cached++
 	}
-	return float64(n) / float64(len(prefixes))
+	return float64(cached) / float64(len(prefixes))
 }
 
 func (h *PrefixIndex) store(upstream string, hash uint64) {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// failureCooldown is how long an upstream is avoided after a failed attempt.
+	// failureCooldown is how long this host avoids an upstream after a failed attempt there.
 	failureCooldown = 3 * time.Second
-	// maxSamples bounds what is remembered of the own load before the last report.
+	// maxSamples bounds the in-flight samples kept per upstream since its last load report.
 	maxSamples = 4096
-	// pruneInterval is after how many picks upstreams that are gone are forgotten.
+	// pruneInterval is the number of calls of Pick after which removed upstreams are pruned.
 	pruneInterval = 4096
 )
 
-// Outcome is how an attempt ended.
+// Outcome tells how an attempt ended.
 type Outcome struct {
-	// HasFailed tells that the upstream, or the way to it, failed.
+	// HasFailed is set if the upstream or the connection to it failed.
 	HasFailed bool
 }
 
-// Config is what a Router needs.
+// Config configures a Router.
 type Config struct {
 	Policy *Policy
-	// Entries returns the upstreams known now.
+	// Entries returns the upstreams that the directory currently knows.
 	Entries func() []directory.Entry
-	// Now is the clock that directory.Entry.LoadAt counts on.
+	// Now is the monotonic clock of directory.Entry.LoadAt.
 	Now              func() time.Duration
 	Rand             *rand.Rand
 	PrefixIndexLimit int
 }
 
-// Router chooses upstreams and keeps this host's own experience with them. It is
-// safe for concurrent use.
+// Router chooses upstreams and keeps this host's own statistics about them: attempts in
+// flight, recent failures and cached prefixes. It is safe for concurrent use.
 type Router struct {
 	cfg Config
 
@@ -48,35 +48,36 @@
 	pickCount int
 }
 
-// upstreamStats is what this host knows of one upstream by itself.
+// upstreamStats is what this host has observed of one incarnation of an upstream.
 type upstreamStats struct {
 	incarnation uint64
 	inFlight    int
 	failedUntil time.Duration
-	// samples hold how many attempts were in flight from each moment on, so that a
-	// report can be told apart from what this host itself had there when it was made.
+	// samples record each change of inFlight. They tell how many of the requests in a load
+	// report were this host's own when the report was made.
 	samples []inFlightSample
 }
 
+// inFlightSample is the number of attempts in flight from a point in time on.
 type inFlightSample struct {
 	at       time.Duration
 	inFlight int
 }
 
-// addInFlight remembers that the number in flight changed.
-func (x *upstreamStats) addInFlight(now time.Duration, by int) {
-	x.inFlight += by
+// addInFlight changes the number of attempts in flight and records a sample.
+func (x *upstreamStats) addInFlight(now time.Duration, delta int) {
+	x.inFlight += delta
 	x.samples = append(x.samples, inFlightSample{at: now, inFlight: x.inFlight})
 	if len(x.samples) > maxSamples {
 		x.samples = slices.Delete(x.samples, 0, maxSamples/2)
 	}
 }
 
-// inFlightAt is how many attempts were in flight when a report was made. It forgets
-// all before that: reports come in the order in which they were made.
-func (x *upstreamStats) inFlightAt(made time.Duration) int {
+// inFlightAt returns how many attempts were in flight when a report was made. It drops older
+// samples, because reports arrive in the order in which they were made.
+func (x *upstreamStats) inFlightAt(reportedAt time.Duration) int {
 	n := 0
-	for n < len(x.samples) && x.samples[n].at <= made {
+	for n < len(x.samples) && x.samples[n].at <= reportedAt {
 		n++
 	}
 	if n == 0 {
@@ -86,13 +87,13 @@
 	return x.samples[0].inFlight
 }
 
-// NewRouter returns a Router without experience.
+// NewRouter returns a Router without statistics.
 func NewRouter(cfg Config) *Router {
 	return &Router{cfg: cfg, stats: make(map[string]*upstreamStats), prefixes: NewPrefixIndex(cfg.PrefixIndexLimit)}
 }
 
-// Pick chooses the upstream for an attempt and counts the attempt as in flight
-// until done is called, once. The error is ErrNoUpstream.
+// Pick chooses the upstream for an attempt and counts the attempt as in flight until done is
+// called. Only the first call of done counts. The error is always ErrNoUpstream.
 func (r *Router) Pick(req *Request) (up wire.Upstream, done func(Outcome), err error) {
 	entries := r.cfg.Entries()
 	r.mu.Lock()
@@ -117,8 +118,8 @@
 	return up, func(o Outcome) { once.Do(func() { r.finish(x, o) }) }, nil
 }
 
-// prune forgets, now and then, the upstreams that the directory has forgotten. The
-// caller holds mu.
+// prune drops the statistics of upstreams that are no longer in the directory, on every
+// pruneInterval-th call. The caller holds mu.
 func (r *Router) prune(entries []directory.Entry) {
 	r.pickCount++
 	if r.pickCount%pruneInterval != 0 {
@@ -136,7 +137,8 @@
 	}
 }
 
-// newCandidate joins what the directory and this host know. The caller holds mu.
+// newCandidate combines the directory's entry with this host's statistics. The caller holds
+// mu.
 func (r *Router) newCandidate(e *directory.Entry, req *Request, now time.Duration) Candidate {
 	x := r.statsOf(e.Upstream)
 	load := e.Upstream.Load
@@ -152,8 +154,8 @@
 	}
 }
 
-// statsOf returns what is known of the upstream, anew after a restart of its
-// agent. The caller holds mu.
+// statsOf returns the statistics of an upstream. It resets them if the upstream's agent has
+// restarted. The caller holds mu.
 func (r *Router) statsOf(up wire.Upstream) *upstreamStats {
 	x := r.stats[up.Name]
 	if x == nil || x.incarnation < up.Incarnation {
@@ -178,7 +180,7 @@
 	x.failedUntil = 0
 }
 
-// ApplyCacheEvents corrects what is known of an upstream's prefix cache.
+// ApplyCacheEvents applies an upstream's cache events to the prefix index.
 func (r *Router) ApplyCacheEvents(upstream string, events []wire.CacheEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,9 +1,9 @@
-// Package routing chooses the upstream for an attempt.
+// Package routing chooses the upstream for an attempt to serve a request.
 //
-// The choice is a pure function of a snapshot of candidates, the request and a
-// source of randomness: filters drop what must not or should not be used, scores
-// estimate the time to the first token, and a picker takes one of the best.
-// Router keeps the soft state that the snapshot is made of.
+// The choice is a pure function of a snapshot of candidates, the request and a source of
+// randomness. Filters drop candidates that must not or should not be used. Scorers estimate
+// the time to the first token. A picker takes one of the cheapest candidates. Router keeps
+// the statistics from which the snapshot is made.
 package routing
 
 import (
@@ -14,54 +14,61 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// Request is what routing has to know of a request.
+// Request describes a request to be routed.
 type Request struct {
-	// Pool names the upstreams that can serve the request.
+	// Pool is the name of the pool of upstreams that can serve the request.
 	Pool string
-	// Version is what the document wants to be served; empty for plain services.
+	// Version is the model version that the service's document asks for. It is empty for
+	// services without models.
 	Version string
-	// Prefixes are the hashes of the prompt's blocks, each over all before it.
+	// Prefixes has a hash for each block of the prompt, computed over the prompt up to and
+	// including that block.
 	Prefixes []uint64
-	// Tried names the upstreams of earlier attempts.
+	// Tried has the names of the upstreams that earlier attempts used.
 	Tried []string
 }
 
-// Candidate is one upstream as this host sees it at the moment of a choice.
+// Candidate is a snapshot of what this host knows about one upstream.
 type Candidate struct {
 	Upstream wire.Upstream
-	// Suspect tells that no directory host hears from the upstream.
+	// Suspect is set if no directory host receives announcements of the upstream.
 	Suspect bool
-	// Failing tells that attempts of this host failed there lately.
+	// Failing is set if an attempt of this host failed there within failureCooldown.
 	Failing bool
-	// ReportAge is how old the load report is.
+	// ReportAge is the age of the load report.
 	ReportAge time.Duration
-	// InFlight counts this host's attempts in progress there.
+	// InFlight is the number of this host's attempts in progress there.
 	InFlight int
-	// OtherHostsLoad is what the report counts beyond this host's own attempts at its time.
+	// OtherHostsLoad is the number of requests in the load report minus this host's own
+	// attempts at the time of the report.
 	OtherHostsLoad int
-	// CachedFraction is the share of the prompt's blocks that should be in the cache, 0 to 1.
+	// CachedFraction is the fraction, 0 to 1, of the prompt's leading blocks that should be
+	// in the upstream's prefix cache.
 	CachedFraction float64
 }
 
-// Filter keeps the candidates that fit a request.
+// Filter decides which candidates are suitable for a request.
 type Filter interface {
 	// Name identifies the filter in metrics.
 	Name() string
-	// Keep reports whether c fits.
+	// Keep reports whether c is suitable for r.
 	Keep(r *Request, c *Candidate) bool
-	// IsHard tells that the filter holds even where no candidate passes it.
+	// IsHard reports whether the filter applies even if it drops all candidates. A soft
+	// filter is skipped in that case.
 	IsHard() bool
 }
 
-// Scorer estimates a cost.
+// Scorer estimates one part of the cost of sending a request to a candidate.
 type Scorer interface {
-	// Name identifies the score in metrics.
+	// Name identifies the scorer in metrics.
 	Name() string
-	// Cost is in times to the first token of an idle upstream; less is better.
+	// Cost returns the cost in multiples of an idle upstream's time to the first token.
+	// Lower is better.
 	Cost(r *Request, c *Candidate) float64
 }
 
-// Picker takes one of the scored candidates. There is at least one.
+// Picker chooses one of the scored candidates, of which there is at least one, and returns
+// its index.
 type Picker interface {
 	Pick(scored []ScoredCandidate, rng *rand.Rand) int
 }
@@ -72,14 +79,14 @@
 	Cost      float64
 }
 
-// Policy is a way to choose.
+// Policy combines filters, scorers and a picker.
 type Policy struct {
 	Filters []Filter
 	Scorers []Scorer
 	Picker  Picker
 }
 
-// DefaultPolicy is what entry hosts use.
+// DefaultPolicy returns the policy that entry hosts use.
 func DefaultPolicy() *Policy {
 	return &Policy{
 		Filters: []Filter{PoolFilter{}, ReadyFilter{}, UntriedFilter{}, VersionFilter{}, HealthyFilter{}},
@@ -88,7 +95,7 @@
 	}
 }
 
-// ErrNoUpstream tells that no upstream fits the request; nothing has run.
+// ErrNoUpstream means that no upstream is suitable for the request. Nothing has run.
 var ErrNoUpstream = verdict.New(verdict.NotRun, verdict.CodeNoUpstream, "no upstream can take the request").After(time.Second)
 
 // Choose returns the index of the chosen candidate, or ErrNoUpstream.
@@ -110,7 +117,8 @@
 	return kept[p.Picker.Pick(scored, rng)], nil
 }
 
-// applyFilter keeps what f keeps. A soft filter that would drop all drops none.
+// applyFilter returns the indices that f keeps. A soft filter that would drop all of them
+// drops none.
 func applyFilter(f Filter, r *Request, candidates []Candidate, in []int) []int {
 	out := make([]int, 0, len(in))
 	for _, i := range in {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestChoiceSpreadsOverEqualUpstreams fails where hosts with the same reports all go
-// to the same upstream.
+// TestChoiceSpreadsOverEqualUpstreams fails if hosts with the same load reports all choose
+// the same upstream, which would overload it.
 func TestChoiceSpreadsOverEqualUpstreams(t *testing.T) {
 	var list []Candidate
 	for i := range 20 {
@@ -128,7 +128,8 @@
 	require.Less(t, slices.Max(counts), 300)
 }
 
-// TestLeavingOrTriedUpstreamIsNeverPicked draws any candidates.
+// TestLeavingOrTriedUpstreamIsNeverPicked chooses among arbitrary candidates. A candidate that
+// a hard filter excludes must never be chosen, and any other candidate rules out an error.
 func TestLeavingOrTriedUpstreamIsNeverPicked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []Candidate
@@ -147,17 +148,17 @@
 			}
 			list = append(list, c)
 		}
-		fits := func(c *Candidate) bool {
+		isSuitable := func(c *Candidate) bool {
 			return c.Upstream.State == wire.UpstreamReady && c.Upstream.Pool == "p" && !slices.Contains(tried, c.Upstream.Name)
 		}
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		i, err := DefaultPolicy().Choose(&Request{Pool: "p", Tried: tried}, list, rng)
 		if err == nil {
-			require.True(t, fits(&list[i]))
+			require.True(t, isSuitable(&list[i]))
 			return
 		}
 		for i := range list {
-			require.False(t, fits(&list[i]), "refused though one fits")
+			require.False(t, isSuitable(&list[i]), "no upstream was chosen although one is suitable")
 		}
 	})
 }
@@ -183,6 +184,7 @@
 	return f
 }
 
+// candidateAt returns the router's current view of the i-th upstream.
 func (f *routerFixture) candidateAt(i int) Candidate {
 	return f.newCandidate(&f.entries[i], &Request{Pool: "p"}, f.now)
 }
@@ -196,7 +198,7 @@
 		done = append(done, d)
 	}
 	f.now += 2 * time.Second
-	f.entries[0].Upstream.Load.Running = 9 // made a second ago, when five were own
+	f.entries[0].Upstream.Load.Running = 9 // reported one second ago, when five were this host's
 	f.entries[0].Upstream.Load.AgeMS = 1000
 	f.entries[0].LoadAt = f.now
 	for _, d := range done[:3] {
@@ -204,11 +206,11 @@
 		d(Outcome{})
 	}
 	got := f.candidateAt(0)
-	require.Equal(t, 2, got.InFlight, "own, as it is now")
+	require.Equal(t, 2, got.InFlight, "own requests in flight now")
 	require.Equal(t, 4, got.OtherHostsLoad)
 	require.Equal(t, time.Second, got.ReportAge)
 	f.now += time.Hour
-	require.Equal(t, 4, f.candidateAt(0).OtherHostsLoad, "an old report goes on to be split at its own time")
+	require.Equal(t, 4, f.candidateAt(0).OtherHostsLoad, "own requests are counted as of the time of the report")
 }
 
 func TestInFlightSamplesAreBounded(t *testing.T) {
@@ -268,14 +270,13 @@
 	require.Len(t, f.stats, 1)
 }
 
-// TestPrefixIndexIgnoresOutOfOrderCacheEvents delivers the events of a cache in any order
-// and with gaps: what the newest event taken says of a prefix holds, and a late one
-// never undoes it.
+// TestPrefixIndexIgnoresOutOfOrderCacheEvents delivers cache events in any order and with
+// gaps. An event that arrives after a newer one must not change what the index says.
 func TestPrefixIndexIgnoresOutOfOrderCacheEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := NewPrefixIndex(1000)
-		model := make(map[uint64]bool)
-		last := uint64(0)
+		expected := make(map[uint64]bool)
+		lastSeq := uint64(0)
 		for range rapid.IntRange(0, 60).Draw(t, "events") {
 			e := wire.CacheEvent{
 				Seq:    rapid.Uint64Range(1, 80).Draw(t, "seq"),
@@ -283,18 +284,18 @@
 				Stored: rapid.Bool().Draw(t, "stored"),
 			}
 			h.ApplyEvent("a", e)
-			if e.Seq > last {
-				last = e.Seq
-				model[e.Prefix] = e.Stored
+			if e.Seq > lastSeq {
+				lastSeq = e.Seq
+				expected[e.Prefix] = e.Stored
 			}
 			if rapid.Bool().Draw(t, "sent") {
 				p := rapid.Uint64Range(0, 5).Draw(t, "prefix sent")
 				h.RecordSent("a", []uint64{p})
-				model[p] = true
+				expected[p] = true
 			}
 			for p := range uint64(6) {
 				want := 0.0
-				if model[p] {
+				if expected[p] {
 					want = 1
 				}
 				require.InDelta(t, want, h.CachedFraction("a", []uint64{p}), 0)
@@ -315,6 +316,6 @@
 	h.RecordSent("a", []uint64{1, 4})
 	require.Equal(t, 3, h.lru.Len())
 	require.Len(t, h.byHash, 3)
-	require.Zero(t, h.CachedFraction("a", []uint64{2}), "the least recently used goes")
+	require.Zero(t, h.CachedFraction("a", []uint64{2}), "the least recently used prefix is evicted")
 	require.InDelta(t, 1, h.CachedFraction("a", []uint64{1, 4}), 0)
 }
--- a/internal/routing/scores.go
+++ b/internal/routing/scores.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	// reportHalfLife is the age at which what a report says of others counts half.
+	// reportHalfLife is the age at which the other hosts' load in a report counts half.
 	reportHalfLife = 500 * time.Millisecond
-	// fullLoadCost is what a full upstream costs against an idle one: its steps are longer.
+	// fullLoadCost is the cost of an upstream that runs at its capacity, relative to an idle
+	// one, because its decoding steps take longer.
 	fullLoadCost = 1
-	// queuedBatchCost is what a request costs that waits for as many to end as the upstream
-	// runs at once: a whole answer takes several times the time to its first token.
+	// queuedBatchCost is the cost of waiting until as many requests have ended as the upstream
+	// runs concurrently. A complete answer takes several times the time to its first token.
 	queuedBatchCost = 8
-	// uncachedPromptCost is the part of the time to the first token that a prompt saves that is
-	// in the cache.
+	// uncachedPromptCost is the fraction of the time to the first token that is saved if the
+	// whole prompt is in the prefix cache.
 	uncachedPromptCost = 0.8
 )
 
-// WaitScorer estimates how long the request waits behind others. What this host has
-// there is known exactly; what others have is known from the report, which counts
-// less with its age.
+// WaitScorer estimates how long the request waits behind others. The number of this host's
+// own requests is exact. The number of the other hosts' requests is from the load report,
+// which counts less the older it is.
 type WaitScorer struct{}
 
 // Name implements Score.
@@ -31,12 +32,12 @@
 func (WaitScorer) Cost(_ *Request, c *Candidate) float64 {
 	discount := math.Exp2(-c.ReportAge.Seconds() / reportHalfLife.Seconds())
 	expected := float64(c.InFlight) + float64(c.OtherHostsLoad)*discount + 1
-	full := expected / math.Max(float64(c.Upstream.Load.Capacity), 1)
-	return fullLoadCost*full + queuedBatchCost*math.Max(0, full-1)
+	utilization := expected / math.Max(float64(c.Upstream.Load.Capacity), 1)
+	return fullLoadCost*utilization + queuedBatchCost*math.Max(0, utilization-1)
 }
 
-// PrefillScorer estimates the time to compute the part of the prompt that is not
-// in the upstream's cache.
+// PrefillScorer estimates the time to process the part of the prompt that is not in the
+// upstream's prefix cache.
 type PrefillScorer struct{}
 
 // Name implements Score.
@@ -47,9 +48,10 @@
 	return uncachedPromptCost * (1 - c.CachedFraction)
 }
 
-// PowerOfDChoices takes the cheapest of some candidates: Draws at random, so that entry hosts
-// which see the same late reports do not all go to the same upstream, and the one that
-// has most of the prompt in its cache, which a draw would rarely find.
+// PowerOfDChoices picks the cheapest of a few candidates. Draws of them are drawn at random,
+// so entry hosts that have the same stale load reports don't all pick the same upstream. One
+// more is the candidate with the largest part of the prompt in its cache, which random draws
+// would rarely include. If no candidate has any part of it, that one is random too.
 type PowerOfDChoices struct{ Draws int }
 
 // Pick implements Picker.
