--- a/internal/engineload/engineload_test.go
+++ b/internal/engineload/engineload_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// What one host sends for the loads of a fleet is the number of receivers times this, ten
-// times a second: whole records of 129 engines are 8 KB.
+// A sender sends the loads of all engines to every receiver ten times per second. Full records
+// of 129 engines take 8 KB, so after the first message compact loads must be used.
 func TestRepeatedLoadsAreEncodedCompactly(t *testing.T) {
 	var table Table
 	for round := range 3 {
@@ -34,48 +34,48 @@
 		require.NoError(t, err)
 		require.LessOrEqual(t, len(data), 129*4+40)
 	}
-	require.Nil(t, table.Flush(0), "nothing was heard")
+	require.Nil(t, table.Flush(0), "no load has arrived since the last message")
 }
 
-// Whatever is heard in whatever order, a receiver that misses nothing has the newest record
-// of every engine; one that comes later has it from the records of that moment on.
+// For arbitrary loads in any order, a receiver that gets every message must have the latest
+// record of every engine. So must a receiver that attaches later and starts with All.
 func TestDecodersHaveTheLatestRecordOfEveryEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
-		views := []*Decoder{{}}
-		newest := make([]map[string]wire.EngineLoad, 1, 2)
-		newest[0] = map[string]wire.EngineLoad{}
-		read := func(i int, m *wire.EngineLoads) {
+		decoders := []*Decoder{{}}
+		latest := make([]map[string]wire.EngineLoad, 1, 2)
+		latest[0] = map[string]wire.EngineLoad{}
+		decode := func(i int, m *wire.EngineLoads) {
 			if m == nil {
 				return
 			}
-			all, unread := views[i].Decode(m)
+			all, unread := decoders[i].Decode(m)
 			require.Zero(t, unread)
 			for _, l := range all {
-				newest[i][l.Address] = l
+				latest[i][l.Address] = l
 			}
 		}
-		truth := map[string]wire.EngineLoad{}
+		sent := map[string]wire.EngineLoad{}
 		for range rapid.IntRange(1, 12).Draw(t, "rounds") {
 			for range rapid.IntRange(0, 6).Draw(t, "heard") {
 				l := newLoad(rapid.IntRange(1, 8).Draw(t, "engine"), rapid.IntRange(0, 300).Draw(t, "running"))
 				l.IsOpen = rapid.Bool().Draw(t, "open")
 				l.Waiting = rapid.IntRange(0, 3).Draw(t, "waiting")
 				table.Update(l, "h", 0)
-				truth[l.Address] = l
+				sent[l.Address] = l
 			}
 			m := table.Flush(0)
-			for i := range views {
-				read(i, m)
+			for i := range decoders {
+				decode(i, m)
 			}
-			if len(views) == 1 && rapid.Bool().Draw(t, "comes") {
-				views, newest = append(views, &Decoder{}), append(newest, map[string]wire.EngineLoad{})
-				read(1, table.All(0))
+			if len(decoders) == 1 && rapid.Bool().Draw(t, "comes") {
+				decoders, latest = append(decoders, &Decoder{}), append(latest, map[string]wire.EngineLoad{})
+				decode(1, table.All(0))
 			}
 		}
-		for i := range views {
-			for address, l := range truth {
-				got := newest[i][address]
+		for i := range decoders {
+			for address, l := range sent {
+				got := latest[i][address]
 				got.Number = 0
 				require.Equal(t, l, got)
 			}
@@ -83,15 +83,16 @@
 	})
 }
 
-// Bytes that are no loads, or of engines that nobody has told of, change nothing.
+// Bytes that are not valid loads, or loads of engines whose full record was not received, must
+// not produce records.
 func TestUnreadableCompactLoadsAreSkipped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var v Decoder
-		all, _ := v.Decode(&wire.EngineLoads{Brief: rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")})
+		var decoder Decoder
+		all, _ := decoder.Decode(&wire.EngineLoads{Brief: rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")})
 		require.Empty(t, all)
 	})
-	var v Decoder
-	all, unread := v.Decode(&wire.EngineLoads{All: []wire.EngineLoad{{Number: 1, Address: "a"}}, Brief: []byte{1, 2, 3}})
+	var decoder Decoder
+	all, unread := decoder.Decode(&wire.EngineLoads{All: []wire.EngineLoad{{Number: 1, Address: "a"}}, Brief: []byte{1, 2, 3}})
 	require.Len(t, all, 1)
 	require.Equal(t, 1, unread)
 }
@@ -100,9 +101,9 @@
 	var table Table
 	table.Update(newLoad(0, 0), "h0", 0)
 	table.Update(newLoad(1, 0), "h1", 3*time.Second)
-	other := newLoad(2, 0)
-	other.Epoch = 2
-	table.Update(other, "h2", 3*time.Second)
+	otherEpoch := newLoad(2, 0)
+	otherEpoch.Epoch = 2
+	table.Update(otherEpoch, "h2", 3*time.Second)
 	require.Equal(t, []wire.GroupMember{{Address: "h1", FirstRank: 1, Ranks: 1}}, table.Members("g", 3, 3*time.Second))
 	require.Len(t, table.Members("g", 3, time.Second), 2)
 	table.Flush(2 * forgetTimeout)
@@ -111,8 +112,8 @@
 }
 
 func TestStepRatioIsEncodedWithinTwoPercent(t *testing.T) {
-	for _, pace := range []float64{0.5, 1, 1.07, 3.5, 12} {
-		require.InEpsilon(t, pace, decodeStepRatio(encodeStepRatio(pace)), 0.02)
+	for _, ratio := range []float64{0.5, 1, 1.07, 3.5, 12} {
+		require.InEpsilon(t, ratio, decodeStepRatio(encodeStepRatio(ratio)), 0.02)
 	}
 	require.Zero(t, decodeStepRatio(encodeStepRatio(0)))
 	require.InDelta(t, 1, decodeStepRatio(encodeStepRatio(1)), 0)
--- a/internal/engineload/table.go
+++ b/internal/engineload/table.go
@@ -1,8 +1,9 @@
-// Package engineload passes the loads of engines on in few bytes.
+// Package engineload encodes the loads of many engines compactly, so that a control host can
+// send them to entry hosts several times per second.
 //
-// A sender's [Table] gives each engine a number and tells the whole record of one only when
-// something else than its load has changed; otherwise an engine costs about four bytes. A
-// receiver's [View] makes whole records of that again. Both are pure and are not safe for
+// A sender's [Table] gives each engine a number. It sends the full record of an engine only
+// when something other than its load has changed; otherwise an engine takes about four bytes.
+// A receiver's [Decoder] restores full records from that. Both are pure and are not safe for
 // concurrent use.
 package engineload
 
@@ -17,37 +18,40 @@
 )
 
 const (
-	// forgetTimeout is how long an engine is remembered that is not heard any more.
+	// forgetTimeout is how long an engine is kept after its last load.
 	forgetTimeout = time.Minute
-	// maxSnapshotAge is how old a record may be to be told to who has just come.
+	// maxSnapshotAge is the maximum age of the records that a new receiver gets from All, and
+	// of the engines that Members returns.
 	maxSnapshotAge = 2 * time.Second
-	// codesPerDoubling is how many codes a doubling of an engine's pace has: one is 2 in 100.
+	// A step-time ratio is an engine's current step time divided by its usual one. It is
+	// encoded in one byte on a logarithmic scale. codesPerDoubling is the number of codes per
+	// factor of two, so adjacent codes differ by about 2 percent.
 	codesPerDoubling = 32
-	// codeOfOne is the code of the usual pace; 0 is an unknown one.
+	// codeOfOne is the code of the ratio 1. Code 0 means that the ratio is unknown.
 	codeOfOne = 64
 )
 
-// engine is what is known of one.
+// engine is the state that a Table keeps for one engine.
 type engine struct {
 	number uint64
 	load   wire.EngineLoad
-	// agentAddress is the peer listener of its agent.
+	// agentAddress is the address of the agent's peer listener.
 	agentAddress string
-	// isUpdated tells that it was heard since the last message, isChanged that its record is not
-	// known to receivers.
+	// isUpdated is set if a load arrived since the last Flush. needsFullRecord is set if the
+	// receivers may lack the engine's current record.
 	isUpdated, needsFullRecord bool
 	updatedAt                  time.Duration
 }
 
-// Table is what a sender knows of engines. The zero value is ready.
+// Table holds the latest load of each engine at the sender. The zero value is ready to use.
 type Table struct {
 	engines    map[string]*engine
 	lastNumber uint64
 }
 
-// Update takes in what the agent with the peer listener host says of its engine. Now is a
-// monotonic clock of the caller's.
-func (t *Table) Update(l wire.EngineLoad, host string, now time.Duration) {
+// Update stores a load that an agent reported about its engine. agentAddress is the address of
+// the agent's peer listener. now is the caller's monotonic time.
+func (t *Table) Update(l wire.EngineLoad, agentAddress string, now time.Duration) {
 	e := t.engines[l.Address]
 	if e == nil {
 		if t.engines == nil {
@@ -58,29 +62,29 @@
 		t.engines[l.Address] = e
 	}
 	l.Number = e.number
-	// Who came while it was silent was not told its record.
+	// Receivers that attached while the engine was silent have not received its record.
 	e.needsFullRecord = e.needsFullRecord || withoutLoad(l) != withoutLoad(e.load) || now-e.updatedAt > maxSnapshotAge
-	e.load, e.agentAddress, e.isUpdated, e.updatedAt = l, host, true, now
+	e.load, e.agentAddress, e.isUpdated, e.updatedAt = l, agentAddress, true, now
 }
 
-// withoutLoad is a record without what is told briefly.
+// withoutLoad returns a record without the fields that a compact load contains.
 func withoutLoad(l wire.EngineLoad) wire.EngineLoad {
 	l.Running, l.Waiting, l.Pace = 0, 0, 0
 	return l
 }
 
-// Flush returns what has been heard since the last call, and forgets engines that were not
-// heard for long. It returns nil where there is nothing.
+// Flush returns the loads that arrived since the last call, or nil if there are none. It
+// drops engines that have been silent for longer than forgetTimeout.
 func (t *Table) Flush(now time.Duration) *wire.EngineLoads {
 	m := &wire.EngineLoads{}
-	last := uint64(0)
+	previousNumber := uint64(0)
 	for _, e := range t.sortedByNumber() {
 		switch {
 		case e.isUpdated && e.needsFullRecord:
 			m.All = append(m.All, e.load)
 		case e.isUpdated:
-			m.Brief = appendCompact(m.Brief, e, last)
-			last = e.number
+			m.Brief = appendCompact(m.Brief, e, previousNumber)
+			previousNumber = e.number
 		case now-e.updatedAt > forgetTimeout:
 			delete(t.engines, e.load.Address)
 		}
@@ -92,8 +96,8 @@
 	return m
 }
 
-// All returns the whole records of the engines that were heard lately, for who has just
-// come; nil where there are none.
+// All returns the full records of all engines with a load no older than maxSnapshotAge, for a
+// receiver that has just attached. It returns nil if there are none.
 func (t *Table) All(now time.Duration) *wire.EngineLoads {
 	m := &wire.EngineLoads{}
 	for _, e := range t.sortedByNumber() {
@@ -107,7 +111,8 @@
 	return m
 }
 
-// Members returns the hosts of a group's ranks that were heard lately, in the group's epoch.
+// Members returns the hosts that run the ranks of a group in the given epoch. It leaves out
+// engines whose last load is older than maxSnapshotAge.
 func (t *Table) Members(group string, epoch uint64, now time.Duration) []wire.GroupMember {
 	var out []wire.GroupMember
 	for _, e := range t.engines {
@@ -119,7 +124,7 @@
 	return out
 }
 
-// sortedByNumber returns the engines by their numbers.
+// sortedByNumber returns the engines in the order of their numbers.
 func (t *Table) sortedByNumber() []*engine {
 	out := make([]*engine, 0, len(t.engines))
 	for _, e := range t.engines {
@@ -129,23 +134,26 @@
 	return out
 }
 
-// appendCompact writes an engine's load: its number as the distance from the one before, the
-// requests that run and wait, and the pace.
-func appendCompact(b []byte, e *engine, last uint64) []byte {
-	b = binary.AppendUvarint(b, e.number-last)
+// appendCompact appends an engine's load to b: the difference between its number and that of
+// the previous engine in the message, its running and waiting requests, and its step-time
+// ratio.
+func appendCompact(b []byte, e *engine, previousNumber uint64) []byte {
+	b = binary.AppendUvarint(b, e.number-previousNumber)
 	b = binary.AppendUvarint(b, uint64(max(e.load.Running, 0)))
 	b = binary.AppendUvarint(b, uint64(max(e.load.Waiting, 0)))
 	return append(b, encodeStepRatio(e.load.Pace))
 }
 
-func encodeStepRatio(pace float64) byte {
-	if pace <= 0 {
+// encodeStepRatio returns the one-byte code of a step-time ratio.
+func encodeStepRatio(ratio float64) byte {
+	if ratio <= 0 {
 		return 0
 	}
-	code := math.Round(codeOfOne + codesPerDoubling*math.Log2(pace))
+	code := math.Round(codeOfOne + codesPerDoubling*math.Log2(ratio))
 	return byte(min(max(code, 1), math.MaxUint8))
 }
 
+// decodeStepRatio returns the step-time ratio of a code, within about 1 percent.
 func decodeStepRatio(code byte) float64 {
 	if code == 0 {
 		return 0
--- a/internal/engineload/view.go
+++ b/internal/engineload/view.go
@@ -6,14 +6,15 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// Decoder is what a receiver knows of one sender's engines. The zero value is ready.
+// Decoder decodes the messages of one sender. The zero value is ready to use.
 type Decoder struct {
+	// records are the latest full records by engine number.
 	records map[uint64]wire.EngineLoad
 }
 
-// Decode returns the records that a message stands for. Brief loads of engines whose record
-// did not come are left out, and so is what follows bytes that can't be read; the number of
-// those left out at least is unread.
+// Decode returns a full record for each load in a message. It skips compact loads of engines
+// whose full record it never received, and everything after bytes that it can't parse.
+// unread is a lower bound of the number of skipped loads.
 func (v *Decoder) Decode(m *wire.EngineLoads) (loads []wire.EngineLoad, unread int) {
 	if v.records == nil {
 		v.records = make(map[uint64]wire.EngineLoad)
@@ -24,27 +25,29 @@
 	}
 	number := uint64(0)
 	for b := m.Brief; len(b) > 0; {
-		step, running, waiting, pace, rest, ok := readCompact(b)
+		delta, running, waiting, ratio, rest, ok := readCompact(b)
 		if !ok {
 			return loads, unread + 1
 		}
 		b = rest
-		number += step
+		number += delta
 		l, isKnown := v.records[number]
 		if !isKnown {
 			unread++
 			continue
 		}
-		l.Running, l.Waiting, l.Pace = running, waiting, pace
+		l.Running, l.Waiting, l.Pace = running, waiting, ratio
 		loads = append(loads, l)
 	}
 	return loads, unread
 }
 
-// maxRequests bounds the requests that a brief load may tell.
+// maxRequests is the highest number of running or waiting requests accepted in a compact
+// load. Higher numbers are treated as unreadable.
 const maxRequests = 1 << 20
 
-func readCompact(b []byte) (step uint64, running, waiting int, pace float64, rest []byte, ok bool) {
+// readCompact parses one compact load, as appendCompact writes it, and returns the rest of b.
+func readCompact(b []byte) (delta uint64, running, waiting int, ratio float64, rest []byte, ok bool) {
 	var fields [3]uint64
 	for i := range fields {
 		n, size := binary.Uvarint(b)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,9 +1,8 @@
-// Package registry is what is known of the upstreams that announce themselves to the
-// control hosts.
+// Package registry keeps track of the upstreams that announce themselves to the control hosts.
 //
-// A Registry belongs to one control host and takes announcements; a View belongs to a
-// host that serves callers and merges what several control hosts say. Both are pure:
-// they read no clock and do no I/O. Neither is safe for concurrent use.
+// A Registry belongs to one control host and receives announcements. A View belongs to a host
+// that uses the upstreams, and merges the lists of several control hosts. Both are pure: they
+// read no clock and do no I/O. Neither is safe for concurrent use.
 package registry
 
 import (
@@ -13,22 +12,23 @@
 	"time"
 )
 
-// State is what an upstream says of itself.
+// State is the life-cycle state that an upstream announces.
 type State uint8
 
-// The states, in the order in which they follow one another: an incarnation never goes
-// back to an earlier one.
+// The states of an incarnation, in the order in which it passes through them. It never returns
+// to an earlier one.
 const (
 	Ready State = iota
-	// Draining upstreams take no new work.
+	// Draining upstreams accept no new requests.
 	Draining
-	// Gone upstreams have left.
+	// Gone upstreams have shut down.
 	Gone
 )
 
-// Upstream is one incarnation of an upstream: ID and Born together name it.
+// Upstream describes one incarnation of an upstream, that is, one run of it from start to
+// shutdown. ID and Born together identify the incarnation.
 type Upstream struct {
-	// ID names the upstream. One that starts again may keep it.
+	// ID identifies the upstream. It may stay the same over a restart.
 	ID      string `cbor:"1,keyasint"`
 	Service string `cbor:"2,keyasint,omitempty"`
 	// Address is "ip:port".
@@ -36,19 +36,22 @@
 	DataCentre string `cbor:"4,keyasint,omitempty"`
 	Slots      int    `cbor:"5,keyasint,omitempty"`
 	State      State  `cbor:"6,keyasint,omitempty"`
-	// Sequence grows with each announcement of the incarnation.
+	// Sequence increases with each announcement of the incarnation.
 	Sequence uint64 `cbor:"7,keyasint,omitempty"`
-	// ColdRemainingMS is how much longer the upstream is slow after its start, in milliseconds.
+	// ColdRemainingMS is how much longer the upstream stays slow after its cold start, in
+	// milliseconds.
 	ColdRemainingMS int64 `cbor:"8,keyasint,omitempty"`
-	// IsSilent is set by a control host that has not heard the upstream for long.
+	// IsSilent is set by a control host if the upstream's announcements have stopped.
 	IsSilent bool `cbor:"9,keyasint,omitempty"`
-	// Born is when the incarnation started, in Unix milliseconds by its own clock; 0 where
-	// upstreams don't say. The highest one is the present; it holds nothing of those before.
+	// Born is the start time of the incarnation, in Unix milliseconds by the upstream's clock,
+	// or 0 if the upstream does not send it. The incarnation with the highest value is the
+	// current one. It takes over no state of earlier incarnations.
 	Born int64 `cbor:"10,keyasint,omitempty"`
 }
 
-// merge takes over what an announcement says: all of one by a later incarnation, nothing
-// of one by an earlier. It reports whether anything that matters to callers has changed.
+// merge applies an announcement. One of a later incarnation replaces everything, and one of an
+// earlier incarnation is ignored. It reports whether anything changed that matters for
+// sending requests to the upstream.
 func (u *Upstream) merge(next Upstream) bool {
 	if next.Born != u.Born {
 		if next.Born > u.Born {
@@ -70,22 +73,24 @@
 	return u.State != before.State || u.Slots != before.Slots || u.Service != before.Service || u.Address != before.Address
 }
 
-// Limits of a Registry.
+// Limits are the timeouts of a Registry.
 type Limits struct {
-	// SilenceTimeout is after how long without an announcement an upstream counts as silent.
+	// SilenceTimeout is the time without an announcement after which an upstream is silent.
 	SilenceTimeout time.Duration
-	// ForgetTimeout is after how long a silent or gone upstream is forgotten. It has to outlast
-	// an announcement that is late on its way.
+	// ForgetTimeout is the time without an announcement after which an upstream is removed.
+	// It must be longer than the delay of any announcement in transit, or a delayed
+	// announcement would bring back an upstream that is gone.
 	ForgetTimeout time.Duration
 }
 
+// entry is an upstream with the time of its last accepted announcement.
 type entry struct {
 	Upstream
 	heardAt time.Duration
 }
 
 // Registry holds the upstreams that announced themselves to one control host. Times are
-// a monotonic clock of the caller's.
+// passed in from the caller's monotonic clock.
 type Registry struct {
 	limits Limits
 	byID   map[string]*entry
@@ -94,8 +99,8 @@
 // New returns an empty Registry.
 func New(l Limits) *Registry { return &Registry{limits: l, byID: make(map[string]*entry)} }
 
-// Announce takes an announcement. It returns the upstream as known now, and whether the
-// hosts that serve callers have to be told.
+// Announce applies an announcement. It returns the upstream's current record, and whether the
+// hosts that follow this control host must be notified of it.
 func (r *Registry) Announce(u Upstream, now time.Duration) (Upstream, bool) {
 	e := r.byID[u.ID]
 	if e == nil {
@@ -113,8 +118,8 @@
 	return e.Upstream, changed || wasSilent
 }
 
-// Restore takes in what was known before a restart, as if it had been heard just now.
-// Upstreams that announced themselves since keep what they said.
+// Restore adds upstreams that were saved before a restart, as if they had announced themselves
+// at now. Upstreams that have announced themselves since the restart keep that record.
 func (r *Registry) Restore(all []Upstream, now time.Duration) {
 	for _, u := range all {
 		if r.byID[u.ID] == nil {
@@ -124,8 +129,8 @@
 	}
 }
 
-// Tick marks what has become silent and forgets what is long gone. It returns the
-// upstreams that the hosts which serve callers have to be told of.
+// Tick marks upstreams that have become silent and removes those past ForgetTimeout. It
+// returns the upstreams that have become silent, of which other hosts must be notified.
 func (r *Registry) Tick(now time.Duration) []Upstream {
 	var out []Upstream
 	for id, e := range r.byID {
@@ -142,7 +147,7 @@
 	return out
 }
 
-// All returns all upstreams in the order of their ids.
+// All returns all upstreams sorted by ID.
 func (r *Registry) All() []Upstream {
 	out := make([]Upstream, 0, len(r.byID))
 	for _, e := range r.byID {
@@ -152,7 +157,7 @@
 	return out
 }
 
-// sortByID gives lists of upstreams the same order on all hosts.
+// sortByID sorts a list of upstreams, so that all hosts have them in the same order.
 func sortByID(list []Upstream) {
 	slices.SortFunc(list, func(a, b Upstream) int { return strings.Compare(a.ID, b.ID) })
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -25,7 +25,7 @@
 	require.False(t, changed)
 	require.Equal(t, Draining, known.State)
 	known, _ = r.Announce(newUpstream("a", 4, Ready), 3*time.Second)
-	require.Equal(t, Draining, known.State, "not even by a later number")
+	require.Equal(t, Draining, known.State, "not even by an announcement with a higher sequence number")
 }
 
 func TestLeaveCountsWithoutAnEarlierAnnouncement(t *testing.T) {
@@ -54,8 +54,8 @@
 	require.Empty(t, r.All())
 }
 
-// An upstream announces itself to one control host at a time: that another one has
-// stopped hearing it says nothing.
+// An upstream announces itself to one control host at a time. It must not count as silent
+// just because another control host no longer receives its announcements.
 func TestUpstreamIsSilentOnlyIfAllControlHostsReportIt(t *testing.T) {
 	v := NewView()
 	u := newUpstream("a", 1, Ready)
@@ -79,7 +79,7 @@
 	require.Equal(t, "new", list[0].ID)
 }
 
-// Whatever the order in which announcements come, the latest state wins.
+// Announcements can arrive in any order. The View must end with the latest state.
 func TestLatestStateWinsInAnyOrderOfAnnouncements(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		last := rapid.IntRange(1, 6).Draw(t, "last")
@@ -126,40 +126,42 @@
 	return u
 }
 
-// An upstream that starts again under its id serves, whatever its earlier start said or
-// still says, and one word of the earlier start that is late changes nothing.
+// An upstream that restarts under the same ID must be served, whatever state its earlier
+// incarnation had announced. Delayed announcements, and a revocation, of the earlier
+// incarnation must not affect the new one.
 func TestRestartedUpstreamIsNotAffectedByItsEarlierIncarnation(t *testing.T) {
-	for name, last := range map[string]Upstream{
+	for name, lastAnnouncement := range map[string]Upstream{
 		"ready": withBorn(newUpstream("a", 900, Ready), 5), "draining": withBorn(newUpstream("a", 900, Draining), 5),
 		"gone": withBorn(Upstream{ID: "a", State: Gone}, 5),
 	} {
 		r := New(Limits{SilenceTimeout: 4 * time.Second, ForgetTimeout: time.Minute})
 		v := NewView()
-		say := func(u Upstream) Upstream {
+		announce := func(u Upstream) Upstream {
 			known, _ := r.Announce(u, 0)
 			v.Merge("c", []Upstream{known})
 			return known
 		}
-		say(withBorn(newUpstream("a", 1, Ready), 5))
-		say(last)
+		announce(withBorn(newUpstream("a", 1, Ready), 5))
+		announce(lastAnnouncement)
 		v.Revoke("a", 5)
 		require.Empty(t, v.Serving()["s"], name)
-		say(withBorn(newUpstream("a", 1, Ready), 6))
+		announce(withBorn(newUpstream("a", 1, Ready), 6))
 		require.Len(t, v.Serving()["s"], 1, name)
-		for _, late := range []Upstream{last, withBorn(newUpstream("a", 901, Draining), 5), newUpstream("a", 999, Draining), {ID: "a", State: Gone}} {
-			require.Equal(t, int64(6), say(late).Born, name)
-			v.Merge("other", []Upstream{late})
+		for _, delayed := range []Upstream{lastAnnouncement, withBorn(newUpstream("a", 901, Draining), 5), newUpstream("a", 999, Draining), {ID: "a", State: Gone}} {
+			require.Equal(t, int64(6), announce(delayed).Born, name)
+			v.Merge("other", []Upstream{delayed})
 			require.Len(t, v.Serving()["s"], 1, name)
 			require.Equal(t, uint64(1), v.Serving()["s"][0].Sequence, name)
 		}
-		require.False(t, v.Revoke("a", 5), "a revocation of the earlier start")
+		require.False(t, v.Revoke("a", 5), "a revocation of the earlier incarnation")
 		require.Len(t, v.Serving()["s"], 1, name)
-		say(withBorn(Upstream{ID: "a", State: Gone}, 6))
+		announce(withBorn(Upstream{ID: "a", State: Gone}, 6))
 		require.Empty(t, v.Serving()["s"], name)
 	}
 }
 
-// What a control host said of the silence of the earlier start is no word on the new one.
+// A control host that still reports the earlier incarnation as silent must not make the new
+// incarnation silent.
 func TestSilenceOfAnEarlierIncarnationIsIgnored(t *testing.T) {
 	v := NewView()
 	silent := withBorn(newUpstream("a", 3, Ready), 5)
@@ -170,8 +172,8 @@
 	require.False(t, v.Serving()["s"][0].IsSilent)
 }
 
-// What was known before a restart is a first guess: what an upstream says since goes
-// before it, and one that says nothing becomes silent.
+// Upstreams restored after a restart of the control host may be outdated. An announcement since
+// the restart must take precedence, and a restored upstream without one must become silent.
 func TestAnnouncementsTakePrecedenceOverRestoredUpstreams(t *testing.T) {
 	r := New(Limits{SilenceTimeout: 4 * time.Second, ForgetTimeout: time.Minute})
 	r.Announce(newUpstream("b", 9, Draining), time.Second)
@@ -182,14 +184,15 @@
 	silent := r.Tick(6 * time.Second)
 	require.Len(t, silent, 1)
 	require.Equal(t, "a", silent[0].ID)
-	known, changed := r.Announce(newUpstream("a", 6, Ready), 7*time.Second)
+	current, changed := r.Announce(newUpstream("a", 6, Ready), 7*time.Second)
 	require.True(t, changed)
-	require.False(t, known.IsSilent)
+	require.False(t, current.IsSilent)
 }
 
-// Load pattern: everything has lost power, and 129 workers are back under new ids at their
-// addresses while the old ones do not yet count as silent. Loads and requests go by address:
-// shared with an old one, half of them would find the wrong incarnation.
+// After a power failure, 129 upstreams are back under new IDs at their old addresses, while the
+// old IDs do not yet count as silent. Loads and requests are matched to upstreams by address.
+// If an old and a new upstream were both served at an address, half of the requests would be
+// sent for the wrong incarnation.
 func TestOnlyTheNewestUpstreamAtAnAddressServes(t *testing.T) {
 	v := NewView()
 	old := Upstream{ID: "z", Service: "s", Address: "10.0.0.1:80", Sequence: 90}
@@ -203,16 +206,17 @@
 	}
 	require.Equal(t, []string{"a", "y"}, ids())
 	v.Merge("c2", []Upstream{old})
-	require.Equal(t, []string{"a", "y"}, ids(), "another control host has not noticed")
+	require.Equal(t, []string{"a", "y"}, ids(), "another control host still lists the old upstream")
 
-	// A late word of an incarnation that nobody had heard of is taken for the newest, until a
-	// request finds out.
+	// A delayed announcement of an upstream that was not known before makes it look like the
+	// newest, until a request to it fails and it is revoked.
 	v.Merge("c2", []Upstream{{ID: "m", Service: "s", Address: "10.0.0.1:80", Sequence: 40}})
 	require.Equal(t, []string{"m", "y"}, ids())
 	v.Revoke("m", 0)
 	require.Equal(t, []string{"a", "y"}, ids())
 
-	// Where starts are told they decide; of those that came at once nobody knows.
+	// Start times decide if they are known. Without them, upstreams that first appeared in the
+	// same Merge can't be ordered, so both are served.
 	v.Merge("c1", []Upstream{{ID: "b", Service: "s", Address: "10.0.0.2:80", Born: 7}, {ID: "c", Service: "s", Address: "10.0.0.2:80", Born: 6}})
 	require.Equal(t, []string{"a", "b"}, ids())
 	v = NewView()
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -2,31 +2,33 @@
 
 import "slices"
 
-// View merges what several control hosts say of the upstreams. An upstream is silent
-// only where every control host that speaks of it says so: its announcements reach one
-// of them at a time.
+// View merges the lists of upstreams of several control hosts. An upstream is silent only if
+// every control host that lists it reports it as silent, because an upstream sends its
+// announcements to one control host at a time.
 type View struct {
 	byID map[string]*viewEntry
-	// revoked holds the incarnations found to have lost their address to another one, by
-	// id: when they were born.
+	// revoked holds, by ID, the Born value of the latest incarnation that was found to have
+	// lost its address to another one.
 	revoked map[string]int64
-	// gone lists the incarnations that have left, the first to leave first.
+	// gone lists the IDs of the upstreams that are gone, the first to leave first.
 	gone []string
-	// mergeCount counts the calls of Merge.
+	// mergeCount is the number of calls of Merge.
 	mergeCount uint64
 }
 
-// maxGone is how many incarnations that have left are remembered, so that a late
-// announcement does not bring one back: hours of replacements at the target's size.
+// maxGone is how many gone upstreams are kept, so that a delayed announcement does not bring
+// one back. It covers several hours of replacements at the target fleet size.
 const maxGone = 4096
 
+// viewEntry is the merged record of one upstream.
 type viewEntry struct {
 	Upstream
-	// silentBy holds what each control host that is in touch said last.
+	// silentBy holds, for each connected control host, whether it last reported the upstream
+	// as silent.
 	silentBy map[string]bool
-	// isInGone tells that it stands in View.gone.
+	// isInGone is set if the ID is in View.gone.
 	isInGone bool
-	// firstMerge is the Merge in which the incarnation was first heard of.
+	// firstMerge is the number of the Merge call that first contained the incarnation.
 	firstMerge uint64
 }
 
@@ -35,7 +37,7 @@
 	return &View{byID: make(map[string]*viewEntry), revoked: make(map[string]int64)}
 }
 
-// Merge takes what a control host says. It reports whether anything has changed.
+// Merge applies a list of upstreams from a control host. It reports whether anything changed.
 func (v *View) Merge(source string, all []Upstream) bool {
 	changed := false
 	v.mergeCount++
@@ -62,7 +64,7 @@
 	return changed
 }
 
-// resetIncarnation lets an incarnation start without what was known of the one before.
+// resetIncarnation clears the state that belonged to the previous incarnation.
 func (v *View) resetIncarnation(s *viewEntry) {
 	s.IsSilent, s.firstMerge = false, v.mergeCount
 	clear(s.silentBy)
@@ -72,7 +74,8 @@
 	}
 }
 
-// recordGone remembers an incarnation that has left, and forgets the oldest such ones.
+// recordGone adds an upstream that is gone to the list, and removes the oldest one from the
+// View if there are more than maxGone.
 func (v *View) recordGone(s *viewEntry) {
 	if s.State != Gone || s.isInGone {
 		return
@@ -86,7 +89,8 @@
 	}
 }
 
-// Lose forgets what a control host said of silence, since it can't be asked any more.
+// Lose drops what a control host reported about silence, because it is no longer connected.
+// It reports whether anything changed.
 func (v *View) Lose(source string) bool {
 	changed := false
 	for _, s := range v.byID {
@@ -96,22 +100,23 @@
 	return changed
 }
 
-// updateSilence derives IsSilent and reports whether it changed. With nobody to ask, the last
-// judgement stands.
+// updateSilence recomputes IsSilent and reports whether it changed. If no control host is
+// connected, the last value is kept.
 func (s *viewEntry) updateSilence() bool {
 	if len(s.silentBy) == 0 {
 		return false
 	}
 	silent := true
-	for _, says := range s.silentBy {
-		silent = silent && says
+	for _, isSilent := range s.silentBy {
+		silent = silent && isSilent
 	}
 	changed := silent != s.IsSilent
 	s.IsSilent = silent
 	return changed
 }
 
-// Revoke drops an incarnation whose address was found to be another one's.
+// Revoke excludes an incarnation from Serving because another upstream was found at its
+// address. It returns false if this or a later incarnation was already revoked.
 func (v *View) Revoke(id string, born int64) bool {
 	if before, ok := v.revoked[id]; ok && born <= before {
 		return false
@@ -126,10 +131,11 @@
 	return ok && u.Born <= born
 }
 
-// Serving returns the upstreams that may get new work, by service, in the order of
-// their ids. Of several at one address only the newest can be there: after a loss of power
-// upstreams are back under new ids before the old ones count as silent. One that is wrongly
-// taken for the newest, by a word of its that came late, is revoked with the first request.
+// Serving returns the upstreams that may get new requests, by service and sorted by ID. Of
+// several upstreams with the same address it returns only the newest: after a power failure
+// upstreams come back under new IDs before the old ones count as silent. A delayed announcement
+// can make an old upstream look like the newest. The first request to it finds the mistake,
+// and Revoke then excludes it.
 func (v *View) Serving() map[string][]Upstream {
 	newest := make(map[string]*viewEntry)
 	for _, s := range v.byID {
@@ -152,18 +158,20 @@
 	return out
 }
 
-// IsLeaving reports whether an incarnation has said that it leaves, or has left.
+// IsLeaving reports whether an incarnation is draining or gone.
 func (v *View) IsLeaving(id string, born int64) bool {
 	s := v.byID[id]
 	return s != nil && s.Born == born && s.State != Ready
 }
 
+// mayServe reports whether an upstream can get requests, apart from newer ones at its address.
 func (v *View) mayServe(s *viewEntry) bool {
 	return s.State == Ready && !v.isRevoked(&s.Upstream) && s.Address != ""
 }
 
-// isNewerThan reports whether an incarnation is newer than another at its address, as far as
-// can be told.
+// isNewerThan reports whether an incarnation is newer than another one at the same address. It
+// compares start times, and if these are equal or missing, when each was first merged. If
+// both came with the same Merge, neither is newer.
 func (s *viewEntry) isNewerThan(o *viewEntry) bool {
 	if s.Born != o.Born {
 		return s.Born > o.Born
@@ -171,7 +179,7 @@
 	return s.firstMerge > o.firstMerge
 }
 
-// All returns every upstream known, those that have left included.
+// All returns all known upstreams, including those that are gone, sorted by ID.
 func (v *View) All() []Upstream {
 	out := make([]Upstream, 0, len(v.byID))
 	for _, s := range v.byID {
