--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -70,6 +70,7 @@
 	share CapacityShare
 }
 
+// instruments are the metrics of a Controller.
 type instruments struct {
 	admitted, waited, refusedByLimit, refusedOnArrival, refusedInQueue, refusedNoUpstream, abandoned metrics.Counter
 	queued, running, capacity                                                                        metrics.Gauge
@@ -367,7 +368,7 @@
 	return keys
 }
 
-// Allocate answers another host's demand. This host owns the workspaces in the demand.
+// Allocate answers a host's demand with a grant. This host must own the workspaces in it.
 func (c *Controller) Allocate(host string, demand *wire.Demand) *wire.Grant {
 	now := c.cfg.Now()
 	c.mu.Lock()
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -18,7 +18,7 @@
 func (l Limits) IsSet() bool { return l != Limits{} }
 
 const (
-	// burstWindow is how much of a rate, in seconds' worth, may be used in one burst.
+	// burstWindow times a rate is the burst that the rate allows.
 	burstWindow = time.Second
 	// floorFraction is the fraction of a limit that all hosts together may use without a
 	// grant, each an equal part of it (its floor). The owner of the workspace grants the rest.
--- a/internal/admission/quota_test.go
+++ b/internal/admission/quota_test.go
@@ -15,31 +15,31 @@
 func TestHostsTogetherStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "hosts")
-		l := Limits{
+		limits := Limits{
 			Requests:   float64(rapid.IntRange(5, 200).Draw(t, "requests")),
 			Tokens:     rapid.SampledFrom([]float64{50, 500, 20_000}).Draw(t, "tokens"),
 			Concurrent: rapid.IntRange(n, 60).Draw(t, "concurrent"),
 		}
 		const step, span = 100 * time.Millisecond, 15 * time.Second
 		const maxCost = 200.0
-		divider := NewAllocator(-leaseDuration, n)
+		allocator := NewAllocator(-leaseDuration, n)
 		quotas := make([]*Quota, n)
 		for i := range quotas {
-			quotas[i] = NewQuota(0, l, n)
+			quotas[i] = NewQuota(0, limits, n)
 		}
-		type late struct {
-			host         int
-			asked, comes time.Duration
-			given        Amounts
+		type delayedGrant struct {
+			host              int
+			sentAt, arrivesAt time.Duration
+			amounts           Amounts
 		}
-		var replies []late
+		var replies []delayedGrant
 		var requests, tokens float64
 		running := 0
-		ends := make([][]time.Duration, n)
+		endTimes := make([][]time.Duration, n)
 		for now := time.Duration(0); now < span; now += step {
 			for i, q := range quotas {
-				for len(ends[i]) > 0 && ends[i][0] <= now {
-					ends[i] = ends[i][1:]
+				for len(endTimes[i]) > 0 && endTimes[i][0] <= now {
+					endTimes[i] = endTimes[i][1:]
 					q.Done()
 					running--
 				}
@@ -51,26 +51,26 @@
 					requests++
 					tokens += cost
 					running++
-					ends[i] = append(ends[i], now+500*time.Millisecond)
+					endTimes[i] = append(endTimes[i], now+500*time.Millisecond)
 				}
 				if now%demandInterval == 0 {
 					if u, ok := q.Demand(now); ok {
-						r := late{host: i, asked: now, given: divider.Allocate(now, fmt.Sprint(i), 1, l, u, q.RunningAboveFloor())}
-						r.comes = now + time.Duration(rapid.SampledFrom([]int{0, 1, 25, 100}).Draw(t, "delay"))*step
+						r := delayedGrant{host: i, sentAt: now, amounts: allocator.Allocate(now, fmt.Sprint(i), 1, limits, u, q.RunningAboveFloor())}
+						r.arrivesAt = now + time.Duration(rapid.SampledFrom([]int{0, 1, 25, 100}).Draw(t, "delay"))*step
 						replies = append(replies, r)
 					}
 					q.ResetDemand(now)
 				}
 			}
 			for _, r := range replies {
-				if r.comes == now {
-					quotas[r.host].Grant(r.asked, r.given)
+				if r.arrivesAt == now {
+					quotas[r.host].Grant(r.sentAt, r.amounts)
 				}
 			}
-			require.LessOrEqual(t, running, l.Concurrent+n, "concurrency over all hosts")
+			require.LessOrEqual(t, running, limits.Concurrent+n, "concurrency over all hosts")
 			seconds := now.Seconds()
-			require.LessOrEqual(t, requests, l.Requests*(seconds+burstWindow.Seconds())+float64(n), "requests over all hosts")
-			require.LessOrEqual(t, tokens, l.Tokens*(seconds+burstWindow.Seconds())+maxCost*float64(n), "tokens over all hosts")
+			require.LessOrEqual(t, requests, limits.Requests*(seconds+burstWindow.Seconds())+float64(n), "requests over all hosts")
+			require.LessOrEqual(t, tokens, limits.Tokens*(seconds+burstWindow.Seconds())+maxCost*float64(n), "tokens over all hosts")
 		}
 	})
 }
@@ -80,45 +80,45 @@
 func TestBusyHostGetsWhatIdleHostsLeaveOfALimit(t *testing.T) {
 	const hosts = 8
 	l := Limits{Requests: 80}
-	divider := NewAllocator(-leaseDuration, hosts)
+	allocator := NewAllocator(-leaseDuration, hosts)
 	q := NewQuota(0, l, hosts)
-	passed := 0
+	admitted := 0
 	for now := time.Duration(0); now < 20*time.Second; now += 5 * time.Millisecond {
 		if now%demandInterval == 0 {
 			if u, ok := q.Demand(now); ok {
-				q.Grant(now, divider.Allocate(now, "one", 1, l, u, 0))
+				q.Grant(now, allocator.Allocate(now, "one", 1, l, u, 0))
 			}
 			q.ResetDemand(now)
 		}
 		if now >= 10*time.Second && q.Take(now, 1, 0, 0) == nil {
-			passed++
+			admitted++
 		} else if now < 10*time.Second {
 			_ = q.Take(now, 1, 0, 0)
 		}
 	}
-	require.InDelta(t, 80*(1-floorFraction+floorFraction/hosts), float64(passed)/10, 3)
+	require.InDelta(t, 80*(1-floorFraction+floorFraction/hosts), float64(admitted)/10, 3)
 }
 
 func TestAllocatorIsMaxMinFair(t *testing.T) {
 	l := Limits{Requests: 80}
-	divider := NewAllocator(-leaseDuration, 4)
+	allocator := NewAllocator(-leaseDuration, 4)
 	var got [3]Amounts
 	for now := time.Duration(0); now < 10*time.Second; now += demandInterval {
 		for i, want := range []float64{5, 100, 100} {
-			got[i] = divider.Allocate(now, fmt.Sprint(i), 1, l, Amounts{Requests: want}, 0)
+			got[i] = allocator.Allocate(now, fmt.Sprint(i), 1, l, Amounts{Requests: want}, 0)
 		}
 	}
 	require.InDelta(t, 5, got[0].Requests, 0.01)
 	require.InDelta(t, 32.5, got[1].Requests, 0.01)
 	require.InDelta(t, 32.5, got[2].Requests, 0.01)
-	divider.Expire(time.Hour)
-	require.Empty(t, divider.shares)
+	allocator.Expire(time.Hour)
+	require.Empty(t, allocator.shares)
 }
 
 func TestNewOwnerGrantsNothingUntilOldGrantsExpire(t *testing.T) {
-	divider := NewAllocator(0, 4)
-	require.Zero(t, divider.Allocate(leaseDuration-1, "a", 1, Limits{Requests: 10}, Amounts{Requests: 5}, 0))
-	require.NotZero(t, divider.Allocate(leaseDuration, "a", 1, Limits{Requests: 10}, Amounts{Requests: 5}, 0))
+	allocator := NewAllocator(0, 4)
+	require.Zero(t, allocator.Allocate(leaseDuration-1, "a", 1, Limits{Requests: 10}, Amounts{Requests: 5}, 0))
+	require.NotZero(t, allocator.Allocate(leaseDuration, "a", 1, Limits{Requests: 10}, Amounts{Requests: 5}, 0))
 }
 
 func TestRetryAfterIsWhenTheLimitAllowsTheRequest(t *testing.T) {
@@ -176,11 +176,11 @@
 
 func TestOwnerCountsAGrantUntilItExpires(t *testing.T) {
 	l := Limits{Requests: 80}
-	divider := NewAllocator(-leaseDuration, 2)
-	require.InDelta(t, 70, divider.Allocate(0, "a", 1, l, Amounts{Requests: 80}, 0).Requests, 1e-9)
-	require.InDelta(t, 10, divider.Allocate(time.Second, "a", 1, l, Amounts{Requests: 10}, 0).Requests, 1e-9)
-	require.Zero(t, divider.Allocate(time.Second, "b", 1, l, Amounts{Requests: 80}, 0), "the smaller grant may not have reached host a")
-	require.InDelta(t, 60, divider.Allocate(leaseDuration, "b", 1, l, Amounts{Requests: 80}, 0).Requests, 1e-9)
+	allocator := NewAllocator(-leaseDuration, 2)
+	require.InDelta(t, 70, allocator.Allocate(0, "a", 1, l, Amounts{Requests: 80}, 0).Requests, 1e-9)
+	require.InDelta(t, 10, allocator.Allocate(time.Second, "a", 1, l, Amounts{Requests: 10}, 0).Requests, 1e-9)
+	require.Zero(t, allocator.Allocate(time.Second, "b", 1, l, Amounts{Requests: 80}, 0), "the smaller grant may not have reached host a")
+	require.InDelta(t, 60, allocator.Allocate(leaseDuration, "b", 1, l, Amounts{Requests: 80}, 0).Requests, 1e-9)
 }
 
 func TestGrantExpires(t *testing.T) {
--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -110,7 +110,6 @@
 	}
 }
 
-// benchRequest is one simulated request.
 type benchRequest struct {
 	host      int
 	prefixes  []uint64
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -140,44 +140,44 @@
 // newCandidate combines the directory's entry with this host's statistics. The caller holds
 // mu.
 func (r *Router) newCandidate(e *directory.Entry, req *Request, now time.Duration) Candidate {
-	x := r.statsOf(e.Upstream)
+	stats := r.statsOf(e.Upstream)
 	load := e.Upstream.Load
 	age := now - e.LoadAt + time.Duration(load.AgeMS)*time.Millisecond
 	return Candidate{
 		Upstream:       e.Upstream,
 		Suspect:        e.Suspect,
-		Failing:        now < x.failedUntil,
+		Failing:        now < stats.failedUntil,
 		ReportAge:      age,
-		InFlight:       x.inFlight,
-		OtherHostsLoad: max(0, int(load.Running+load.Queued)-x.inFlightAt(now-age)),
+		InFlight:       stats.inFlight,
+		OtherHostsLoad: max(0, int(load.Running+load.Queued)-stats.inFlightAt(now-age)),
 		CachedFraction: r.prefixes.CachedFraction(e.Upstream.Name, req.Prefixes),
 	}
 }
 
 // statsOf returns the statistics of an upstream. It resets them if the upstream's agent has
 // restarted. The caller holds mu.
-func (r *Router) statsOf(up wire.Upstream) *upstreamStats {
-	x := r.stats[up.Name]
-	if x == nil || x.incarnation < up.Incarnation {
-		if x != nil {
-			r.prefixes.Forget(up.Name)
+func (r *Router) statsOf(upstream wire.Upstream) *upstreamStats {
+	stats := r.stats[upstream.Name]
+	if stats == nil || stats.incarnation < upstream.Incarnation {
+		if stats != nil {
+			r.prefixes.Forget(upstream.Name)
 		}
-		x = &upstreamStats{incarnation: up.Incarnation}
-		r.stats[up.Name] = x
+		stats = &upstreamStats{incarnation: upstream.Incarnation}
+		r.stats[upstream.Name] = stats
 	}
-	return x
+	return stats
 }
 
-func (r *Router) finish(x *upstreamStats, o Outcome) {
+func (r *Router) finish(stats *upstreamStats, outcome Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.cfg.Now()
-	x.addInFlight(now, -1)
-	if o.HasFailed {
-		x.failedUntil = now + failureCooldown
+	stats.addInFlight(now, -1)
+	if outcome.HasFailed {
+		stats.failedUntil = now + failureCooldown
 		return
 	}
-	x.failedUntil = 0
+	stats.failedUntil = 0
 }
 
 // ApplyCacheEvents applies an upstream's cache events to the prefix index.
