--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -15,116 +15,121 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// Request is what admission has to know of a request.
+// Request describes a request to be admitted.
 type Request struct {
-	// Service is the name of the document, Workspace that of the workspace in it.
+	// Service is the name of a service's document, and Workspace the name of a workspace
+	// in that document.
 	Service, Workspace string
 	Pool               string
-	// Urgency is that of RFC 9218: 0 goes first, 7 last.
+	// Urgency is the urgency of RFC 9218, from 0 (most urgent) to 7 (least urgent).
 	Urgency uint8
-	// Share is the weight of the workspace; one if it is not above zero.
+	// Share is the weight of the workspace in fair queueing. Zero or less counts as one.
 	Share  float64
 	Limits Limits
-	// Cost is the expected work in tokens.
+	// Cost is the expected number of tokens that the request takes.
 	Cost uint64
-	// Deadline is how long the whole answer may take from now on.
+	// Deadline is how much time is left until the answer must be complete.
 	Deadline time.Duration
 }
 
-// Config is what a Controller needs.
+// Config configures a Controller.
 type Config struct {
-	// QueueLimit bounds how many requests wait for one pool.
+	// QueueLimit is the maximum number of requests that wait for one pool.
 	QueueLimit int
-	// Hosts is how many entry hosts of the data centre the limits are divided among;
-	// DataCentres how many data centres have an equal part of each. One if zero.
+	// DataCentres is the number of data centres, each of which gets an equal share of every
+	// limit. Hosts is the number of entry hosts that divide a data centre's share. Zero
+	// counts as one.
 	Hosts, DataCentres int
-	// Usage returns what the load reports say of a pool; Live how many entry hosts
-	// of the data centre are alive, this one included.
-	Usage func(pool string) Usage
-	Live  func() int
-	// Now is a monotonic clock; Rand is uniform in [0, 1) and safe for concurrent use.
+	// Usage returns the sum of the latest load reports of a pool. LiveHosts returns the
+	// number of live entry hosts of the data centre, including this one.
+	Usage     func(pool string) Usage
+	LiveHosts func() int
+	// Now is a monotonic clock. Rand returns uniform values in [0, 1) and must be safe for
+	// concurrent use.
 	Now     func() time.Duration
 	Rand    func() float64
 	Metrics metrics.Registry
 }
 
-// Controller lets requests in. It is safe for concurrent use. One lock guards all
-// its decisions, which do no I/O; waiting requests sleep outside of it.
+// Controller admits or refuses requests. It is safe for concurrent use. One lock guards
+// all decisions, which do no I/O. Waiting requests block without holding the lock.
 type Controller struct {
-	cfg      Config
-	counters counters
+	cfg         Config
+	instruments instruments
 
 	// mu guards the fields below.
-	mu      sync.Mutex
-	pools   map[string]*part
-	quotas  map[uint64]*Quota
-	divider *Divider
-}
-
-// part is one pool with this host's part of it.
-type part struct {
-	pool *Pool
-	part Part
-}
-
-type counters struct {
-	admitted, waited, limited, full, late, empty, left metrics.Counter
-	queued, running, capacity                          metrics.Gauge
-	wait                                               metrics.Histogram
-}
-
-const sampleSize = 1028
-
-func newCounters(r metrics.Registry) counters {
-	return counters{
-		admitted: metrics.GetOrRegisterCounter("admission.admitted", r),
-		waited:   metrics.GetOrRegisterCounter("admission.waited", r),
-		limited:  metrics.GetOrRegisterCounter("admission.refused.limit", r),
-		full:     metrics.GetOrRegisterCounter("admission.refused.arrival", r),
-		late:     metrics.GetOrRegisterCounter("admission.refused.queued", r),
-		empty:    metrics.GetOrRegisterCounter("admission.refused.no-upstream", r),
-		left:     metrics.GetOrRegisterCounter("admission.left", r),
-		queued:   metrics.GetOrRegisterGauge("admission.queued", r),
-		running:  metrics.GetOrRegisterGauge("admission.running", r),
-		capacity: metrics.GetOrRegisterGauge("admission.capacity", r),
-		wait:     metrics.GetOrRegisterHistogram("admission.wait-us", r, metrics.NewUniformSample(sampleSize)),
+	mu        sync.Mutex
+	pools     map[string]*poolState
+	quotas    map[uint64]*Quota
+	allocator *Allocator
+}
+
+// poolState is one pool and this host's share of its capacity.
+type poolState struct {
+	pool  *Pool
+	share CapacityShare
+}
+
+// instruments are the metrics of a Controller.
+type instruments struct {
+	admitted, waited, refusedByLimit, refusedOnArrival, refusedInQueue, refusedNoUpstream, abandoned metrics.Counter
+	queued, running, capacity                                                                        metrics.Gauge
+	wait                                                                                             metrics.Histogram
+}
+
+// waitSampleSize is the number of samples that the wait-time histogram keeps.
+const waitSampleSize = 1028
+
+func newInstruments(r metrics.Registry) instruments {
+	return instruments{
+		admitted:          metrics.GetOrRegisterCounter("admission.admitted", r),
+		waited:            metrics.GetOrRegisterCounter("admission.waited", r),
+		refusedByLimit:    metrics.GetOrRegisterCounter("admission.refused.limit", r),
+		refusedOnArrival:  metrics.GetOrRegisterCounter("admission.refused.arrival", r),
+		refusedInQueue:    metrics.GetOrRegisterCounter("admission.refused.queued", r),
+		refusedNoUpstream: metrics.GetOrRegisterCounter("admission.refused.no-upstream", r),
+		abandoned:         metrics.GetOrRegisterCounter("admission.left", r),
+		queued:            metrics.GetOrRegisterGauge("admission.queued", r),
+		running:           metrics.GetOrRegisterGauge("admission.running", r),
+		capacity:          metrics.GetOrRegisterGauge("admission.capacity", r),
+		wait:              metrics.GetOrRegisterHistogram("admission.wait-us", r, metrics.NewUniformSample(waitSampleSize)),
 	}
 }
 
-// New returns a Controller.
+// New returns a Controller without pools; each pool is added with its first request.
 func New(cfg Config) *Controller {
 	if cfg.Metrics == nil {
 		cfg.Metrics = metrics.NewRegistry()
 	}
 	return &Controller{
-		cfg:      cfg,
-		counters: newCounters(cfg.Metrics),
-		pools:    make(map[string]*part),
-		quotas:   make(map[uint64]*Quota),
-		divider:  NewDivider(cfg.Now(), cfg.Hosts),
+		cfg:         cfg,
+		instruments: newInstruments(cfg.Metrics),
+		pools:       make(map[string]*poolState),
+		quotas:      make(map[uint64]*Quota),
+		allocator:   NewAllocator(cfg.Now(), cfg.Hosts),
 	}
 }
 
-// Key identifies a workspace among those of all documents.
+// Key returns a hash that identifies a workspace of a service on all hosts.
 func Key(service, workspace string) uint64 {
 	return xxhash.Sum64String(service + "\x00" + workspace)
 }
 
-// Admit lets a request in, waits for its turn, or refuses it with a *verdict.Error
-// that says NotRun. It waits no longer than ctx lasts. release is to be called once
+// Admit returns once the request may run, or with a *verdict.Error of verdict NotRun if it
+// is refused or ctx ends while it waits in the queue. The caller must call release once,
 // when the request has ended.
 func (c *Controller) Admit(ctx context.Context, r Request) (release func(), err error) {
 	now := c.cfg.Now()
-	t := c.ticket(now, r)
+	t := c.newTicket(now, r)
 	c.mu.Lock()
 	quota, refusal := c.takeQuota(now, &r, t)
 	if refusal != nil {
 		c.mu.Unlock()
-		c.counters.limited.Inc(1)
+		c.instruments.refusedByLimit.Inc(1)
 		return nil, refusal
 	}
-	p := c.part(now, r.Pool)
-	c.settle(p.pool.Arrive(now, t))
+	p := c.poolFor(now, r.Pool)
+	c.notify(p.pool.Submit(now, t))
 	if t.state == stateRefused {
 		c.refund(quota, t)
 		c.mu.Unlock()
@@ -138,19 +143,19 @@
 		c.mu.Unlock()
 		return nil, err
 	}
-	c.counters.admitted.Inc(1)
+	c.instruments.admitted.Inc(1)
 	return func() { c.release(p, quota, t) }, nil
 }
 
-func (c *Controller) ticket(now time.Duration, r Request) *Ticket {
+func (c *Controller) newTicket(now time.Duration, r Request) *Ticket {
 	t := &Ticket{
 		Workspace: r.Service + "\x00" + r.Workspace,
 		Weight:    r.Share,
 		Class:     min(r.Urgency, Classes-1),
 		Cost:      max(float64(r.Cost), 1),
 		Deadline:  now + r.Deadline,
-		Draw:      c.cfg.Rand(),
-		wake:      make(chan struct{}),
+		Jitter:    c.cfg.Rand(),
+		decided:   make(chan struct{}),
 	}
 	if t.Weight <= 0 {
 		t.Weight = 1
@@ -158,12 +163,13 @@
 	return t
 }
 
-// takeQuota requires mu.
+// takeQuota charges the request to its workspace's quota. It returns nil for both results
+// if the workspace has no limits. The caller holds mu.
 func (c *Controller) takeQuota(now time.Duration, r *Request, t *Ticket) (*Quota, error) {
 	if !r.Limits.IsSet() {
 		return nil, nil
 	}
-	limits := c.inCentre(r.Limits)
+	limits := c.dataCentreLimits(r.Limits)
 	key := Key(r.Service, r.Workspace)
 	q := c.quotas[key]
 	if q == nil {
@@ -171,16 +177,16 @@
 		c.quotas[key] = q
 	}
 	q.SetLimits(limits)
-	service := c.part(now, r.Pool).pool.serviceTime(t.Class, 0)
-	if refusal := q.Take(now, t.Cost, service, t.Draw); refusal != nil {
+	serviceTime := c.poolFor(now, r.Pool).pool.serviceTime(t.Class, 0)
+	if refusal := q.Take(now, t.Cost, serviceTime, t.Jitter); refusal != nil {
 		return nil, refusal
 	}
 	return q, nil
 }
 
-// inCentre is the data centre's part of the limits. A limit on concurrency stays one
-// at least.
-func (c *Controller) inCentre(l Limits) Limits {
+// dataCentreLimits returns this data centre's share of the limits. A concurrency limit is
+// rounded up, so it never becomes zero, which means unlimited.
+func (c *Controller) dataCentreLimits(l Limits) Limits {
 	n := max(c.cfg.DataCentres, 1)
 	l.Requests /= float64(n)
 	l.Tokens /= float64(n)
@@ -188,91 +194,92 @@
 	return l
 }
 
-// refund requires mu.
+// refund undoes takeQuota for a request that did not run. The caller holds mu.
 func (c *Controller) refund(q *Quota, t *Ticket) {
 	if q != nil {
 		q.Refund(t.Cost)
 	}
 }
 
-// part requires mu.
-func (c *Controller) part(now time.Duration, name string) *part {
+// poolFor returns the state of a pool and creates it if necessary. The caller holds mu.
+func (c *Controller) poolFor(now time.Duration, name string) *poolState {
 	p := c.pools[name]
 	if p == nil {
-		p = &part{pool: NewPool(c.cfg.QueueLimit)}
+		p = &poolState{pool: NewPool(c.cfg.QueueLimit)}
 		c.pools[name] = p
-		c.update(now, name, p)
+		c.refreshCapacity(now, name, p)
 	}
 	return p
 }
 
-// update requires mu.
-func (c *Controller) update(now time.Duration, name string, p *part) {
-	n := p.part.Update(now, c.cfg.Usage(name), p.pool.Running(), c.cfg.Live())
-	c.settle(p.pool.SetCapacity(now, n))
+// refreshCapacity sets a pool's capacity from the latest load reports. The caller holds mu.
+func (c *Controller) refreshCapacity(now time.Duration, name string, p *poolState) {
+	capacity := p.share.Update(now, c.cfg.Usage(name), p.pool.Running(), c.cfg.LiveHosts())
+	c.notify(p.pool.SetCapacity(now, capacity))
 }
 
-// settle wakes the requests that were decided. It requires mu.
-func (c *Controller) settle(tickets []*Ticket) {
+// notify wakes the goroutines that wait for these tickets. The caller holds mu.
+func (c *Controller) notify(tickets []*Ticket) {
 	for _, t := range tickets {
-		close(t.wake)
+		close(t.decided)
 	}
 }
 
-// await sleeps until t is settled. The error is a *verdict.Error.
-func (c *Controller) await(ctx context.Context, p *part, t *Ticket) error {
-	began := c.cfg.Now()
+// await blocks until t is running, is refused, or ctx ends. The error is a *verdict.Error.
+func (c *Controller) await(ctx context.Context, p *poolState, t *Ticket) error {
+	waitStart := c.cfg.Now()
 	select {
-	case <-t.wake:
-		c.counters.wait.Update(0)
+	case <-t.decided:
+		c.instruments.wait.Update(0)
 		return nil
 	default:
 	}
-	c.counters.waited.Inc(1)
+	c.instruments.waited.Inc(1)
 	for {
-		timer := time.NewTimer(c.patience(p, t))
+		timer := time.NewTimer(c.remainingWait(p, t))
 		select {
-		case <-t.wake:
+		case <-t.decided:
 			timer.Stop()
-			c.counters.wait.Update((c.cfg.Now() - began).Microseconds())
-			return c.outcome(t)
+			c.instruments.wait.Update((c.cfg.Now() - waitStart).Microseconds())
+			return c.result(t)
 		case <-ctx.Done():
 			timer.Stop()
-			return c.leave(p, t, ctx.Err())
+			return c.abandon(p, t, ctx.Err())
 		case <-timer.C:
 			c.expire(p)
 		}
 	}
 }
 
-// patience is how long t may still wait.
-func (c *Controller) patience(p *part, t *Ticket) time.Duration {
+// remainingWait returns how long t may still wait before it expires.
+func (c *Controller) remainingWait(p *poolState, t *Ticket) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return p.pool.HopelessAt(t) - c.cfg.Now()
+	return p.pool.ExpiresAt(t) - c.cfg.Now()
 }
 
-func (c *Controller) expire(p *part) {
+func (c *Controller) expire(p *poolState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.settle(p.pool.Expire(c.cfg.Now()))
+	c.notify(p.pool.Expire(c.cfg.Now()))
 }
 
-func (c *Controller) outcome(t *Ticket) error {
+func (c *Controller) result(t *Ticket) error {
 	if t.err == nil {
 		return nil
 	}
-	c.counters.late.Inc(1)
+	c.instruments.refusedInQueue.Inc(1)
 	return t.err
 }
 
-// leave gives up a request whose caller left, or whose time ended, while it waited.
-func (c *Controller) leave(p *part, t *Ticket, cause error) error {
+// abandon removes a request whose ctx was cancelled or timed out while it waited. It may
+// have been admitted at the same moment, in which case its slot is released.
+func (c *Controller) abandon(p *poolState, t *Ticket, cause error) error {
 	c.mu.Lock()
 	p.pool.Withdraw(t)
-	c.settle(p.pool.Release(c.cfg.Now(), t))
+	c.notify(p.pool.Release(c.cfg.Now(), t))
 	c.mu.Unlock()
-	c.counters.left.Inc(1)
+	c.instruments.abandoned.Inc(1)
 	code := verdict.CodeCancelled
 	if errors.Is(cause, context.DeadlineExceeded) {
 		code = verdict.CodeDeadline
@@ -280,10 +287,10 @@
 	return &verdict.Error{Verdict: verdict.NotRun, Code: code, Text: "ended while it waited", Cause: cause}
 }
 
-func (c *Controller) release(p *part, q *Quota, t *Ticket) {
+func (c *Controller) release(p *poolState, q *Quota, t *Ticket) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.settle(p.pool.Release(c.cfg.Now(), t))
+	c.notify(p.pool.Release(c.cfg.Now(), t))
 	if q != nil {
 		q.Done()
 	}
@@ -291,56 +298,58 @@
 
 func (c *Controller) countRefusal(t *Ticket) {
 	if t.err.Code == verdict.CodeNoUpstream {
-		c.counters.empty.Inc(1)
+		c.instruments.refusedNoUpstream.Inc(1)
 		return
 	}
-	c.counters.full.Inc(1)
+	c.instruments.refusedOnArrival.Inc(1)
 }
 
-// UpdateEvery is how often Update is to be called: how long a change of the
-// capacity waits to be used.
-const UpdateEvery = 100 * time.Millisecond
+// CapacityUpdateInterval is how often Update must be called. It bounds the delay until a
+// change of the capacity takes effect.
+const CapacityUpdateInterval = 100 * time.Millisecond
 
-// Update takes the capacity that the load reports now show.
+// Update applies the capacity of the latest load reports to all pools.
 func (c *Controller) Update() {
 	now := c.cfg.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var queued, running, capacity int
 	for name, p := range c.pools {
-		c.update(now, name, p)
+		c.refreshCapacity(now, name, p)
 		queued += p.pool.Queued()
 		running += p.pool.Running()
 		capacity += p.pool.Capacity()
 	}
-	c.counters.queued.Update(int64(queued))
-	c.counters.running.Update(int64(running))
-	c.counters.capacity.Update(int64(capacity))
+	c.instruments.queued.Update(int64(queued))
+	c.instruments.running.Update(int64(running))
+	c.instruments.capacity.Update(int64(capacity))
 }
 
-// ReportEvery is how often Demands is to be called.
-const ReportEvery = reportEvery
+// DemandInterval is how often Demands must be called.
+const DemandInterval = demandInterval
 
-// Demands returns what this host wants of limited workspaces beyond its floors, and
-// forgets idle ones. Of too many, those come first that have not asked for longest.
+// Demands returns this host's demand for limited workspaces, as far as it exceeds the floor
+// that the host may use without a grant. It drops the quotas of idle workspaces. If more
+// than maxDemandsPerReport workspaces have a demand, those reported longest ago come first.
 func (c *Controller) Demands() []wire.DemandItem {
 	now := c.cfg.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.divider.Expire(now)
-	wanting := c.wanting(now)
+	c.allocator.Expire(now)
+	keys := c.workspacesAboveFloor(now)
 	var out []wire.DemandItem
-	for _, key := range wanting[:min(len(wanting), maxDemands)] {
+	for _, key := range keys[:min(len(keys), maxDemandsPerReport)] {
 		q := c.quotas[key]
-		u, _ := q.Demand(now)
-		q.Asked(now)
-		out = append(out, wire.DemandItem{Workspace: key, Limit: toWire(q.limits), Wanted: useToWire(u), Running: float32(q.RunningAbove())})
+		demand, _ := q.Demand(now)
+		q.ResetDemand(now)
+		out = append(out, wire.DemandItem{Workspace: key, Limit: limitsToWire(q.limits), Wanted: amountsToWire(demand), Running: float32(q.RunningAboveFloor())})
 	}
 	return out
 }
 
-// wanting returns the workspaces whose floor is not enough. It requires mu.
-func (c *Controller) wanting(now time.Duration) []uint64 {
+// workspacesAboveFloor returns the workspaces whose demand exceeds this host's floor, the
+// one reported longest ago first. The caller holds mu.
+func (c *Controller) workspacesAboveFloor(now time.Duration) []uint64 {
 	var keys []uint64
 	for key, q := range c.quotas {
 		if q.IsIdle(now) {
@@ -348,53 +357,53 @@
 			continue
 		}
 		if _, ok := q.Demand(now); !ok {
-			q.Asked(now)
+			q.ResetDemand(now)
 			continue
 		}
 		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, func(a, b uint64) int {
-		return cmp.Compare(c.quotas[a].askedAt, c.quotas[b].askedAt)
+		return cmp.Compare(c.quotas[a].demandSince, c.quotas[b].demandSince)
 	})
 	return keys
 }
 
-// Divide answers a host's demand, as the owner of the workspaces in it.
-func (c *Controller) Divide(host string, d *wire.Demand) *wire.Grant {
+// Allocate answers a host's demand with a grant. This host must own the workspaces in it.
+func (c *Controller) Allocate(host string, demand *wire.Demand) *wire.Grant {
 	now := c.cfg.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	g := &wire.Grant{Seq: d.Seq}
-	for _, item := range d.Items {
-		given := c.divider.Divide(now, host, item.Workspace, fromWire(item.Limit), useFromWire(item.Wanted), float64(item.Running))
-		g.Items = append(g.Items, wire.GrantItem{Workspace: item.Workspace, Given: useToWire(given)})
+	grant := &wire.Grant{Seq: demand.Seq}
+	for _, item := range demand.Items {
+		granted := c.allocator.Allocate(now, host, item.Workspace, limitsFromWire(item.Limit), amountsFromWire(item.Wanted), float64(item.Running))
+		grant.Items = append(grant.Items, wire.GrantItem{Workspace: item.Workspace, Given: amountsToWire(granted)})
 	}
-	return g
+	return grant
 }
 
-// Granted takes an owner's answer to a demand that was sent at the time asked.
-func (c *Controller) Granted(asked time.Duration, g *wire.Grant) {
+// ApplyGrant applies an owner's answer to a demand that this host sent at sentAt.
+func (c *Controller) ApplyGrant(sentAt time.Duration, g *wire.Grant) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, item := range g.Items {
 		if q := c.quotas[item.Workspace]; q != nil {
-			q.Grant(asked, useFromWire(item.Given))
+			q.Grant(sentAt, amountsFromWire(item.Given))
 		}
 	}
 }
 
-func toWire(l Limits) wire.LimitRates {
+func limitsToWire(l Limits) wire.LimitRates {
 	return wire.LimitRates{Requests: float32(l.Requests), Tokens: float32(l.Tokens), Concurrent: float32(l.Concurrent)}
 }
 
-func fromWire(r wire.LimitRates) Limits {
+func limitsFromWire(r wire.LimitRates) Limits {
 	return Limits{Requests: float64(r.Requests), Tokens: float64(r.Tokens), Concurrent: int(r.Concurrent)}
 }
 
-func useToWire(u Use) wire.LimitRates {
+func amountsToWire(u Amounts) wire.LimitRates {
 	return wire.LimitRates{Requests: float32(u.Requests), Tokens: float32(u.Tokens), Concurrent: float32(u.Concurrent)}
 }
 
-func useFromWire(r wire.LimitRates) Use {
-	return Use{Requests: float64(r.Requests), Tokens: float64(r.Tokens), Concurrent: float64(r.Concurrent)}
+func amountsFromWire(r wire.LimitRates) Amounts {
+	return Amounts{Requests: float64(r.Requests), Tokens: float64(r.Tokens), Concurrent: float64(r.Concurrent)}
 }
--- a/internal/admission/fair.go
+++ b/internal/admission/fair.go
@@ -6,65 +6,69 @@
 	"time"
 )
 
-// fairQueue orders the waiting requests of one class by start-time fair queueing:
-// each workspace has a virtual start time, which moves on by cost over weight with
-// each request that goes; the earliest start goes next. Workspaces that stay
-// backlogged so get work in proportion to their weights, whatever their arrivals,
-// and one that comes late neither pays for nor gains from the time it was away.
+// fairQueue orders the waiting requests of one class by start-time fair queueing. Each
+// workspace has a virtual start time, which advances by cost divided by weight with each
+// request that is dequeued. The workspace with the earliest start time is served next. So
+// backlogged workspaces get work in proportion to their weights, whatever their arrival
+// patterns, and a workspace that was idle is neither penalised nor compensated for that.
 //
-// The times belong to workspaces, not to requests: one that is withdrawn costs its
-// workspace nothing.
+// Start times belong to workspaces rather than to requests, so a withdrawn request costs
+// its workspace nothing.
 type fairQueue struct {
-	// virtual is the start time of the last request that went.
-	virtual float64
-	flows   map[string]*flow
-	heap    flowHeap
-	arrived uint64
-	size    int
-	weights float64
-	turns   turns
+	// virtualTime is the virtual start time of the last dequeued request.
+	virtualTime float64
+	flows       map[string]*flow
+	heap        flowHeap
+	// activations counts the times that an idle flow got a request.
+	activations uint64
+	size        int
+	totalWeight float64
+	dequeues    dequeueIntervals
 }
 
-// flow is one workspace of a class.
+// flow is the queue of one workspace within a class.
 type flow struct {
 	weight float64
-	// start is the virtual time at which the head of queue goes, finish that at
-	// which the last one that went is paid for.
+	// start is the virtual start time of the head of queue. finish is the virtual finish
+	// time of the last dequeued request.
 	start, finish float64
-	// arrival orders flows of the same start.
-	arrival uint64
-	queue   []*Ticket
-	index   int
-	turns   turns
+	// activation breaks ties between flows with the same start time.
+	activation uint64
+	queue      []*Ticket
+	// index is the position in the flowHeap.
+	index    int
+	dequeues dequeueIntervals
 }
 
-// turns measures how long a backlogged queue waits from one turn to the next.
-type turns struct {
-	last time.Duration
-	gap  mean
+// dequeueIntervals measures the time between dequeues of a backlogged queue.
+type dequeueIntervals struct {
+	last     time.Duration
+	interval movingMean
 }
 
-// begin starts to measure where a backlog begins, taken notes a turn.
-func (u *turns) begin(now time.Duration) { u.last = now }
+// restart starts a measurement when a backlog begins.
+func (u *dequeueIntervals) restart(now time.Duration) { u.last = now }
 
-func (u *turns) taken(now time.Duration) {
-	u.gap.add(now - u.last)
+// record adds the interval since the previous dequeue.
+func (u *dequeueIntervals) record(now time.Duration) {
+	u.interval.add(now - u.last)
 	u.last = now
 }
 
-// timeFor is how long n turns take, zero where too few were measured.
-func (u *turns) timeFor(n int) time.Duration {
-	if u.gap.samples < minTurns {
+// expectedTime returns how long n dequeues take, or zero if too few were measured.
+func (u *dequeueIntervals) expectedTime(n int) time.Duration {
+	if u.interval.samples < minDequeues {
 		return 0
 	}
-	return u.gap.times(n, turnDeviations)
+	return u.interval.sumOf(n, dequeueDeviations)
 }
 
-// minTurns is how many turns have to be measured before they say anything.
-const minTurns = 8
+// minDequeues is how many intervals must be measured before they are used as an estimate.
+const minDequeues = 8
 
-// pruneAbove is how many flows without requests are kept for their finish times.
-const pruneAbove = 256
+// pruneThreshold is how many idle flows are kept, for their finish times, before flows that
+// no longer matter are deleted.
+const pruneThreshold = 256
 
 func (q *fairQueue) add(now time.Duration, t *Ticket) {
 	if q.flows == nil {
@@ -76,29 +80,29 @@
 		q.flows[t.Workspace] = f
 	}
 	if q.size == 0 {
-		q.turns.begin(now)
+		q.dequeues.restart(now)
 	}
 	q.size++
 	f.queue = append(f.queue, t)
 	if len(f.queue) > 1 {
 		return
 	}
-	f.turns.begin(now)
+	f.dequeues.restart(now)
 	f.weight = t.Weight
-	f.start = max(q.virtual, f.finish)
-	q.arrived++
-	f.arrival = q.arrived
-	q.weights += f.weight
+	f.start = max(q.virtualTime, f.finish)
+	q.activations++
+	f.activation = q.activations
+	q.totalWeight += f.weight
 	heap.Push(&q.heap, f)
 }
 
-// next removes the request that goes next. There is at least one.
+// next dequeues a request. The queue must not be empty.
 func (q *fairQueue) next(now time.Duration) *Ticket {
 	f := q.heap[0]
-	f.turns.taken(now)
-	q.turns.taken(now)
+	f.dequeues.record(now)
+	q.dequeues.record(now)
 	t := f.queue[0]
-	q.virtual = f.start
+	q.virtualTime = f.start
 	f.finish = f.start + t.Cost/f.weight
 	f.start = f.finish
 	f.queue[0] = nil
@@ -108,67 +112,67 @@
 		heap.Fix(&q.heap, 0)
 		return t
 	}
-	q.idle(f)
+	q.deactivate(f)
 	return t
 }
 
-// remove withdraws a request that waits.
+// remove takes a waiting request out of the queue without serving it.
 func (q *fairQueue) remove(t *Ticket) {
 	f := q.flows[t.Workspace]
 	i := slices.Index(f.queue, t)
 	f.queue = slices.Delete(f.queue, i, i+1)
 	q.size--
 	if len(f.queue) == 0 {
-		q.idle(f)
+		q.deactivate(f)
 	}
 }
 
-// idle takes a flow without requests out of the order. What it has had is
-// remembered until the others have had as much.
-func (q *fairQueue) idle(f *flow) {
+// deactivate removes a flow without requests from the heap. The flow keeps its finish time
+// until virtualTime reaches it, so a workspace gains nothing by emptying its queue.
+func (q *fairQueue) deactivate(f *flow) {
 	heap.Remove(&q.heap, f.index)
-	q.weights -= f.weight
+	q.totalWeight -= f.weight
 	if q.size == 0 {
 		*q = fairQueue{}
 		return
 	}
-	if len(q.flows) <= 2*len(q.heap)+pruneAbove {
+	if len(q.flows) <= 2*len(q.heap)+pruneThreshold {
 		return
 	}
 	for name, g := range q.flows {
-		if len(g.queue) == 0 && g.finish <= q.virtual {
+		if len(g.queue) == 0 && g.finish <= q.virtualTime {
 			delete(q.flows, name)
 		}
 	}
 }
 
-// length is how many requests of a workspace wait.
-func (q *fairQueue) length(workspace string) int {
+// queuedBy returns how many requests of a workspace wait.
+func (q *fairQueue) queuedBy(workspace string) int {
 	if f := q.flows[workspace]; f != nil {
 		return len(f.queue)
 	}
 	return 0
 }
 
-// relativeWeight is a workspace's weight over the mean of those that wait, itself
-// included.
+// relativeWeight returns the weight of t's workspace divided by the mean weight of all
+// backlogged workspaces, including that of t.
 func (q *fairQueue) relativeWeight(t *Ticket) float64 {
-	sum, n := q.weights, float64(len(q.heap))
-	if q.length(t.Workspace) == 0 {
+	sum, n := q.totalWeight, float64(len(q.heap))
+	if q.queuedBy(t.Workspace) == 0 {
 		sum += t.Weight
 		n++
 	}
 	return t.Weight * n / sum
 }
 
-// ahead counts the requests that go before t, were it added now.
-func (q *fairQueue) ahead(t *Ticket) int {
-	tag := q.virtual
+// countAhead returns how many waiting requests would be served before t if t were added now.
+func (q *fairQueue) countAhead(t *Ticket) int {
+	start := q.virtualTime
 	own := q.flows[t.Workspace]
 	if own != nil {
-		tag = max(tag, own.finish)
+		start = max(start, own.finish)
 		if len(own.queue) > 0 {
-			tag = own.start + costOf(own.queue)/own.weight
+			start = own.start + totalCost(own.queue)/own.weight
 		}
 	}
 	n := 0
@@ -177,16 +181,16 @@
 			n += len(f.queue)
 			continue
 		}
-		n += f.before(tag)
+		n += f.countStartingBy(start)
 	}
 	return n
 }
 
-// before counts the requests that start no later than a virtual time.
-func (f *flow) before(tag float64) int {
+// countStartingBy returns how many requests of the flow start no later than a virtual time.
+func (f *flow) countStartingBy(limit float64) int {
 	start := f.start
 	for i, t := range f.queue {
-		if start > tag {
+		if start > limit {
 			return i
 		}
 		start += t.Cost / f.weight
@@ -194,7 +198,7 @@
 	return len(f.queue)
 }
 
-func costOf(tickets []*Ticket) float64 {
+func totalCost(tickets []*Ticket) float64 {
 	sum := 0.0
 	for _, t := range tickets {
 		sum += t.Cost
@@ -202,23 +206,23 @@
 	return sum
 }
 
-// hopeless returns the requests that can't end in time any more, and the earliest
-// deadline of the others.
-func (q *fairQueue) hopeless(now, service time.Duration) (late []*Ticket, earliest time.Duration) {
+// findExpired returns the requests that can no longer finish by their deadlines if they
+// take the given service time, and the earliest deadline of the others.
+func (q *fairQueue) findExpired(now, service time.Duration) (expired []*Ticket, earliest time.Duration) {
 	earliest = never
 	for _, f := range q.heap {
 		for _, t := range f.queue {
 			if now+service >= t.Deadline {
-				late = append(late, t)
+				expired = append(expired, t)
 				continue
 			}
 			earliest = min(earliest, t.Deadline)
 		}
 	}
-	return late, earliest
+	return expired, earliest
 }
 
-// flowHeap has the flow with the earliest start on top.
+// flowHeap is a min-heap of flows by virtual start time.
 type flowHeap []*flow
 
 // Len implements heap.Interface.
@@ -229,7 +233,7 @@
 	if h[i].start != h[j].start {
 		return h[i].start < h[j].start
 	}
-	return h[i].arrival < h[j].arrival
+	return h[i].activation < h[j].activation
 }
 
 // Swap implements heap.Interface.
--- a/internal/admission/quota_test.go
+++ b/internal/admission/quota_test.go
@@ -9,37 +9,37 @@
 	"pgregory.net/rapid"
 )
 
-// TestHostsKeepTheLimitTogether runs the quotas of some hosts against one owner by any
-// demand, with replies that are lost or late. Over the whole span the hosts together
-// stay within the limit, one burst and one request a host.
-func TestHostsKeepTheLimitTogether(t *testing.T) {
+// TestHostsTogetherStayWithinTheLimit runs the quotas of several hosts against one owner,
+// with arbitrary demands and with grants that are delayed or lost. At any time the hosts
+// together must stay within the limit, plus one burst and one request per host.
+func TestHostsTogetherStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "hosts")
-		l := Limits{
+		limits := Limits{
 			Requests:   float64(rapid.IntRange(5, 200).Draw(t, "requests")),
 			Tokens:     rapid.SampledFrom([]float64{50, 500, 20_000}).Draw(t, "tokens"),
 			Concurrent: rapid.IntRange(n, 60).Draw(t, "concurrent"),
 		}
 		const step, span = 100 * time.Millisecond, 15 * time.Second
 		const maxCost = 200.0
-		divider := NewDivider(-leaseSpan, n)
+		allocator := NewAllocator(-leaseDuration, n)
 		quotas := make([]*Quota, n)
 		for i := range quotas {
-			quotas[i] = NewQuota(0, l, n)
+			quotas[i] = NewQuota(0, limits, n)
 		}
-		type late struct {
-			host         int
-			asked, comes time.Duration
-			given        Use
+		type delayedGrant struct {
+			host              int
+			sentAt, arrivesAt time.Duration
+			amounts           Amounts
 		}
-		var replies []late
+		var replies []delayedGrant
 		var requests, tokens float64
 		running := 0
-		ends := make([][]time.Duration, n)
+		endTimes := make([][]time.Duration, n)
 		for now := time.Duration(0); now < span; now += step {
 			for i, q := range quotas {
-				for len(ends[i]) > 0 && ends[i][0] <= now {
-					ends[i] = ends[i][1:]
+				for len(endTimes[i]) > 0 && endTimes[i][0] <= now {
+					endTimes[i] = endTimes[i][1:]
 					q.Done()
 					running--
 				}
@@ -51,76 +51,77 @@
 					requests++
 					tokens += cost
 					running++
-					ends[i] = append(ends[i], now+500*time.Millisecond)
+					endTimes[i] = append(endTimes[i], now+500*time.Millisecond)
 				}
-				if now%reportEvery == 0 {
+				if now%demandInterval == 0 {
 					if u, ok := q.Demand(now); ok {
-						r := late{host: i, asked: now, given: divider.Divide(now, fmt.Sprint(i), 1, l, u, q.RunningAbove())}
-						r.comes = now + time.Duration(rapid.SampledFrom([]int{0, 1, 25, 100}).Draw(t, "delay"))*step
+						r := delayedGrant{host: i, sentAt: now, amounts: allocator.Allocate(now, fmt.Sprint(i), 1, limits, u, q.RunningAboveFloor())}
+						r.arrivesAt = now + time.Duration(rapid.SampledFrom([]int{0, 1, 25, 100}).Draw(t, "delay"))*step
 						replies = append(replies, r)
 					}
-					q.Asked(now)
+					q.ResetDemand(now)
 				}
 			}
 			for _, r := range replies {
-				if r.comes == now {
-					quotas[r.host].Grant(r.asked, r.given)
+				if r.arrivesAt == now {
+					quotas[r.host].Grant(r.sentAt, r.amounts)
 				}
 			}
-			require.LessOrEqual(t, running, l.Concurrent+n, "concurrency over all hosts")
+			require.LessOrEqual(t, running, limits.Concurrent+n, "concurrency over all hosts")
 			seconds := now.Seconds()
-			require.LessOrEqual(t, requests, l.Requests*(seconds+burstSpan.Seconds())+float64(n), "requests over all hosts")
-			require.LessOrEqual(t, tokens, l.Tokens*(seconds+burstSpan.Seconds())+maxCost*float64(n), "tokens over all hosts")
+			require.LessOrEqual(t, requests, limits.Requests*(seconds+burstWindow.Seconds())+float64(n), "requests over all hosts")
+			require.LessOrEqual(t, tokens, limits.Tokens*(seconds+burstWindow.Seconds())+maxCost*float64(n), "tokens over all hosts")
 		}
 	})
 }
 
-// TestOneHostGetsWhatTheOthersLeave shows that an uneven demand is met nearly in full.
-func TestOneHostGetsWhatTheOthersLeave(t *testing.T) {
+// TestBusyHostGetsWhatIdleHostsLeaveOfALimit has demand on one of eight hosts only. That
+// host must get nearly the whole limit: all but the floors of the other hosts.
+func TestBusyHostGetsWhatIdleHostsLeaveOfALimit(t *testing.T) {
 	const hosts = 8
 	l := Limits{Requests: 80}
-	divider := NewDivider(-leaseSpan, hosts)
+	allocator := NewAllocator(-leaseDuration, hosts)
 	q := NewQuota(0, l, hosts)
-	passed := 0
+	admitted := 0
 	for now := time.Duration(0); now < 20*time.Second; now += 5 * time.Millisecond {
-		if now%reportEvery == 0 {
+		if now%demandInterval == 0 {
 			if u, ok := q.Demand(now); ok {
-				q.Grant(now, divider.Divide(now, "one", 1, l, u, 0))
+				q.Grant(now, allocator.Allocate(now, "one", 1, l, u, 0))
 			}
-			q.Asked(now)
+			q.ResetDemand(now)
 		}
 		if now >= 10*time.Second && q.Take(now, 1, 0, 0) == nil {
-			passed++
+			admitted++
 		} else if now < 10*time.Second {
 			_ = q.Take(now, 1, 0, 0)
 		}
 	}
-	require.InDelta(t, 80*(1-floorShare+floorShare/hosts), float64(passed)/10, 3)
+	require.InDelta(t, 80*(1-floorFraction+floorFraction/hosts), float64(admitted)/10, 3)
 }
 
-func TestDividerIsFairAmongHosts(t *testing.T) {
+func TestAllocatorIsMaxMinFair(t *testing.T) {
 	l := Limits{Requests: 80}
-	divider := NewDivider(-leaseSpan, 4)
-	var got [3]Use
-	for now := time.Duration(0); now < 10*time.Second; now += reportEvery {
+	allocator := NewAllocator(-leaseDuration, 4)
+	var got [3]Amounts
+	for now := time.Duration(0); now < 10*time.Second; now += demandInterval {
 		for i, want := range []float64{5, 100, 100} {
-			got[i] = divider.Divide(now, fmt.Sprint(i), 1, l, Use{Requests: want}, 0)
+			got[i] = allocator.Allocate(now, fmt.Sprint(i), 1, l, Amounts{Requests: want}, 0)
 		}
 	}
 	require.InDelta(t, 5, got[0].Requests, 0.01)
 	require.InDelta(t, 32.5, got[1].Requests, 0.01)
 	require.InDelta(t, 32.5, got[2].Requests, 0.01)
-	divider.Expire(time.Hour)
-	require.Empty(t, divider.shares)
+	allocator.Expire(time.Hour)
+	require.Empty(t, allocator.shares)
 }
 
-func TestNewOwnerWaitsForTheFormerOnesGrantsToEnd(t *testing.T) {
-	divider := NewDivider(0, 4)
-	require.Zero(t, divider.Divide(leaseSpan-1, "a", 1, Limits{Requests: 10}, Use{Requests: 5}, 0))
-	require.NotZero(t, divider.Divide(leaseSpan, "a", 1, Limits{Requests: 10}, Use{Requests: 5}, 0))
+func TestNewOwnerGrantsNothingUntilOldGrantsExpire(t *testing.T) {
+	allocator := NewAllocator(0, 4)
+	require.Zero(t, allocator.Allocate(leaseDuration-1, "a", 1, Limits{Requests: 10}, Amounts{Requests: 5}, 0))
+	require.NotZero(t, allocator.Allocate(leaseDuration, "a", 1, Limits{Requests: 10}, Amounts{Requests: 5}, 0))
 }
 
-func TestRefusedCallerIsToldWhenTheLimitAllows(t *testing.T) {
+func TestRetryAfterIsWhenTheLimitAllowsTheRequest(t *testing.T) {
 	q := NewQuota(0, Limits{Requests: 2}, 1)
 	require.Nil(t, q.Take(0, 1, 0, 0))
 	require.Nil(t, q.Take(0, 1, 0, 0))
@@ -130,91 +131,93 @@
 	require.Nil(t, q.Take(500*time.Millisecond, 1, 0, 0))
 }
 
-// TestHostsThatSeeTheSameReportTakeNoMoreThanWasFree is about Part.
-func TestHostsThatSeeTheSameReportTakeNoMoreThanWasFree(t *testing.T) {
+// TestHostsWithTheSameReportBorrowNoMoreThanIsFree checks CapacityShare: if all hosts act on
+// one load report, the capacity that they borrow must not exceed what the report shows free.
+func TestHostsWithTheSameReportBorrowNoMoreThanIsFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(t, "hosts")
 		capacity := rapid.IntRange(0, 500).Draw(t, "capacity")
 		running := make([]int, n)
-		parts := make([]Part, n)
+		parts := make([]CapacityShare, n)
 		for round := range 30 {
-			used := 0
+			inUse := 0
 			for _, r := range running {
-				used += r
+				inUse += r
 			}
-			bound := max(used, 0)
+			bound := max(inUse, 0)
 			for _, r := range running {
 				bound = max(bound, r)
 			}
-			now := time.Duration(round) * borrowEvery
-			sum := 0
+			now := time.Duration(round) * borrowInterval
+			borrowed := 0
 			for i := range parts {
-				c := parts[i].Update(now, Usage{Capacity: capacity, InUse: used}, running[i], n)
-				require.LessOrEqual(t, c, capacity)
-				require.Equal(t, c, parts[i].Update(now+borrowEvery/2, Usage{Capacity: capacity, InUse: used}, running[i]+1, n), "one report is used twice")
-				equal := (capacity + n - 1) / n
-				require.GreaterOrEqual(t, c, min(equal, capacity), "equal part")
-				sum += max(0, c-max(equal, running[i]))
-				running[i] = min(c, rapid.IntRange(0, capacity).Draw(t, "demand"))
+				limit := parts[i].Update(now, Usage{Capacity: capacity, InUse: inUse}, running[i], n)
+				require.LessOrEqual(t, limit, capacity)
+				require.Equal(t, limit, parts[i].Update(now+borrowInterval/2, Usage{Capacity: capacity, InUse: inUse}, running[i]+1, n), "a host borrows twice on one report")
+				equalShare := (capacity + n - 1) / n
+				require.GreaterOrEqual(t, limit, min(equalShare, capacity), "less than an equal share")
+				borrowed += max(0, limit-max(equalShare, running[i]))
+				running[i] = min(limit, rapid.IntRange(0, capacity).Draw(t, "demand"))
 			}
-			require.LessOrEqual(t, sum, max(0, capacity-used), "borrowed more than was free")
+			require.LessOrEqual(t, borrowed, max(0, capacity-inUse), "borrowed more than was free")
 		}
 	})
 }
 
-func TestLoneBusyHostGetsNearlyAll(t *testing.T) {
-	var p Part
+func TestOnlyBusyHostBorrowsNearlyAllCapacity(t *testing.T) {
+	var share CapacityShare
 	running := 0
 	for round := range 40 {
-		running = p.Update(time.Duration(round)*borrowEvery, Usage{Capacity: 400, InUse: running}, running, 4)
+		running = share.Update(time.Duration(round)*borrowInterval, Usage{Capacity: 400, InUse: running}, running, 4)
 	}
 	require.GreaterOrEqual(t, running, 396)
-	require.Equal(t, 100, p.Update(time.Hour, Usage{Capacity: 400, InUse: 800}, 40, 4), "others took their part back")
+	require.Equal(t, 100, share.Update(time.Hour, Usage{Capacity: 400, InUse: 800}, 40, 4), "the others use their share again")
 }
 
-func TestOwnerCountsAGrantUntilItsLeaseEnds(t *testing.T) {
+func TestOwnerCountsAGrantUntilItExpires(t *testing.T) {
 	l := Limits{Requests: 80}
-	divider := NewDivider(-leaseSpan, 2)
-	require.InDelta(t, 70, divider.Divide(0, "a", 1, l, Use{Requests: 80}, 0).Requests, 1e-9)
-	require.InDelta(t, 10, divider.Divide(time.Second, "a", 1, l, Use{Requests: 10}, 0).Requests, 1e-9)
-	require.Zero(t, divider.Divide(time.Second, "b", 1, l, Use{Requests: 80}, 0), "the answer to a may be lost")
-	require.InDelta(t, 60, divider.Divide(leaseSpan, "b", 1, l, Use{Requests: 80}, 0).Requests, 1e-9)
+	allocator := NewAllocator(-leaseDuration, 2)
+	require.InDelta(t, 70, allocator.Allocate(0, "a", 1, l, Amounts{Requests: 80}, 0).Requests, 1e-9)
+	require.InDelta(t, 10, allocator.Allocate(time.Second, "a", 1, l, Amounts{Requests: 10}, 0).Requests, 1e-9)
+	require.Zero(t, allocator.Allocate(time.Second, "b", 1, l, Amounts{Requests: 80}, 0), "the smaller grant may not have reached host a")
+	require.InDelta(t, 60, allocator.Allocate(leaseDuration, "b", 1, l, Amounts{Requests: 80}, 0).Requests, 1e-9)
 }
 
-func TestGrantEndsWithItsLease(t *testing.T) {
+func TestGrantExpires(t *testing.T) {
 	q := NewQuota(0, Limits{Requests: 80}, 8)
-	floor := q.part(0)
-	q.Grant(time.Second, Use{Requests: 50})
-	require.InDelta(t, floor.Requests+50, q.part(2*time.Second).Requests, 1e-9)
-	q.Grant(0, Use{Requests: 70})
-	require.InDelta(t, floor.Requests+50, q.part(2*time.Second).Requests, 1e-9, "an older grant came late")
-	require.Equal(t, floor, q.part(time.Second+leaseSpan))
+	floor := q.allowance(0)
+	q.Grant(time.Second, Amounts{Requests: 50})
+	require.InDelta(t, floor.Requests+50, q.allowance(2*time.Second).Requests, 1e-9)
+	q.Grant(0, Amounts{Requests: 70})
+	require.InDelta(t, floor.Requests+50, q.allowance(2*time.Second).Requests, 1e-9, "a grant for an earlier demand is ignored")
+	require.Equal(t, floor, q.allowance(time.Second+leaseDuration))
 }
 
-// TestHostsGiveBackWhatOldReportsMadeThemTake lets all hosts become busy at once while
-// the reports still show an idle pool.
-func TestHostsGiveBackWhatOldReportsMadeThemTake(t *testing.T) {
+// TestHostsReturnCapacityBorrowedOnStaleReports makes all hosts busy at the same time while
+// the load reports still show an idle pool. After up to two such reports the hosts must not
+// exceed the capacity. After four current reports they must use exactly all of it.
+func TestHostsReturnCapacityBorrowedOnStaleReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "hosts")
 		capacity := n * rapid.IntRange(1, 60).Draw(t, "a host")
-		late := rapid.IntRange(0, 6).Draw(t, "reports that come late")
+		staleReports := rapid.IntRange(0, 6).Draw(t, "reports that come late")
 		running := make([]int, n)
-		parts := make([]Part, n)
-		sum := 0
-		for round := range late + 4 {
-			used := sum
-			if round < late {
-				used = 0
+		parts := make([]CapacityShare, n)
+		total := 0
+		for round := range staleReports + 4 {
+			inUse := total
+			if round < staleReports {
+				inUse = 0
 			}
-			sum = 0
+			total = 0
 			for i := range parts {
-				running[i] = parts[i].Update(time.Duration(round)*borrowEvery, Usage{Capacity: capacity, InUse: used}, running[i], n)
-				sum += running[i]
+				running[i] = parts[i].Update(time.Duration(round)*borrowInterval, Usage{Capacity: capacity, InUse: inUse}, running[i], n)
+				total += running[i]
 			}
-			if late <= 2 {
-				require.LessOrEqual(t, sum, capacity, "two late reports make the hosts take too much")
+			if staleReports <= 2 {
+				require.LessOrEqual(t, total, capacity, "hosts exceed the capacity after two stale reports")
 			}
 		}
-		require.Equal(t, capacity, sum, "not given back")
+		require.Equal(t, capacity, total, "the hosts together must use the whole capacity")
 	})
 }
--- a/internal/engineload/engineload_test.go
+++ b/internal/engineload/engineload_test.go
@@ -11,21 +11,21 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-func load(n, running int) wire.EngineLoad {
+func newLoad(n, running int) wire.EngineLoad {
 	return wire.EngineLoad{
 		Address: fmt.Sprintf("10.0.0.%d:80", n), IsOpen: true, Group: "g", Epoch: 3, Rank: uint32(n), Born: int64(n), Running: running, Pace: 1,
 	}
 }
 
-// What one host sends for the loads of a fleet is the number of receivers times this, ten
-// times a second: whole records of 129 engines are 8 KB.
-func TestLoadsOfManyEnginesAreSmall(t *testing.T) {
+// A sender sends the loads of all engines to every receiver ten times per second. Full records
+// of 129 engines take 8 KB, so after the first message compact loads must be used.
+func TestRepeatedLoadsAreEncodedCompactly(t *testing.T) {
 	var table Table
 	for round := range 3 {
 		for n := range 129 {
-			table.Take(load(n, round), "h", 0)
+			table.Update(newLoad(n, round), "h", 0)
 		}
-		m := table.Next(0)
+		m := table.Flush(0)
 		if round == 0 {
 			require.Len(t, m.All, 129)
 			continue
@@ -34,48 +34,48 @@
 		require.NoError(t, err)
 		require.LessOrEqual(t, len(data), 129*4+40)
 	}
-	require.Nil(t, table.Next(0), "nothing was heard")
+	require.Nil(t, table.Flush(0), "no load has arrived since the last message")
 }
 
-// Whatever is heard in whatever order, a receiver that misses nothing has the newest record
-// of every engine; one that comes later has it from the records of that moment on.
-func TestReceiversHaveWhatTheSenderHas(t *testing.T) {
+// For arbitrary loads in any order, a receiver that gets every message must have the latest
+// record of every engine. So must a receiver that attaches later and starts with All.
+func TestDecodersHaveTheLatestRecordOfEveryEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
-		views := []*View{{}}
-		newest := make([]map[string]wire.EngineLoad, 1, 2)
-		newest[0] = map[string]wire.EngineLoad{}
-		read := func(i int, m *wire.EngineLoads) {
+		decoders := []*Decoder{{}}
+		latest := make([]map[string]wire.EngineLoad, 1, 2)
+		latest[0] = map[string]wire.EngineLoad{}
+		decode := func(i int, m *wire.EngineLoads) {
 			if m == nil {
 				return
 			}
-			all, unread := views[i].Read(m)
+			all, unread := decoders[i].Decode(m)
 			require.Zero(t, unread)
 			for _, l := range all {
-				newest[i][l.Address] = l
+				latest[i][l.Address] = l
 			}
 		}
-		truth := map[string]wire.EngineLoad{}
+		sent := map[string]wire.EngineLoad{}
 		for range rapid.IntRange(1, 12).Draw(t, "rounds") {
 			for range rapid.IntRange(0, 6).Draw(t, "heard") {
-				l := load(rapid.IntRange(1, 8).Draw(t, "engine"), rapid.IntRange(0, 300).Draw(t, "running"))
+				l := newLoad(rapid.IntRange(1, 8).Draw(t, "engine"), rapid.IntRange(0, 300).Draw(t, "running"))
 				l.IsOpen = rapid.Bool().Draw(t, "open")
 				l.Waiting = rapid.IntRange(0, 3).Draw(t, "waiting")
-				table.Take(l, "h", 0)
-				truth[l.Address] = l
+				table.Update(l, "h", 0)
+				sent[l.Address] = l
 			}
-			m := table.Next(0)
-			for i := range views {
-				read(i, m)
+			m := table.Flush(0)
+			for i := range decoders {
+				decode(i, m)
 			}
-			if len(views) == 1 && rapid.Bool().Draw(t, "comes") {
-				views, newest = append(views, &View{}), append(newest, map[string]wire.EngineLoad{})
-				read(1, table.All(0))
+			if len(decoders) == 1 && rapid.Bool().Draw(t, "comes") {
+				decoders, latest = append(decoders, &Decoder{}), append(latest, map[string]wire.EngineLoad{})
+				decode(1, table.All(0))
 			}
 		}
-		for i := range views {
-			for address, l := range truth {
-				got := newest[i][address]
+		for i := range decoders {
+			for address, l := range sent {
+				got := latest[i][address]
 				got.Number = 0
 				require.Equal(t, l, got)
 			}
@@ -83,60 +83,61 @@
 	})
 }
 
-// Bytes that are no loads, or of engines that nobody has told of, change nothing.
-func TestBriefLoadsThatCannotBeReadAreLeftOut(t *testing.T) {
+// Bytes that are not valid loads, or loads of engines whose full record was not received, must
+// not produce records.
+func TestUnreadableCompactLoadsAreSkipped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var v View
-		all, _ := v.Read(&wire.EngineLoads{Brief: rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")})
+		var decoder Decoder
+		all, _ := decoder.Decode(&wire.EngineLoads{Brief: rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")})
 		require.Empty(t, all)
 	})
-	var v View
-	all, unread := v.Read(&wire.EngineLoads{All: []wire.EngineLoad{{Number: 1, Address: "a"}}, Brief: []byte{1, 2, 3}})
+	var decoder Decoder
+	all, unread := decoder.Decode(&wire.EngineLoads{All: []wire.EngineLoad{{Number: 1, Address: "a"}}, Brief: []byte{1, 2, 3}})
 	require.Len(t, all, 1)
 	require.Equal(t, 1, unread)
 }
 
-func TestMembersAreThoseOfTheEpochThatAreHeard(t *testing.T) {
+func TestGroupMembersAreThoseHeardLatelyInTheEpoch(t *testing.T) {
 	var table Table
-	table.Take(load(0, 0), "h0", 0)
-	table.Take(load(1, 0), "h1", 3*time.Second)
-	other := load(2, 0)
-	other.Epoch = 2
-	table.Take(other, "h2", 3*time.Second)
+	table.Update(newLoad(0, 0), "h0", 0)
+	table.Update(newLoad(1, 0), "h1", 3*time.Second)
+	otherEpoch := newLoad(2, 0)
+	otherEpoch.Epoch = 2
+	table.Update(otherEpoch, "h2", 3*time.Second)
 	require.Equal(t, []wire.GroupMember{{Address: "h1", FirstRank: 1, Ranks: 1}}, table.Members("g", 3, 3*time.Second))
 	require.Len(t, table.Members("g", 3, time.Second), 2)
-	table.Next(2 * forgetAfter)
-	table.Next(2 * forgetAfter)
+	table.Flush(2 * forgetTimeout)
+	table.Flush(2 * forgetTimeout)
 	require.Empty(t, table.engines)
 }
 
-func TestPaceIsToldWithinTwoInAHundred(t *testing.T) {
-	for _, pace := range []float64{0.5, 1, 1.07, 3.5, 12} {
-		require.InEpsilon(t, pace, paceOf(paceCode(pace)), 0.02)
+func TestStepRatioIsEncodedWithinTwoPercent(t *testing.T) {
+	for _, ratio := range []float64{0.5, 1, 1.07, 3.5, 12} {
+		require.InEpsilon(t, ratio, decodeStepRatio(encodeStepRatio(ratio)), 0.02)
 	}
-	require.Zero(t, paceOf(paceCode(0)))
-	require.InDelta(t, 1, paceOf(paceCode(1)), 0)
+	require.Zero(t, decodeStepRatio(encodeStepRatio(0)))
+	require.InDelta(t, 1, decodeStepRatio(encodeStepRatio(1)), 0)
 }
 
-func BenchmarkNext(b *testing.B) {
+func BenchmarkFlush(b *testing.B) {
 	for _, engines := range []int{16, 129, 600} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			var table Table
 			for b.Loop() {
 				for n := range engines {
-					table.Take(load(n, 3), "h", 0)
+					table.Update(newLoad(n, 3), "h", 0)
 				}
-				table.Next(0)
+				table.Flush(0)
 			}
 		})
 	}
 }
 
-func TestEngineThatWasSilentIsToldWhole(t *testing.T) {
+func TestFullRecordIsSentAgainAfterASilence(t *testing.T) {
 	var table Table
-	table.Take(load(1, 0), "h", 0)
-	require.Len(t, table.Next(0).All, 1)
-	require.Nil(t, table.All(2*currentSpan))
-	table.Take(load(1, 0), "h", 2*currentSpan)
-	require.Len(t, table.Next(2*currentSpan).All, 1)
+	table.Update(newLoad(1, 0), "h", 0)
+	require.Len(t, table.Flush(0).All, 1)
+	require.Nil(t, table.All(2*maxSnapshotAge))
+	table.Update(newLoad(1, 0), "h", 2*maxSnapshotAge)
+	require.Len(t, table.Flush(2*maxSnapshotAge).All, 1)
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -11,88 +11,89 @@
 )
 
 const (
-	// failingSpan is how long an upstream is avoided after a failed attempt.
-	failingSpan = 3 * time.Second
-	// maxMarks bounds what is remembered of the own load before the last report.
-	maxMarks = 4096
-	// pruneEvery is after how many picks upstreams that are gone are forgotten.
-	pruneEvery = 4096
+	// failureCooldown is how long this host avoids an upstream after a failed attempt there.
+	failureCooldown = 3 * time.Second
+	// maxSamples bounds the in-flight samples kept per upstream since its last load report.
+	maxSamples = 4096
+	// pruneInterval is the number of calls of Pick after which removed upstreams are pruned.
+	pruneInterval = 4096
 )
 
-// Outcome is how an attempt ended.
+// Outcome tells how an attempt ended.
 type Outcome struct {
-	// HasFailed tells that the upstream, or the way to it, failed.
+	// HasFailed is set if the upstream or the connection to it failed.
 	HasFailed bool
 }
 
-// Config is what a Router needs.
+// Config configures a Router.
 type Config struct {
 	Policy *Policy
-	// Entries returns the upstreams known now.
+	// Entries returns the upstreams that the directory currently knows.
 	Entries func() []directory.Entry
-	// Now is the clock that directory.Entry.LoadAt counts on.
-	Now          func() time.Duration
-	Rand         *rand.Rand
-	HistoryLimit int
+	// Now is the monotonic clock of directory.Entry.LoadAt.
+	Now              func() time.Duration
+	Rand             *rand.Rand
+	PrefixIndexLimit int
 }
 
-// Router chooses upstreams and keeps this host's own experience with them. It is
-// safe for concurrent use.
+// Router chooses upstreams and keeps this host's own statistics about them: attempts in
+// flight, recent failures and cached prefixes. It is safe for concurrent use.
 type Router struct {
 	cfg Config
 
 	// mu guards the fields below and cfg.Rand.
-	mu      sync.Mutex
-	own     map[string]*experience
-	history *History
-	picks   int
+	mu        sync.Mutex
+	stats     map[string]*upstreamStats
+	prefixes  *PrefixIndex
+	pickCount int
 }
 
-// experience is what this host knows of one upstream by itself.
-type experience struct {
+// upstreamStats is what this host has observed of one incarnation of an upstream.
+type upstreamStats struct {
 	incarnation uint64
 	inFlight    int
 	failedUntil time.Duration
-	// marks hold how many attempts were in flight from each moment on, so that a
-	// report can be told apart from what this host itself had there when it was made.
-	marks []mark
+	// samples record each change of inFlight. They tell how many of the requests in a load
+	// report were this host's own when the report was made.
+	samples []inFlightSample
 }
 
-type mark struct {
+// inFlightSample is the number of attempts in flight from a point in time on.
+type inFlightSample struct {
 	at       time.Duration
 	inFlight int
 }
 
-// note remembers that the number in flight changed.
-func (x *experience) note(now time.Duration, by int) {
-	x.inFlight += by
-	x.marks = append(x.marks, mark{at: now, inFlight: x.inFlight})
-	if len(x.marks) > maxMarks {
-		x.marks = slices.Delete(x.marks, 0, maxMarks/2)
+// addInFlight changes the number of attempts in flight and records a sample.
+func (x *upstreamStats) addInFlight(now time.Duration, delta int) {
+	x.inFlight += delta
+	x.samples = append(x.samples, inFlightSample{at: now, inFlight: x.inFlight})
+	if len(x.samples) > maxSamples {
+		x.samples = slices.Delete(x.samples, 0, maxSamples/2)
 	}
 }
 
-// inFlightAt is how many attempts were in flight when a report was made. It forgets
-// all before that: reports come in the order in which they were made.
-func (x *experience) inFlightAt(made time.Duration) int {
+// inFlightAt returns how many attempts were in flight when a report was made. It drops older
+// samples, because reports arrive in the order in which they were made.
+func (x *upstreamStats) inFlightAt(reportedAt time.Duration) int {
 	n := 0
-	for n < len(x.marks) && x.marks[n].at <= made {
+	for n < len(x.samples) && x.samples[n].at <= reportedAt {
 		n++
 	}
 	if n == 0 {
 		return 0
 	}
-	x.marks = slices.Delete(x.marks, 0, n-1)
-	return x.marks[0].inFlight
+	x.samples = slices.Delete(x.samples, 0, n-1)
+	return x.samples[0].inFlight
 }
 
-// NewRouter returns a Router without experience.
+// NewRouter returns a Router without statistics.
 func NewRouter(cfg Config) *Router {
-	return &Router{cfg: cfg, own: make(map[string]*experience), history: NewHistory(cfg.HistoryLimit)}
+	return &Router{cfg: cfg, stats: make(map[string]*upstreamStats), prefixes: NewPrefixIndex(cfg.PrefixIndexLimit)}
 }
 
-// Pick chooses the upstream for an attempt and counts the attempt as in flight
-// until done is called, once. The error is ErrNoUpstream.
+// Pick chooses the upstream for an attempt and counts the attempt as in flight until done is
+// called. Only the first call of done counts. The error is always ErrNoUpstream.
 func (r *Router) Pick(req *Request) (up wire.Upstream, done func(Outcome), err error) {
 	entries := r.cfg.Entries()
 	r.mu.Lock()
@@ -102,7 +103,7 @@
 	candidates := make([]Candidate, 0, len(entries))
 	for i := range entries {
 		if entries[i].Upstream.Pool == req.Pool {
-			candidates = append(candidates, r.candidate(&entries[i], req, now))
+			candidates = append(candidates, r.newCandidate(&entries[i], req, now))
 		}
 	}
 	i, err := r.cfg.Policy.Choose(req, candidates, r.cfg.Rand)
@@ -110,79 +111,80 @@
 		return wire.Upstream{}, nil, err
 	}
 	up = candidates[i].Upstream
-	x := r.experience(up)
-	x.note(now, 1)
-	r.history.Sent(up.Name, req.Prefixes)
+	x := r.statsOf(up)
+	x.addInFlight(now, 1)
+	r.prefixes.RecordSent(up.Name, req.Prefixes)
 	var once sync.Once
 	return up, func(o Outcome) { once.Do(func() { r.finish(x, o) }) }, nil
 }
 
-// prune forgets, now and then, the upstreams that the directory has forgotten. The
-// caller holds mu.
+// prune drops the statistics of upstreams that are no longer in the directory, on every
+// pruneInterval-th call. The caller holds mu.
 func (r *Router) prune(entries []directory.Entry) {
-	r.picks++
-	if r.picks%pruneEvery != 0 {
+	r.pickCount++
+	if r.pickCount%pruneInterval != 0 {
 		return
 	}
 	known := make(map[string]bool, len(entries))
 	for i := range entries {
 		known[entries[i].Upstream.Name] = true
 	}
-	for name := range r.own {
+	for name := range r.stats {
 		if !known[name] {
-			delete(r.own, name)
-			r.history.Forget(name)
+			delete(r.stats, name)
+			r.prefixes.Forget(name)
 		}
 	}
 }
 
-// candidate joins what the directory and this host know. The caller holds mu.
-func (r *Router) candidate(e *directory.Entry, req *Request, now time.Duration) Candidate {
-	x := r.experience(e.Upstream)
+// newCandidate combines the directory's entry with this host's statistics. The caller holds
+// mu.
+func (r *Router) newCandidate(e *directory.Entry, req *Request, now time.Duration) Candidate {
+	stats := r.statsOf(e.Upstream)
 	load := e.Upstream.Load
 	age := now - e.LoadAt + time.Duration(load.AgeMS)*time.Millisecond
 	return Candidate{
-		Upstream:  e.Upstream,
-		Suspect:   e.Suspect,
-		Failing:   now < x.failedUntil,
-		ReportAge: age,
-		InFlight:  x.inFlight,
-		Others:    max(0, int(load.Running+load.Queued)-x.inFlightAt(now-age)),
-		Cached:    r.history.Cached(e.Upstream.Name, req.Prefixes),
+		Upstream:       e.Upstream,
+		Suspect:        e.Suspect,
+		Failing:        now < stats.failedUntil,
+		ReportAge:      age,
+		InFlight:       stats.inFlight,
+		OtherHostsLoad: max(0, int(load.Running+load.Queued)-stats.inFlightAt(now-age)),
+		CachedFraction: r.prefixes.CachedFraction(e.Upstream.Name, req.Prefixes),
 	}
 }
 
-// experience returns what is known of the upstream, anew after a restart of its
-// agent. The caller holds mu.
-func (r *Router) experience(up wire.Upstream) *experience {
-	x := r.own[up.Name]
-	if x == nil || x.incarnation < up.Incarnation {
-		if x != nil {
-			r.history.Forget(up.Name)
+// statsOf returns the statistics of an upstream. It resets them if the upstream's agent has
+// restarted. The caller holds mu.
+func (r *Router) statsOf(upstream wire.Upstream) *upstreamStats {
+	stats := r.stats[upstream.Name]
+	if stats == nil || stats.incarnation < upstream.Incarnation {
+		if stats != nil {
+			r.prefixes.Forget(upstream.Name)
 		}
-		x = &experience{incarnation: up.Incarnation}
-		r.own[up.Name] = x
+		stats = &upstreamStats{incarnation: upstream.Incarnation}
+		r.stats[upstream.Name] = stats
 	}
-	return x
+	return stats
 }
 
-func (r *Router) finish(x *experience, o Outcome) {
+func (r *Router) finish(stats *upstreamStats, outcome Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.cfg.Now()
-	x.note(now, -1)
-	if o.HasFailed {
-		x.failedUntil = now + failingSpan
+	stats.addInFlight(now, -1)
+	if outcome.HasFailed {
+		stats.failedUntil = now + failureCooldown
 		return
 	}
-	x.failedUntil = 0
+	stats.failedUntil = 0
 }
 
-// CacheEvents corrects what is known of an upstream's prefix cache.
-func (r *Router) CacheEvents(upstream string, events []wire.CacheEvent) {
+// ApplyCacheEvents applies an upstream's cache events to the prefix index.
+func (r *Router) ApplyCacheEvents(upstream string, events []wire.CacheEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range events {
-		r.history.Event(upstream, e)
+		r.prefixes.ApplyEvent(upstream, e)
 	}
 }
