--- a/internal/adminapi/quarantine.go
+++ b/internal/adminapi/quarantine.go
@@ -29,10 +29,10 @@
 		Fingerprint: e.Fingerprint.String(),
 		Workspace:   e.Workspace,
 		Verdict:     oas.SuspectRequestVerdict(e.Verdict.String()),
-		ForSeconds:  int64(e.For.Seconds()),
+		ForSeconds:  int64(e.Remaining.Seconds()),
 		Ends:        []oas.UpstreamEnd{},
 	}
-	for _, end := range e.Ends {
+	for _, end := range e.Crashes {
 		out.Ends = append(out.Ends, oas.UpstreamEnd{Upstream: end.Upstream, Request: end.Request, AgeSeconds: int64(end.Age.Seconds())})
 	}
 	return out
--- a/internal/adminapi/quarantine_test.go
+++ b/internal/adminapi/quarantine_test.go
@@ -15,7 +15,7 @@
 func TestQuarantine(t *testing.T) {
 	f := &fake{quarantine: []quarantine.Entry{{
 		Fingerprint: quarantine.Fingerprint{1}, Workspace: "clubs", Verdict: quarantine.Suspect,
-		Ends: []quarantine.EntryEnd{{End: quarantine.End{Upstream: "u"}, Request: "r", Age: 3 * time.Second}},
+		Crashes: []quarantine.EntryCrash{{Incarnation: quarantine.Incarnation{Upstream: "u"}, Request: "r", Age: 3 * time.Second}},
 	}}}
 	url := serve(t, f, nil) + "/v1/quarantine"
 	require.Equal(t, string(verdict.CodeForbidden), get(t, url, "team").problem.Code)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -79,8 +79,8 @@
 
 func (c *cluster) Quarantine(context.Context) ([]quarantine.Entry, error) {
 	return []quarantine.Entry{{
-		Fingerprint: held, Workspace: "clubs", Verdict: quarantine.Held, For: time.Minute,
-		Ends: []quarantine.EntryEnd{{End: quarantine.End{Upstream: "engine-1"}, Request: "r7", Age: 2 * time.Second}},
+		Fingerprint: held, Workspace: "clubs", Verdict: quarantine.Quarantined, Remaining: time.Minute,
+		Crashes: []quarantine.EntryCrash{{Incarnation: quarantine.Incarnation{Upstream: "engine-1"}, Request: "r7", Age: 2 * time.Second}},
 	}}, nil
 }
 
@@ -334,7 +334,7 @@
 		Limits: quarantine.DefaultLimits, Now: func() time.Duration { return 0 }, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 	})
 	told := func(upstream string, ageMS int64) quarantine.Suspicion {
-		return quarantine.Suspicion{Fingerprint: held, Workspace: "clubs", End: quarantine.End{Upstream: upstream}, Request: "r7", AgeMS: ageMS}
+		return quarantine.Suspicion{Fingerprint: held, Workspace: "clubs", Incarnation: quarantine.Incarnation{Upstream: upstream}, Request: "r7", AgeMS: ageMS}
 	}
 	k.Merge([]quarantine.Suspicion{told("a", 9000), told("b", 1000)})
 	address := start(t, quarantine.Handler(k))
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -74,7 +74,7 @@
 		attached: make(map[*peer.Session]string), newcomers: make(map[*peer.Session]bool),
 	}
 	f.quarantine = quarantine.NewKeeper(quarantine.Config{
-		Limits: quarantine.DefaultLimits, Now: f.now, Tell: f.passSuspicions, Relays: true, Log: h.cfg.Log, Metrics: h.cfg.Metrics,
+		Limits: quarantine.DefaultLimits, Now: f.now, Publish: f.passSuspicions, Relays: true, Log: h.cfg.Log, Metrics: h.cfg.Metrics,
 	})
 	f.restore()
 	f.restoreSuspicions()
--- a/internal/control/suspicions_test.go
+++ b/internal/control/suspicions_test.go
@@ -21,7 +21,7 @@
 // told is what the tests' suspicions say.
 func told(upstream string, age time.Duration) quarantine.Suspicion {
 	return quarantine.Suspicion{
-		Fingerprint: quarantine.Fingerprint{1}, Workspace: "w", End: quarantine.End{Upstream: upstream}, Request: "r", AgeMS: age.Milliseconds(),
+		Fingerprint: quarantine.Fingerprint{1}, Workspace: "w", Incarnation: quarantine.Incarnation{Upstream: upstream}, Request: "r", AgeMS: age.Milliseconds(),
 	}
 }
 
@@ -74,7 +74,7 @@
 		st.keeper = quarantine.NewKeeper(quarantine.Config{
 			Limits: quarantine.DefaultLimits, Now: func() time.Duration { return time.Since(began) }, Log: slog.New(slog.DiscardHandler),
 			Metrics: metrics.NewRegistry(),
-			Tell: func(news []quarantine.Suspicion) {
+			Publish: func(news []quarantine.Suspicion) {
 				for _, s := range st.pool.Sessions() {
 					_ = s.Post(&wire.Suspicions{All: news})
 				}
@@ -111,7 +111,7 @@
 
 // holds reports whether a host holds the tests' request.
 func (st *station) holds() bool {
-	return st.keeper.Verdict(quarantine.Fingerprint{1}) == quarantine.Held
+	return st.keeper.Verdict(quarantine.Fingerprint{1}) == quarantine.Quarantined
 }
 
 // hearTime is generous: it ends a test that has failed.
@@ -126,7 +126,7 @@
 	a, b := startStation(t, "e1", nil), startStation(t, "e2", nil)
 	a.attach(t, one)
 	b.attach(t, two)
-	a.keeper.Ended(quarantine.Run{Fingerprint: quarantine.Fingerprint{1}, End: quarantine.End{Upstream: "u1"}})
+	a.keeper.UpstreamCrashed(quarantine.Attempt{Fingerprint: quarantine.Fingerprint{1}, Incarnation: quarantine.Incarnation{Upstream: "u1"}})
 	require.Eventually(t, func() bool { return b.keeper.Verdict(quarantine.Fingerprint{1}) == quarantine.Suspect }, hearTime, time.Millisecond)
 	two.keeper.Merge([]quarantine.Suspicion{told("u0", time.Minute)})
 	for _, st := range []*station{a, b, one, two} {
@@ -169,7 +169,7 @@
 	before.Quarantine().Merge([]quarantine.Suspicion{told("u1", time.Minute), told("u2", time.Second)})
 	require.NoError(t, recall.SaveSuspicions(before.Quarantine().All()))
 	after := newControl(recall)(&station{})
-	require.Equal(t, quarantine.Held, after.Quarantine().Verdict(quarantine.Fingerprint{1}))
+	require.Equal(t, quarantine.Quarantined, after.Quarantine().Verdict(quarantine.Fingerprint{1}))
 }
 
 // Agents are told nothing of requests, and entry hosts that want suspicions alone nothing else.
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -76,7 +76,7 @@
 	r.mates = mates
 	r.quarantine = quarantine.NewKeeper(quarantine.Config{
 		Limits: quarantine.DefaultLimits, Now: d.now, Log: d.log, Metrics: d.metrics,
-		Tell: func(news []quarantine.Suspicion) { r.tell(d.pool.Sessions(), news) },
+		Publish: func(news []quarantine.Suspicion) { r.tell(d.pool.Sessions(), news) },
 	})
 	r.server = entry.New(entry.Config{
 		Catalog:      resolver{store},
--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -13,10 +13,10 @@
 // heldBack returns why a request is sent to no upstream, nil if it is. This time it has not
 // run; it is not invited back.
 func (c *call) heldBack() error {
-	if c.s.cfg.Quarantine.Verdict(c.fingerprint) != quarantine.Held {
+	if c.s.cfg.Quarantine.Verdict(c.fingerprint) != quarantine.Quarantined {
 		return nil
 	}
-	c.s.cfg.Quarantine.Refused()
+	c.s.cfg.Quarantine.CountRefusal()
 	return notRun(verdict.CodeQuarantined, "upstreams ended while they ran this request")
 }
 
@@ -43,9 +43,9 @@
 	case err == nil:
 		c.s.cfg.Quarantine.Answered(c.fingerprint)
 	case errors.As(err, &ended):
-		c.s.cfg.Quarantine.Ended(quarantine.Run{
+		c.s.cfg.Quarantine.UpstreamCrashed(quarantine.Attempt{
 			Fingerprint: c.fingerprint, Workspace: c.plan.Workspace, Request: c.q.id,
-			End: quarantine.End{Upstream: a.upstream.Name, Born: ended.At}, Service: c.plan.Pool, Ran: time.Since(a.began),
+			Incarnation: quarantine.Incarnation{Upstream: a.upstream.Name, Born: ended.At}, Service: c.plan.Pool, Ran: time.Since(a.began),
 		})
 	}
 }
--- a/internal/entry/ended_test.go
+++ b/internal/entry/ended_test.go
@@ -86,7 +86,7 @@
 		whole(t, "innocent", tokens, m.complete("innocent", tokens, true))
 		list := m.keeper.List()
 		require.Len(t, list, 1)
-		require.Equal(t, standin.Poison, list[0].Ends[0].Request, "the id that its caller gave it")
+		require.Equal(t, standin.Poison, list[0].Crashes[0].Request, "the id that its caller gave it")
 		require.Equal(t, "velotrak", list[0].Workspace)
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -130,20 +130,20 @@
 // Quarantine knows the requests under which upstreams ended. quarantine.Keeper implements it.
 type Quarantine interface {
 	Verdict(f quarantine.Fingerprint) quarantine.Verdict
-	// Ended tells that an upstream ended under a run, Answered that a request was answered
+	// UpstreamCrashed tells that an upstream ended under a run, Answered that a request was answered
 	// whole, Refused that one was refused since it is held.
-	Ended(r quarantine.Run)
+	UpstreamCrashed(r quarantine.Attempt)
 	Answered(f quarantine.Fingerprint)
-	Refused()
+	CountRefusal()
 }
 
 // noQuarantine holds nothing against any request.
 type noQuarantine struct{}
 
 func (noQuarantine) Verdict(quarantine.Fingerprint) quarantine.Verdict { return quarantine.Free }
-func (noQuarantine) Ended(quarantine.Run)                              {}
+func (noQuarantine) UpstreamCrashed(quarantine.Attempt)                {}
 func (noQuarantine) Answered(quarantine.Fingerprint)                   {}
-func (noQuarantine) Refused()                                          {}
+func (noQuarantine) CountRefusal()                                     {}
 
 // Sessions gives sessions with agents. peer.Pool implements it.
 type Sessions interface {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -55,7 +55,7 @@
 		c.last, c.isGivenUp = err, true
 		return nil, nil, false
 	}
-	if c.standing = c.g.cfg.Quarantine.Verdict(c.fingerprint); c.standing == quarantine.Held {
+	if c.standing = c.g.cfg.Quarantine.Verdict(c.fingerprint); c.standing == quarantine.Quarantined {
 		// It was found out while the request waited.
 		hold.end(outcomeNeutral)
 		c.last, c.isGivenUp = c.refuseHeld(), true
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -13,7 +13,7 @@
 // refuseHeld is the final answer to a request that is held, the same at each host. This time
 // it has not run; it is not invited back.
 func (c *call) refuseHeld() error {
-	c.g.cfg.Quarantine.Refused()
+	c.g.cfg.Quarantine.CountRefusal()
 	c.warn("request refused: it is held", "fingerprint", c.fingerprint.String(), "workspace", c.workspace)
 	return verdict.New(verdict.NotRun, verdict.CodeQuarantined, "upstreams ended while they ran this request")
 }
@@ -31,15 +31,15 @@
 		ID: hold.ID(), Address: hold.Address(), Connections: c.g.connections(c.service),
 	})
 	c.g.counts.count("upstreams-looked-at." + presence.String())
-	run := quarantine.Run{
+	run := quarantine.Attempt{
 		Fingerprint: c.fingerprint, Workspace: c.workspace, Request: c.attempt,
-		End: quarantine.End{Upstream: hold.ID(), Born: hold.Born()}, Service: c.service.Name, Address: hold.Address(), Ran: time.Since(c.sent),
+		Incarnation: quarantine.Incarnation{Upstream: hold.ID(), Born: hold.Born()}, Service: c.service.Name, Address: hold.Address(), Ran: time.Since(c.sent),
 	}
 	if presence != dispatch.Ended {
-		c.g.cfg.Quarantine.Broke(run, presence == dispatch.Present)
+		c.g.cfg.Quarantine.AttemptFailed(run, presence == dispatch.Present)
 		return
 	}
-	c.g.cfg.Quarantine.Ended(run)
+	c.g.cfg.Quarantine.UpstreamCrashed(run)
 	c.isGivenUp = true
 	if c.service.Engine != nil {
 		// Its group is out until it is back.
--- a/internal/gateway/ended_test.go
+++ b/internal/gateway/ended_test.go
@@ -107,7 +107,7 @@
 		Workspace: "w", Method: http.MethodPost, Host: l.front.Listener.Addr().String(), Target: "/stream/x", Body: []byte("body"),
 	})
 	told := func(upstream string, age int64) quarantine.Suspicion {
-		return quarantine.Suspicion{Fingerprint: f, Workspace: "w", End: quarantine.End{Upstream: upstream}, AgeMS: age}
+		return quarantine.Suspicion{Fingerprint: f, Workspace: "w", Incarnation: quarantine.Incarnation{Upstream: upstream}, AgeMS: age}
 	}
 	l.gateway.cfg.Quarantine.Merge([]quarantine.Suspicion{told("far-1", 9000), told("far-2", 2000)})
 	l.load("u1", 0, true)
@@ -130,7 +130,7 @@
 	list := l.gateway.cfg.Quarantine.List()
 	require.Len(t, list, 1)
 	require.Equal(t, quarantine.Suspect, list[0].Verdict)
-	require.Equal(t, "u1", list[0].Ends[0].Upstream)
+	require.Equal(t, "u1", list[0].Crashes[0].Upstream)
 }
 
 // A whole answer takes back what was held against a request.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -149,7 +149,7 @@
 	g.deliver(g.scheduler.SetUpstreams(serving, g.now()))
 	for _, all := range serving {
 		for _, u := range all {
-			g.cfg.Quarantine.Started(quarantine.End{Upstream: u.ID, Born: u.Born}, u.Address)
+			g.cfg.Quarantine.UpstreamStarted(quarantine.Incarnation{Upstream: u.ID, Born: u.Born}, u.Address)
 		}
 	}
 	close(g.published)
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -101,7 +101,7 @@
 		return err
 	}
 	c.fingerprint = c.takeFingerprint()
-	if g.cfg.Quarantine.Verdict(c.fingerprint) == quarantine.Held {
+	if g.cfg.Quarantine.Verdict(c.fingerprint) == quarantine.Quarantined {
 		return c.refuseHeld()
 	}
 	wait := c.route.Timeout
--- a/internal/group/coordinate.go
+++ b/internal/group/coordinate.go
@@ -148,7 +148,7 @@
 	switch outcome {
 	case expertmap.OutcomeChanged:
 		if p := r.want.proposal; p != nil && !r.want.isRecovery {
-			r.planner.Adopt(rank.Version(version), p.Map)
+			r.planner.SetMap(rank.Version(version), p.Map)
 		}
 		r.extra -= min(r.extra, 1)
 		if took := r.rounds.orders(); took > 0 {
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -59,7 +59,7 @@
 // nobody lists its experts again that have not changed.
 func TestRanksOfLargeGroupsTakeTurns(t *testing.T) {
 	for _, ranks := range []uint32{8, 12, 32, 63, 128} {
-		turns := (ranks + planner.ReportsAtOnce - 1) / planner.ReportsAtOnce
+		turns := (ranks + planner.ReportsPerInterval - 1) / planner.ReportsPerInterval
 		reporters := make([]reporter, ranks)
 		for range 3 {
 			all := map[int]bool{}
@@ -71,7 +71,7 @@
 						n++
 					}
 				}
-				require.LessOrEqual(t, n, planner.ReportsAtOnce)
+				require.LessOrEqual(t, n, planner.ReportsPerInterval)
 			}
 			require.Len(t, all, int(ranks))
 		}
@@ -113,7 +113,7 @@
 			if isTurn {
 				require.True(t, isFresh, "%d ranks", ranks)
 			}
-			isFresh = isBefore || ranks <= planner.ReportsAtOnce
+			isFresh = isBefore || ranks <= planner.ReportsPerInterval
 		}
 	}
 }
--- a/internal/group/plan.go
+++ b/internal/group/plan.go
@@ -28,13 +28,13 @@
 		return
 	}
 	if len(r.ranks) > 0 && r.ranks[0].Joined() {
-		r.planner.Learn(r.ranks[0].Active.Version, r.participant.Map, shape)
+		r.planner.SyncMap(r.ranks[0].Active.Version, r.participant.Map, shape)
 	}
 	if r.planner.IsComplete(shape) {
 		r.planByPicks(ctx, shape)
 		return
 	}
-	reports := r.planner.TakeTokens(shape.Ranks)
+	reports := r.planner.TakeReports(shape.Ranks)
 	if reports == nil {
 		return
 	}
@@ -71,14 +71,14 @@
 
 // planByPicks begins a change where the ranks' own counts show that one is worth it.
 func (r *Runner) planByPicks(ctx context.Context, shape *wire.GroupShape) {
-	next, base, forecast := r.planner.NextByPicks(shape, planner.Ease(r.pace.mean(), r.lateStep()))
-	if forecast.Before == 0 {
+	next, base, forecast := r.planner.NextBySelections(shape, planner.GainFactor(r.pace.mean(), r.lateStep()))
+	if forecast.ImbalanceBefore == 0 {
 		// Nothing was counted.
 		return
 	}
-	r.cfg.Log.Info("expert map planned", "group", r.cfg.Group, "base", base, "skew", forecast.Before,
-		"skew_after", forecast.After, "copies", forecast.Copies, "worth_it", forecast.IsWorth, "distance", forecast.Distance)
-	if !forecast.IsWorth {
+	r.cfg.Log.Info("expert map planned", "group", r.cfg.Group, "base", base, "skew", forecast.ImbalanceBefore,
+		"skew_after", forecast.ImbalanceAfter, "copies", forecast.Copies, "worth_it", forecast.IsWorthwhile, "distance", forecast.Distance)
+	if !forecast.IsWorthwhile {
 		return
 	}
 	r.gather(ctx, intent{proposal: &expertmap.Proposal{Base: rank.Ballot(base), Map: next}})
--- a/internal/group/relay.go
+++ b/internal/group/relay.go
@@ -100,7 +100,7 @@
 	r.counters.content.Inc(int64(targets))
 	ticks := contentTicks(size, targets, r.cfg.LinkRate)
 	if shape := r.cfg.Shape(); shape != nil {
-		ticks += int(planner.CopyTime(shape) / tickInterval)
+		ticks += int(planner.MaxCopyTime(shape) / tickInterval)
 	}
 	r.coordinator.ContentOnWay(ticks)
 }
--- a/internal/group/report.go
+++ b/internal/group/report.go
@@ -30,7 +30,7 @@
 // be from before a jump of popularity when the first change after it is planned.
 func (r *reporter) next(firstRank, ranks uint32) (isTurn, isBefore bool) {
 	r.intervals++
-	turns := (ranks + planner.ReportsAtOnce - 1) / planner.ReportsAtOnce
+	turns := (ranks + planner.ReportsPerInterval - 1) / planner.ReportsPerInterval
 	if turns <= 1 {
 		return true, false
 	}
@@ -78,7 +78,7 @@
 		return
 	}
 	r.planner.Add(l.ExpertLoad)
-	if l.from != nil && r.planner.Lacks(l.ExpertLoad) {
+	if l.from != nil && r.planner.IsMissingExperts(l.ExpertLoad) {
 		_ = l.from.Post(&wire.ExpertsWanted{Group: r.cfg.Group})
 	}
 }
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -44,7 +44,7 @@
 func (n *Node) buildEntry() (role, error) {
 	started := time.Now()
 	keeper := quarantine.NewKeeper(quarantine.Config{
-		Limits: quarantine.DefaultLimits, Now: func() time.Duration { return time.Since(started) }, Tell: n.tellSuspicions,
+		Limits: quarantine.DefaultLimits, Now: func() time.Duration { return time.Since(started) }, Publish: n.tellSuspicions,
 		Log: n.log, Metrics: n.metrics,
 	})
 	client := dispatch.New(dispatch.Config{Names: n.platform.Dialect.Dispatch, DialTimeout: upstreamDial})
--- a/internal/placement/balance.go
+++ b/internal/placement/balance.go
@@ -7,17 +7,17 @@
 
 // SetParams bound a change of one set of layers.
 type SetParams struct {
-	// Slots is how many experts a rank holds at most.
-	Slots int
-	// Spare is how many experts of a set may be new to a rank in one change, RankSpare
+	// SlotsPerRank is how many experts a rank holds at most.
+	SlotsPerRank int
+	// MaxNewPerSet is how many experts of a set may be new to a rank in one change, RankSpare
 	// how many of all sets together; no bound if zero.
-	Spare, RankSpare int
-	// LeastGain is the part of a rank's mean load by which a step has to lower the most
+	MaxNewPerSet, MaxNewPerRank int
+	// MinGain is the part of a rank's mean load by which a step has to lower the most
 	// loaded rank's to be worth its copy, without unit.
-	LeastGain float64
-	// Pace is each rank's time over its usual one; nil is 1 for all. A rank that is slow
+	MinGain float64
+	// Slowdown is each rank's time over its usual one; nil is 1 for all. A rank that is slow
 	// gets less to do.
-	Pace []float64
+	Slowdown []float64
 }
 
 // maxSteps bounds the search in a set; each step adds a copy or exchanges two.
@@ -37,7 +37,7 @@
 	if len(held) == 0 {
 		return nil
 	}
-	budget := newBudget(len(held[0]), p.RankSpare)
+	budget := newBudget(len(held[0]), p.MaxNewPerRank)
 	sets := make([]*balancer, len(held))
 	for i := range held {
 		sets[i] = newBalancer(held[i], load[i], p)
@@ -90,7 +90,7 @@
 
 // SetTimes returns each rank's time, in tokens of a rank at its usual pace.
 func SetTimes(held [][]uint16, load, pace []float64) []float64 {
-	return newBalancer(held, load, SetParams{Pace: pace}).times
+	return newBalancer(held, load, SetParams{Slowdown: pace}).times
 }
 
 // balancer is a set under change.
@@ -150,8 +150,8 @@
 
 // pace returns a rank's time over its usual one.
 func (b *balancer) pace(r int) float64 {
-	if r < len(b.p.Pace) && b.p.Pace[r] > 0 {
-		return b.p.Pace[r]
+	if r < len(b.p.Slowdown) && b.p.Slowdown[r] > 0 {
+		return b.p.Slowdown[r]
 	}
 	return 1
 }
@@ -188,7 +188,7 @@
 			hot = r
 		}
 	}
-	b.next, b.found = move{gain: b.p.LeastGain * b.mean}, false
+	b.next, b.found = move{gain: b.p.MinGain * b.mean}, false
 	for _, e := range b.held[hot] {
 		if b.share(e)*b.pace(hot) <= b.next.gain {
 			// No move of it relieves hot by more than that.
@@ -225,7 +225,7 @@
 func (b *balancer) considerMoves(hot, r int, e uint16) {
 	share, extra := b.share(e), b.shareOf(e, b.copies[e]+1)
 	relief := share - extra
-	if len(b.held[r]) < b.p.Slots && b.mayTake(r, e, none) {
+	if len(b.held[r]) < b.p.SlotsPerRank && b.mayTake(r, e, none) {
 		b.consider(move{hot: hot, rank: r, takes: e, gives: none, gain: b.gain(hot, r, relief, extra)})
 		b.consider(move{hot: hot, rank: r, takes: e, gives: none, leaves: true, gain: b.gain(hot, r, share, share)})
 	}
@@ -301,7 +301,7 @@
 	if !b.before[r][e] {
 		more++
 	}
-	return b.fresh[r]+more <= b.p.Spare && b.budget.fresh[r]+more <= b.budget.most
+	return b.fresh[r]+more <= b.p.MaxNewPerSet && b.budget.fresh[r]+more <= b.budget.most
 }
 
 // make makes a move.
--- a/internal/placement/balance_test.go
+++ b/internal/placement/balance_test.go
@@ -21,7 +21,7 @@
 func TestBalanceRelievesAHotExpert(t *testing.T) {
 	held := inTurn(4, 8)
 	load := []float64{100, 1, 1, 1, 1, 1, 1, 1}
-	next := Balance(held, load, SetParams{Slots: 3, Spare: 1, LeastGain: 0.01})
+	next := Balance(held, load, SetParams{SlotsPerRank: 3, MaxNewPerSet: 1, MinGain: 0.01})
 	require.InDelta(t, 101, slices.Max(SetTimes(held, load, nil)), 1e-9)
 	require.Less(t, slices.Max(SetTimes(next, load, nil)), 35.0)
 	require.Equal(t, inTurn(4, 8), held, "the map in use is not touched")
@@ -32,9 +32,9 @@
 		ranks := rapid.IntRange(2, 6).Draw(t, "ranks")
 		experts := rapid.IntRange(ranks, 4*ranks).Draw(t, "experts")
 		p := SetParams{
-			Slots:     (experts+ranks-1)/ranks + rapid.IntRange(0, 3).Draw(t, "free"),
-			Spare:     rapid.IntRange(0, 3).Draw(t, "spare"),
-			LeastGain: 0.001,
+			SlotsPerRank: (experts+ranks-1)/ranks + rapid.IntRange(0, 3).Draw(t, "free"),
+			MaxNewPerSet: rapid.IntRange(0, 3).Draw(t, "spare"),
+			MinGain:      0.001,
 		}
 		held := inTurn(ranks, experts)
 		for round := range 3 {
@@ -57,8 +57,8 @@
 		ranks := rapid.IntRange(2, 6).Draw(t, "ranks")
 		experts := rapid.IntRange(ranks, 4*ranks).Draw(t, "experts")
 		p := SetParams{
-			Slots: (experts+ranks-1)/ranks + rapid.IntRange(1, 3).Draw(t, "free"),
-			Spare: 1, RankSpare: rapid.IntRange(1, 3).Draw(t, "rank"), LeastGain: 0.001,
+			SlotsPerRank: (experts+ranks-1)/ranks + rapid.IntRange(1, 3).Draw(t, "free"),
+			MaxNewPerSet: 1, MaxNewPerRank: rapid.IntRange(1, 3).Draw(t, "rank"), MinGain: 0.001,
 		}
 		held := make([][][]uint16, 4)
 		load := make([][]float64, len(held))
@@ -79,7 +79,7 @@
 					}
 				}
 			}
-			if fresh > p.RankSpare {
+			if fresh > p.MaxNewPerRank {
 				t.Fatalf("rank %d takes %d new experts", r, fresh)
 			}
 		}
@@ -93,7 +93,7 @@
 func TestBalanceSetsRelievesTheWorstSetFirst(t *testing.T) {
 	held := [][][]uint16{inTurn(4, 8), inTurn(4, 8)}
 	even, skewed := []float64{12, 10, 10, 10, 10, 10, 10, 10}, []float64{100, 1, 1, 1, 1, 1, 1, 1}
-	next := BalanceSets(held, [][]float64{even, skewed}, SetParams{Slots: 3, Spare: 1, RankSpare: 1, LeastGain: 0.01})
+	next := BalanceSets(held, [][]float64{even, skewed}, SetParams{SlotsPerRank: 3, MaxNewPerSet: 1, MaxNewPerRank: 1, MinGain: 0.01})
 	require.Equal(t, held[0], next[0])
 	require.Less(t, slices.Max(SetTimes(next[1], skewed, nil)), 35.0)
 }
@@ -111,7 +111,7 @@
 				fresh++
 			}
 		}
-		if len(list) > p.Slots || fresh > p.Spare {
+		if len(list) > p.SlotsPerRank || fresh > p.MaxNewPerSet {
 			t.Fatalf("rank %d holds %d, %d of them new", r, len(list), fresh)
 		}
 	}
@@ -135,7 +135,7 @@
 	}
 	b.Run("one set", func(b *testing.B) {
 		for b.Loop() {
-			Balance(held, load, SetParams{Slots: 8, Spare: 1, LeastGain: 0.07})
+			Balance(held, load, SetParams{SlotsPerRank: 8, MaxNewPerSet: 1, MinGain: 0.07})
 		}
 	})
 	for _, c := range []struct{ ranks, experts, sets, slots int }{
@@ -145,7 +145,7 @@
 		b.Run(name, func(b *testing.B) {
 			held, load := skewed(c.ranks, c.experts, c.sets)
 			for b.Loop() {
-				BalanceSets(held, load, SetParams{Slots: c.slots, Spare: 1, RankSpare: 1, LeastGain: 0.07})
+				BalanceSets(held, load, SetParams{SlotsPerRank: c.slots, MaxNewPerSet: 1, MaxNewPerRank: 1, MinGain: 0.07})
 			}
 		})
 	}
@@ -176,7 +176,7 @@
 		load[e] = 10
 	}
 	pace := []float64{1, 3, 1, 1}
-	next := Balance(held, load, SetParams{Slots: 6, Spare: 3, LeastGain: 0.001, Pace: pace})
+	next := Balance(held, load, SetParams{SlotsPerRank: 6, MaxNewPerSet: 3, MinGain: 0.001, Slowdown: pace})
 	require.InDelta(t, 120, slices.Max(SetTimes(held, load, pace)), 1e-9)
 	require.Less(t, slices.Max(SetTimes(next, load, pace)), 70.0)
 }
@@ -192,7 +192,7 @@
 		load[e] = 1
 	}
 	pace := []float64{4, 1, 1, 1, 1, 1, 1, 1}
-	p := SetParams{Slots: slots, Spare: slots, LeastGain: 0.02, Pace: pace}
+	p := SetParams{SlotsPerRank: slots, MaxNewPerSet: slots, MinGain: 0.02, Slowdown: pace}
 	before := SetTimes(held, load, pace)
 	after := SetTimes(Balance(held, load, p), load, pace)
 	require.InDelta(t, 32, slices.Max(before), 0.01)
@@ -203,7 +203,7 @@
 func TestDropCostsNoCopy(t *testing.T) {
 	held := [][]uint16{{0, 1}, {0, 2}, {3}}
 	load := []float64{10, 10, 1, 10}
-	after := Balance(held, load, SetParams{Slots: 1, Spare: 0, LeastGain: 0.02})
+	after := Balance(held, load, SetParams{SlotsPerRank: 1, MaxNewPerSet: 0, MinGain: 0.02})
 	require.Equal(t, []uint16{1}, after[0])
 	require.Equal(t, []uint16{0, 2}, after[1])
 }
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -16,15 +16,15 @@
 	// HorizonSteps is the number of steps over which a gain is counted. Longer
 	// than the popularity holds still, it overrates changes. Default 2000.
 	HorizonSteps float64
-	// HeldSteps is what one change costs whatever it moves, in steps. Default 4.
-	HeldSteps float64
+	// FixedSteps is what one change costs whatever it moves, in steps. Default 4.
+	FixedSteps float64
 	// StepSeconds is the time of a step. Default 0.005.
 	StepSeconds float64
 	// LoadsPerSecond is the weight store's rate. Default 50.
 	LoadsPerSecond float64
-	// LoadShare is the share of a step's speed lost while a load runs, in
+	// LoadSlowdown is the share of a step's speed lost while a load runs, in
 	// [0, 1]. Default 0.1.
-	LoadShare float64
+	LoadSlowdown float64
 	// CacheSteps is the cost of the prefix cache that one move loses, in steps.
 	// Default 0.5.
 	CacheSteps float64
@@ -37,10 +37,10 @@
 	return Params{
 		Weights:        Weights{Skew: 1, Rebalance: 1},
 		HorizonSteps:   2000,
-		HeldSteps:      4,
+		FixedSteps:     4,
 		StepSeconds:    0.005,
 		LoadsPerSecond: 50,
-		LoadShare:      0.1,
+		LoadSlowdown:   0.1,
 		CacheSteps:     0.5,
 		MaxLoads:       32,
 	}
@@ -48,8 +48,8 @@
 
 // cost returns what a change with so many loads costs, in steps.
 func (p Params) cost(loads int) float64 {
-	perLoad := p.LoadShare/(p.LoadsPerSecond*p.StepSeconds) + p.CacheSteps
-	return p.HeldSteps + float64(loads)*perLoad
+	perLoad := p.LoadSlowdown/(p.LoadsPerSecond*p.StepSeconds) + p.CacheSteps
+	return p.FixedSteps + float64(loads)*perLoad
 }
 
 // net returns the weighed gain less the weighed cost, in steps, of a change that
--- a/internal/placement/measure_test.go
+++ b/internal/placement/measure_test.go
@@ -100,7 +100,7 @@
 func (r result) String() string {
 	p := DefaultParams()
 	return fmt.Sprintf("skew p50 %.3f p99 %.3f mean %.3f, %d changes, %.0f steps held, %d loads, %.0f steps of cache",
-		r.p50, r.p99, r.mean, r.changes, float64(r.changes)*p.HeldSteps, r.loads, float64(r.loads)*p.CacheSteps)
+		r.p50, r.p99, r.mean, r.changes, float64(r.changes)*p.FixedSteps, r.loads, float64(r.loads)*p.CacheSteps)
 }
 
 // slotsFor gives 80, 96 and 128 slots a layer to 8, 32 and 128 ranks.
@@ -120,7 +120,7 @@
 	var skews []float64
 	for t := 1; t <= intervals; t++ {
 		slow := slownessAt(t, ranks)
-		next := Make(m, load, slow, p.params).Apply(m)
+		next := MakePlan(m, load, slow, p.params).Apply(m)
 		if p.replan {
 			next = Replan(m, load, slow)
 		}
@@ -191,7 +191,7 @@
 		slow[0] = rapid.SampledFrom([]float64{0, 1, 2}).Draw(t, "slowness")
 		p := DefaultParams()
 		p.MaxLoads = rapid.IntRange(0, 6).Draw(t, "bound")
-		plan := Make(m, load, slow, p)
+		plan := MakePlan(m, load, slow, p)
 		next := plan.Apply(m)
 		require.InDelta(t, Skew(next, load, slow), plan.SkewAfter, 1e-9)
 		if slow[0] > 0 {
@@ -214,9 +214,9 @@
 	load := Load{{50, 50, 49, 49}}
 	p := weighed(1, 1)
 	p.HorizonSteps = 100
-	require.Empty(t, Make(m, load, []float64{1, 1}, p).Moves)
+	require.Empty(t, MakePlan(m, load, []float64{1, 1}, p).Moves)
 	load = Load{{90, 80, 10, 10}}
-	require.NotEmpty(t, Make(m, load, []float64{1, 1}, p).Moves)
+	require.NotEmpty(t, MakePlan(m, load, []float64{1, 1}, p).Moves)
 }
 
 func TestSlowRankGetsLess(t *testing.T) {
@@ -224,7 +224,7 @@
 	require.Equal(t, []float64{1, 2, 1}, slow)
 	m := Map{SlotsPerRank: 2, Layers: [][]uint16{{0, 1, 2, 3, 4, 5}}}
 	load := Load{{10, 20, 30, 30, 20, 10}}
-	plan := Make(m, load, slow, weighed(3, 1))
+	plan := MakePlan(m, load, slow, weighed(3, 1))
 	tokens := StepTimes(plan.Apply(m), load, []float64{1, 1, 1})
 	require.Less(t, tokens[1], tokens[0])
 	require.Less(t, tokens[1], tokens[2])
@@ -248,6 +248,6 @@
 	}
 	b.ResetTimer()
 	for range b.N {
-		Make(m, load, slownessAt(60, ranks), weighed(3, 1))
+		MakePlan(m, load, slownessAt(60, ranks), weighed(3, 1))
 	}
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -29,12 +29,12 @@
 	return out
 }
 
-// Make plans a change of the map. Slowness is each rank's time per token over
+// MakePlan plans a change of the map. Slowness is each rank's time per token over
 // the usual one; 0 marks a rank that is gone, whose experts are placed elsewhere
 // whatever that costs. Of the bounded list of moves, each the best for the
 // slowest rank by gain per load, the plan takes the first so many that bring the
 // highest net gain.
-func Make(m Map, load Load, slowness []float64, p Params) Plan {
+func MakePlan(m Map, load Load, slowness []float64, p Params) Plan {
 	s := newState(m, load, slowness)
 	plan := Plan{SkewBefore: s.skew()}
 	moves := s.rescue()
--- a/internal/planner/change.go
+++ b/internal/planner/change.go
@@ -38,10 +38,10 @@
 	fullPart = 0.7
 )
 
-// Ease returns how many times the least gain a change has to bring, in [1, easeChange]:
+// GainFactor returns how many times the least gain a change has to bring, in [1, easeChange]:
 // less, the nearer passes are to the longest one that is not late. Where either is not
 // known it is 1.
-func Ease(pass, late time.Duration) float64 {
+func GainFactor(pass, late time.Duration) float64 {
 	if pass <= 0 || late <= 0 {
 		return 1
 	}
@@ -51,46 +51,46 @@
 
 // Forecast is what a planned change is expected to do.
 type Forecast struct {
-	// Before and After are the load of the most loaded rank over the mean one, averaged
+	// ImbalanceBefore and After are the load of the most loaded rank over the mean one, averaged
 	// over the sets as the passes are: each set waits for its own slowest rank.
-	Before, After float64
+	ImbalanceBefore, ImbalanceAfter float64
 	// Distance is that of the last interval from the load before.
 	Distance float64
 	// Copies counts the experts that are new to a rank.
 	Copies int
-	// IsWorth tells that the change is worth its cost.
-	IsWorth bool
+	// IsWorthwhile tells that the change is worth its cost.
+	IsWorthwhile bool
 }
 
-// NextByPicks returns the map that the planner wants, the version that it was planned
+// NextBySelections returns the map that the planner wants, the version that it was planned
 // on, and what is expected of it. The picks have to be complete. Ease is how many times
 // the least gain a change has to bring.
-func (p *Planner) NextByPicks(shape *wire.GroupShape, ease float64) (expertmap.Map, uint64, Forecast) {
+func (p *Planner) NextBySelections(shape *wire.GroupShape, ease float64) (expertmap.Map, uint64, Forecast) {
 	distance := p.observe(p.picks.take(shape))
 	fresh := freshAtOnce(shape)
 	params := placement.SetParams{
-		Pace: p.picks.paces(), Slots: int(shape.SlotsPerRank), Spare: fresh, RankSpare: fresh, LeastGain: leastStep,
+		Slowdown: p.picks.paces(), SlotsPerRank: int(shape.SlotsPerRank), MaxNewPerSet: fresh, MaxNewPerRank: fresh, MinGain: leastStep,
 	}
 	if shape.Spare > 0 {
-		params.Spare = min(fresh, int(shape.Spare))
+		params.MaxNewPerSet = min(fresh, int(shape.Spare))
 	}
 	held, base := p.picks.held()
 	next := placement.BalanceSets(held, p.load, params)
-	m := expertmap.Map{SlotsPerRank: params.Slots}
+	m := expertmap.Map{SlotsPerRank: params.SlotsPerRank}
 	f := Forecast{Distance: distance}
 	top, topAfter, mean := 0.0, 0.0, 0.0
 	for set := range next {
-		before := placement.SetTimes(held[set], p.load[set], params.Pace)
+		before := placement.SetTimes(held[set], p.load[set], params.Slowdown)
 		top += highest(before)
-		topAfter += highest(placement.SetTimes(next[set], p.load[set], params.Pace))
+		topAfter += highest(placement.SetTimes(next[set], p.load[set], params.Slowdown))
 		mean += meanOf(before)
 		f.Copies += copies(held[set], next[set])
-		m.Layers = append(m.Layers, layer(next[set], params.Slots))
+		m.Layers = append(m.Layers, layer(next[set], params.SlotsPerRank))
 	}
 	if mean > 0 {
-		f.Before, f.After = top/mean, topAfter/mean
+		f.ImbalanceBefore, f.ImbalanceAfter = top/mean, topAfter/mean
 	}
-	f.IsWorth = f.Before-f.After > leastChange*ease
+	f.IsWorthwhile = f.ImbalanceBefore-f.ImbalanceAfter > leastChange*ease
 	return m, base, f
 }
 
@@ -102,8 +102,8 @@
 	return max(int(copySpan/(time.Duration(shape.CopyUS)*time.Microsecond)), 1)
 }
 
-// CopyTime is how long the ranks copy experts in one change at most, 0 if that is not known.
-func CopyTime(shape *wire.GroupShape) time.Duration {
+// MaxCopyTime is how long the ranks copy experts in one change at most, 0 if that is not known.
+func MaxCopyTime(shape *wire.GroupShape) time.Duration {
 	return time.Duration(freshAtOnce(shape)) * time.Duration(shape.CopyUS) * time.Microsecond
 }
 
--- a/internal/planner/picks.go
+++ b/internal/planner/picks.go
@@ -104,7 +104,7 @@
 // isComplete reports whether there is enough to plan by: as many reports as come in an
 // interval, and the experts of all ranks under one map.
 func (p *picks) isComplete(shape *wire.GroupShape) bool {
-	if len(p.ranks) != int(shape.Ranks) || uint32(len(p.reported)) < min(shape.Ranks, ReportsAtOnce) {
+	if len(p.ranks) != int(shape.Ranks) || uint32(len(p.reported)) < min(shape.Ranks, ReportsPerInterval) {
 		return false
 	}
 	for r := range shape.Ranks {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -10,9 +10,9 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// ReportsAtOnce is how many ranks report in one interval. In larger groups the ranks take
+// ReportsPerInterval is how many ranks report in one interval. In larger groups the ranks take
 // turns, so that what the planning host receives and adds up does not grow with the group.
-const ReportsAtOnce = 12
+const ReportsPerInterval = 12
 
 // loadWeight is the share of a new interval in the decayed load.
 const loadWeight = 0.5
@@ -34,16 +34,16 @@
 // Load returns what is known of popularity.
 func (p *Planner) Load() placement.Load { return p.load }
 
-// Lacks reports whether a report leaves out experts that are not known here.
-func (p *Planner) Lacks(l *wire.ExpertLoad) bool { return p.picks.lacks(l) }
+// IsMissingExperts reports whether a report leaves out experts that are not known here.
+func (p *Planner) IsMissingExperts(l *wire.ExpertLoad) bool { return p.picks.lacks(l) }
 
-// Learn takes the experts of all ranks from the map in use, where find knows its content.
-func (p *Planner) Learn(active expertmap.Version, find func(expertmap.Version) (expertmap.Map, bool), shape *wire.GroupShape) {
+// SyncMap takes the experts of all ranks from the map in use, where find knows its content.
+func (p *Planner) SyncMap(active expertmap.Version, find func(expertmap.Version) (expertmap.Map, bool), shape *wire.GroupShape) {
 	p.picks.learn(active, find, shape)
 }
 
-// Adopt notes the map that has come into force.
-func (p *Planner) Adopt(version uint64, m expertmap.Map) { p.picks.adopt(version, m) }
+// SetMap notes the map that has come into force.
+func (p *Planner) SetMap(version uint64, m expertmap.Map) { p.picks.adopt(version, m) }
 
 // IsComplete reports whether there are picks enough for NextByPicks.
 func (p *Planner) IsComplete(shape *wire.GroupShape) bool { return p.picks.isComplete(shape) }
@@ -57,9 +57,9 @@
 	p.byHost[l.FirstRank] = l
 }
 
-// TakeTokens returns the reports of all ranks in order and forgets them, or nil where some
+// TakeReports returns the reports of all ranks in order and forgets them, or nil where some
 // rank has not reported since.
-func (p *Planner) TakeTokens(ranks uint32) []wire.RankLoad {
+func (p *Planner) TakeReports(ranks uint32) []wire.RankLoad {
 	var out []wire.RankLoad
 	for next := uint32(0); next < ranks; {
 		l := p.byHost[next]
@@ -86,7 +86,7 @@
 	m := placement.Map{SlotsPerRank: present.SlotsPerRank, Layers: present.Layers}
 	params := placement.DefaultParams()
 	params.Weights = placement.Weights{Skew: shape.SkewWeight, Rebalance: shape.RebalanceWeight}
-	plan := placement.Make(m, p.load, placement.Slowness(times, byRank), params)
+	plan := placement.MakePlan(m, p.load, placement.Slowness(times, byRank), params)
 	if len(plan.Moves) == 0 {
 		return expertmap.Map{}, false
 	}
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -20,10 +20,10 @@
 		return &wire.ExpertLoad{FirstRank: first, Ranks: make([]wire.RankLoad, ranks)}
 	}
 	p.Add(load(2, 2))
-	require.Nil(t, p.TakeTokens(4))
+	require.Nil(t, p.TakeReports(4))
 	p.Add(load(0, 2))
-	require.Len(t, p.TakeTokens(4), 4)
-	require.Nil(t, p.TakeTokens(4), "each report counts once")
+	require.Len(t, p.TakeReports(4), 4)
+	require.Nil(t, p.TakeReports(4), "each report counts once")
 }
 
 func TestLoadsAreSummedByExpertAndRank(t *testing.T) {
@@ -83,9 +83,9 @@
 		}
 		require.True(t, p.picks.isComplete(shape))
 		held, _ := p.picks.held()
-		next, _, f := p.NextByPicks(shape, 1)
-		require.True(t, f.IsWorth, "spare %d", spare)
-		require.Less(t, f.After, f.Before)
+		next, _, f := p.NextBySelections(shape, 1)
+		require.True(t, f.IsWorthwhile, "spare %d", spare)
+		require.Less(t, f.ImbalanceAfter, f.ImbalanceBefore)
 		for r := range 12 {
 			fresh := 0
 			for set, slots := range next.Layers {
@@ -111,20 +111,20 @@
 		{0, late, 1}, {late, 0, 1}, {44 * time.Millisecond, late, easeChange}, {66 * time.Millisecond, late, 2.5},
 		{84 * time.Millisecond, late, 1}, {late, late, 1}, {2 * late, late, 1},
 	} {
-		require.InDelta(t, c.least, Ease(c.pass, c.late), 0.001, "%v of %v", c.pass, c.late)
+		require.InDelta(t, c.least, GainFactor(c.pass, c.late), 0.001, "%v of %v", c.pass, c.late)
 	}
 	p := New(nil)
 	for r := range 12 {
 		p.Add(report(r, 12, 0, 1, 2, 3, 4, 5))
 	}
 	p.load = nil
-	_, _, f := p.NextByPicks(shapeOf(12, 3), 1)
-	gain := f.Before - f.After
+	_, _, f := p.NextBySelections(shapeOf(12, 3), 1)
+	gain := f.ImbalanceBefore - f.ImbalanceAfter
 	for r := range 12 {
 		p.Add(report(r, 12, 0, 1, 2, 3, 4, 5))
 	}
-	_, _, f = p.NextByPicks(shapeOf(12, 3), 1.01*gain/leastChange)
-	require.False(t, f.IsWorth)
+	_, _, f = p.NextBySelections(shapeOf(12, 3), 1.01*gain/leastChange)
+	require.False(t, f.IsWorthwhile)
 }
 
 // A planner goes on from its own change without a report of each rank, and isn't taken
@@ -135,9 +135,9 @@
 	for r := range 24 {
 		p.Add(report(r, 24, 0, 1))
 	}
-	next, _, _ := p.NextByPicks(shape, 1)
+	next, _, _ := p.NextBySelections(shape, 1)
 	p.picks.adopt(7, next)
-	for r := range ReportsAtOnce {
+	for r := range ReportsPerInterval {
 		late := report(r, 24, 0, 1)
 		late.Ranks[0].Version = 3
 		p.Add(late)
@@ -175,7 +175,7 @@
 			load := p.picks.take(shape)
 			for b.Loop() {
 				p.load = load
-				p.NextByPicks(shape, 1)
+				p.NextBySelections(shape, 1)
 			}
 		})
 	}
@@ -190,19 +190,19 @@
 	first := rank.FirstMap(ranks, 8, 4, 72)
 	find := func(v expertmap.Version) (expertmap.Map, bool) { return first, v == first.Version }
 	p := New(nil)
-	for r := range ReportsAtOnce {
-		p.Learn(first.Version, find, shape)
+	for r := range ReportsPerInterval {
+		p.SyncMap(first.Version, find, shape)
 		require.False(t, p.IsComplete(shape))
 		l := report(r*7, ranks, 0, 1, 2)
 		l.Ranks[0].Held = nil
 		p.Add(l)
-		require.Equal(t, r == 0, p.Lacks(l), "the rest is known from the map")
+		require.Equal(t, r == 0, p.IsMissingExperts(l), "the rest is known from the map")
 	}
-	p.Learn(first.Version, find, shape)
+	p.SyncMap(first.Version, find, shape)
 	require.True(t, p.IsComplete(shape))
-	_, base, f := p.NextByPicks(shape, 1)
+	_, base, f := p.NextBySelections(shape, 1)
 	require.Zero(t, base)
-	require.True(t, f.IsWorth)
-	p.Learn(expertmap.Version{Counter: 9}, find, shape)
+	require.True(t, f.IsWorthwhile)
+	p.SyncMap(expertmap.Version{Counter: 9}, find, shape)
 	require.False(t, p.IsComplete(shape), "a map that is not known teaches nothing")
 }
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -12,7 +12,7 @@
 	for n := range DefaultLimits.Total {
 		for e := range 2 {
 			s := Suspicion{
-				Fingerprint: print(n), Workspace: fmt.Sprint("w", n%16), End: End{Upstream: fmt.Sprintf("i-%08x", n/10*2+e)},
+				Fingerprint: print(n), Workspace: fmt.Sprint("w", n%16), Incarnation: Incarnation{Upstream: fmt.Sprintf("i-%08x", n/10*2+e)},
 				Request: fmt.Sprintf("%016x", n), AgeMS: int64(n * 10),
 			}
 			t.add(s, time.Hour)
--- a/internal/quarantine/chance_test.go
+++ b/internal/quarantine/chance_test.go
@@ -71,7 +71,7 @@
 			return u
 		}
 		for _, n := range back {
-			if table.Verdict(print(n), now) == Held {
+			if table.Verdict(print(n), now) == Quarantined {
 				refused[n] = true
 				continue
 			}
@@ -80,7 +80,7 @@
 		back = nil
 		gone := map[int]bool{}
 		for g := 1; g <= w.guilty; g++ {
-			if table.Verdict(print(g), now) == Held {
+			if table.Verdict(print(g), now) == Quarantined {
 				continue
 			}
 			broke[g]++
@@ -128,7 +128,7 @@
 			}
 		}
 		for n := range suspected {
-			held[n] = held[n] || table.Verdict(print(n), now) == Held
+			held[n] = held[n] || table.Verdict(print(n), now) == Quarantined
 		}
 	}
 	var r result
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -14,15 +14,15 @@
 	Fingerprint Fingerprint
 	Workspace   string
 	Verdict     Verdict
-	// For is how much longer the request is held.
-	For time.Duration
-	// Ends are the upstreams that ended under it, the first one first.
-	Ends []EntryEnd
+	// Remaining is how much longer the request is held.
+	Remaining time.Duration
+	// Crashes are the upstreams that ended under it, the first one first.
+	Crashes []EntryCrash
 }
 
-// EntryEnd is one of them.
-type EntryEnd struct {
-	End
+// EntryCrash is one of them.
+type EntryCrash struct {
+	Incarnation
 	// Request is the id under which the request ran there, Age how long ago that was.
 	Request string
 	Age     time.Duration
@@ -30,7 +30,7 @@
 
 func (e *Entry) requests() []string {
 	var out []string
-	for _, end := range e.Ends {
+	for _, end := range e.Crashes {
 		out = append(out, end.Request)
 	}
 	return out
@@ -38,7 +38,7 @@
 
 func (e *Entry) upstreams() []string {
 	var out []string
-	for _, end := range e.Ends {
+	for _, end := range e.Crashes {
 		out = append(out, end.Upstream)
 	}
 	return out
@@ -51,25 +51,25 @@
 		return Entry{Fingerprint: f}
 	}
 	e := Entry{Fingerprint: f, Workspace: r.workspace, Verdict: t.Verdict(f, now)}
-	if e.Verdict == Held {
-		e.For = r.until - now
+	if e.Verdict == Quarantined {
+		e.Remaining = r.until - now
 	}
 	for end, s := range r.ends {
 		if !s.isCleared {
-			e.Ends = append(e.Ends, EntryEnd{End: end, Request: s.request, Age: now - s.at})
+			e.Crashes = append(e.Crashes, EntryCrash{Incarnation: end, Request: s.request, Age: now - s.at})
 		}
 	}
-	slices.SortFunc(e.Ends, func(a, b EntryEnd) int {
-		return cmp.Or(cmp.Compare(b.Age, a.Age), a.compare(b.End))
+	slices.SortFunc(e.Crashes, func(a, b EntryCrash) int {
+		return cmp.Or(cmp.Compare(b.Age, a.Age), a.compare(b.Incarnation))
 	})
 	return e
 }
 
-// Held returns the requests that are sent to nobody, in a fixed order.
-func (t *Table) Held(now time.Duration) []Fingerprint {
+// Quarantined returns the requests that are sent to nobody, in a fixed order.
+func (t *Table) Quarantined(now time.Duration) []Fingerprint {
 	var out []Fingerprint
 	for f := range t.records {
-		if t.Verdict(f, now) == Held {
+		if t.Verdict(f, now) == Quarantined {
 			out = append(out, f)
 		}
 	}
@@ -87,7 +87,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b Entry) int {
-		return cmp.Or(cmp.Compare(b.Verdict, a.Verdict), cmp.Compare(len(b.Ends), len(a.Ends)), a.Fingerprint.compare(b.Fingerprint))
+		return cmp.Or(cmp.Compare(b.Verdict, a.Verdict), cmp.Compare(len(b.Crashes), len(a.Crashes)), a.Fingerprint.compare(b.Fingerprint))
 	})
 	return out
 }
--- a/internal/quarantine/join_test.go
+++ b/internal/quarantine/join_test.go
@@ -18,7 +18,7 @@
 		age := rapid.Int64Range(0, 30_000).Draw(t, "age")
 		for _, f := range rapid.SliceOfN(rapid.IntRange(1, 6), 1, 4).Draw(t, "requests") {
 			all = append(all, Suspicion{
-				Fingerprint: print(f), Workspace: "w", End: End{Upstream: string(rune('a' + n))}, AgeMS: age,
+				Fingerprint: print(f), Workspace: "w", Incarnation: Incarnation{Upstream: string(rune('a' + n))}, AgeMS: age,
 				RanMS: rapid.Int64Range(0, 500).Draw(t, "ran"), IsCleared: rapid.IntRange(0, 5).Draw(t, "cleared") == 0,
 			})
 		}
@@ -87,11 +87,11 @@
 	require.Empty(t, table.Add(old, 0))
 	old[0].AgeMS = (firstHold - time.Second).Milliseconds()
 	table.Add(append(old, ended("b", 1)...), 0)
-	require.Equal(t, Held, table.Verdict(print(1), 0))
+	require.Equal(t, Quarantined, table.Verdict(print(1), 0))
 	e := table.Entry(print(1), time.Second)
-	require.Equal(t, "a", e.Ends[0].Upstream, "the first one first")
-	require.Equal(t, firstHold, e.Ends[0].Age)
-	require.Equal(t, firstHold-time.Second, e.For)
+	require.Equal(t, "a", e.Crashes[0].Upstream, "the first one first")
+	require.Equal(t, firstHold, e.Crashes[0].Age)
+	require.Equal(t, firstHold-time.Second, e.Remaining)
 }
 
 // A verdict ends by itself; a request that goes on ending upstreams is held longer each time.
@@ -101,16 +101,16 @@
 	table.Add(ended("a", 1), now)
 	table.Add(ended("b", 1), now+time.Minute)
 	now += time.Minute
-	require.Equal(t, Held, table.Verdict(print(1), now+firstHold-1))
+	require.Equal(t, Quarantined, table.Verdict(print(1), now+firstHold-1))
 	require.Equal(t, Suspect, table.Verdict(print(1), now+firstHold), "it is tried once more")
 	now += firstHold
 	table.Add(ended("c", 1), now)
-	require.Equal(t, Held, table.Verdict(print(1), now+2*firstHold-1))
+	require.Equal(t, Quarantined, table.Verdict(print(1), now+2*firstHold-1))
 	require.Equal(t, Suspect, table.Verdict(print(1), now+2*firstHold))
 	table.Sweep(now + 4*firstHold - 1)
-	require.True(t, table.Knows(print(1)))
+	require.True(t, table.Contains(print(1)))
 	table.Sweep(now + 4*firstHold)
-	require.False(t, table.Knows(print(1)))
+	require.False(t, table.Contains(print(1)))
 	require.Equal(t, longestHold, holdFor(100))
 }
 
@@ -130,11 +130,11 @@
 			table.Add(ended(string(rune('a'+n))+"2", 2*n), now)
 		}
 	}
-	require.True(t, table.Knows(print(9000)))
+	require.True(t, table.Contains(print(9000)))
 	require.Equal(t, 20, table.counts["w"])
 	require.LessOrEqual(t, len(table.records), 50)
 	for n := range 5 {
-		require.True(t, table.Knows(print(2*n)), "request %d had ended two", 2*n)
+		require.True(t, table.Contains(print(2*n)), "request %d had ended two", 2*n)
 	}
 	for w := range 10 {
 		name := string(rune('A' + w))
@@ -145,7 +145,7 @@
 		}
 	}
 	require.Len(t, table.records, 50)
-	require.True(t, table.Knows(print(9000)), "the smallest one loses nothing")
+	require.True(t, table.Contains(print(9000)), "the smallest one loses nothing")
 }
 
 // Names that callers and other hosts choose take bounded room.
@@ -153,13 +153,13 @@
 	table := NewTable(usual)
 	long := strings.Repeat("x", 10_000)
 	for _, change := range []func(*Suspicion){
-		func(s *Suspicion) { s.End.Upstream = long }, func(s *Suspicion) { s.End.Upstream = "" },
+		func(s *Suspicion) { s.Incarnation.Upstream = long }, func(s *Suspicion) { s.Incarnation.Upstream = "" },
 		func(s *Suspicion) { s.Workspace = long }, func(s *Suspicion) { s.Service = long }, func(s *Suspicion) { s.Request = long },
 	} {
 		s := ended("a", 1)
 		change(&s[0])
 		require.Empty(t, table.Add(s, 0))
 	}
-	run := Run{Fingerprint: print(1), Request: long, End: End{Upstream: "a"}}
+	run := Attempt{Fingerprint: print(1), Request: long, Incarnation: Incarnation{Upstream: "a"}}
 	require.Len(t, table.Add([]Suspicion{run.suspicion(0)}, 0), 1)
 }
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -9,22 +9,24 @@
 
 // ending is when an upstream of a service ended, as the first host to tell of it has it.
 type ending struct {
-	End
+	Incarnation
 	service string
 	at      time.Duration
 }
 
-func (e ending) compare(o ending) int { return cmp.Or(cmp.Compare(e.at, o.at), e.End.compare(o.End)) }
+func (e ending) compare(o ending) int {
+	return cmp.Or(cmp.Compare(e.at, o.at), e.Incarnation.compare(o.Incarnation))
+}
 
 // suspects are the requests that an end speaks against, by end.
-type suspects map[End][]Fingerprint
+type suspects map[Incarnation][]Fingerprint
 
 // judgement is what verdicts are derived from.
 type judgement struct {
 	table *Table
 	// endings are all that are known, the first one first; of is which one an end is.
 	endings []ending
-	of      map[End]ending
+	of      map[Incarnation]ending
 	by      suspects
 	// strong are the requests that more speaks against than one upstream that ended, or two at
 	// once: the runs under which upstreams ended.
@@ -70,8 +72,8 @@
 }
 
 // endings returns when each upstream ended.
-func (t *Table) endings() map[End]ending {
-	out := map[End]ending{}
+func (t *Table) endings() map[Incarnation]ending {
+	out := map[Incarnation]ending{}
 	for _, r := range t.records {
 		for end, s := range r.ends {
 			if first, ok := out[end]; !ok || s.at < first.at {
@@ -107,7 +109,7 @@
 	slices.SortFunc(all, ending.compare)
 	var out []run
 	for _, e := range all {
-		began := e.at - r.ends[e.End].ran
+		began := e.at - r.ends[e.Incarnation].ran
 		if len(out) == 0 || began > out[len(out)-1][0].at+slack {
 			out = append(out, nil)
 		}
@@ -166,7 +168,7 @@
 	for _, run := range runs {
 		n := 0
 		for _, e := range run {
-			if e.at <= until && slices.Contains(j.by[e.End], f) {
+			if e.at <= until && slices.Contains(j.by[e.Incarnation], f) {
 				n++
 			}
 		}
@@ -188,7 +190,7 @@
 		if e.at > to {
 			break
 		}
-		if e.service == service && !slices.ContainsFunc(j.by[e.End], func(g Fingerprint) bool { return g == f || j.strong[g] != nil }) {
+		if e.service == service && !slices.ContainsFunc(j.by[e.Incarnation], func(g Fingerprint) bool { return g == f || j.strong[g] != nil }) {
 			return false
 		}
 	}
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -14,8 +14,8 @@
 	Limits Limits
 	// Now is a monotonic clock.
 	Now func() time.Duration
-	// Tell passes news on to other hosts. It is called without a lock held, and must not wait.
-	Tell func([]Suspicion)
+	// Publish passes news on to other hosts. It is called without a lock held, and must not wait.
+	Publish func([]Suspicion)
 	// Relays is set where news from others are passed on too.
 	Relays  bool
 	Log     *slog.Logger
@@ -56,20 +56,20 @@
 	return k.table.Verdict(f, k.cfg.Now())
 }
 
-// Refused counts a request that was refused since it is held.
-func (k *Keeper) Refused() { k.refused.Inc(1) }
+// CountRefusal counts a request that was refused since it is held.
+func (k *Keeper) CountRefusal() { k.refused.Inc(1) }
 
-// Ended tells that an upstream is known to have ended under a run.
-func (k *Keeper) Ended(r Run) {
+// UpstreamCrashed tells that an upstream is known to have ended under a run.
+func (k *Keeper) UpstreamCrashed(r Attempt) {
 	k.update(func(now time.Duration) []Suspicion {
-		found := k.broken.take(now, func(b *Run) bool { return b.End == r.End })
+		found := k.broken.take(now, func(b *Attempt) bool { return b.Incarnation == r.Incarnation })
 		return k.suspect(append(found, r.suspicion(0)), now)
 	})
 }
 
-// Broke tells that a run got no whole answer. IsAlive tells that its upstream took a
+// AttemptFailed tells that a run got no whole answer. IsAlive tells that its upstream took a
 // connection since.
-func (k *Keeper) Broke(r Run, isAlive bool) {
+func (k *Keeper) AttemptFailed(r Attempt, isAlive bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	wait := brokenFor
@@ -80,8 +80,8 @@
 	k.broken.add(r, now, now+wait)
 }
 
-// Started tells which upstream is at an address now. Others that were there have ended.
-func (k *Keeper) Started(end End, address string) {
+// UpstreamStarted tells which upstream is at an address now. Others that were there have ended.
+func (k *Keeper) UpstreamStarted(end Incarnation, address string) {
 	k.mu.Lock()
 	isAwaited := len(k.broken.all) > 0
 	k.mu.Unlock()
@@ -89,8 +89,8 @@
 		return
 	}
 	k.update(func(now time.Duration) []Suspicion {
-		return k.suspect(k.broken.take(now, func(r *Run) bool {
-			return r.End != end && (r.Address == address || r.End.Upstream == end.Upstream && r.End.Born < end.Born)
+		return k.suspect(k.broken.take(now, func(r *Attempt) bool {
+			return r.Incarnation != end && (r.Address == address || r.Incarnation.Upstream == end.Upstream && r.Incarnation.Born < end.Born)
 		}), now)
 	})
 }
@@ -104,7 +104,7 @@
 	for _, s := range news {
 		k.suspicions.Inc(1)
 		k.cfg.Log.Warn("request suspected: its upstream ended under it", "request", s.Request, "fingerprint", s.Fingerprint.String(),
-			"workspace", s.Workspace, "upstream", s.End.Upstream, "born", s.End.Born, "cleared", s.IsCleared)
+			"workspace", s.Workspace, "upstream", s.Incarnation.Upstream, "born", s.Incarnation.Born, "cleared", s.IsCleared)
 	}
 	return news
 }
@@ -113,7 +113,7 @@
 func (k *Keeper) Answered(f Fingerprint) {
 	k.mu.Lock()
 	k.answered.add(f, k.cfg.Now())
-	isKnown := k.table.Knows(f)
+	isKnown := k.table.Contains(f)
 	k.mu.Unlock()
 	if isKnown {
 		k.update(func(now time.Duration) []Suspicion { return k.clear(f, now) })
@@ -163,8 +163,8 @@
 	news := change(k.cfg.Now())
 	k.note()
 	k.mu.Unlock()
-	if len(news) > 0 && k.cfg.Tell != nil {
-		k.cfg.Tell(news)
+	if len(news) > 0 && k.cfg.Publish != nil {
+		k.cfg.Publish(news)
 	}
 }
 
@@ -172,13 +172,13 @@
 // caller holds mu.
 func (k *Keeper) note() {
 	now := k.cfg.Now()
-	held := k.table.Held(now)
+	held := k.table.Quarantined(now)
 	k.held.Update(int64(len(held)))
 	for _, f := range held {
 		if !slices.Contains(k.known, f) {
 			e := k.table.Entry(f, now)
 			k.cfg.Log.Warn("request held: upstreams ended under it", "fingerprint", f.String(), "workspace", e.Workspace,
-				"ends", len(e.Ends), "requests", e.requests(), "upstreams", e.upstreams(), "for_s", int64(e.For.Seconds()))
+				"ends", len(e.Crashes), "requests", e.requests(), "upstreams", e.upstreams(), "for_s", int64(e.Remaining.Seconds()))
 		}
 	}
 	for _, f := range k.known {
--- a/internal/quarantine/page.go
+++ b/internal/quarantine/page.go
@@ -54,10 +54,10 @@
 	out := page{Requests: []pageEntry{}}
 	for _, e := range all {
 		p := pageEntry{
-			Fingerprint: e.Fingerprint.String(), Workspace: e.Workspace, Verdict: e.Verdict.String(), ForSeconds: int64(e.For.Seconds()),
+			Fingerprint: e.Fingerprint.String(), Workspace: e.Workspace, Verdict: e.Verdict.String(), ForSeconds: int64(e.Remaining.Seconds()),
 			Ends: []pageEnd{},
 		}
-		for _, end := range e.Ends {
+		for _, end := range e.Crashes {
 			p.Ends = append(p.Ends, pageEnd{Upstream: end.Upstream, Request: end.Request, AgeSeconds: int64(end.Age.Seconds())})
 		}
 		out.Requests = append(out.Requests, p)
--- a/internal/quarantine/runs.go
+++ b/internal/quarantine/runs.go
@@ -23,14 +23,14 @@
 	mostIDBytes = 64
 )
 
-// Run is an attempt that may have run and got no whole answer.
-type Run struct {
+// Attempt is an attempt that may have run and got no whole answer.
+type Attempt struct {
 	Fingerprint Fingerprint
 	Workspace   string
 	// Request is the id under which it ran.
 	Request string
-	// End is the upstream's incarnation, Service what it served, Address where it was.
-	End              End
+	// Incarnation is the upstream's incarnation, Service what it served, Address where it was.
+	Incarnation      Incarnation
 	Service, Address string
 	// Ran is for how long it ran, or waited there, until its answer broke off.
 	Ran time.Duration
@@ -38,9 +38,9 @@
 
 // suspicion returns what an end of the run's upstream says, when its answer broke off that
 // long ago.
-func (r *Run) suspicion(age time.Duration) Suspicion {
+func (r *Attempt) suspicion(age time.Duration) Suspicion {
 	return Suspicion{
-		Fingerprint: r.Fingerprint, Workspace: r.Workspace, End: r.End, Service: r.Service, Request: r.Request[:min(len(r.Request), mostIDBytes)],
+		Fingerprint: r.Fingerprint, Workspace: r.Workspace, Incarnation: r.Incarnation, Service: r.Service, Request: r.Request[:min(len(r.Request), mostIDBytes)],
 		AgeMS: age.Milliseconds(), RanMS: r.Ran.Milliseconds(),
 	}
 }
@@ -48,28 +48,28 @@
 // brokenRun is a Run whose answer broke off at a time, and whose upstream may turn out to
 // have ended.
 type brokenRun struct {
-	Run
+	Attempt
 	at, until time.Duration
 }
 
 // runs are the broken answers of one host.
 type runs struct{ all []brokenRun }
 
-func (b *runs) add(r Run, at, until time.Duration) {
+func (b *runs) add(r Attempt, at, until time.Duration) {
 	if len(b.all) >= mostBroken {
 		b.all = b.all[1:]
 	}
-	b.all = append(b.all, brokenRun{Run: r, at: at, until: until})
+	b.all = append(b.all, brokenRun{Attempt: r, at: at, until: until})
 }
 
 // take removes and returns the runs for which isEnded holds, and forgets old ones.
-func (b *runs) take(now time.Duration, isEnded func(*Run) bool) []Suspicion {
+func (b *runs) take(now time.Duration, isEnded func(*Attempt) bool) []Suspicion {
 	var out []Suspicion
 	b.all = slices.DeleteFunc(b.all, func(r brokenRun) bool {
 		if now > r.until {
 			return true
 		}
-		if isEnded(&r.Run) {
+		if isEnded(&r.Attempt) {
 			out = append(out, r.suspicion(now-r.at))
 			return true
 		}
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -46,8 +46,8 @@
 // DefaultLimits suit hosts with little memory.
 var DefaultLimits = Limits{PerWorkspace: 256, Total: 2048}
 
-// End is an upstream that has ended: the incarnation of it.
-type End struct {
+// Incarnation is an upstream that has ended: the incarnation of it.
+type Incarnation struct {
 	Upstream string `cbor:"1,keyasint"`
 	Born     int64  `cbor:"2,keyasint,omitempty"`
 }
@@ -57,7 +57,7 @@
 type Suspicion struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
 	Workspace   string      `cbor:"2,keyasint,omitempty"`
-	End         End         `cbor:"3,keyasint"`
+	Incarnation Incarnation `cbor:"3,keyasint"`
 	// Service is what the upstream served.
 	Service string `cbor:"8,keyasint,omitempty"`
 	// Request is the id under which the request ran there, for who looks for it in logs.
@@ -81,7 +81,7 @@
 	// Suspect: an upstream ended under it. It is sent, but to one upstream only.
 	Suspect
 	// Held: it is sent to none.
-	Held
+	Quarantined
 )
 
 // String names the verdict.
@@ -97,7 +97,7 @@
 // record is what is known of one request.
 type record struct {
 	workspace string
-	ends      map[End]*seen
+	ends      map[Incarnation]*seen
 	// isSuspect tells that an end speaks against it which is not explained by another one.
 	// isHeld is the verdict, until when it holds.
 	isSuspect, isHeld bool
@@ -124,15 +124,15 @@
 	case r == nil:
 		return Free
 	case r.isHeld && now < r.until:
-		return Held
+		return Quarantined
 	case r.isSuspect:
 		return Suspect
 	}
 	return Free
 }
 
-// Knows reports whether something is known of the request.
-func (t *Table) Knows(f Fingerprint) bool { return t.records[f] != nil }
+// Contains reports whether something is known of the request.
+func (t *Table) Contains(f Fingerprint) bool { return t.records[f] != nil }
 
 // Add takes suspicions in, and returns those that are news.
 func (t *Table) Add(all []Suspicion, now time.Duration) []Suspicion {
@@ -161,11 +161,11 @@
 	r := t.records[s.Fingerprint]
 	if r == nil {
 		t.makeRoom(s.Workspace)
-		r = &record{workspace: s.Workspace, ends: make(map[End]*seen)}
+		r = &record{workspace: s.Workspace, ends: make(map[Incarnation]*seen)}
 		t.records[s.Fingerprint] = r
 		t.counts[s.Workspace]++
 	}
-	known := r.ends[s.End]
+	known := r.ends[s.Incarnation]
 	if known == nil {
 		return r.note(&s, at), false
 	}
@@ -186,20 +186,20 @@
 		}
 		delete(r.ends, oldest)
 	}
-	r.ends[s.End] = &seen{at: at, ran: s.ran(), service: s.Service, request: s.Request, isCleared: s.IsCleared}
+	r.ends[s.Incarnation] = &seen{at: at, ran: s.ran(), service: s.Service, request: s.Request, isCleared: s.IsCleared}
 	return true
 }
 
 // isSound reports whether a suspicion may be kept: it names an upstream, and no name takes
 // more room than it may.
 func (s *Suspicion) isSound() bool {
-	return s.End.Upstream != "" && max(len(s.End.Upstream), len(s.Workspace), len(s.Service), len(s.Request)) <= mostNameBytes
+	return s.Incarnation.Upstream != "" && max(len(s.Incarnation.Upstream), len(s.Workspace), len(s.Service), len(s.Request)) <= mostNameBytes
 }
 
 func (s *Suspicion) ran() time.Duration { return time.Duration(max(s.RanMS, 0)) * time.Millisecond }
 
-func (r *record) oldest() (End, *seen) {
-	var end End
+func (r *record) oldest() (Incarnation, *seen) {
+	var end Incarnation
 	var first *seen
 	for e, s := range r.ends {
 		if first == nil || s.at < first.at || s.at == first.at && e.compare(end) < 0 {
@@ -210,7 +210,7 @@
 }
 
 // compare orders ends.
-func (e End) compare(o End) int {
+func (e Incarnation) compare(o Incarnation) int {
 	return cmp.Or(strings.Compare(e.Upstream, o.Upstream), cmp.Compare(e.Born, o.Born))
 }
 
@@ -321,10 +321,10 @@
 	return news
 }
 
-func (r *record) suspicion(f Fingerprint, end End, now time.Duration) Suspicion {
+func (r *record) suspicion(f Fingerprint, end Incarnation, now time.Duration) Suspicion {
 	s := r.ends[end]
 	return Suspicion{
-		Fingerprint: f, Workspace: r.workspace, End: end, Service: s.service, Request: s.request,
+		Fingerprint: f, Workspace: r.workspace, Incarnation: end, Service: s.service, Request: s.request,
 		AgeMS: (now - s.at).Milliseconds(), RanMS: s.ran.Milliseconds(), IsCleared: s.isCleared,
 	}
 }
@@ -347,7 +347,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b Suspicion) int {
-		return cmp.Or(a.Fingerprint.compare(b.Fingerprint), a.End.compare(b.End))
+		return cmp.Or(a.Fingerprint.compare(b.Fingerprint), a.Incarnation.compare(b.Incarnation))
 	})
 	return out
 }
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -16,7 +16,7 @@
 func ended(upstream string, prints ...int) []Suspicion {
 	var out []Suspicion
 	for _, n := range prints {
-		out = append(out, Suspicion{Fingerprint: print(n), Workspace: "w", End: End{Upstream: upstream}})
+		out = append(out, Suspicion{Fingerprint: print(n), Workspace: "w", Incarnation: Incarnation{Upstream: upstream}})
 	}
 	return out
 }
@@ -154,7 +154,7 @@
 				want[print(n)] = Suspect
 			}
 			for _, n := range c.held {
-				want[print(n)] = Held
+				want[print(n)] = Quarantined
 			}
 			for n := range 200 {
 				require.Equal(t, want[print(n)], table.Verdict(print(n), now), "request %d", n)
