--- a/internal/placement/balance_test.go
+++ b/internal/placement/balance_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// inTurn holds each expert on one rank, as a group begins.
-func inTurn(ranks, experts int) [][]uint16 {
+// roundRobin holds each expert on one rank, as a group begins.
+func roundRobin(ranks, experts int) [][]uint16 {
 	held := make([][]uint16, ranks)
 	for e := range experts {
 		held[e%ranks] = append(held[e%ranks], uint16(e))
@@ -18,16 +18,16 @@
 	return held
 }
 
-func TestBalanceRelievesAHotExpert(t *testing.T) {
-	held := inTurn(4, 8)
+func TestBalanceReplicatesAHotExpert(t *testing.T) {
+	held := roundRobin(4, 8)
 	load := []float64{100, 1, 1, 1, 1, 1, 1, 1}
 	next := Balance(held, load, SetParams{SlotsPerRank: 3, MaxNewPerSet: 1, MinGain: 0.01})
 	require.InDelta(t, 101, slices.Max(SetTimes(held, load, nil)), 1e-9)
 	require.Less(t, slices.Max(SetTimes(next, load, nil)), 35.0)
-	require.Equal(t, inTurn(4, 8), held, "the map in use is not touched")
+	require.Equal(t, roundRobin(4, 8), held, "the map in use is not touched")
 }
 
-func TestBalanceKeepsItsBounds(t *testing.T) {
+func TestBalanceRespectsSlotAndCopyLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ranks := rapid.IntRange(2, 6).Draw(t, "ranks")
 		experts := rapid.IntRange(ranks, 4*ranks).Draw(t, "experts")
@@ -36,7 +36,7 @@
 			MaxNewPerSet: rapid.IntRange(0, 3).Draw(t, "spare"),
 			MinGain:      0.001,
 		}
-		held := inTurn(ranks, experts)
+		held := roundRobin(ranks, experts)
 		for round := range 3 {
 			load := make([]float64, experts)
 			for e := range load {
@@ -52,7 +52,7 @@
 	})
 }
 
-func TestBalanceSetsKeepsTheRanksBudgets(t *testing.T) {
+func TestBalanceSetsRespectsRankLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ranks := rapid.IntRange(2, 6).Draw(t, "ranks")
 		experts := rapid.IntRange(ranks, 4*ranks).Draw(t, "experts")
@@ -63,7 +63,7 @@
 		held := make([][][]uint16, 4)
 		load := make([][]float64, len(held))
 		for set := range held {
-			held[set] = inTurn(ranks, experts)
+			held[set] = roundRobin(ranks, experts)
 			load[set] = make([]float64, experts)
 			for e := range load[set] {
 				load[set][e] = rapid.Float64Range(0, 100).Draw(t, "load")
@@ -91,7 +91,7 @@
 
 // What the ranks may take goes to the set that is furthest out of balance.
 func TestBalanceSetsRelievesTheWorstSetFirst(t *testing.T) {
-	held := [][][]uint16{inTurn(4, 8), inTurn(4, 8)}
+	held := [][][]uint16{roundRobin(4, 8), roundRobin(4, 8)}
 	even, skewed := []float64{12, 10, 10, 10, 10, 10, 10, 10}, []float64{100, 1, 1, 1, 1, 1, 1, 1}
 	next := BalanceSets(held, [][]float64{even, skewed}, SetParams{SlotsPerRank: 3, MaxNewPerSet: 1, MaxNewPerRank: 1, MinGain: 0.01})
 	require.Equal(t, held[0], next[0])
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestDistance(t *testing.T) {
+func TestLoadDistance(t *testing.T) {
 	l := Load{{1, 1}, {3, 1}}
 	require.InDelta(t, 0, l.Distance(Load{{5, 5}, {30, 10}}), 1e-9)
 	require.InDelta(t, 0.25+0.125, l.Distance(Load{{0, 1}, {2, 2}}), 1e-9)
@@ -128,7 +128,7 @@
 }
 
 func BenchmarkBalance(b *testing.B) {
-	held := inTurn(12, 72)
+	held := roundRobin(12, 72)
 	load := make([]float64, 72)
 	for e := range load {
 		load[e] = 1 + float64((e*37)%72)*float64((e*37)%72)
@@ -143,7 +143,7 @@
 	} {
 		name := fmt.Sprintf("%d ranks, %d experts in %d sets", c.ranks, c.experts, c.sets)
 		b.Run(name, func(b *testing.B) {
-			held, load := skewed(c.ranks, c.experts, c.sets)
+			held, load := skewedSets(c.ranks, c.experts, c.sets)
 			for b.Loop() {
 				BalanceSets(held, load, SetParams{SlotsPerRank: c.slots, MaxNewPerSet: 1, MaxNewPerRank: 1, MinGain: 0.07})
 			}
@@ -151,9 +151,9 @@
 	}
 }
 
-// skewed holds the experts of each set in turn, or several times where there are more
+// skewedSets holds the experts of each set in turn, or several times where there are more
 // ranks, under loads that differ much.
-func skewed(ranks, experts, sets int) ([][][]uint16, [][]float64) {
+func skewedSets(ranks, experts, sets int) ([][][]uint16, [][]float64) {
 	held, load := make([][][]uint16, sets), make([][]float64, sets)
 	for set := range held {
 		held[set] = make([][]uint16, ranks)
@@ -169,8 +169,8 @@
 	return held, load
 }
 
-func TestBalanceSparesASlowRank(t *testing.T) {
-	held := inTurn(4, 16)
+func TestBalanceGivesASlowRankLess(t *testing.T) {
+	held := roundRobin(4, 16)
 	load := make([]float64, 16)
 	for e := range load {
 		load[e] = 10
@@ -200,7 +200,7 @@
 }
 
 // A copy that is no longer worth its load is left without a copy elsewhere.
-func TestDropCostsNoCopy(t *testing.T) {
+func TestBalanceDropsARedundantReplica(t *testing.T) {
 	held := [][]uint16{{0, 1}, {0, 2}, {3}}
 	load := []float64{10, 10, 1, 10}
 	after := Balance(held, load, SetParams{SlotsPerRank: 1, MaxNewPerSet: 0, MinGain: 0.02})
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -52,9 +52,9 @@
 	return p.FixedSteps + float64(loads)*perLoad
 }
 
-// net returns the weighed gain less the weighed cost, in steps, of a change that
+// netGain returns the weighed gain less the weighed cost, in steps, of a change that
 // lowers the skew by so much.
-func (p Params) net(skewGain float64, loads int) float64 {
+func (p Params) netGain(skewGain float64, loads int) float64 {
 	return p.Weights.Skew*skewGain*p.HorizonSteps - p.Weights.Rebalance*p.cost(loads)
 }
 
--- a/internal/placement/measure_test.go
+++ b/internal/placement/measure_test.go
@@ -79,17 +79,17 @@
 	params Params
 }
 
-func weighed(skew, rebalance float64) Params {
+func withWeights(skew, rebalance float64) Params {
 	p := DefaultParams()
 	p.Weights = Weights{Skew: skew, Rebalance: rebalance}
 	return p
 }
 
 var (
-	static   = policy{name: "no change", params: weighed(0, 1)}
-	full     = policy{name: "full re-plan", replan: true, params: DefaultParams()}
-	trotro   = policy{name: "ours, Trotro (skew 3, rebalance 1)", params: weighed(3, 1)}
-	velotrak = policy{name: "ours, Velotrak (skew 1, rebalance 3)", params: weighed(1, 3)}
+	static     = policy{name: "no change", params: withWeights(0, 1)}
+	fullReplan = policy{name: "full re-plan", replan: true, params: DefaultParams()}
+	skewFirst  = policy{name: "ours, Trotro (skew 3, rebalance 1)", params: withWeights(3, 1)}
+	costFirst  = policy{name: "ours, Velotrak (skew 1, rebalance 3)", params: withWeights(1, 3)}
 )
 
 type result struct {
@@ -155,14 +155,14 @@
 	return n
 }
 
-func TestRatios(t *testing.T) {
+func TestPlanBalancesWithFarFewerLoadsThanReplan(t *testing.T) {
 	for _, ranks := range []int{8, 32, 128} {
 		t.Run(fmt.Sprint(ranks, " ranks"), func(t *testing.T) {
 			t.Parallel()
-			none, all := static.run(ranks), full.run(ranks)
-			skewed, sparing := trotro.run(ranks), velotrak.run(ranks)
+			none, all := static.run(ranks), fullReplan.run(ranks)
+			skewed, sparing := skewFirst.run(ranks), costFirst.run(ranks)
 			for i, r := range []result{none, all, skewed, sparing} {
-				t.Log([]policy{static, full, trotro, velotrak}[i].name, r)
+				t.Log([]policy{static, fullReplan, skewFirst, costFirst}[i].name, r)
 			}
 			require.Less(t, skewed.mean, 1.1*all.mean)
 			require.Less(t, skewed.loads*10, all.loads)
@@ -174,7 +174,7 @@
 
 // A plan keeps a living replica of each expert, also when a rank is gone, stays
 // within its bound, and expects what the map then shows.
-func TestPlanIsSound(t *testing.T) {
+func TestPlanKeepsAReplicaOfEachExpert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ranks := rapid.SampledFrom([]int{2, 3, 8}).Draw(t, "ranks")
 		slow := slices.Repeat([]float64{1}, ranks)
@@ -212,26 +212,26 @@
 func TestNoChangeBelowItsCost(t *testing.T) {
 	m := Map{SlotsPerRank: 2, Layers: [][]uint16{{0, 1, 2, 3}}}
 	load := Load{{50, 50, 49, 49}}
-	p := weighed(1, 1)
+	p := withWeights(1, 1)
 	p.HorizonSteps = 100
 	require.Empty(t, MakePlan(m, load, []float64{1, 1}, p).Moves)
 	load = Load{{90, 80, 10, 10}}
 	require.NotEmpty(t, MakePlan(m, load, []float64{1, 1}, p).Moves)
 }
 
-func TestSlowRankGetsLess(t *testing.T) {
+func TestSlowRankGetsFewerTokens(t *testing.T) {
 	slow := Slowness([]float64{1, 2, 1}, []float64{10, 10, 10})
 	require.Equal(t, []float64{1, 2, 1}, slow)
 	m := Map{SlotsPerRank: 2, Layers: [][]uint16{{0, 1, 2, 3, 4, 5}}}
 	load := Load{{10, 20, 30, 30, 20, 10}}
-	plan := MakePlan(m, load, slow, weighed(3, 1))
+	plan := MakePlan(m, load, slow, withWeights(3, 1))
 	tokens := StepTimes(plan.Apply(m), load, []float64{1, 1, 1})
 	require.Less(t, tokens[1], tokens[0])
 	require.Less(t, tokens[1], tokens[2])
 }
 
-// BenchmarkMake plans for 128 ranks, 64 experts and 58 layers.
-func BenchmarkMake(b *testing.B) {
+// BenchmarkMakePlan plans for 128 ranks, 64 experts and 58 layers.
+func BenchmarkMakePlan(b *testing.B) {
 	const ranks, deep = 128, 58
 	w, m, load := newWorkload(), Map{SlotsPerRank: 1}, Load{}
 	for len(load) < deep {
@@ -248,6 +248,6 @@
 	}
 	b.ResetTimer()
 	for range b.N {
-		MakePlan(m, load, slownessAt(60, ranks), weighed(3, 1))
+		MakePlan(m, load, slownessAt(60, ranks), withWeights(3, 1))
 	}
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -37,30 +37,30 @@
 func MakePlan(m Map, load Load, slowness []float64, p Params) Plan {
 	s := newState(m, load, slowness)
 	plan := Plan{SkewBefore: s.skew()}
-	moves := s.rescue()
+	moves := s.restoreLost()
 	forced := len(moves)
-	plan.take(moves, s.skew(), 0)
+	plan.accept(moves, s.skew(), 0)
 	start := s.skew()
 	for len(moves) < p.MaxLoads+forced {
 		// No map has a skew below 1: stop where even that wouldn't pay.
-		if p.net(start-1, len(moves)-forced+1) <= plan.NetSteps {
+		if p.netGain(start-1, len(moves)-forced+1) <= plan.NetSteps {
 			break
 		}
-		step := s.best()
+		step := s.bestStep()
 		if step == nil || len(moves)+len(step) > p.MaxLoads+forced {
 			break
 		}
-		s.apply(step)
+		s.applyMoves(step)
 		moves = append(moves, step...)
-		net := p.net(start-s.skew(), len(moves)-forced)
+		net := p.netGain(start-s.skew(), len(moves)-forced)
 		if net > plan.NetSteps {
-			plan.take(moves, s.skew(), net)
+			plan.accept(moves, s.skew(), net)
 		}
 	}
 	return plan
 }
 
-func (p *Plan) take(moves []Move, skew, net float64) {
+func (p *Plan) accept(moves []Move, skew, net float64) {
 	p.Moves = slices.Clone(moves)
 	p.SkewAfter = skew
 	p.NetSteps = net
@@ -76,8 +76,8 @@
 	return newState(m, load, slowness).times
 }
 
-// state is a map under change with the times that follow from it.
-type state struct {
+// mapState is a map under change with the times that follow from it.
+type mapState struct {
 	m        Map
 	load     Load
 	slowness []float64
@@ -87,8 +87,8 @@
 	times   []float64
 }
 
-func newState(m Map, load Load, slowness []float64) *state {
-	s := &state{m: m.Clone(), load: load, slowness: slowness, times: make([]float64, len(slowness))}
+func newState(m Map, load Load, slowness []float64) *mapState {
+	s := &mapState{m: m.Clone(), load: load, slowness: slowness, times: make([]float64, len(slowness))}
 	s.holders = make([][][]int, len(m.Layers))
 	for l := range m.Layers {
 		s.holders[l] = make([][]int, len(load[l]))
@@ -98,23 +98,23 @@
 			}
 		}
 		for e := range load[l] {
-			s.spread(l, uint16(e), 1)
+			s.addTokens(l, uint16(e), 1)
 		}
 	}
 	return s
 }
 
-func (s *state) rank(slot int) int { return slot / s.m.SlotsPerRank }
+func (s *mapState) rank(slot int) int { return slot / s.m.SlotsPerRank }
 
-// spread adds an expert's tokens to its holders' times, or takes them off.
-func (s *state) spread(l int, e uint16, sign float64) {
+// addTokens adds an expert's tokens to its holders' times, or takes them off.
+func (s *mapState) addTokens(l int, e uint16, sign float64) {
 	h := s.holders[l][e]
 	for _, r := range h {
 		s.times[r] += sign * s.load[l][e] / float64(len(h)) * s.slowness[r]
 	}
 }
 
-func (s *state) skew() float64 {
+func (s *mapState) skew() float64 {
 	var sum, top float64
 	alive := 0
 	for r, t := range s.times {
@@ -131,39 +131,39 @@
 	return top * float64(alive) / sum
 }
 
-// put makes one move.
-func (s *state) put(mv Move) {
+// applyMove makes one move.
+func (s *mapState) applyMove(mv Move) {
 	old, r := s.m.Layers[mv.Layer][mv.Slot], s.rank(mv.Slot)
-	s.spread(mv.Layer, old, -1)
+	s.addTokens(mv.Layer, old, -1)
 	h := s.holders[mv.Layer][old]
 	if i := slices.Index(h, r); i >= 0 {
 		s.holders[mv.Layer][old] = slices.Delete(slices.Clone(h), i, i+1)
 	}
-	s.spread(mv.Layer, old, 1)
-	s.spread(mv.Layer, mv.Expert, -1)
+	s.addTokens(mv.Layer, old, 1)
+	s.addTokens(mv.Layer, mv.Expert, -1)
 	s.holders[mv.Layer][mv.Expert] = append(slices.Clone(s.holders[mv.Layer][mv.Expert]), r)
-	s.spread(mv.Layer, mv.Expert, 1)
+	s.addTokens(mv.Layer, mv.Expert, 1)
 	s.m.Layers[mv.Layer][mv.Slot] = mv.Expert
 }
 
-func (s *state) apply(moves []Move) {
+func (s *mapState) applyMoves(moves []Move) {
 	for _, mv := range moves {
-		s.put(mv)
+		s.applyMove(mv)
 	}
 }
 
-// rescue places the experts that no rank holds any more, each over the smallest
+// restoreLost places the experts that no rank holds any more, each over the smallest
 // share that has another replica.
-func (s *state) rescue() []Move {
+func (s *mapState) restoreLost() []Move {
 	var out []Move
 	for l := range s.holders {
 		for e := range s.holders[l] {
 			if len(s.holders[l][e]) > 0 {
 				continue
 			}
-			if slot := s.spare(l); slot >= 0 {
+			if slot := s.leastNeededSlot(l); slot >= 0 {
 				mv := Move{Layer: l, Slot: slot, Expert: uint16(e)}
-				s.put(mv)
+				s.applyMove(mv)
 				out = append(out, mv)
 			}
 		}
@@ -171,9 +171,9 @@
 	return out
 }
 
-// spare returns the living slot of the layer with the smallest share that has
+// leastNeededSlot returns the living slot of the layer with the smallest share that has
 // another replica, or -1.
-func (s *state) spare(l int) int {
+func (s *mapState) leastNeededSlot(l int) int {
 	best, least := -1, 0.0
 	for slot, e := range s.m.Layers[l] {
 		n := len(s.holders[l][e])
@@ -187,44 +187,44 @@
 	return best
 }
 
-// best returns the moves with the highest gain per load for the slowest rank:
+// bestStep returns the moves with the highest gain per load for the slowest rank:
 // a further replica of one of its experts elsewhere (one load), or an exchange
 // of slots with another rank (two loads). It returns nil if none helps.
-func (s *state) best() []Move {
+func (s *mapState) bestStep() []Move {
 	hot := 0
 	for r := range s.times {
 		if s.slowness[r] > 0 && s.times[r] > s.times[hot] {
 			hot = r
 		}
 	}
-	c := choice{least: 1e-9 * s.times[hot]}
+	c := stepChoice{minGainPerLoad: 1e-9 * s.times[hot]}
 	for l := range s.m.Layers {
 		for i := range s.m.SlotsPerRank {
-			s.bestFor(l, hot*s.m.SlotsPerRank+i, &c)
+			s.considerSlot(l, hot*s.m.SlotsPerRank+i, &c)
 		}
 	}
 	return c.moves
 }
 
-// choice is the best step so far.
-type choice struct {
-	// least is the gain per load that a step has to exceed.
-	least float64
-	moves []Move
+// stepChoice is the best step so far.
+type stepChoice struct {
+	// minGainPerLoad is the gain per load that a step has to exceed.
+	minGainPerLoad float64
+	moves          []Move
 }
 
-// better takes note of the gain per load if it is the highest so far.
-func (c *choice) better(gain float64, loads int) bool {
+// accept takes note of the gain per load if it is the highest so far.
+func (c *stepChoice) accept(gain float64, loads int) bool {
 	perLoad := gain / float64(loads)
-	if perLoad <= c.least {
+	if perLoad <= c.minGainPerLoad {
 		return false
 	}
-	c.least = perLoad
+	c.minGainPerLoad = perLoad
 	return true
 }
 
-// bestFor considers all moves that take tokens off one slot of the hot rank.
-func (s *state) bestFor(l, slot int, c *choice) {
+// considerSlot considers all moves that take tokens off one slot of the hot rank.
+func (s *mapState) considerSlot(l, slot int, c *stepChoice) {
 	hot, e := s.rank(slot), s.m.Layers[l][slot]
 	hotSlow := s.slowness[hot]
 	n := float64(len(s.holders[l][e]))
@@ -237,7 +237,7 @@
 		k := float64(len(s.holders[l][f]))
 		theirs := s.load[l][f] / k
 		swap := min((mine-theirs)*hotSlow, s.times[hot]-s.times[r]-(mine-theirs)*s.slowness[r])
-		if c.better(swap, 2) {
+		if c.accept(swap, 2) {
 			c.moves = []Move{{l, slot, f}, {l, other, e}}
 		}
 		if k < 2 {
@@ -254,7 +254,7 @@
 				replica = min(replica, s.times[hot]-s.times[h]-(s.load[l][f]/(k-1)-theirs)*s.slowness[h])
 			}
 		}
-		if c.better(replica, 1) {
+		if c.accept(replica, 1) {
 			c.moves = []Move{{l, other, e}}
 		}
 	}
--- a/internal/placement/replicas.go
+++ b/internal/placement/replicas.go
@@ -21,9 +21,9 @@
 	return out
 }
 
-// replicas gives every expert one replica and the rest of the slots, one after
+// replicaCounts gives every expert one replica and the rest of the slots, one after
 // the other, to the expert with the most tokens per replica.
-func replicas(tokens []float64, slots int) []int {
+func replicaCounts(tokens []float64, slots int) []int {
 	n := make([]int, len(tokens))
 	for e := range n {
 		n[e] = 1
@@ -65,7 +65,7 @@
 			alive++
 		}
 	}
-	n := replicas(tokens, alive*m.SlotsPerRank)
+	n := replicaCounts(tokens, alive*m.SlotsPerRank)
 	var shares []share
 	for e, k := range n {
 		for range k {
@@ -75,14 +75,14 @@
 	slices.SortStableFunc(shares, func(a, b share) int { return cmp.Compare(b.tokens, a.tokens) })
 	used := make([]int, len(slowness))
 	for _, s := range shares {
-		r := coolest(times, used, slowness, m.SlotsPerRank)
+		r := leastLoaded(times, used, slowness, m.SlotsPerRank)
 		m.Layers[l][r*m.SlotsPerRank+used[r]] = s.expert
 		used[r]++
 		times[r] += s.tokens * slowness[r]
 	}
 }
 
-func coolest(times []float64, used []int, slowness []float64, slots int) int {
+func leastLoaded(times []float64, used []int, slowness []float64, slots int) int {
 	best := -1
 	for r := range times {
 		if slowness[r] == 0 || used[r] == slots {
--- a/internal/planner/change.go
+++ b/internal/planner/change.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// picksWeight is the share of a new interval in the load, while popularity only
+	// selectionsWeight is the share of a new interval in the load, while popularity only
 	// drifts.
-	picksWeight = 0.25
-	// jump is the distance of an interval from the load (see placement.Load.Distance) from
+	selectionsWeight = 0.25
+	// jumpDistance is the distance of an interval from the load (see placement.Load.Distance) from
 	// which popularity counts as having jumped: what was before is forgotten at once.
 	// Intervals of a tenth of a second differ by less by chance.
-	jump = 0.13
-	// copySpan is how long the ranks may copy experts in one change, of all sets together:
+	jumpDistance = 0.13
+	// copyTimeLimit is how long the ranks may copy experts in one change, of all sets together:
 	// a rank copies them one after the other, and all wait for the last. Small changes in
 	// quick succession follow a jump sooner than one that is complete.
-	copySpan = 100 * time.Millisecond
-	// leastStep is the part of a rank's mean load that a copied expert has to save: passes
+	copyTimeLimit = 100 * time.Millisecond
+	// minStepGain is the part of a rank's mean load that a copied expert has to save: passes
 	// are slower while experts are copied.
-	leastStep = 0.07
-	// leastChange is the part of the mean load by which the most loaded ranks of all sets
+	minStepGain = 0.07
+	// minChangeGain is the part of the mean load by which the most loaded ranks of all sets
 	// together have to fall for a change where passes are late: it costs a round of orders,
 	// and slower passes while experts are copied.
-	leastChange = 0.1
-	// easeChange is how many times that has to be gained where passes have room: nobody
+	minChangeGain = 0.1
+	// maxGainFactor is how many times that has to be gained where passes have room: nobody
 	// waits for them, and each copy takes the links of the ranks.
-	easeChange = 4
-	// easyPart and fullPart are the parts of the longest pass that is not late up to which
+	maxGainFactor = 4
+	// idleFraction and fullPart are the parts of the longest pass that is not late up to which
 	// passes have room, and from which they have none.
-	easyPart = 0.4
-	fullPart = 0.7
+	idleFraction = 0.4
+	busyFraction = 0.7
 )
 
 // GainFactor returns how many times the least gain a change has to bring, in [1, easeChange]:
@@ -45,8 +45,8 @@
 	if pass <= 0 || late <= 0 {
 		return 1
 	}
-	room := (fullPart - float64(pass)/float64(late)) / (fullPart - easyPart)
-	return 1 + (easeChange-1)*min(max(room, 0), 1)
+	room := (busyFraction - float64(pass)/float64(late)) / (busyFraction - idleFraction)
+	return 1 + (maxGainFactor-1)*min(max(room, 0), 1)
 }
 
 // Forecast is what a planned change is expected to do.
@@ -66,45 +66,45 @@
 // on, and what is expected of it. The picks have to be complete. Ease is how many times
 // the least gain a change has to bring.
 func (p *Planner) NextBySelections(shape *wire.GroupShape, ease float64) (expertmap.Map, uint64, Forecast) {
-	distance := p.observe(p.picks.take(shape))
-	fresh := freshAtOnce(shape)
+	distance := p.observe(p.stats.takeMean(shape))
+	fresh := maxNewExperts(shape)
 	params := placement.SetParams{
-		Slowdown: p.picks.paces(), SlotsPerRank: int(shape.SlotsPerRank), MaxNewPerSet: fresh, MaxNewPerRank: fresh, MinGain: leastStep,
+		Slowdown: p.stats.slowdowns(), SlotsPerRank: int(shape.SlotsPerRank), MaxNewPerSet: fresh, MaxNewPerRank: fresh, MinGain: minStepGain,
 	}
 	if shape.Spare > 0 {
 		params.MaxNewPerSet = min(fresh, int(shape.Spare))
 	}
-	held, base := p.picks.held()
+	held, base := p.stats.held()
 	next := placement.BalanceSets(held, p.load, params)
 	m := expertmap.Map{SlotsPerRank: params.SlotsPerRank}
 	f := Forecast{Distance: distance}
 	top, topAfter, mean := 0.0, 0.0, 0.0
 	for set := range next {
 		before := placement.SetTimes(held[set], p.load[set], params.Slowdown)
-		top += highest(before)
-		topAfter += highest(placement.SetTimes(next[set], p.load[set], params.Slowdown))
+		top += maxOf(before)
+		topAfter += maxOf(placement.SetTimes(next[set], p.load[set], params.Slowdown))
 		mean += meanOf(before)
-		f.Copies += copies(held[set], next[set])
-		m.Layers = append(m.Layers, layer(next[set], params.SlotsPerRank))
+		f.Copies += countNewExperts(held[set], next[set])
+		m.Layers = append(m.Layers, layerSlots(next[set], params.SlotsPerRank))
 	}
 	if mean > 0 {
 		f.ImbalanceBefore, f.ImbalanceAfter = top/mean, topAfter/mean
 	}
-	f.IsWorthwhile = f.ImbalanceBefore-f.ImbalanceAfter > leastChange*ease
+	f.IsWorthwhile = f.ImbalanceBefore-f.ImbalanceAfter > minChangeGain*ease
 	return m, base, f
 }
 
-// freshAtOnce is how many experts may be new to a rank in one change.
-func freshAtOnce(shape *wire.GroupShape) int {
+// maxNewExperts is how many experts may be new to a rank in one change.
+func maxNewExperts(shape *wire.GroupShape) int {
 	if shape.CopyUS == 0 {
 		return 1
 	}
-	return max(int(copySpan/(time.Duration(shape.CopyUS)*time.Microsecond)), 1)
+	return max(int(copyTimeLimit/(time.Duration(shape.CopyUS)*time.Microsecond)), 1)
 }
 
 // MaxCopyTime is how long the ranks copy experts in one change at most, 0 if that is not known.
 func MaxCopyTime(shape *wire.GroupShape) time.Duration {
-	return time.Duration(freshAtOnce(shape)) * time.Duration(shape.CopyUS) * time.Microsecond
+	return time.Duration(maxNewExperts(shape)) * time.Duration(shape.CopyUS) * time.Microsecond
 }
 
 // observe takes an interval's counts into the load, and returns their distance from it.
@@ -112,16 +112,16 @@
 	if placement.Sum(tokens) == 0 && p.load != nil {
 		return 0
 	}
-	weight, distance := picksWeight, p.load.Distance(tokens)
-	if distance > jump {
+	weight, distance := selectionsWeight, p.load.Distance(tokens)
+	if distance > jumpDistance {
 		weight = 1
 	}
 	p.load = p.load.Observe(tokens, weight)
 	return distance
 }
 
-// copies counts the experts that are new to a rank.
-func copies(before, after [][]uint16) int {
+// countNewExperts counts the experts that are new to a rank.
+func countNewExperts(before, after [][]uint16) int {
 	n := 0
 	for r := range after {
 		for _, e := range after[r] {
@@ -133,8 +133,8 @@
 	return n
 }
 
-// layer writes the ranks' experts into slots.
-func layer(held [][]uint16, slots int) []uint16 {
+// layerSlots writes the ranks' experts into slots.
+func layerSlots(held [][]uint16, slots int) []uint16 {
 	out := make([]uint16, 0, len(held)*slots)
 	for _, list := range held {
 		out = append(out, list...)
@@ -145,7 +145,7 @@
 	return out
 }
 
-func highest(v []float64) float64 {
+func maxOf(v []float64) float64 {
 	top := 0.0
 	for _, x := range v {
 		top = max(top, x)
--- a/internal/planner/picks.go
+++ b/internal/planner/picks.go
@@ -7,17 +7,17 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// picks is what the ranks counted last, and the experts that they hold.
-type picks struct {
+// rankStats is what the ranks counted last, and the experts that they hold.
+type rankStats struct {
 	// ranks is what each rank said last, by rank; reported are those that did since the
 	// last plan.
-	ranks    map[uint32]*rankState
+	ranks    map[uint32]*rankStat
 	reported map[uint32]bool
 }
 
-// rankState is what a rank said last.
-type rankState struct {
-	pace float64
+// rankStat is what a rank said last.
+type rankStat struct {
+	slowdown float64
 	// counts are the choices between its last two reports, by set and expert.
 	counts  [][]uint32
 	version uint64
@@ -25,26 +25,26 @@
 	held [][]uint16
 }
 
-// state returns what is known of a rank.
-func (p *picks) state(number uint32) *rankState {
+// rank returns what is known of a rank.
+func (p *rankStats) rank(number uint32) *rankStat {
 	if p.ranks == nil {
-		p.ranks, p.reported = make(map[uint32]*rankState), make(map[uint32]bool)
+		p.ranks, p.reported = make(map[uint32]*rankStat), make(map[uint32]bool)
 	}
 	s := p.ranks[number]
 	if s == nil {
-		s = &rankState{}
+		s = &rankStat{}
 		p.ranks[number] = s
 	}
 	return s
 }
 
 // add takes a report.
-func (p *picks) add(l *wire.ExpertLoad) {
+func (p *rankStats) add(l *wire.ExpertLoad) {
 	for i := range l.Ranks {
 		number := l.FirstRank + uint32(i)
-		s := p.state(number)
+		s := p.rank(number)
 		p.reported[number] = true
-		s.pace, s.counts = l.Ranks[i].Pace, l.Ranks[i].Picks
+		s.slowdown, s.counts = l.Ranks[i].Pace, l.Ranks[i].Picks
 		// A report that was on its way during a change speaks of the map before.
 		if l.Ranks[i].Held != nil && l.Ranks[i].Version >= s.version {
 			s.version, s.held = l.Ranks[i].Version, l.Ranks[i].Held
@@ -52,8 +52,8 @@
 	}
 }
 
-// lacks reports whether a report leaves out experts that are not known here.
-func (p *picks) lacks(l *wire.ExpertLoad) bool {
+// isMissingExperts reports whether a report leaves out experts that are not known here.
+func (p *rankStats) isMissingExperts(l *wire.ExpertLoad) bool {
 	for i := range l.Ranks {
 		s := p.ranks[l.FirstRank+uint32(i)]
 		if s != nil && l.Ranks[i].Held == nil && (s.held == nil || s.version < l.Ranks[i].Version) {
@@ -63,9 +63,9 @@
 	return false
 }
 
-// learn takes the experts of all ranks from the map in use, where find knows its content: a
+// syncMap takes the experts of all ranks from the map in use, where find knows its content: a
 // plan needs no report of each rank then.
-func (p *picks) learn(active expertmap.Version, find func(expertmap.Version) (expertmap.Map, bool), shape *wire.GroupShape) {
+func (p *rankStats) syncMap(active expertmap.Version, find func(expertmap.Version) (expertmap.Map, bool), shape *wire.GroupShape) {
 	if len(p.reported) == 0 {
 		return
 	}
@@ -77,13 +77,13 @@
 		return
 	}
 	for number := range shape.Ranks {
-		p.state(number)
+		p.rank(number)
 	}
-	p.adopt(rank.Version(active), m)
+	p.setMap(rank.Version(active), m)
 }
 
-// adopt notes the map that has come into force, which the planner knows.
-func (p *picks) adopt(version uint64, m expertmap.Map) {
+// setMap notes the map that has come into force, which the planner knows.
+func (p *rankStats) setMap(version uint64, m expertmap.Map) {
 	for number, s := range p.ranks {
 		held := make([][]uint16, len(m.Layers))
 		for set, slots := range m.Layers {
@@ -103,7 +103,7 @@
 
 // isComplete reports whether there is enough to plan by: as many reports as come in an
 // interval, and the experts of all ranks under one map.
-func (p *picks) isComplete(shape *wire.GroupShape) bool {
+func (p *rankStats) isComplete(shape *wire.GroupShape) bool {
 	if len(p.ranks) != int(shape.Ranks) || uint32(len(p.reported)) < min(shape.Ranks, ReportsPerInterval) {
 		return false
 	}
@@ -132,9 +132,9 @@
 	return true
 }
 
-// take returns the counts of the ranks that reported since the last call, on the mean of
+// takeMean returns the counts of the ranks that reported since the last call, on the mean of
 // them.
-func (p *picks) take(shape *wire.GroupShape) placement.Load {
+func (p *rankStats) takeMean(shape *wire.GroupShape) placement.Load {
 	out := make(placement.Load, shape.Layers)
 	for set := range out {
 		out[set] = make([]float64, shape.Experts)
@@ -152,7 +152,7 @@
 }
 
 // held returns the experts by set and rank, and the version of the map.
-func (p *picks) held() ([][][]uint16, uint64) {
+func (p *rankStats) held() ([][][]uint16, uint64) {
 	out := make([][][]uint16, len(p.ranks[0].held))
 	for set := range out {
 		for r := range uint32(len(p.ranks)) {
@@ -162,11 +162,11 @@
 	return out, p.ranks[0].version
 }
 
-// paces returns the ranks' paces as they were reported.
-func (p *picks) paces() []float64 {
+// slowdowns returns the ranks' paces as they were reported.
+func (p *rankStats) slowdowns() []float64 {
 	out := make([]float64, len(p.ranks))
 	for r := range out {
-		out[r] = p.ranks[uint32(r)].pace
+		out[r] = p.ranks[uint32(r)].slowdown
 	}
 	return out
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -22,8 +22,8 @@
 	// byHost holds the last report of each host, by its first rank.
 	byHost map[uint32]*wire.ExpertLoad
 	load   placement.Load
-	// picks is for ranks that count what their own requests chose.
-	picks picks
+	// stats is for ranks that count what their own requests chose.
+	stats rankStats
 }
 
 // New returns a Planner that knows the popularity load of before, nil if nothing.
@@ -35,23 +35,23 @@
 func (p *Planner) Load() placement.Load { return p.load }
 
 // IsMissingExperts reports whether a report leaves out experts that are not known here.
-func (p *Planner) IsMissingExperts(l *wire.ExpertLoad) bool { return p.picks.lacks(l) }
+func (p *Planner) IsMissingExperts(l *wire.ExpertLoad) bool { return p.stats.isMissingExperts(l) }
 
 // SyncMap takes the experts of all ranks from the map in use, where find knows its content.
 func (p *Planner) SyncMap(active expertmap.Version, find func(expertmap.Version) (expertmap.Map, bool), shape *wire.GroupShape) {
-	p.picks.learn(active, find, shape)
+	p.stats.syncMap(active, find, shape)
 }
 
 // SetMap notes the map that has come into force.
-func (p *Planner) SetMap(version uint64, m expertmap.Map) { p.picks.adopt(version, m) }
+func (p *Planner) SetMap(version uint64, m expertmap.Map) { p.stats.setMap(version, m) }
 
 // IsComplete reports whether there are picks enough for NextByPicks.
-func (p *Planner) IsComplete(shape *wire.GroupShape) bool { return p.picks.isComplete(shape) }
+func (p *Planner) IsComplete(shape *wire.GroupShape) bool { return p.stats.isComplete(shape) }
 
 // Add takes a report.
 func (p *Planner) Add(l *wire.ExpertLoad) {
 	if len(l.Ranks) > 0 && l.Ranks[0].Picks != nil {
-		p.picks.add(l)
+		p.stats.add(l)
 		return
 	}
 	p.byHost[l.FirstRank] = l
@@ -78,7 +78,7 @@
 
 // NextByTokens returns the map that the planner wants, and whether it is worth the change.
 func (p *Planner) NextByTokens(present expertmap.Map, reports []wire.RankLoad, shape *wire.GroupShape) (expertmap.Map, bool) {
-	tokens, byRank, times, ok := sum(present, reports, int(shape.Experts))
+	tokens, byRank, times, ok := sumTokens(present, reports, int(shape.Experts))
 	if !ok {
 		return expertmap.Map{}, false
 	}
@@ -94,9 +94,9 @@
 	return expertmap.Map{SlotsPerRank: out.SlotsPerRank, Layers: out.Layers}, true
 }
 
-// sum adds up the tokens by layer and expert, and by rank. It refuses reports that do
+// sumTokens adds up the tokens by layer and expert, and by rank. It refuses reports that do
 // not have the map's shape, as after a change between them.
-func sum(m expertmap.Map, reports []wire.RankLoad, experts int) (tokens placement.Load, byRank, times []float64, ok bool) {
+func sumTokens(m expertmap.Map, reports []wire.RankLoad, experts int) (tokens placement.Load, byRank, times []float64, ok bool) {
 	tokens = make(placement.Load, len(m.Layers))
 	for l := range tokens {
 		tokens[l] = make([]float64, experts)
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -32,14 +32,14 @@
 		{StepUS: 10, Tokens: [][]uint32{{5, 7}}},
 		{StepUS: 20, Tokens: [][]uint32{{3, 1}}},
 	}
-	tokens, byRank, times, ok := sum(m, reports, 3)
+	tokens, byRank, times, ok := sumTokens(m, reports, 3)
 	require.True(t, ok)
 	require.Equal(t, []float64{5, 10, 1}, tokens[0])
 	require.Equal(t, []float64{12, 4}, byRank)
 	require.Equal(t, []float64{10, 20}, times)
 
 	reports[1].Tokens = [][]uint32{{3}}
-	_, _, _, ok = sum(m, reports, 3)
+	_, _, _, ok = sumTokens(m, reports, 3)
 	require.False(t, ok, "a report of another map's shape")
 }
 
@@ -73,16 +73,16 @@
 // A group follows a jump of popularity when its slowest rank has copied what is new to
 // it: a change asks each rank to copy one expert, whatever the number of sets. That holds
 // also where the configuration bounds nothing.
-func TestChangeAfterAJumpIsSoonCopied(t *testing.T) {
+func TestChangeAfterAJumpCopiesOneExpertPerRank(t *testing.T) {
 	for _, spare := range []uint32{0, 3} {
 		shape := shapeOf(12, spare)
 		p := New(nil)
 		for r := range 12 {
-			require.False(t, p.picks.isComplete(shape))
+			require.False(t, p.stats.isComplete(shape))
 			p.Add(report(r, 12, 0, 12, 1))
 		}
-		require.True(t, p.picks.isComplete(shape))
-		held, _ := p.picks.held()
+		require.True(t, p.stats.isComplete(shape))
+		held, _ := p.stats.held()
 		next, _, f := p.NextBySelections(shape, 1)
 		require.True(t, f.IsWorthwhile, "spare %d", spare)
 		require.Less(t, f.ImbalanceAfter, f.ImbalanceBefore)
@@ -97,18 +97,18 @@
 			}
 			require.LessOrEqual(t, fresh, 1, "rank %d", r)
 		}
-		require.False(t, p.picks.isComplete(shape), "each report counts once")
+		require.False(t, p.stats.isComplete(shape), "each report counts once")
 	}
 }
 
 // Where passes have room, a change has to gain more: nobody waits for it.
-func TestChangeHasToGainMoreWherePassesHaveRoom(t *testing.T) {
+func TestMinGainRisesWhilePassesAreFast(t *testing.T) {
 	const late = 120 * time.Millisecond
 	for _, c := range []struct {
 		pass, late time.Duration
 		least      float64
 	}{
-		{0, late, 1}, {late, 0, 1}, {44 * time.Millisecond, late, easeChange}, {66 * time.Millisecond, late, 2.5},
+		{0, late, 1}, {late, 0, 1}, {44 * time.Millisecond, late, maxGainFactor}, {66 * time.Millisecond, late, 2.5},
 		{84 * time.Millisecond, late, 1}, {late, late, 1}, {2 * late, late, 1},
 	} {
 		require.InDelta(t, c.least, GainFactor(c.pass, c.late), 0.001, "%v of %v", c.pass, c.late)
@@ -123,30 +123,30 @@
 	for r := range 12 {
 		p.Add(report(r, 12, 0, 1, 2, 3, 4, 5))
 	}
-	_, _, f = p.NextBySelections(shapeOf(12, 3), 1.01*gain/leastChange)
+	_, _, f = p.NextBySelections(shapeOf(12, 3), 1.01*gain/minChangeGain)
 	require.False(t, f.IsWorthwhile)
 }
 
 // A planner goes on from its own change without a report of each rank, and isn't taken
 // back by a report that was on its way.
-func TestPlannerKnowsItsOwnMap(t *testing.T) {
+func TestLateReportDoesNotRevertTheMap(t *testing.T) {
 	shape := shapeOf(24, 0)
 	p := New(nil)
 	for r := range 24 {
 		p.Add(report(r, 24, 0, 1))
 	}
 	next, _, _ := p.NextBySelections(shape, 1)
-	p.picks.adopt(7, next)
+	p.stats.setMap(7, next)
 	for r := range ReportsPerInterval {
 		late := report(r, 24, 0, 1)
 		late.Ranks[0].Version = 3
 		p.Add(late)
 	}
-	require.True(t, p.picks.isComplete(shape))
-	held, version := p.picks.held()
+	require.True(t, p.stats.isComplete(shape))
+	held, version := p.stats.held()
 	require.Equal(t, uint64(7), version)
 	for set := range held {
-		require.Equal(t, next.Layers[set], layer(held[set], 8))
+		require.Equal(t, next.Layers[set], layerSlots(held[set], 8))
 	}
 }
 
@@ -172,7 +172,7 @@
 				}
 				p.Add(&wire.ExpertLoad{FirstRank: uint32(r), Ranks: []wire.RankLoad{l}})
 			}
-			load := p.picks.take(shape)
+			load := p.stats.takeMean(shape)
 			for b.Loop() {
 				p.load = load
 				p.NextBySelections(shape, 1)
@@ -184,7 +184,7 @@
 // Load pattern: a new epoch, or a planning host that has started anew in one. The experts of
 // all ranks are known from the map, so the first plan needs the reports of one interval, not
 // one of each rank.
-func TestPlanOfANewEpochNeedsOneInterval(t *testing.T) {
+func TestFirstPlanNeedsReportsOfOneInterval(t *testing.T) {
 	const ranks = 129
 	shape := &wire.GroupShape{Ranks: ranks, Experts: 72, Layers: 4, SlotsPerRank: 8}
 	first := rank.FirstMap(ranks, 8, 4, 72)
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// full returns a table at its bounds, with two ends a request.
-func full() *Table {
+// fullTable returns a table at its bounds, with two ends a request.
+func fullTable() *Table {
 	t := NewTable(DefaultLimits)
 	for n := range DefaultLimits.Total {
 		for e := range 2 {
 			s := Suspicion{
-				Fingerprint: print(n), Workspace: fmt.Sprint("w", n%16), Incarnation: Incarnation{Upstream: fmt.Sprintf("i-%08x", n/10*2+e)},
+				Fingerprint: testFingerprint(n), Workspace: fmt.Sprint("w", n%16), Incarnation: Incarnation{Upstream: fmt.Sprintf("i-%08x", n/10*2+e)},
 				Request: fmt.Sprintf("%016x", n), AgeMS: int64(n * 10),
 			}
 			t.add(s, time.Hour)
@@ -23,17 +23,17 @@
 
 // What each request costs: nearly all are not known.
 func BenchmarkVerdict(b *testing.B) {
-	t := full()
+	t := fullTable()
 	for b.Loop() {
 		t.Verdict(Fingerprint{0xff}, time.Hour)
 	}
 }
 
 // What news cost a host whose table is full.
-func BenchmarkJudge(b *testing.B) {
-	t := full()
+func BenchmarkUpdateVerdicts(b *testing.B) {
+	t := fullTable()
 	for b.Loop() {
-		t.judge()
+		t.updateVerdicts()
 	}
 }
 
@@ -50,6 +50,6 @@
 func BenchmarkFullTable(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		full()
+		fullTable()
 	}
 }
--- a/internal/quarantine/chance_test.go
+++ b/internal/quarantine/chance_test.go
@@ -11,38 +11,38 @@
 	"github.com/stretchr/testify/require"
 )
 
-// world is a service whose upstreams end, by requests and from outside. Requests that run on
+// simulation is a service whose upstreams end, by requests and from outside. Requests that run on
 // one that ends come back, at the worst all at once and together with what ended it.
-type world struct {
+type simulation struct {
 	// upstreams in one group: all break when one ends. beside run on each.
-	upstreams, beside int
+	upstreams, requestsPerUpstream int
 	// guilty are the requests that end whoever runs them, asked again as soon as there is
 	// something to run them; copies of each are asked at once.
 	guilty, copies int
-	// outside is the chance that a spell without an end ends with one from outside, of herd
+	// outsideCrashChance is the chance that a spell without an end ends with one from outside, of herd
 	// upstreams at once.
-	outside float64
-	herd    int
-	// returns is the chance that an innocent request comes back.
-	returns float64
+	outsideCrashChance float64
+	outsideCrashes     int
+	// retryChance is the chance that an innocent request comes back.
+	retryChance float64
 	// popular is how many innocent requests run on every second upstream, again and again.
 	popular int
 }
 
 // result is what came of a world.
 type result struct {
-	// ends are the most upstreams that one guilty request ended, spells how often the group
+	// crashes are the most upstreams that one guilty request ended, spells how often the group
 	// broke by it.
-	ends, spells int
+	crashes, outages int
 	// innocent are the innocent requests that were suspected, held those that were held, and
 	// refused those that came back then.
-	innocent, held, refused int
+	innocent, quarantined, refused int
 }
 
-// spell is how long the group is out after an end, and longer than callers wait.
-const spell = 5 * time.Second
+// roundTime is how long the group is out after an end, and longer than callers wait.
+const roundTime = 5 * time.Second
 
-func (w world) run(seed uint64, spells int) result {
+func (w simulation) run(seed uint64, spells int) result {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	table := NewTable(Limits{PerWorkspace: 1 << 20, Total: 1 << 20})
 	next := 1000
@@ -52,10 +52,10 @@
 	var answered time.Duration
 	ends, broke := map[int]int{}, map[int]int{}
 	for s := range spells {
-		now += spell
+		now += roundTime
 		on := make([][]int, w.upstreams)
 		for u := range on {
-			for range w.beside {
+			for range w.requestsPerUpstream {
 				next++
 				on[u] = append(on[u], next)
 			}
@@ -71,7 +71,7 @@
 			return u
 		}
 		for _, n := range back {
-			if table.Verdict(print(n), now) == Quarantined {
+			if table.Verdict(testFingerprint(n), now) == Quarantined {
 				refused[n] = true
 				continue
 			}
@@ -80,7 +80,7 @@
 		back = nil
 		gone := map[int]bool{}
 		for g := 1; g <= w.guilty; g++ {
-			if table.Verdict(print(g), now) == Quarantined {
+			if table.Verdict(testFingerprint(g), now) == Quarantined {
 				continue
 			}
 			broke[g]++
@@ -95,24 +95,24 @@
 				}
 			}
 		}
-		if len(gone) == 0 && rng.Float64() < w.outside {
-			for range w.herd {
+		if len(gone) == 0 && rng.Float64() < w.outsideCrashChance {
+			for range w.outsideCrashes {
 				gone[rng.IntN(w.upstreams)] = true
 			}
 		}
 		for _, u := range slices.Sorted(maps.Keys(gone)) {
-			all := ended(fmt.Sprint(u, "/", s), on[u]...)
+			all := crashUnder(fmt.Sprint(u, "/", s), on[u]...)
 			for i := range all {
 				all[i].AgeMS, all[i].RanMS = int64(rng.IntN(30)), int64(200+rng.IntN(100))
 				// The hosts that had answers of the popular ones know better.
-				isPopular := all[i].Fingerprint.compare(print(100)) >= 0 && all[i].Fingerprint.compare(print(100+w.popular)) < 0
-				all[i].IsCleared = isPopular && answered > 0 && now-answered < trustAnswer
+				isPopular := all[i].Fingerprint.compare(testFingerprint(100)) >= 0 && all[i].Fingerprint.compare(testFingerprint(100+w.popular)) < 0
+				all[i].IsCleared = isPopular && answered > 0 && now-answered < trustAfterAnswer
 			}
 			table.Add(all, now)
 			for _, n := range on[u] {
 				if n >= 100 {
 					suspected[n] = true
-					if rng.Float64() < w.returns {
+					if rng.Float64() < w.retryChance {
 						back = append(back, n)
 					}
 				}
@@ -123,22 +123,22 @@
 			answered = now
 			for _, all := range on {
 				for _, n := range all {
-					table.Clear(print(n), now)
+					table.Clear(testFingerprint(n), now)
 				}
 			}
 		}
 		for n := range suspected {
-			held[n] = held[n] || table.Verdict(print(n), now) == Quarantined
+			held[n] = held[n] || table.Verdict(testFingerprint(n), now) == Quarantined
 		}
 	}
 	var r result
 	for g := 1; g <= w.guilty; g++ {
-		r.ends, r.spells = max(r.ends, ends[g]), max(r.spells, broke[g])
+		r.crashes, r.outages = max(r.crashes, ends[g]), max(r.outages, broke[g])
 	}
 	for n := range suspected {
 		r.innocent++
 		if held[n] {
-			r.held++
+			r.quarantined++
 		}
 	}
 	r.refused = len(refused)
@@ -146,7 +146,7 @@
 }
 
 // How soon a guilty request is found out, and how often an innocent one is taken for it.
-func TestChanceOfAWrongVerdict(t *testing.T) {
+func TestGuiltyRequestIsFoundAndInnocentOnesAreServed(t *testing.T) {
 	const (
 		seeds = 100
 		// mostRefused is the share of the innocent requests on upstreams that ended which may
@@ -155,33 +155,33 @@
 	)
 	for _, c := range []struct {
 		name string
-		world
+		simulation
 		// spells is how often the group may break by one request.
 		spells int
 	}{
-		{"ends from outside", world{upstreams: 12, beside: 5, outside: 0.5, herd: 1, returns: 0.5}, 0},
-		{"herds from outside", world{upstreams: 12, beside: 5, outside: 0.5, herd: 3, returns: 0.5}, 0},
-		{"herds and popular requests", world{upstreams: 12, beside: 5, outside: 0.5, herd: 4, returns: 0.5, popular: 3}, 0},
-		{"one guilty, few come back", world{upstreams: 12, beside: 5, guilty: 1, copies: 1, returns: 0.2}, 3},
-		{"one guilty, all come back", world{upstreams: 12, beside: 10, guilty: 1, copies: 1, returns: 1}, 3},
-		{"one guilty, asked by four", world{upstreams: 12, beside: 5, guilty: 1, copies: 4, returns: 0.5}, 3},
-		{"two guilty at once", world{upstreams: 12, beside: 5, guilty: 2, copies: 1, returns: 0.5}, 4},
-		{"one guilty among ends from outside", world{upstreams: 12, beside: 5, guilty: 1, copies: 1, outside: 0.5, herd: 2, returns: 0.5}, 3},
-		{"one guilty in a group of 129", world{upstreams: 129, beside: 6, guilty: 1, copies: 1, returns: 1}, 3},
+		{"ends from outside", simulation{upstreams: 12, requestsPerUpstream: 5, outsideCrashChance: 0.5, outsideCrashes: 1, retryChance: 0.5}, 0},
+		{"herds from outside", simulation{upstreams: 12, requestsPerUpstream: 5, outsideCrashChance: 0.5, outsideCrashes: 3, retryChance: 0.5}, 0},
+		{"herds and popular requests", simulation{upstreams: 12, requestsPerUpstream: 5, outsideCrashChance: 0.5, outsideCrashes: 4, retryChance: 0.5, popular: 3}, 0},
+		{"one guilty, few come back", simulation{upstreams: 12, requestsPerUpstream: 5, guilty: 1, copies: 1, retryChance: 0.2}, 3},
+		{"one guilty, all come back", simulation{upstreams: 12, requestsPerUpstream: 10, guilty: 1, copies: 1, retryChance: 1}, 3},
+		{"one guilty, asked by four", simulation{upstreams: 12, requestsPerUpstream: 5, guilty: 1, copies: 4, retryChance: 0.5}, 3},
+		{"two guilty at once", simulation{upstreams: 12, requestsPerUpstream: 5, guilty: 2, copies: 1, retryChance: 0.5}, 4},
+		{"one guilty among ends from outside", simulation{upstreams: 12, requestsPerUpstream: 5, guilty: 1, copies: 1, outsideCrashChance: 0.5, outsideCrashes: 2, retryChance: 0.5}, 3},
+		{"one guilty in a group of 129", simulation{upstreams: 129, requestsPerUpstream: 6, guilty: 1, copies: 1, retryChance: 1}, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var all result
 			sum := 0
 			for seed := range uint64(seeds) {
 				r := c.run(seed, 12)
-				all.ends, all.spells = max(all.ends, r.ends), max(all.spells, r.spells)
-				sum += r.spells
+				all.crashes, all.outages = max(all.crashes, r.crashes), max(all.outages, r.outages)
+				sum += r.outages
 				all.innocent += r.innocent
-				all.held += r.held
+				all.quarantined += r.quarantined
 				all.refused += r.refused
 			}
-			t.Logf("spells %.2f, most %d, ends %d, of %d suspected %d held, %d refused", float64(sum)/seeds, all.spells, all.ends, all.innocent, all.held, all.refused)
-			require.LessOrEqual(t, all.spells, c.spells)
+			t.Logf("spells %.2f, most %d, ends %d, of %d suspected %d held, %d refused", float64(sum)/seeds, all.outages, all.crashes, all.innocent, all.quarantined, all.refused)
+			require.LessOrEqual(t, all.outages, c.spells)
 			require.LessOrEqual(t, float64(all.refused), mostRefused*float64(all.innocent))
 		})
 	}
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -54,7 +54,7 @@
 	if e.Verdict == Quarantined {
 		e.Remaining = r.until - now
 	}
-	for end, s := range r.ends {
+	for end, s := range r.crashes {
 		if !s.isCleared {
 			e.Crashes = append(e.Crashes, EntryCrash{Incarnation: end, Request: s.request, Age: now - s.at})
 		}
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -7,7 +7,7 @@
 )
 
 // The same request has one fingerprint on all hosts, and nothing else has it.
-func TestFingerprintTellsRequestsApart(t *testing.T) {
+func TestFingerprintDiffersByRequestField(t *testing.T) {
 	base := Request{Workspace: "w", Method: "POST", Host: "h", Target: "/a?b", Body: []byte("body")}
 	one := NewHasher("secret").Of(&base)
 	require.Equal(t, one, NewHasher("secret").Of(&base))
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -25,17 +25,17 @@
 // Keeper is what one host knows of the requests under which upstreams ended: what it saw
 // itself, and what others told. It is safe for concurrent use.
 type Keeper struct {
-	cfg                                Config
-	suspicions, cleared, told, refused metrics.Counter
-	held                               metrics.Gauge
+	cfg                                    Config
+	suspicions, cleared, received, refused metrics.Counter
+	quarantined                            metrics.Gauge
 
 	// mu guards the fields below.
 	mu       sync.Mutex
 	table    *Table
-	broken   runs
-	answered answers
-	// known are the requests that were last found to be held.
-	known []Fingerprint
+	failed   failedAttempts
+	answered recentAnswers
+	// lastQuarantined are the requests that were last found to be held.
+	lastQuarantined []Fingerprint
 }
 
 // NewKeeper returns a Keeper that knows of nothing.
@@ -45,7 +45,7 @@
 	}
 	return &Keeper{
 		cfg: cfg, table: NewTable(cfg.Limits), suspicions: counter("suspicions"), cleared: counter("cleared"),
-		told: counter("told"), refused: counter("refused"), held: metrics.GetOrRegisterGauge("quarantine.held", cfg.Metrics),
+		received: counter("told"), refused: counter("refused"), quarantined: metrics.GetOrRegisterGauge("quarantine.held", cfg.Metrics),
 	}
 }
 
@@ -62,8 +62,8 @@
 // UpstreamCrashed tells that an upstream is known to have ended under a run.
 func (k *Keeper) UpstreamCrashed(r Attempt) {
 	k.update(func(now time.Duration) []Suspicion {
-		found := k.broken.take(now, func(b *Attempt) bool { return b.Incarnation == r.Incarnation })
-		return k.suspect(append(found, r.suspicion(0)), now)
+		found := k.failed.take(now, func(b *Attempt) bool { return b.Incarnation == r.Incarnation })
+		return k.addOwn(append(found, r.suspicion(0)), now)
 	})
 }
 
@@ -72,33 +72,33 @@
 func (k *Keeper) AttemptFailed(r Attempt, isAlive bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	wait := brokenFor
+	wait := failedAttemptLifetime
 	if isAlive {
-		wait = aliveFor
+		wait = failedAttemptLifetimeIfAlive
 	}
 	now := k.cfg.Now()
-	k.broken.add(r, now, now+wait)
+	k.failed.add(r, now, now+wait)
 }
 
 // UpstreamStarted tells which upstream is at an address now. Others that were there have ended.
 func (k *Keeper) UpstreamStarted(end Incarnation, address string) {
 	k.mu.Lock()
-	isAwaited := len(k.broken.all) > 0
+	isAwaited := len(k.failed.all) > 0
 	k.mu.Unlock()
 	if !isAwaited {
 		return
 	}
 	k.update(func(now time.Duration) []Suspicion {
-		return k.suspect(k.broken.take(now, func(r *Attempt) bool {
+		return k.addOwn(k.failed.take(now, func(r *Attempt) bool {
 			return r.Incarnation != end && (r.Address == address || r.Incarnation.Upstream == end.Upstream && r.Incarnation.Born < end.Born)
 		}), now)
 	})
 }
 
-// suspect takes in what this host has seen. The caller holds mu.
-func (k *Keeper) suspect(all []Suspicion, now time.Duration) []Suspicion {
+// addOwn takes in what this host has seen. The caller holds mu.
+func (k *Keeper) addOwn(all []Suspicion, now time.Duration) []Suspicion {
 	for i := range all {
-		all[i].IsCleared = k.answered.speakFor(all[i].Fingerprint, now)
+		all[i].IsCleared = k.answered.isTrusted(all[i].Fingerprint, now)
 	}
 	news := k.table.Add(all, now)
 	for _, s := range news {
@@ -141,12 +141,12 @@
 
 // Merge takes in what another host tells.
 func (k *Keeper) Merge(all []Suspicion) {
-	k.told.Inc(int64(len(all)))
+	k.received.Inc(int64(len(all)))
 	k.update(func(now time.Duration) []Suspicion {
 		news := k.table.Add(all, now)
 		var own []Suspicion
 		for _, s := range news {
-			if !s.IsCleared && k.answered.speakFor(s.Fingerprint, now) {
+			if !s.IsCleared && k.answered.isTrusted(s.Fingerprint, now) {
 				own = append(own, k.clear(s.Fingerprint, now)...)
 			}
 		}
@@ -161,32 +161,32 @@
 func (k *Keeper) update(change func(now time.Duration) []Suspicion) {
 	k.mu.Lock()
 	news := change(k.cfg.Now())
-	k.note()
+	k.logChanges()
 	k.mu.Unlock()
 	if len(news) > 0 && k.cfg.Publish != nil {
 		k.cfg.Publish(news)
 	}
 }
 
-// note says which requests are held now that were not before, and the other way round. The
+// logChanges says which requests are held now that were not before, and the other way round. The
 // caller holds mu.
-func (k *Keeper) note() {
+func (k *Keeper) logChanges() {
 	now := k.cfg.Now()
 	held := k.table.Quarantined(now)
-	k.held.Update(int64(len(held)))
+	k.quarantined.Update(int64(len(held)))
 	for _, f := range held {
-		if !slices.Contains(k.known, f) {
+		if !slices.Contains(k.lastQuarantined, f) {
 			e := k.table.Entry(f, now)
 			k.cfg.Log.Warn("request held: upstreams ended under it", "fingerprint", f.String(), "workspace", e.Workspace,
 				"ends", len(e.Crashes), "requests", e.requests(), "upstreams", e.upstreams(), "for_s", int64(e.Remaining.Seconds()))
 		}
 	}
-	for _, f := range k.known {
+	for _, f := range k.lastQuarantined {
 		if !slices.Contains(held, f) {
 			k.cfg.Log.Info("request held no more", "fingerprint", f.String())
 		}
 	}
-	k.known = held
+	k.lastQuarantined = held
 }
 
 // Sweep forgets what is past. It is called now and then.
--- a/internal/quarantine/page.go
+++ b/internal/quarantine/page.go
@@ -5,20 +5,20 @@
 	"net/http"
 )
 
-// page is a list of entries as it is shown, in the form of the administration API.
-type page struct {
-	Requests []pageEntry `json:"requests"`
+// quarantineList is a list of entries as it is shown, in the form of the administration API.
+type quarantineList struct {
+	Requests []listEntry `json:"requests"`
 }
 
-type pageEntry struct {
-	Fingerprint string    `json:"fingerprint"`
-	Workspace   string    `json:"workspace"`
-	Verdict     string    `json:"verdict"`
-	ForSeconds  int64     `json:"forSeconds"`
-	Ends        []pageEnd `json:"ends"`
+type listEntry struct {
+	Fingerprint string      `json:"fingerprint"`
+	Workspace   string      `json:"workspace"`
+	Verdict     string      `json:"verdict"`
+	ForSeconds  int64       `json:"forSeconds"`
+	Crashes     []listCrash `json:"ends"`
 }
 
-type pageEnd struct {
+type listCrash struct {
 	Upstream   string `json:"upstream"`
 	Request    string `json:"request"`
 	AgeSeconds int64  `json:"ageSeconds"`
@@ -36,7 +36,7 @@
 // nobody who they are: it belongs on a listener that callers can't reach.
 func Handler(k *Keeper) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+Path, func(w http.ResponseWriter, _ *http.Request) { reply(w, pageOf(k.List())) })
+	mux.HandleFunc("GET "+Path, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, newQuarantineList(k.List())) })
 	mux.HandleFunc("DELETE "+Path+"/{fingerprint}", func(w http.ResponseWriter, r *http.Request) {
 		f, err := ParseFingerprint(r.PathValue("fingerprint"))
 		if err != nil {
@@ -45,27 +45,27 @@
 		}
 		isReleased := k.Release(f)
 		k.cfg.Log.Warn("request released by an operator", "fingerprint", f.String(), "author", r.RemoteAddr, "was_held", isReleased)
-		reply(w, released{Fingerprint: f.String(), IsReleased: isReleased})
+		writeJSON(w, released{Fingerprint: f.String(), IsReleased: isReleased})
 	})
 	return mux
 }
 
-func pageOf(all []Entry) page {
-	out := page{Requests: []pageEntry{}}
+func newQuarantineList(all []Entry) quarantineList {
+	out := quarantineList{Requests: []listEntry{}}
 	for _, e := range all {
-		p := pageEntry{
+		p := listEntry{
 			Fingerprint: e.Fingerprint.String(), Workspace: e.Workspace, Verdict: e.Verdict.String(), ForSeconds: int64(e.Remaining.Seconds()),
-			Ends: []pageEnd{},
+			Crashes: []listCrash{},
 		}
 		for _, end := range e.Crashes {
-			p.Ends = append(p.Ends, pageEnd{Upstream: end.Upstream, Request: end.Request, AgeSeconds: int64(end.Age.Seconds())})
+			p.Crashes = append(p.Crashes, listCrash{Upstream: end.Upstream, Request: end.Request, AgeSeconds: int64(end.Age.Seconds())})
 		}
 		out.Requests = append(out.Requests, p)
 	}
 	return out
 }
 
-func reply(w http.ResponseWriter, body any) {
+func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/quarantine/runs.go
+++ b/internal/quarantine/runs.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// brokenFor is for how long it counts that an answer broke off: an upstream that is found
+	// failedAttemptLifetime is for how long it counts that an answer broke off: an upstream that is found
 	// to have started anew by then ended under the request.
-	brokenFor = 5 * time.Second
-	// aliveFor is that where the upstream took a connection just after. What took it may be
+	failedAttemptLifetime = 5 * time.Second
+	// failedAttemptLifetimeIfAlive is that where the upstream took a connection just after. What took it may be
 	// the next start already, of one that is back at once.
-	aliveFor = time.Second
-	// mostBroken bounds the broken answers that are remembered, the latest.
-	mostBroken = 256
-	// trustAnswer is for how long a whole answer speaks for a request: upstreams that end
+	failedAttemptLifetimeIfAlive = time.Second
+	// maxFailedAttempts bounds the broken answers that are remembered, the latest.
+	maxFailedAttempts = 256
+	// trustAfterAnswer is for how long a whole answer speaks for a request: upstreams that end
 	// meanwhile did not end by it.
-	trustAnswer = 30 * time.Second
-	// mostAnswered bounds the answers that are remembered, the latest.
-	mostAnswered = 1024
-	// mostIDBytes is how much is kept of the id that a caller gave its request.
-	mostIDBytes = 64
+	trustAfterAnswer = 30 * time.Second
+	// maxAnswers bounds the answers that are remembered, the latest.
+	maxAnswers = 1024
+	// maxRequestIDBytes is how much is kept of the id that a caller gave its request.
+	maxRequestIDBytes = 64
 )
 
 // Attempt is an attempt that may have run and got no whole answer.
@@ -40,32 +40,32 @@
 // long ago.
 func (r *Attempt) suspicion(age time.Duration) Suspicion {
 	return Suspicion{
-		Fingerprint: r.Fingerprint, Workspace: r.Workspace, Incarnation: r.Incarnation, Service: r.Service, Request: r.Request[:min(len(r.Request), mostIDBytes)],
+		Fingerprint: r.Fingerprint, Workspace: r.Workspace, Incarnation: r.Incarnation, Service: r.Service, Request: r.Request[:min(len(r.Request), maxRequestIDBytes)],
 		AgeMS: age.Milliseconds(), RanMS: r.Ran.Milliseconds(),
 	}
 }
 
-// brokenRun is a Run whose answer broke off at a time, and whose upstream may turn out to
+// failedAttempt is a Run whose answer broke off at a time, and whose upstream may turn out to
 // have ended.
-type brokenRun struct {
+type failedAttempt struct {
 	Attempt
 	at, until time.Duration
 }
 
-// runs are the broken answers of one host.
-type runs struct{ all []brokenRun }
+// failedAttempts are the broken answers of one host.
+type failedAttempts struct{ all []failedAttempt }
 
-func (b *runs) add(r Attempt, at, until time.Duration) {
-	if len(b.all) >= mostBroken {
+func (b *failedAttempts) add(r Attempt, at, until time.Duration) {
+	if len(b.all) >= maxFailedAttempts {
 		b.all = b.all[1:]
 	}
-	b.all = append(b.all, brokenRun{Attempt: r, at: at, until: until})
+	b.all = append(b.all, failedAttempt{Attempt: r, at: at, until: until})
 }
 
 // take removes and returns the runs for which isEnded holds, and forgets old ones.
-func (b *runs) take(now time.Duration, isEnded func(*Attempt) bool) []Suspicion {
+func (b *failedAttempts) take(now time.Duration, isEnded func(*Attempt) bool) []Suspicion {
 	var out []Suspicion
-	b.all = slices.DeleteFunc(b.all, func(r brokenRun) bool {
+	b.all = slices.DeleteFunc(b.all, func(r failedAttempt) bool {
 		if now > r.until {
 			return true
 		}
@@ -78,15 +78,15 @@
 	return out
 }
 
-// answers are the requests that were answered whole of late, at one host.
-type answers struct {
+// recentAnswers are the requests that were answered whole of late, at one host.
+type recentAnswers struct {
 	at map[Fingerprint]time.Duration
 	// order holds them from the oldest on, beginning at next once it is full.
-	order []Fingerprint
-	next  int
+	order  []Fingerprint
+	oldest int
 }
 
-func (a *answers) add(f Fingerprint, now time.Duration) {
+func (a *recentAnswers) add(f Fingerprint, now time.Duration) {
 	if a.at == nil {
 		a.at = make(map[Fingerprint]time.Duration)
 	}
@@ -94,17 +94,17 @@
 	a.at[f] = now
 	switch {
 	case isKnown:
-	case len(a.order) < mostAnswered:
+	case len(a.order) < maxAnswers:
 		a.order = append(a.order, f)
 	default:
-		delete(a.at, a.order[a.next])
-		a.order[a.next] = f
-		a.next = (a.next + 1) % mostAnswered
+		delete(a.at, a.order[a.oldest])
+		a.order[a.oldest] = f
+		a.oldest = (a.oldest + 1) % maxAnswers
 	}
 }
 
-// speakFor reports whether the request was answered whole so lately that it is no suspect.
-func (a *answers) speakFor(f Fingerprint, now time.Duration) bool {
+// isTrusted reports whether the request was answered whole so lately that it is no suspect.
+func (a *recentAnswers) isTrusted(f Fingerprint, now time.Duration) bool {
 	at, ok := a.at[f]
-	return ok && now-at < trustAnswer
+	return ok && now-at < trustAfterAnswer
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// firstHold is for how long a request is held after the second upstream that ended under
+	// minQuarantine is for how long a request is held after the second upstream that ended under
 	// it, and how long a single end is remembered. Each further end doubles it, up to
 	// longestHold: a wrong verdict passes, and a right one costs few upstreams a day.
-	firstHold   = 10 * time.Minute
-	longestHold = 8 * time.Hour
-	// together is within what upstreams may have ended by one cause from outside, such as a
+	minQuarantine = 10 * time.Minute
+	maxQuarantine = 8 * time.Hour
+	// sharedCauseWindow is within what upstreams may have ended by one cause from outside, such as a
 	// loss of power.
-	together = time.Second
-	// slack is by how much hosts may differ in when an upstream ended: copies of a request that
+	sharedCauseWindow = time.Second
+	// crashTimeTolerance is by how much hosts may differ in when an upstream ended: copies of a request that
 	// ran at once must not count as one after the other.
-	slack = 100 * time.Millisecond
-	// enoughRuns is how many runs under which upstreams ended hold a request, as a rule.
-	enoughRuns = 2
-	// enoughEnds is how many upstreams the system promises that one request ends at most, but
+	crashTimeTolerance = 100 * time.Millisecond
+	// minExecutions is how many runs under which upstreams ended hold a request, as a rule.
+	minExecutions = 2
+	// minCrashes is how many upstreams the system promises that one request ends at most, but
 	// for copies of it that run at once.
-	enoughEnds = 3
-	// lately is for how long an upstream that ended from outside makes it likelier that the
+	minCrashes = 3
+	// recentWindow is for how long an upstream that ended from outside makes it likelier that the
 	// next one does.
-	lately = time.Minute
-	// mostEnds bounds the ends that are kept of one request, the latest.
-	mostEnds = 16
-	// mostNameBytes bounds each name in a suspicion.
-	mostNameBytes = 256
+	recentWindow = time.Minute
+	// maxCrashesPerRequest bounds the ends that are kept of one request, the latest.
+	maxCrashesPerRequest = 16
+	// maxNameBytes bounds each name in a suspicion.
+	maxNameBytes = 256
 )
 
 // Limits bound what a Table holds.
@@ -87,8 +87,8 @@
 // String names the verdict.
 func (v Verdict) String() string { return [...]string{"free", "suspect", "held"}[v] }
 
-// seen is what is known of a request at one end.
-type seen struct {
+// observation is what is known of a request at one end.
+type observation struct {
 	at, ran          time.Duration
 	service, request string
 	isCleared        bool
@@ -97,24 +97,24 @@
 // record is what is known of one request.
 type record struct {
 	workspace string
-	ends      map[Incarnation]*seen
+	crashes   map[Incarnation]*observation
 	// isSuspect tells that an end speaks against it which is not explained by another one.
 	// isHeld is the verdict, until when it holds.
-	isSuspect, isHeld bool
-	until             time.Duration
+	isSuspect, isQuarantined bool
+	until                    time.Duration
 }
 
 // Table holds the requests under which upstreams ended. It is pure: times are a monotonic
 // clock of the caller's. It is not safe for concurrent use.
 type Table struct {
-	limits  Limits
-	records map[Fingerprint]*record
-	counts  map[string]int
+	limits       Limits
+	records      map[Fingerprint]*record
+	perWorkspace map[string]int
 }
 
 // NewTable returns an empty Table.
 func NewTable(l Limits) *Table {
-	return &Table{limits: l, records: make(map[Fingerprint]*record), counts: make(map[string]int)}
+	return &Table{limits: l, records: make(map[Fingerprint]*record), perWorkspace: make(map[string]int)}
 }
 
 // Verdict returns what becomes of a request.
@@ -123,7 +123,7 @@
 	switch {
 	case r == nil:
 		return Free
-	case r.isHeld && now < r.until:
+	case r.isQuarantined && now < r.until:
 		return Quarantined
 	case r.isSuspect:
 		return Suspect
@@ -146,7 +146,7 @@
 		isChanged = isChanged || isNews || isCloser
 	}
 	if isChanged {
-		t.judge()
+		t.updateVerdicts()
 	}
 	return news
 }
@@ -155,19 +155,19 @@
 // when the request ran, which others need not hear.
 func (t *Table) add(s Suspicion, now time.Duration) (isNews, isCloser bool) {
 	at := now - time.Duration(max(s.AgeMS, 0))*time.Millisecond
-	if now-at > 2*longestHold || !s.isSound() {
+	if now-at > 2*maxQuarantine || !s.isValid() {
 		return false, false
 	}
 	r := t.records[s.Fingerprint]
 	if r == nil {
 		t.makeRoom(s.Workspace)
-		r = &record{workspace: s.Workspace, ends: make(map[Incarnation]*seen)}
+		r = &record{workspace: s.Workspace, crashes: make(map[Incarnation]*observation)}
 		t.records[s.Fingerprint] = r
-		t.counts[s.Workspace]++
+		t.perWorkspace[s.Workspace]++
 	}
-	known := r.ends[s.Incarnation]
+	known := r.crashes[s.Incarnation]
 	if known == nil {
-		return r.note(&s, at), false
+		return r.addCrash(&s, at), false
 	}
 	isCloser = at < known.at || s.ran() > known.ran
 	// The word that came with the least delay is nearest to the truth.
@@ -177,31 +177,31 @@
 	return isNews, isCloser
 }
 
-// note takes in an end of which the record knows nothing.
-func (r *record) note(s *Suspicion, at time.Duration) bool {
-	if len(r.ends) >= mostEnds {
-		oldest, first := r.oldest()
+// addCrash takes in an end of which the record knows nothing.
+func (r *record) addCrash(s *Suspicion, at time.Duration) bool {
+	if len(r.crashes) >= maxCrashesPerRequest {
+		oldest, first := r.oldestCrash()
 		if at <= first.at {
 			return false
 		}
-		delete(r.ends, oldest)
+		delete(r.crashes, oldest)
 	}
-	r.ends[s.Incarnation] = &seen{at: at, ran: s.ran(), service: s.Service, request: s.Request, isCleared: s.IsCleared}
+	r.crashes[s.Incarnation] = &observation{at: at, ran: s.ran(), service: s.Service, request: s.Request, isCleared: s.IsCleared}
 	return true
 }
 
-// isSound reports whether a suspicion may be kept: it names an upstream, and no name takes
+// isValid reports whether a suspicion may be kept: it names an upstream, and no name takes
 // more room than it may.
-func (s *Suspicion) isSound() bool {
-	return s.Incarnation.Upstream != "" && max(len(s.Incarnation.Upstream), len(s.Workspace), len(s.Service), len(s.Request)) <= mostNameBytes
+func (s *Suspicion) isValid() bool {
+	return s.Incarnation.Upstream != "" && max(len(s.Incarnation.Upstream), len(s.Workspace), len(s.Service), len(s.Request)) <= maxNameBytes
 }
 
 func (s *Suspicion) ran() time.Duration { return time.Duration(max(s.RanMS, 0)) * time.Millisecond }
 
-func (r *record) oldest() (Incarnation, *seen) {
+func (r *record) oldestCrash() (Incarnation, *observation) {
 	var end Incarnation
-	var first *seen
-	for e, s := range r.ends {
+	var first *observation
+	for e, s := range r.crashes {
 		if first == nil || s.at < first.at || s.at == first.at && e.compare(end) < 0 {
 			end, first = e, s
 		}
@@ -214,11 +214,11 @@
 	return cmp.Or(strings.Compare(e.Upstream, o.Upstream), cmp.Compare(e.Born, o.Born))
 }
 
-// last is when the last upstream ended under the request.
-func (r *record) last() time.Duration {
+// lastCrash is when the last upstream ended under the request.
+func (r *record) lastCrash() time.Duration {
 	last := time.Duration(0)
 	isFirst := true
-	for _, s := range r.ends {
+	for _, s := range r.crashes {
 		if isFirst || s.at > last {
 			last, isFirst = s.at, false
 		}
@@ -226,10 +226,10 @@
 	return last
 }
 
-// counted is how many ends speak against the request.
-func (r *record) counted() int {
+// countUncleared is how many ends speak against the request.
+func (r *record) countUncleared() int {
 	n := 0
-	for _, s := range r.ends {
+	for _, s := range r.crashes {
 		if !s.isCleared {
 			n++
 		}
@@ -240,17 +240,17 @@
 // makeRoom drops a record where a bound is reached, for one of the workspace.
 func (t *Table) makeRoom(workspace string) {
 	switch {
-	case t.counts[workspace] >= t.limits.PerWorkspace:
-		t.drop(workspace)
+	case t.perWorkspace[workspace] >= t.limits.PerWorkspace:
+		t.evict(workspace)
 	case len(t.records) >= t.limits.Total:
-		t.drop(t.largest())
+		t.evict(t.largestWorkspace())
 	}
 }
 
-// largest is the workspace that has most records.
-func (t *Table) largest() string {
+// largestWorkspace is the workspace that has most records.
+func (t *Table) largestWorkspace() string {
 	name, most := "", 0
-	for w, n := range t.counts {
+	for w, n := range t.perWorkspace {
 		if n > most || n == most && w < name {
 			name, most = w, n
 		}
@@ -258,46 +258,48 @@
 	return name
 }
 
-// drop forgets the record of a workspace that matters least.
-func (t *Table) drop(workspace string) {
+// evict forgets the record of a workspace that matters least.
+func (t *Table) evict(workspace string) {
 	singles := 0
 	for _, r := range t.records {
-		if r.workspace == workspace && r.counted() <= 1 {
+		if r.workspace == workspace && r.countUncleared() <= 1 {
 			singles++
 		}
 	}
-	wantSingle := 2*singles >= t.counts[workspace]
+	wantSingle := 2*singles >= t.perWorkspace[workspace]
 	var least Fingerprint
 	var lowest *record
 	for f, r := range t.records {
-		if r.workspace != workspace || (r.counted() <= 1) != wantSingle {
+		if r.workspace != workspace || (r.countUncleared() <= 1) != wantSingle {
 			continue
 		}
-		if lowest == nil || r.last() < lowest.last() {
+		if lowest == nil || r.lastCrash() < lowest.lastCrash() {
 			least, lowest = f, r
 		}
 	}
 	if lowest != nil {
-		t.forget(least)
+		t.remove(least)
 	}
 }
 
-// isPast reports whether the record says nothing any more at that time.
-func (r *record) isPast(now time.Duration) bool { return now >= r.last()+2*holdFor(r.counted()) }
+// isExpired reports whether the record says nothing any more at that time.
+func (r *record) isExpired(now time.Duration) bool {
+	return now >= r.lastCrash()+2*quarantineTime(r.countUncleared())
+}
 
-func (t *Table) forget(f Fingerprint) {
+func (t *Table) remove(f Fingerprint) {
 	r := t.records[f]
 	delete(t.records, f)
-	if t.counts[r.workspace]--; t.counts[r.workspace] <= 0 {
-		delete(t.counts, r.workspace)
+	if t.perWorkspace[r.workspace]--; t.perWorkspace[r.workspace] <= 0 {
+		delete(t.perWorkspace, r.workspace)
 	}
 }
 
-// holdFor is how long a request is held after the last of that many ends.
-func holdFor(ends int) time.Duration {
-	hold := firstHold
-	for range ends - enoughRuns {
-		hold = min(2*hold, longestHold)
+// quarantineTime is how long a request is held after the last of that many ends.
+func quarantineTime(ends int) time.Duration {
+	hold := minQuarantine
+	for range ends - minExecutions {
+		hold = min(2*hold, maxQuarantine)
 	}
 	return hold
 }
@@ -309,20 +311,20 @@
 		return nil
 	}
 	var news []Suspicion
-	for end, s := range r.ends {
+	for end, s := range r.crashes {
 		if !s.isCleared {
 			s.isCleared = true
 			news = append(news, r.suspicion(f, end, now))
 		}
 	}
 	if len(news) > 0 {
-		t.judge()
+		t.updateVerdicts()
 	}
 	return news
 }
 
 func (r *record) suspicion(f Fingerprint, end Incarnation, now time.Duration) Suspicion {
-	s := r.ends[end]
+	s := r.crashes[end]
 	return Suspicion{
 		Fingerprint: f, Workspace: r.workspace, Incarnation: end, Service: s.service, Request: s.request,
 		AgeMS: (now - s.at).Milliseconds(), RanMS: s.ran.Milliseconds(), IsCleared: s.isCleared,
@@ -332,8 +334,8 @@
 // Sweep forgets what is past.
 func (t *Table) Sweep(now time.Duration) {
 	for f, r := range t.records {
-		if r.isPast(now) {
-			t.forget(f)
+		if r.isExpired(now) {
+			t.remove(f)
 		}
 	}
 }
@@ -342,7 +344,7 @@
 func (t *Table) All(now time.Duration) []Suspicion {
 	var out []Suspicion
 	for f, r := range t.records {
-		for end := range r.ends {
+		for end := range r.crashes {
 			out = append(out, r.suspicion(f, end, now))
 		}
 	}
