--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -9,42 +9,42 @@
 	"github.com/pkg/errors"
 )
 
-// Entry is what a host holds against one request.
+// Entry describes a suspected or quarantined request.
 type Entry struct {
 	Fingerprint Fingerprint
 	Workspace   string
 	Verdict     Verdict
-	// Remaining is how much longer the request is held.
+	// Remaining is how much longer the request stays in quarantine.
 	Remaining time.Duration
-	// Crashes are the upstreams that ended under it, the first one first.
+	// Crashes are the uncleared crashes under the request, the oldest first.
 	Crashes []EntryCrash
 }
 
-// EntryCrash is one of them.
+// EntryCrash is a crash of an upstream while it ran the request of an Entry.
 type EntryCrash struct {
 	Incarnation
-	// Request is the id under which the request ran there, Age how long ago that was.
+	// Request is the id of the request on that upstream, Age is the time since the crash.
 	Request string
 	Age     time.Duration
 }
 
 func (e *Entry) requests() []string {
 	var out []string
-	for _, end := range e.Crashes {
-		out = append(out, end.Request)
+	for _, c := range e.Crashes {
+		out = append(out, c.Request)
 	}
 	return out
 }
 
 func (e *Entry) upstreams() []string {
 	var out []string
-	for _, end := range e.Crashes {
-		out = append(out, end.Upstream)
+	for _, c := range e.Crashes {
+		out = append(out, c.Upstream)
 	}
 	return out
 }
 
-// Entry returns what is held against a request.
+// Entry returns the verdict on a request and the crashes under it.
 func (t *Table) Entry(f Fingerprint, now time.Duration) Entry {
 	r := t.records[f]
 	if r == nil {
@@ -54,9 +54,9 @@
 	if e.Verdict == Quarantined {
 		e.Remaining = r.until - now
 	}
-	for end, s := range r.crashes {
+	for incarnation, s := range r.crashes {
 		if !s.isCleared {
-			e.Crashes = append(e.Crashes, EntryCrash{Incarnation: end, Request: s.request, Age: now - s.at})
+			e.Crashes = append(e.Crashes, EntryCrash{Incarnation: incarnation, Request: s.request, Age: now - s.at})
 		}
 	}
 	slices.SortFunc(e.Crashes, func(a, b EntryCrash) int {
@@ -65,7 +65,7 @@
 	return e
 }
 
-// Quarantined returns the requests that are sent to nobody, in a fixed order.
+// Quarantined returns the requests in quarantine, sorted by fingerprint.
 func (t *Table) Quarantined(now time.Duration) []Fingerprint {
 	var out []Fingerprint
 	for f := range t.records {
@@ -77,8 +77,8 @@
 	return out
 }
 
-// List returns what is held against requests: those that are held first, then those with
-// most ends.
+// List returns all suspected and quarantined requests. Quarantined ones come first, then those
+// with the most crashes.
 func (t *Table) List(now time.Duration) []Entry {
 	var out []Entry
 	for f := range t.records {
@@ -92,7 +92,7 @@
 	return out
 }
 
-// ParseFingerprint reads what String writes.
+// ParseFingerprint parses the form that Fingerprint.String returns.
 func ParseFingerprint(s string) (Fingerprint, error) {
 	var f Fingerprint
 	data, err := hex.DecodeString(s)
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -7,219 +7,228 @@
 	"time"
 )
 
-// crash is when an upstream of a service ended, as the first host to tell of it has it.
+// crash is a crash of an upstream. Its time is the earliest that any host reported.
 type crash struct {
 	Incarnation
 	service string
 	at      time.Duration
 }
 
-func (e crash) compare(o crash) int {
-	return cmp.Or(cmp.Compare(e.at, o.at), e.Incarnation.compare(o.Incarnation))
+func (c crash) compare(o crash) int {
+	return cmp.Or(cmp.Compare(c.at, o.at), c.Incarnation.compare(o.Incarnation))
 }
 
-// suspectsByCrash are the requests that an end speaks against, by end.
+// suspectsByCrash lists the requests to which a crash is attributed, by the incarnation that
+// crashed.
 type suspectsByCrash map[Incarnation][]Fingerprint
 
-// evaluation is what verdicts are derived from.
+// evaluation is the working state while verdicts are derived.
 type evaluation struct {
 	table *Table
-	// crashes are all that are known, the first one first; of is which one an end is.
+	// crashes are all known crashes, sorted by time. crashOf finds one by its incarnation.
 	crashes  []crash
 	crashOf  map[Incarnation]crash
 	suspects suspectsByCrash
-	// candidates are the requests that more speaks against than one upstream that ended, or two at
-	// once: the runs under which upstreams ended.
+	// candidates are the requests with enough crashes to be quarantined, with the executions
+	// under which upstreams crashed. One crash is not enough, and neither are two crashes
+	// under concurrent copies of a request.
 	candidates map[Fingerprint][]execution
 }
 
-// execution is what ended under one run of a request, or under copies of it that ran at once.
+// execution lists the crashes under one execution of a request, or under copies of it that ran
+// concurrently.
 type execution []crash
 
-// updateVerdicts derives the verdicts from all that is known. It is a function of the set of
-// suspicions, so hosts that know the same judge the same.
+// updateVerdicts derives all verdicts. They depend on the set of suspicions only, so hosts with
+// the same suspicions reach the same verdicts.
 //
-// A request is held
-//   - after two runs under which upstreams ended, as long as what ended of the service about
-//     then is explained, and nothing ended lately that is not;
-//   - after three upstreams that ended under one run, where that is explained;
-//   - after three upstreams and two runs, whatever else ended.
+// A crash is explained for a request if the request itself, or another candidate, is among the
+// requests to which the crash is attributed. A crash that is not explained hints at a cause
+// outside of the requests. A request is quarantined
+//   - after crashes under two executions, if all crashes of the service about the time of
+//     each, and all in the last recentWindow, are explained;
+//   - after three crashes under one execution, if all crashes of the service about that time
+//     are explained;
+//   - after three crashes under two executions, whatever else crashed.
 //
-// An end is explained by the request itself, or by another one of which as much is known. The
-// first two rules hold nobody where others ran on just the same upstreams. What ended under a
-// request that is held speaks against nobody else.
+// The first two rules quarantine no request that has a rival (see hasRival). Crashes under a
+// quarantined request are no longer attributed to other requests.
 func (t *Table) updateVerdicts() {
-	j := &evaluation{table: t, crashOf: t.crashes(), suspects: t.suspects(), candidates: make(map[Fingerprint][]execution)}
-	j.crashes = slices.SortedFunc(maps.Values(j.crashOf), crash.compare)
+	v := &evaluation{table: t, crashOf: t.crashes(), suspects: t.suspects(), candidates: make(map[Fingerprint][]execution)}
+	v.crashes = slices.SortedFunc(maps.Values(v.crashOf), crash.compare)
 	for f, r := range t.records {
 		r.isQuarantined = false
-		if runs := j.executions(r); len(runs) >= minExecutions || r.countUncleared() >= minCrashes {
-			j.candidates[f] = runs
+		if executions := v.executions(r); len(executions) >= minExecutions || r.countUncleared() >= minCrashes {
+			v.candidates[f] = executions
 		}
 	}
-	for _, e := range j.crashes {
-		// Who is held first explains what ended until then.
-		for next := j.nextToQuarantine(e.at); len(next) > 0; next = j.nextToQuarantine(e.at) {
-			j.quarantine(next)
+	for _, c := range v.crashes {
+		// A request that is quarantined takes over the crashes so far, which can change the
+		// evidence against the others.
+		for next := v.nextToQuarantine(c.at); len(next) > 0; next = v.nextToQuarantine(c.at) {
+			v.quarantine(next)
 		}
 	}
 	for f, r := range t.records {
 		r.isSuspect = false
-		for end := range r.crashes {
-			r.isSuspect = r.isSuspect || slices.Contains(j.suspects[end], f)
+		for incarnation := range r.crashes {
+			r.isSuspect = r.isSuspect || slices.Contains(v.suspects[incarnation], f)
 		}
 	}
 }
 
-// crashes returns when each upstream ended.
+// crashes returns all known crashes by incarnation.
 func (t *Table) crashes() map[Incarnation]crash {
 	out := map[Incarnation]crash{}
 	for _, r := range t.records {
-		for end, s := range r.crashes {
-			if first, ok := out[end]; !ok || s.at < first.at {
-				out[end] = crash{end, s.service, s.at}
+		for incarnation, s := range r.crashes {
+			if first, ok := out[incarnation]; !ok || s.at < first.at {
+				out[incarnation] = crash{incarnation, s.service, s.at}
 			}
 		}
 	}
 	return out
 }
 
-// suspects returns the requests that each end speaks against.
+// suspects returns the requests that ran on each crashed upstream and are not cleared.
 func (t *Table) suspects() suspectsByCrash {
 	out := suspectsByCrash{}
 	for f, r := range t.records {
-		for end, s := range r.crashes {
+		for incarnation, s := range r.crashes {
 			if !s.isCleared {
-				out[end] = append(out[end], f)
+				out[incarnation] = append(out[incarnation], f)
 			}
 		}
 	}
 	return out
 }
 
-// executions divides the ends that speak against a request: those of copies that ran at once stand
-// together.
-func (j *evaluation) executions(r *record) []execution {
+// executions groups the uncleared crashes of a request by execution. Crashes of copies that
+// ran concurrently form one group.
+func (v *evaluation) executions(r *record) []execution {
 	var all execution
-	for end, s := range r.crashes {
+	for incarnation, s := range r.crashes {
 		if !s.isCleared {
-			all = append(all, j.crashOf[end])
+			all = append(all, v.crashOf[incarnation])
 		}
 	}
 	slices.SortFunc(all, crash.compare)
 	var out []execution
-	for _, e := range all {
-		began := e.at - r.crashes[e.Incarnation].ran
+	for _, c := range all {
+		began := c.at - r.crashes[c.Incarnation].ran
 		if len(out) == 0 || began > out[len(out)-1][0].at+crashTimeTolerance {
 			out = append(out, nil)
 		}
-		out[len(out)-1] = append(out[len(out)-1], e)
+		out[len(out)-1] = append(out[len(out)-1], c)
 	}
 	return out
 }
 
-// nextToQuarantine returns the requests that are held next by what had ended until then, given those that
-// are: first the one that no other could stand for, and of these the one with most ends, since
-// it explains what speaks against others.
-func (j *evaluation) nextToQuarantine(until time.Duration) []Fingerprint {
-	var alone, others []Fingerprint
+// nextToQuarantine returns the requests to quarantine next by the crashes up to a time, given
+// those already in quarantine. Requests without a rival come first. Among these the one with
+// the most crashes comes first, since it may explain crashes that are attributed to others.
+func (v *evaluation) nextToQuarantine(until time.Duration) []Fingerprint {
+	var unrivalled, rivalled []Fingerprint
 	most := 0
-	for f, runs := range j.candidates {
-		if j.table.records[f].isQuarantined {
+	for f, executions := range v.candidates {
+		if v.table.records[f].isQuarantined {
 			continue
 		}
-		c := j.evidenceAgainst(f, runs, until)
+		ev := v.evidenceAgainst(f, executions, until)
 		switch {
-		case !c.isCertain() && !c.isLikely():
-		case !j.hasRival(f):
-			if c.crashes > most {
-				alone, most = alone[:0], c.crashes
+		case !ev.isCertain() && !ev.isLikely():
+		case !v.hasRival(f):
+			if ev.crashes > most {
+				unrivalled, most = unrivalled[:0], ev.crashes
 			}
-			if c.crashes == most {
-				alone = append(alone, f)
+			if ev.crashes == most {
+				unrivalled = append(unrivalled, f)
 			}
-		case c.isCertain():
-			others = append(others, f)
+		case ev.isCertain():
+			rivalled = append(rivalled, f)
 		}
 	}
-	if len(alone) > 0 {
-		return alone
+	if len(unrivalled) > 0 {
+		return unrivalled
 	}
-	return others
+	return rivalled
 }
 
-// evidence is what speaks against a request.
+// evidence is the evidence that a request causes crashes.
 type evidence struct {
 	executions, crashes int
-	// isExplained tells that all that ended beside is explained, isQuiet that all is that
-	// ended lately.
+	// isExplained is set if all crashes about the time of each execution are explained,
+	// isRecentExplained if all crashes in the last recentWindow are.
 	isExplained, isRecentExplained bool
 }
 
-func (w evidence) isCertain() bool { return w.executions >= minExecutions && w.crashes >= minCrashes }
+func (ev evidence) isCertain() bool {
+	return ev.executions >= minExecutions && ev.crashes >= minCrashes
+}
 
-func (w evidence) isLikely() bool {
-	return w.isExplained && (w.crashes >= minCrashes || w.executions >= minExecutions && w.isRecentExplained)
+func (ev evidence) isLikely() bool {
+	return ev.isExplained && (ev.crashes >= minCrashes || ev.executions >= minExecutions && ev.isRecentExplained)
 }
 
-// evidenceAgainst counts what had ended under a request until then.
-func (j *evaluation) evidenceAgainst(f Fingerprint, runs []execution, until time.Duration) evidence {
-	w := evidence{isExplained: true, isRecentExplained: j.isExplained(f, runs[0][0].service, until-recentWindow, until)}
-	for _, run := range runs {
+// evidenceAgainst collects the evidence against a request from the crashes up to a time.
+func (v *evaluation) evidenceAgainst(f Fingerprint, executions []execution, until time.Duration) evidence {
+	ev := evidence{isExplained: true, isRecentExplained: v.isExplained(f, executions[0][0].service, until-recentWindow, until)}
+	for _, ex := range executions {
 		n := 0
-		for _, e := range run {
-			if e.at <= until && slices.Contains(j.suspects[e.Incarnation], f) {
+		for _, c := range ex {
+			if c.at <= until && slices.Contains(v.suspects[c.Incarnation], f) {
 				n++
 			}
 		}
 		if n == 0 {
 			continue
 		}
-		w.executions++
-		w.crashes += n
-		w.isExplained = w.isExplained && j.isExplained(f, run[0].service, run[0].at-sharedCauseWindow, run[len(run)-1].at+sharedCauseWindow)
+		ev.executions++
+		ev.crashes += n
+		ev.isExplained = ev.isExplained && v.isExplained(f, ex[0].service, ex[0].at-sharedCauseWindow, ex[len(ex)-1].at+sharedCauseWindow)
 	}
-	return w
+	return ev
 }
 
-// isExplained reports whether all upstreams of a service that ended in a span ended under this
-// request, or under others of which as much is known.
-func (j *evaluation) isExplained(f Fingerprint, service string, from, to time.Duration) bool {
-	first, _ := slices.BinarySearchFunc(j.crashes, from, func(e crash, t time.Duration) int { return cmp.Compare(e.at, t) })
-	for _, e := range j.crashes[first:] {
-		if e.at > to {
+// isExplained reports whether each crash of a service in an interval is attributed to this
+// request or to another candidate.
+func (v *evaluation) isExplained(f Fingerprint, service string, from, to time.Duration) bool {
+	first, _ := slices.BinarySearchFunc(v.crashes, from, func(c crash, t time.Duration) int { return cmp.Compare(c.at, t) })
+	for _, c := range v.crashes[first:] {
+		if c.at > to {
 			break
 		}
-		if e.service == service && !slices.ContainsFunc(j.suspects[e.Incarnation], func(g Fingerprint) bool { return g == f || j.candidates[g] != nil }) {
+		if c.service == service && !slices.ContainsFunc(v.suspects[c.Incarnation], func(g Fingerprint) bool { return g == f || v.candidates[g] != nil }) {
 			return false
 		}
 	}
 	return true
 }
 
-// hasRival reports whether each end that speaks against a request speaks as well against
-// another one of which as much is known, and that is not held.
-func (j *evaluation) hasRival(f Fingerprint) bool {
-	isRival := func(g Fingerprint) bool { return g != f && j.candidates[g] != nil && !j.table.records[g].isQuarantined }
-	for end := range j.table.records[f].crashes {
-		if all := j.suspects[end]; slices.Contains(all, f) && !slices.ContainsFunc(all, isRival) {
+// hasRival reports whether each crash that is attributed to a request is also attributed to
+// another candidate that is not in quarantine. The crashes alone can't tell them apart then.
+func (v *evaluation) hasRival(f Fingerprint) bool {
+	isRival := func(g Fingerprint) bool { return g != f && v.candidates[g] != nil && !v.table.records[g].isQuarantined }
+	for incarnation := range v.table.records[f].crashes {
+		if all := v.suspects[incarnation]; slices.Contains(all, f) && !slices.ContainsFunc(all, isRival) {
 			return false
 		}
 	}
 	return true
 }
 
-// quarantine holds requests. What ended under them speaks against nobody else from now on.
-func (j *evaluation) quarantine(all []Fingerprint) {
+// quarantine puts requests into quarantine and attributes the crashes under them to no other
+// request from now on.
+func (v *evaluation) quarantine(all []Fingerprint) {
 	explained := suspectsByCrash{}
 	for _, f := range all {
-		r := j.table.records[f]
+		r := v.table.records[f]
 		r.isQuarantined, r.until = true, r.lastCrash()+quarantineTime(r.countUncleared())
-		for end, s := range r.crashes {
+		for incarnation, s := range r.crashes {
 			if !s.isCleared {
-				explained[end] = append(explained[end], f)
+				explained[incarnation] = append(explained[incarnation], f)
 			}
 		}
 	}
-	maps.Copy(j.suspects, explained)
+	maps.Copy(v.suspects, explained)
 }
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -9,21 +9,22 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Config is what a Keeper needs.
+// Config holds the settings and dependencies of a Keeper.
 type Config struct {
 	Limits Limits
 	// Now is a monotonic clock.
 	Now func() time.Duration
-	// Publish passes news on to other hosts. It is called without a lock held, and must not wait.
+	// Publish sends new or cleared suspicions to other hosts. It is called without a lock held
+	// and must not block.
 	Publish func([]Suspicion)
-	// Relays is set where news from others are passed on too.
+	// Relays makes the Keeper also publish what it receives from other hosts.
 	Relays  bool
 	Log     *slog.Logger
 	Metrics metrics.Registry
 }
 
-// Keeper is what one host knows of the requests under which upstreams ended: what it saw
-// itself, and what others told. It is safe for concurrent use.
+// Keeper keeps the suspicions of one host: those that it observed and those that it received
+// from other hosts. It is safe for concurrent use.
 type Keeper struct {
 	cfg                                    Config
 	suspicions, cleared, received, refused metrics.Counter
@@ -34,11 +35,12 @@
 	table    *Table
 	failed   failedAttempts
 	answered recentAnswers
-	// lastQuarantined are the requests that were last found to be held.
+	// lastQuarantined are the requests that were in quarantine at the last update, to log
+	// changes.
 	lastQuarantined []Fingerprint
 }
 
-// NewKeeper returns a Keeper that knows of nothing.
+// NewKeeper returns a Keeper without suspicions.
 func NewKeeper(cfg Config) *Keeper {
 	counter := func(name string) metrics.Counter {
 		return metrics.GetOrRegisterCounter("quarantine."+name, cfg.Metrics)
@@ -49,26 +51,27 @@
 	}
 }
 
-// Verdict returns what becomes of a request.
+// Verdict returns the verdict on a request.
 func (k *Keeper) Verdict(f Fingerprint) Verdict {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Verdict(f, k.cfg.Now())
 }
 
-// CountRefusal counts a request that was refused since it is held.
+// CountRefusal counts a request that was refused because it is in quarantine.
 func (k *Keeper) CountRefusal() { k.refused.Inc(1) }
 
-// UpstreamCrashed tells that an upstream is known to have ended under a run.
+// UpstreamCrashed records that an upstream crashed during an attempt. Earlier failed attempts
+// on the same incarnation are suspected too.
 func (k *Keeper) UpstreamCrashed(r Attempt) {
 	k.update(func(now time.Duration) []Suspicion {
-		found := k.failed.take(now, func(b *Attempt) bool { return b.Incarnation == r.Incarnation })
-		return k.addOwn(append(found, r.suspicion(0)), now)
+		suspicions := k.failed.take(now, func(a *Attempt) bool { return a.Incarnation == r.Incarnation })
+		return k.addOwn(append(suspicions, r.suspicion(0)), now)
 	})
 }
 
-// AttemptFailed tells that a run got no whole answer. IsAlive tells that its upstream took a
-// connection since.
+// AttemptFailed records an attempt whose answer broke off, in case its upstream turns out to
+// have crashed. IsAlive tells that a connection to the upstream succeeded afterwards.
 func (k *Keeper) AttemptFailed(r Attempt, isAlive bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -80,8 +83,9 @@
 	k.failed.add(r, now, now+wait)
 }
 
-// UpstreamStarted tells which upstream is at an address now. Others that were there have ended.
-func (k *Keeper) UpstreamStarted(end Incarnation, address string) {
+// UpstreamStarted records which incarnation is at an address now. Earlier incarnations of the
+// upstream, and others at the address, must have crashed.
+func (k *Keeper) UpstreamStarted(current Incarnation, address string) {
 	k.mu.Lock()
 	isAwaited := len(k.failed.all) > 0
 	k.mu.Unlock()
@@ -90,26 +94,26 @@
 	}
 	k.update(func(now time.Duration) []Suspicion {
 		return k.addOwn(k.failed.take(now, func(r *Attempt) bool {
-			return r.Incarnation != end && (r.Address == address || r.Incarnation.Upstream == end.Upstream && r.Incarnation.Born < end.Born)
+			return r.Incarnation != current && (r.Address == address || r.Incarnation.Upstream == current.Upstream && r.Incarnation.Born < current.Born)
 		}), now)
 	})
 }
 
-// addOwn takes in what this host has seen. The caller holds mu.
+// addOwn adds suspicions that this host observed itself. The caller holds mu.
 func (k *Keeper) addOwn(all []Suspicion, now time.Duration) []Suspicion {
 	for i := range all {
 		all[i].IsCleared = k.answered.isTrusted(all[i].Fingerprint, now)
 	}
-	news := k.table.Add(all, now)
-	for _, s := range news {
+	updates := k.table.Add(all, now)
+	for _, s := range updates {
 		k.suspicions.Inc(1)
 		k.cfg.Log.Warn("request suspected: its upstream ended under it", "request", s.Request, "fingerprint", s.Fingerprint.String(),
 			"workspace", s.Workspace, "upstream", s.Incarnation.Upstream, "born", s.Incarnation.Born, "cleared", s.IsCleared)
 	}
-	return news
+	return updates
 }
 
-// Answered tells that a request was answered whole: it ends nobody.
+// Answered records that a request got a complete answer. That clears the suspicions of it.
 func (k *Keeper) Answered(f Fingerprint) {
 	k.mu.Lock()
 	k.answered.add(f, k.cfg.Now())
@@ -120,61 +124,63 @@
 	}
 }
 
-// Release lets a request go, for who knows better. It reports whether anything was held
-// against it.
+// Release clears the suspicions of a request on behalf of an operator. It reports whether
+// there were any.
 func (k *Keeper) Release(f Fingerprint) bool {
 	isKnown := false
 	k.update(func(now time.Duration) []Suspicion {
-		news := k.clear(f, now)
-		isKnown = len(news) > 0
-		return news
+		updates := k.clear(f, now)
+		isKnown = len(updates) > 0
+		return updates
 	})
 	return isKnown
 }
 
-// clear takes back what is held against a request. The caller holds mu.
+// clear clears the suspicions of a request. The caller holds mu.
 func (k *Keeper) clear(f Fingerprint, now time.Duration) []Suspicion {
-	news := k.table.Clear(f, now)
-	k.cleared.Inc(int64(len(news)))
-	return news
+	updates := k.table.Clear(f, now)
+	k.cleared.Inc(int64(len(updates)))
+	return updates
 }
 
-// Merge takes in what another host tells.
+// Merge adds suspicions from another host. Those of requests that this host recently saw
+// answered are cleared.
 func (k *Keeper) Merge(all []Suspicion) {
 	k.received.Inc(int64(len(all)))
 	k.update(func(now time.Duration) []Suspicion {
-		news := k.table.Add(all, now)
-		var own []Suspicion
-		for _, s := range news {
+		updates := k.table.Add(all, now)
+		var cleared []Suspicion
+		for _, s := range updates {
 			if !s.IsCleared && k.answered.isTrusted(s.Fingerprint, now) {
-				own = append(own, k.clear(s.Fingerprint, now)...)
+				cleared = append(cleared, k.clear(s.Fingerprint, now)...)
 			}
 		}
 		if !k.cfg.Relays {
-			return own
+			return cleared
 		}
-		return append(news, own...)
+		return append(updates, cleared...)
 	})
 }
 
-// update changes what is known, tells others the news, and says what is held from now on.
+// update applies a change to the table, logs requests that entered or left quarantine, and
+// publishes the updates that the change returns.
 func (k *Keeper) update(change func(now time.Duration) []Suspicion) {
 	k.mu.Lock()
-	news := change(k.cfg.Now())
+	updates := change(k.cfg.Now())
 	k.logChanges()
 	k.mu.Unlock()
-	if len(news) > 0 && k.cfg.Publish != nil {
-		k.cfg.Publish(news)
+	if len(updates) > 0 && k.cfg.Publish != nil {
+		k.cfg.Publish(updates)
 	}
 }
 
-// logChanges says which requests are held now that were not before, and the other way round. The
-// caller holds mu.
+// logChanges logs the requests that entered or left quarantine since the last call. The caller
+// holds mu.
 func (k *Keeper) logChanges() {
 	now := k.cfg.Now()
-	held := k.table.Quarantined(now)
-	k.quarantined.Update(int64(len(held)))
-	for _, f := range held {
+	quarantined := k.table.Quarantined(now)
+	k.quarantined.Update(int64(len(quarantined)))
+	for _, f := range quarantined {
 		if !slices.Contains(k.lastQuarantined, f) {
 			e := k.table.Entry(f, now)
 			k.cfg.Log.Warn("request held: upstreams ended under it", "fingerprint", f.String(), "workspace", e.Workspace,
@@ -182,14 +188,14 @@
 		}
 	}
 	for _, f := range k.lastQuarantined {
-		if !slices.Contains(held, f) {
+		if !slices.Contains(quarantined, f) {
 			k.cfg.Log.Info("request held no more", "fingerprint", f.String())
 		}
 	}
-	k.lastQuarantined = held
+	k.lastQuarantined = quarantined
 }
 
-// Sweep forgets what is past. It is called now and then.
+// Sweep removes expired records. It is meant to be called periodically.
 func (k *Keeper) Sweep() {
 	k.update(func(now time.Duration) []Suspicion {
 		k.table.Sweep(now)
@@ -197,14 +203,14 @@
 	})
 }
 
-// All returns everything that this host knows, for others.
+// All returns all suspicions, to send to a host that has just connected.
 func (k *Keeper) All() []Suspicion {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.All(k.cfg.Now())
 }
 
-// List returns what is held against requests, for operators.
+// List returns the suspected and quarantined requests, for operators.
 func (k *Keeper) List() []Entry {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/quarantine/page.go
+++ b/internal/quarantine/page.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// quarantineList is a list of entries as it is shown, in the form of the administration API.
+// quarantineList is the JSON form of a list of entries, the same as in the administration API.
 type quarantineList struct {
 	Requests []listEntry `json:"requests"`
 }
@@ -29,11 +29,12 @@
 	IsReleased  bool   `json:"isReleased"`
 }
 
-// Path is where Handler serves the list; a request is released by a DELETE of Path/FINGERPRINT.
+// Path is the URL path at which Handler serves the list. DELETE Path/FINGERPRINT releases a
+// request.
 const Path = "/quarantine"
 
-// Handler shows what a host holds against requests, and lets operators release them. It asks
-// nobody who they are: it belongs on a listener that callers can't reach.
+// Handler lists the suspected and quarantined requests of a host and lets operators release
+// them. It does no authentication, so it must be served on a listener that callers can't reach.
 func Handler(k *Keeper) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+Path, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, newQuarantineList(k.List())) })
@@ -57,8 +58,8 @@
 			Fingerprint: e.Fingerprint.String(), Workspace: e.Workspace, Verdict: e.Verdict.String(), ForSeconds: int64(e.Remaining.Seconds()),
 			Crashes: []listCrash{},
 		}
-		for _, end := range e.Crashes {
-			p.Crashes = append(p.Crashes, listCrash{Upstream: end.Upstream, Request: end.Request, AgeSeconds: int64(end.Age.Seconds())})
+		for _, c := range e.Crashes {
+			p.Crashes = append(p.Crashes, listCrash{Upstream: c.Upstream, Request: c.Request, AgeSeconds: int64(c.Age.Seconds())})
 		}
 		out.Requests = append(out.Requests, p)
 	}
--- a/internal/quarantine/runs.go
+++ b/internal/quarantine/runs.go
@@ -6,38 +6,42 @@
 )
 
 const (
-	// failedAttemptLifetime is for how long it counts that an answer broke off: an upstream that is found
-	// to have started anew by then ended under the request.
+	// failedAttemptLifetime is how long a failed attempt is remembered. If its upstream turns
+	// out to have restarted within this time, the upstream crashed during the attempt.
 	failedAttemptLifetime = 5 * time.Second
-	// failedAttemptLifetimeIfAlive is that where the upstream took a connection just after. What took it may be
-	// the next start already, of one that is back at once.
+	// failedAttemptLifetimeIfAlive applies if a connection to the upstream succeeded just after
+	// the failure. It is not zero, since an upstream that restarts at once may have accepted
+	// the connection in its next incarnation.
 	failedAttemptLifetimeIfAlive = time.Second
-	// maxFailedAttempts bounds the broken answers that are remembered, the latest.
+	// maxFailedAttempts is how many failed attempts are remembered. The latest are kept.
 	maxFailedAttempts = 256
-	// trustAfterAnswer is for how long a whole answer speaks for a request: upstreams that end
-	// meanwhile did not end by it.
+	// trustAfterAnswer is how long a complete answer clears a request: crashes under the
+	// request within this time are not attributed to it.
 	trustAfterAnswer = 30 * time.Second
-	// maxAnswers bounds the answers that are remembered, the latest.
+	// maxAnswers is how many answered requests are remembered. The latest are kept.
 	maxAnswers = 1024
-	// maxRequestIDBytes is how much is kept of the id that a caller gave its request.
+	// maxRequestIDBytes is the length to which request ids from callers are cut.
 	maxRequestIDBytes = 64
 )
 
-// Attempt is an attempt that may have run and got no whole answer.
+// Attempt is an attempt to run a request on an upstream that may have executed it and returned
+// no complete answer.
 type Attempt struct {
 	Fingerprint Fingerprint
 	Workspace   string
-	// Request is the id under which it ran.
+	// Request is the id of the request on that upstream.
 	Request string
-	// Incarnation is the upstream's incarnation, Service what it served, Address where it was.
+	// Incarnation identifies the upstream, Service is what the upstream served, and Address is
+	// its network address.
 	Incarnation      Incarnation
 	Service, Address string
-	// Ran is for how long it ran, or waited there, until its answer broke off.
+	// Ran is how long the request had been running or queued on the upstream when its answer
+	// broke off.
 	Ran time.Duration
 }
 
-// suspicion returns what an end of the run's upstream says, when its answer broke off that
-// long ago.
+// suspicion returns the suspicion that follows from a crash of the attempt's upstream. Age is
+// the time since the answer broke off.
 func (r *Attempt) suspicion(age time.Duration) Suspicion {
 	return Suspicion{
 		Fingerprint: r.Fingerprint, Workspace: r.Workspace, Incarnation: r.Incarnation, Service: r.Service, Request: r.Request[:min(len(r.Request), maxRequestIDBytes)],
@@ -45,14 +49,14 @@
 	}
 }
 
-// failedAttempt is a Run whose answer broke off at a time, and whose upstream may turn out to
-// have ended.
+// failedAttempt is an attempt whose answer broke off at a time, and whose upstream may turn
+// out, until another time, to have crashed.
 type failedAttempt struct {
 	Attempt
 	at, until time.Duration
 }
 
-// failedAttempts are the broken answers of one host.
+// failedAttempts are the recent failed attempts of one host.
 type failedAttempts struct{ all []failedAttempt }
 
 func (b *failedAttempts) add(r Attempt, at, until time.Duration) {
@@ -62,14 +66,15 @@
 	b.all = append(b.all, failedAttempt{Attempt: r, at: at, until: until})
 }
 
-// take removes and returns the runs for which isEnded holds, and forgets old ones.
-func (b *failedAttempts) take(now time.Duration, isEnded func(*Attempt) bool) []Suspicion {
+// take removes the attempts whose upstream has crashed, and returns a suspicion for each. It
+// also removes outdated attempts.
+func (b *failedAttempts) take(now time.Duration, hasCrashed func(*Attempt) bool) []Suspicion {
 	var out []Suspicion
 	b.all = slices.DeleteFunc(b.all, func(r failedAttempt) bool {
 		if now > r.until {
 			return true
 		}
-		if isEnded(&r.Attempt) {
+		if hasCrashed(&r.Attempt) {
 			out = append(out, r.suspicion(now-r.at))
 			return true
 		}
@@ -78,10 +83,12 @@
 	return out
 }
 
-// recentAnswers are the requests that were answered whole of late, at one host.
+// recentAnswers are the requests that recently got a complete answer through this host.
 type recentAnswers struct {
+	// at is the time of each request's last answer.
 	at map[Fingerprint]time.Duration
-	// order holds them from the oldest on, beginning at next once it is full.
+	// order is a ring buffer of the requests in the order in which they were added, with the
+	// oldest at index oldest once the buffer is full.
 	order  []Fingerprint
 	oldest int
 }
@@ -103,7 +110,8 @@
 	}
 }
 
-// isTrusted reports whether the request was answered whole so lately that it is no suspect.
+// isTrusted reports whether the request got a complete answer so recently that a crash is not
+// attributed to it.
 func (a *recentAnswers) isTrusted(f Fingerprint, now time.Duration) bool {
 	at, ok := a.at[f]
 	return ok && now-at < trustAfterAnswer
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -8,104 +8,114 @@
 )
 
 const (
-	// minQuarantine is for how long a request is held after the second upstream that ended under
-	// it, and how long a single end is remembered. Each further end doubles it, up to
-	// longestHold: a wrong verdict passes, and a right one costs few upstreams a day.
+	// minQuarantine is how long a request stays in quarantine after the second crash under it,
+	// and half of how long a single crash is remembered. Each further crash doubles the time,
+	// up to maxQuarantine. So a wrong verdict expires by itself, and a request that does cause
+	// crashes costs only a few upstreams a day.
 	minQuarantine = 10 * time.Minute
 	maxQuarantine = 8 * time.Hour
-	// sharedCauseWindow is within what upstreams may have ended by one cause from outside, such as a
-	// loss of power.
+	// sharedCauseWindow is the time within which crashes may have one cause outside of the
+	// requests, such as a loss of power.
 	sharedCauseWindow = time.Second
-	// crashTimeTolerance is by how much hosts may differ in when an upstream ended: copies of a request that
-	// ran at once must not count as one after the other.
+	// crashTimeTolerance is by how much hosts may disagree on the time of a crash. Without it,
+	// copies of a request that ran concurrently could count as consecutive executions.
 	crashTimeTolerance = 100 * time.Millisecond
-	// minExecutions is how many runs under which upstreams ended hold a request, as a rule.
+	// minExecutions is the number of executions with a crash after which a request is usually
+	// quarantined.
 	minExecutions = 2
-	// minCrashes is how many upstreams the system promises that one request ends at most, but
-	// for copies of it that run at once.
+	// minCrashes is the most upstreams that one request may crash before it is quarantined, as
+	// the system guarantees. Copies of the request that run concurrently can crash more.
 	minCrashes = 3
-	// recentWindow is for how long an upstream that ended from outside makes it likelier that the
-	// next one does.
+	// recentWindow is how long after a crash with an outside cause the next crash is also more
+	// likely to have one.
 	recentWindow = time.Minute
-	// maxCrashesPerRequest bounds the ends that are kept of one request, the latest.
+	// maxCrashesPerRequest bounds the crashes that are kept for one request. The latest are
+	// kept.
 	maxCrashesPerRequest = 16
-	// maxNameBytes bounds each name in a suspicion.
+	// maxNameBytes is the longest name that a suspicion may contain.
 	maxNameBytes = 256
 )
 
-// Limits bound what a Table holds.
+// Limits bound the number of records in a Table.
 type Limits struct {
-	// PerWorkspace is how many requests of one workspace are kept, Total how many of all.
-	// Beyond that the oldest of those goes under which one upstream ended, as long as these
-	// are half of the workspace's or more, else the oldest of the others; beyond Total, of the
-	// workspace that has most. So no workspace can push out another's, and a flood of
-	// suspects can't push out what is held.
+	// PerWorkspace is how many requests of one workspace are kept, Total how many of all
+	// workspaces together. A full workspace evicts one of its own records; a full table evicts
+	// one of the workspace that has the most records. The record with the oldest last crash
+	// goes: among those with one crash while they are at least half of the workspace's
+	// records, else among those with several crashes. So no workspace can evict the records of
+	// a smaller one, and many requests with one crash can't evict those in quarantine.
 	PerWorkspace, Total int
 }
 
-// DefaultLimits suit hosts with little memory.
+// DefaultLimits are small enough for hosts with little memory.
 var DefaultLimits = Limits{PerWorkspace: 256, Total: 2048}
 
-// Incarnation is an upstream that has ended: the incarnation of it.
+// Incarnation identifies an upstream from one start of its process to the next.
 type Incarnation struct {
 	Upstream string `cbor:"1,keyasint"`
-	Born     int64  `cbor:"2,keyasint,omitempty"`
+	// Born tells the incarnations of an upstream apart, in Unix milliseconds: when the process
+	// started or, where an agent reports a crash, when it crashed. It is 0 where neither is
+	// known.
+	Born int64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Suspicion says that a request ran on an upstream as that ended. It is what hosts tell one
-// another: put together in any order and any number of times, suspicions come to the same.
+// Suspicion states that a request was running on an upstream when the upstream crashed. Hosts
+// exchange suspicions. Merging them is commutative and idempotent: neither their order nor
+// repeated delivery changes the result.
 type Suspicion struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
 	Workspace   string      `cbor:"2,keyasint,omitempty"`
 	Incarnation Incarnation `cbor:"3,keyasint"`
 	// Service is what the upstream served.
 	Service string `cbor:"8,keyasint,omitempty"`
-	// Request is the id under which the request ran there, for who looks for it in logs.
+	// Request is the id that the request had on that upstream, to find it in logs.
 	Request string `cbor:"4,keyasint,omitempty"`
-	// AgeMS is how long ago that was, RanMS for how long the request had run, or waited
-	// there, in milliseconds.
+	// AgeMS is how long ago the crash was, in milliseconds. RanMS is how long the request had
+	// been running or queued on the upstream, in milliseconds.
 	AgeMS int64 `cbor:"5,keyasint,omitempty"`
 	RanMS int64 `cbor:"7,keyasint,omitempty"`
-	// IsCleared takes the suspicion back, for good: the request was answered whole since, or
-	// an operator let it go.
+	// IsCleared withdraws the suspicion for good: the request got a complete answer shortly
+	// before the crash or at any time after it, or an operator released it.
 	IsCleared bool `cbor:"6,keyasint,omitempty"`
 }
 
-// Verdict is what becomes of a request.
+// Verdict tells how a request may be sent to upstreams.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Free: nothing speaks against it.
+	// Free means that no crash is attributed to the request.
 	Free Verdict = iota
-	// Suspect: an upstream ended under it. It is sent, but to one upstream only.
+	// Suspect means that an upstream crashed while it ran the request. The request is sent to
+	// one upstream only and not retried on another.
 	Suspect
-	// Held: it is sent to none.
+	// Quarantined means that the request is sent to no upstream.
 	Quarantined
 )
 
-// String names the verdict.
+// String returns the verdict's name in the administration API.
 func (v Verdict) String() string { return [...]string{"free", "suspect", "held"}[v] }
 
-// observation is what is known of a request at one end.
+// observation is what is known of one request at one crash.
 type observation struct {
+	// at is the time of the crash, ran how long the request had been on the upstream.
 	at, ran          time.Duration
 	service, request string
 	isCleared        bool
 }
 
-// record is what is known of one request.
+// record holds the crashes under one request and the verdict that follows from them.
 type record struct {
 	workspace string
 	crashes   map[Incarnation]*observation
-	// isSuspect tells that an end speaks against it which is not explained by another one.
-	// isHeld is the verdict, until when it holds.
+	// isSuspect is set while a crash is attributed to the request. isQuarantined is set once
+	// the request is quarantined, and until is the time at which the quarantine expires.
 	isSuspect, isQuarantined bool
 	until                    time.Duration
 }
 
-// Table holds the requests under which upstreams ended. It is pure: times are a monotonic
-// clock of the caller's. It is not safe for concurrent use.
+// Table holds the requests under which upstreams crashed. It reads no clock: callers pass the
+// time of a monotonic clock. It is not safe for concurrent use.
 type Table struct {
 	limits       Limits
 	records      map[Fingerprint]*record
@@ -117,7 +127,7 @@
 	return &Table{limits: l, records: make(map[Fingerprint]*record), perWorkspace: make(map[string]int)}
 }
 
-// Verdict returns what becomes of a request.
+// Verdict returns the verdict on a request.
 func (t *Table) Verdict(f Fingerprint, now time.Duration) Verdict {
 	r := t.records[f]
 	switch {
@@ -131,29 +141,31 @@
 	return Free
 }
 
-// Contains reports whether something is known of the request.
+// Contains reports whether the table has a record of the request.
 func (t *Table) Contains(f Fingerprint) bool { return t.records[f] != nil }
 
-// Add takes suspicions in, and returns those that are news.
+// Add merges suspicions into the table. It returns those that other hosts need to receive: new
+// crashes, and suspicions that were cleared.
 func (t *Table) Add(all []Suspicion, now time.Duration) []Suspicion {
-	var news []Suspicion
+	var updates []Suspicion
 	isChanged := false
 	for _, s := range all {
-		isNews, isCloser := t.add(s, now)
-		if isNews {
-			news = append(news, s)
+		isUpdate, isCloserEstimate := t.add(s, now)
+		if isUpdate {
+			updates = append(updates, s)
 		}
-		isChanged = isChanged || isNews || isCloser
+		isChanged = isChanged || isUpdate || isCloserEstimate
 	}
 	if isChanged {
 		t.updateVerdicts()
 	}
-	return news
+	return updates
 }
 
-// add takes a suspicion in. It reports whether that is news, and whether it tells more closely
-// when the request ran, which others need not hear.
-func (t *Table) add(s Suspicion, now time.Duration) (isNews, isCloser bool) {
+// add merges one suspicion. IsUpdate reports whether other hosts need it. IsCloserEstimate
+// reports whether it only improves the known times, which changes verdicts here but need not
+// be sent on.
+func (t *Table) add(s Suspicion, now time.Duration) (isUpdate, isCloserEstimate bool) {
 	at := now - time.Duration(max(s.AgeMS, 0))*time.Millisecond
 	if now-at > 2*maxQuarantine || !s.isValid() {
 		return false, false
@@ -169,15 +181,17 @@
 	if known == nil {
 		return r.addCrash(&s, at), false
 	}
-	isCloser = at < known.at || s.ran() > known.ran
-	// The word that came with the least delay is nearest to the truth.
+	isCloserEstimate = at < known.at || s.ran() > known.ran
+	// The report with the least delay has the best estimate: transit time makes a crash look
+	// later than it was.
 	known.at, known.ran = min(known.at, at), max(known.ran, s.ran())
-	isNews = s.IsCleared && !known.isCleared
+	isUpdate = s.IsCleared && !known.isCleared
 	known.isCleared = known.isCleared || s.IsCleared
-	return isNews, isCloser
+	return isUpdate, isCloserEstimate
 }
 
-// addCrash takes in an end of which the record knows nothing.
+// addCrash adds a crash that the record does not have yet. It reports whether the crash was
+// kept.
 func (r *record) addCrash(s *Suspicion, at time.Duration) bool {
 	if len(r.crashes) >= maxCrashesPerRequest {
 		oldest, first := r.oldestCrash()
@@ -190,8 +204,7 @@
 	return true
 }
 
-// isValid reports whether a suspicion may be kept: it names an upstream, and no name takes
-// more room than it may.
+// isValid reports whether a suspicion names an upstream and no name is too long.
 func (s *Suspicion) isValid() bool {
 	return s.Incarnation.Upstream != "" && max(len(s.Incarnation.Upstream), len(s.Workspace), len(s.Service), len(s.Request)) <= maxNameBytes
 }
@@ -199,22 +212,22 @@
 func (s *Suspicion) ran() time.Duration { return time.Duration(max(s.RanMS, 0)) * time.Millisecond }
 
 func (r *record) oldestCrash() (Incarnation, *observation) {
-	var end Incarnation
+	var incarnation Incarnation
 	var first *observation
 	for e, s := range r.crashes {
-		if first == nil || s.at < first.at || s.at == first.at && e.compare(end) < 0 {
-			end, first = e, s
+		if first == nil || s.at < first.at || s.at == first.at && e.compare(incarnation) < 0 {
+			incarnation, first = e, s
 		}
 	}
-	return end, first
+	return incarnation, first
 }
 
-// compare orders ends.
-func (e Incarnation) compare(o Incarnation) int {
-	return cmp.Or(strings.Compare(e.Upstream, o.Upstream), cmp.Compare(e.Born, o.Born))
+// compare orders incarnations by upstream, then by start.
+func (i Incarnation) compare(o Incarnation) int {
+	return cmp.Or(strings.Compare(i.Upstream, o.Upstream), cmp.Compare(i.Born, o.Born))
 }
 
-// lastCrash is when the last upstream ended under the request.
+// lastCrash returns the time of the latest crash under the request.
 func (r *record) lastCrash() time.Duration {
 	last := time.Duration(0)
 	isFirst := true
@@ -226,7 +239,7 @@
 	return last
 }
 
-// countUncleared is how many ends speak against the request.
+// countUncleared returns the number of crashes for which the suspicion is not cleared.
 func (r *record) countUncleared() int {
 	n := 0
 	for _, s := range r.crashes {
@@ -237,7 +250,7 @@
 	return n
 }
 
-// makeRoom drops a record where a bound is reached, for one of the workspace.
+// makeRoom evicts a record if a limit would be exceeded by a new record of the workspace.
 func (t *Table) makeRoom(workspace string) {
 	switch {
 	case t.perWorkspace[workspace] >= t.limits.PerWorkspace:
@@ -247,7 +260,7 @@
 	}
 }
 
-// largestWorkspace is the workspace that has most records.
+// largestWorkspace returns the workspace with the most records.
 func (t *Table) largestWorkspace() string {
 	name, most := "", 0
 	for w, n := range t.perWorkspace {
@@ -258,19 +271,19 @@
 	return name
 }
 
-// evict forgets the record of a workspace that matters least.
+// evict removes the least important record of a workspace, as Limits describes.
 func (t *Table) evict(workspace string) {
-	singles := 0
+	withOneCrash := 0
 	for _, r := range t.records {
 		if r.workspace == workspace && r.countUncleared() <= 1 {
-			singles++
+			withOneCrash++
 		}
 	}
-	wantSingle := 2*singles >= t.perWorkspace[workspace]
+	evictOneCrash := 2*withOneCrash >= t.perWorkspace[workspace]
 	var least Fingerprint
 	var lowest *record
 	for f, r := range t.records {
-		if r.workspace != workspace || (r.countUncleared() <= 1) != wantSingle {
+		if r.workspace != workspace || (r.countUncleared() <= 1) != evictOneCrash {
 			continue
 		}
 		if lowest == nil || r.lastCrash() < lowest.lastCrash() {
@@ -282,7 +295,7 @@
 	}
 }
 
-// isExpired reports whether the record says nothing any more at that time.
+// isExpired reports whether the record is too old to affect verdicts.
 func (r *record) isExpired(now time.Duration) bool {
 	return now >= r.lastCrash()+2*quarantineTime(r.countUncleared())
 }
@@ -295,43 +308,45 @@
 	}
 }
 
-// quarantineTime is how long a request is held after the last of that many ends.
-func quarantineTime(ends int) time.Duration {
-	hold := minQuarantine
-	for range ends - minExecutions {
-		hold = min(2*hold, maxQuarantine)
+// quarantineTime returns how long a request stays in quarantine after the last of its crashes,
+// given their number.
+func quarantineTime(crashes int) time.Duration {
+	d := minQuarantine
+	for range crashes - minExecutions {
+		d = min(2*d, maxQuarantine)
 	}
-	return hold
+	return d
 }
 
-// Clear takes back all that is held against a request. It returns the news.
+// Clear clears all suspicions of a request. It returns those that were not cleared before, for
+// other hosts.
 func (t *Table) Clear(f Fingerprint, now time.Duration) []Suspicion {
 	r := t.records[f]
 	if r == nil {
 		return nil
 	}
-	var news []Suspicion
-	for end, s := range r.crashes {
+	var updates []Suspicion
+	for incarnation, s := range r.crashes {
 		if !s.isCleared {
 			s.isCleared = true
-			news = append(news, r.suspicion(f, end, now))
+			updates = append(updates, r.suspicion(f, incarnation, now))
 		}
 	}
-	if len(news) > 0 {
+	if len(updates) > 0 {
 		t.updateVerdicts()
 	}
-	return news
+	return updates
 }
 
-func (r *record) suspicion(f Fingerprint, end Incarnation, now time.Duration) Suspicion {
-	s := r.crashes[end]
+func (r *record) suspicion(f Fingerprint, incarnation Incarnation, now time.Duration) Suspicion {
+	s := r.crashes[incarnation]
 	return Suspicion{
-		Fingerprint: f, Workspace: r.workspace, Incarnation: end, Service: s.service, Request: s.request,
+		Fingerprint: f, Workspace: r.workspace, Incarnation: incarnation, Service: s.service, Request: s.request,
 		AgeMS: (now - s.at).Milliseconds(), RanMS: s.ran.Milliseconds(), IsCleared: s.isCleared,
 	}
 }
 
-// Sweep forgets what is past.
+// Sweep removes expired records.
 func (t *Table) Sweep(now time.Duration) {
 	for f, r := range t.records {
 		if r.isExpired(now) {
@@ -340,12 +355,12 @@
 	}
 }
 
-// All returns everything that is known, in a fixed order.
+// All returns all suspicions, sorted by fingerprint and incarnation.
 func (t *Table) All(now time.Duration) []Suspicion {
 	var out []Suspicion
 	for f, r := range t.records {
-		for end := range r.crashes {
-			out = append(out, r.suspicion(f, end, now))
+		for incarnation := range r.crashes {
+			out = append(out, r.suspicion(f, incarnation, now))
 		}
 	}
 	slices.SortFunc(out, func(a, b Suspicion) int {
