--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// fullTable returns a table at its bounds, with two ends a request.
+// fullTable returns a table at its limits, with two crashes per request.
 func fullTable() *Table {
 	t := NewTable(DefaultLimits)
 	for n := range DefaultLimits.Total {
-		for e := range 2 {
+		for crash := range 2 {
 			s := Suspicion{
-				Fingerprint: testFingerprint(n), Workspace: fmt.Sprint("w", n%16), Incarnation: Incarnation{Upstream: fmt.Sprintf("i-%08x", n/10*2+e)},
+				Fingerprint: testFingerprint(n), Workspace: fmt.Sprint("w", n%16), Incarnation: Incarnation{Upstream: fmt.Sprintf("i-%08x", n/10*2+crash)},
 				Request: fmt.Sprintf("%016x", n), AgeMS: int64(n * 10),
 			}
 			t.add(s, time.Hour)
@@ -21,7 +21,7 @@
 	return t
 }
 
-// What each request costs: nearly all are not known.
+// BenchmarkVerdict measures the check on every request. Nearly all requests have no record.
 func BenchmarkVerdict(b *testing.B) {
 	t := fullTable()
 	for b.Loop() {
@@ -29,7 +29,7 @@
 	}
 }
 
-// What news cost a host whose table is full.
+// BenchmarkUpdateVerdicts measures what each new suspicion costs a host whose table is full.
 func BenchmarkUpdateVerdicts(b *testing.B) {
 	t := fullTable()
 	for b.Loop() {
@@ -46,7 +46,7 @@
 	}
 }
 
-// The memory of a table at its bounds, as allocated bytes.
+// BenchmarkFullTable measures the memory of a table at its limits, as allocated bytes.
 func BenchmarkFullTable(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -6,7 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The same request has one fingerprint on all hosts, and nothing else has it.
+// Equal requests must have the same fingerprint on all hosts with one secret. A request that
+// differs in any part must have another fingerprint, also if bytes only move from one part to
+// the next.
 func TestFingerprintDiffersByRequestField(t *testing.T) {
 	base := Request{Workspace: "w", Method: "POST", Host: "h", Target: "/a?b", Body: []byte("body")}
 	one := NewHasher("secret").Of(&base)
--- a/internal/quarantine/join_test.go
+++ b/internal/quarantine/join_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawSuspicions is a set of suspicions as hosts may tell them: each end at one time, requests beside
-// one another, some taken back.
+// drawSuspicions draws suspicions as hosts may report them: each crash has one time and one or
+// more requests, and some suspicions are cleared.
 func drawSuspicions(t *rapid.T) []Suspicion {
 	var all []Suspicion
 	for n := range rapid.IntRange(1, 8).Draw(t, "ends") {
@@ -26,7 +26,7 @@
 	return all
 }
 
-// verdicts are those of all requests that drawn may name.
+// verdicts returns the verdicts on all requests that drawSuspicions may draw.
 func verdicts(table *Table, now time.Duration) []Verdict {
 	var out []Verdict
 	for f := range 8 {
@@ -35,7 +35,8 @@
 	return out
 }
 
-// withoutRequestIDs leaves out what hosts may know differently: the id under which the request ran.
+// withoutRequestIDs removes the request ids, which may differ between hosts: a table keeps the
+// id that it received first.
 func withoutRequestIDs(all []Suspicion) []Suspicion {
 	for i := range all {
 		all[i].Request = ""
@@ -43,26 +44,27 @@
 	return all
 }
 
-// News that is crossed, late or repeated comes to the same.
+// Suspicions that arrive out of order, late or twice must lead to the same verdicts. Otherwise
+// hosts would disagree on which requests are quarantined.
 func TestOrderOfSuspicionsDoesNotChangeVerdicts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawSuspicions(t)
 		now := time.Minute
-		one, other := NewTable(testLimits), NewTable(testLimits)
-		one.Add(all, now)
+		ordered, unordered := NewTable(testLimits), NewTable(testLimits)
+		ordered.Add(all, now)
 		shuffled := append(append([]Suspicion{}, all...), all[:rapid.IntRange(0, len(all)).Draw(t, "repeated")]...)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 0))
 		rng.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 		for _, s := range shuffled {
-			other.Add([]Suspicion{s}, now)
+			unordered.Add([]Suspicion{s}, now)
 		}
-		require.Equal(t, withoutRequestIDs(one.All(now)), withoutRequestIDs(other.All(now)))
-		require.Equal(t, verdicts(one, now), verdicts(other, now))
+		require.Equal(t, withoutRequestIDs(ordered.All(now)), withoutRequestIDs(unordered.All(now)))
+		require.Equal(t, verdicts(ordered, now), verdicts(unordered, now))
 	})
 }
 
-// Each side of a cut goes on with what it knows; once they have told each other all, both
-// know and judge the same, and there is no news left to tell.
+// During a network partition each side collects its own suspicions. Once they have exchanged
+// them, both must have the same suspicions and verdicts, with nothing left to send.
 func TestPartitionedTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Minute
@@ -79,7 +81,8 @@
 	})
 }
 
-// What is told of the past counts by its age, and what is long past not at all.
+// A suspicion must count from the time of the crash, not from its arrival, and an outdated one
+// not at all. Otherwise a host that joins late would restart quarantines.
 func TestSuspicionsCountByTheirAge(t *testing.T) {
 	table := NewTable(testLimits)
 	old := crashUnder("a", 1)
@@ -89,12 +92,13 @@
 	table.Add(append(old, crashUnder("b", 1)...), 0)
 	require.Equal(t, Quarantined, table.Verdict(testFingerprint(1), 0))
 	e := table.Entry(testFingerprint(1), time.Second)
-	require.Equal(t, "a", e.Crashes[0].Upstream, "the first one first")
+	require.Equal(t, "a", e.Crashes[0].Upstream, "the oldest crash comes first")
 	require.Equal(t, minQuarantine, e.Crashes[0].Age)
 	require.Equal(t, minQuarantine-time.Second, e.Remaining)
 }
 
-// A verdict ends by itself; a request that goes on ending upstreams is held longer each time.
+// A quarantine must expire by itself, so that a wrong verdict isn't permanent. It must double
+// with each further crash, and the record must go once it is outdated.
 func TestQuarantineExpiresAndDoubles(t *testing.T) {
 	table := NewTable(testLimits)
 	now := time.Duration(0)
@@ -114,8 +118,8 @@
 	require.Equal(t, maxQuarantine, quarantineTime(100))
 }
 
-// A workspace with a thousand such requests pushes out none of another's, and none of its own
-// that was found out by those that are only suspected.
+// A workspace with a thousand suspected requests must not evict the records of another one.
+// Its own requests with one crash must not evict those with two.
 func TestThousandRequestsOfOneWorkspaceStayWithinBounds(t *testing.T) {
 	table := NewTable(Limits{PerWorkspace: 20, Total: 50})
 	now := time.Duration(0)
@@ -134,7 +138,7 @@
 	require.Equal(t, 20, table.perWorkspace["w"])
 	require.LessOrEqual(t, len(table.records), 50)
 	for n := range 5 {
-		require.True(t, table.Contains(testFingerprint(2*n)), "request %d had ended two", 2*n)
+		require.True(t, table.Contains(testFingerprint(2*n)), "request %d has two crashes", 2*n)
 	}
 	for w := range 10 {
 		name := string(rune('A' + w))
@@ -145,10 +149,11 @@
 		}
 	}
 	require.Len(t, table.records, 50)
-	require.True(t, table.Contains(testFingerprint(9000)), "the smallest one loses nothing")
+	require.True(t, table.Contains(testFingerprint(9000)), "the smallest workspace loses no record")
 }
 
-// Names that callers and other hosts choose take bounded room.
+// Suspicions with names beyond the limit must be rejected, since callers and other hosts choose
+// the names. A long request id from a caller is cut instead.
 func TestOversizedNamesAreRejected(t *testing.T) {
 	table := NewTable(testLimits)
 	long := strings.Repeat("x", 10_000)
@@ -160,6 +165,6 @@
 		change(&s[0])
 		require.Empty(t, table.Add(s, 0))
 	}
-	run := Attempt{Fingerprint: testFingerprint(1), Request: long, Incarnation: Incarnation{Upstream: "a"}}
-	require.Len(t, table.Add([]Suspicion{run.suspicion(0)}, 0), 1)
+	attempt := Attempt{Fingerprint: testFingerprint(1), Request: long, Incarnation: Incarnation{Upstream: "a"}}
+	require.Len(t, table.Add([]Suspicion{attempt.suspicion(0)}, 0), 1)
 }
