--- a/internal/placement/balance.go
+++ b/internal/placement/balance.go
@@ -5,34 +5,35 @@
 	"slices"
 )
 
-// SetParams bound a change of one set of layers.
+// SetParams limit a change of one set of layers. The layers of a set share one assignment of
+// experts to ranks.
 type SetParams struct {
-	// SlotsPerRank is how many experts a rank holds at most.
+	// SlotsPerRank is how many experts of the set a rank holds at most.
 	SlotsPerRank int
-	// MaxNewPerSet is how many experts of a set may be new to a rank in one change, RankSpare
-	// how many of all sets together; no bound if zero.
+	// MaxNewPerSet is how many experts of one set may be new to a rank in one change.
+	// MaxNewPerRank is how many of all sets together may be; 0 means no limit.
 	MaxNewPerSet, MaxNewPerRank int
-	// MinGain is the part of a rank's mean load by which a step has to lower the most
-	// loaded rank's to be worth its copy, without unit.
+	// MinGain is the least gain for which a move is worth its copy of an expert: the
+	// reduction of the highest load of a rank, as a fraction of the mean load of the ranks.
 	MinGain float64
-	// Slowdown is each rank's time over its usual one; nil is 1 for all. A rank that is slow
-	// gets less to do.
+	// Slowdown is each rank's step time divided by its usual step time; nil means 1 for all.
+	// A slow rank is assigned less load.
 	Slowdown []float64
 }
 
-// maxMovesPerSet bounds the search in a set; each step adds a copy or exchanges two.
+// maxMovesPerSet bounds the search. Each move adds, drops or replaces a replica, or exchanges two.
 const maxMovesPerSet = 400
 
-// Balance changes which experts the ranks hold in one set of layers so that the most
-// loaded rank has less to do: the ranks wait for it in every pass. Held lists the
-// experts by rank, load the tokens by expert. Each expert stays on at least one rank.
-// An expert's tokens are split evenly among the ranks that hold it.
+// Balance reassigns the experts of one set of layers to reduce the load of the most loaded
+// rank, since all ranks wait for it in every forward pass. Held lists the experts by rank, load
+// the tokens by expert. Each expert stays on at least one rank. An expert's tokens are split
+// evenly among the ranks that hold it.
 func Balance(held [][]uint16, load []float64, p SetParams) [][]uint16 {
 	return BalanceSets([][][]uint16{held}, [][]float64{load}, p)[0]
 }
 
-// BalanceSets is Balance for several sets with the same ranks, listed first to last. What
-// a rank may take in all is spent where it relieves a set most.
+// BalanceSets is Balance for several sets of layers on the same ranks. The limit of
+// MaxNewPerRank is spent on the moves with the highest gain in any set.
 func BalanceSets(held [][][]uint16, load [][]float64, p SetParams) [][][]uint16 {
 	if len(held) == 0 {
 		return nil
@@ -64,7 +65,7 @@
 	return out
 }
 
-// bestSet returns the set whose next move gains most, nil if none has one.
+// bestSet returns the set whose best move has the highest gain, or nil if no set has a move.
 func bestSet(sets []*balancer) *balancer {
 	var top *balancer
 	for _, b := range sets {
@@ -75,56 +76,57 @@
 	return top
 }
 
-// budget counts the experts that are new to each rank, in all sets.
+// budget counts the experts of all sets that are new to each rank, and limits their number.
 type budget struct {
 	max   int
 	added []int
 }
 
-func newBudget(ranks, most int) *budget {
-	if most == 0 {
-		most = math.MaxInt
+func newBudget(ranks, limit int) *budget {
+	if limit == 0 {
+		limit = math.MaxInt
 	}
-	return &budget{max: most, added: make([]int, ranks)}
+	return &budget{max: limit, added: make([]int, ranks)}
 }
 
-// SetTimes returns each rank's time, in tokens of a rank at its usual pace.
-func SetTimes(held [][]uint16, load, pace []float64) []float64 {
-	return newBalancer(held, load, SetParams{Slowdown: pace}).times
+// SetTimes returns each rank's time for a set of layers. The unit is the time that a rank
+// takes for one token at its usual speed.
+func SetTimes(held [][]uint16, load, slowdown []float64) []float64 {
+	return newBalancer(held, load, SetParams{Slowdown: slowdown}).times
 }
 
-// balancer is a set under change.
+// balancer is the working state while one set of layers is balanced.
 type balancer struct {
 	params SetParams
 	load   []float64
 	held   [][]uint16
-	// initial tells which experts a rank held at first, by rank and expert.
+	// initial tells, by rank and expert, what the ranks held before the change.
 	initial [][]bool
-	// has tells which they hold now.
+	// has tells, by rank and expert, what the ranks hold now.
 	has [][]bool
-	// added counts a rank's experts that it did not hold at first.
+	// added counts the experts of each rank that it did not hold before the change.
 	added []int
-	// copies counts the ranks that hold an expert.
-	copies []int
-	times  []float64
-	mean   float64
-	// budget bounds what is new to a rank in all sets.
+	// replicas counts the ranks that hold each expert.
+	replicas []int
+	times    []float64
+	mean     float64
+	// budget limits the experts that are new to a rank, over all sets.
 	budget *budget
-	// bestMove is the best move, if one was found.
+	// bestMove is the move with the highest gain. It is valid if hasMove is set.
 	bestMove move
 	hasMove  bool
 }
 
 func newBalancer(held [][]uint16, load []float64, p SetParams) *balancer {
 	b := &balancer{
-		params: p, load: load, added: make([]int, len(held)), copies: make([]int, len(load)),
+		params: p, load: load, added: make([]int, len(held)), replicas: make([]int, len(load)),
 		times: make([]float64, len(held)), budget: newBudget(len(held), 0),
 	}
 	for _, list := range held {
 		has := make([]bool, len(load))
 		for _, e := range list {
 			has[e] = true
-			b.copies[e]++
+			b.replicas[e]++
 		}
 		b.initial = append(b.initial, has)
 		b.has = append(b.has, slices.Clone(has))
@@ -137,7 +139,7 @@
 	return b
 }
 
-// updateTimes derives the ranks' times from what they hold.
+// updateTimes computes the ranks' times from the experts that they hold.
 func (b *balancer) updateTimes() {
 	for r, list := range b.held {
 		tokens := 0.0
@@ -148,7 +150,7 @@
 	}
 }
 
-// slowdown returns a rank's time over its usual one.
+// slowdown returns a rank's step time divided by its usual step time.
 func (b *balancer) slowdown(r int) float64 {
 	if r < len(b.params.Slowdown) && b.params.Slowdown[r] > 0 {
 		return b.params.Slowdown[r]
@@ -156,19 +158,19 @@
 	return 1
 }
 
-// share is a holder's part of an expert's tokens.
-func (b *balancer) share(e uint16) float64 { return b.load[e] / float64(b.copies[e]) }
+// share returns the tokens of an expert that each of its replicas gets.
+func (b *balancer) share(e uint16) float64 { return b.load[e] / float64(b.replicas[e]) }
 
-// shareAmong is the part with another number of copies.
-func (b *balancer) shareAmong(e uint16, copies int) float64 { return b.load[e] / float64(copies) }
+// shareAmong returns the share for a given number of replicas.
+func (b *balancer) shareAmong(e uint16, replicas int) float64 { return b.load[e] / float64(replicas) }
 
-// absent stands for no expert.
+// absent stands for no rank or no expert.
 const absent = -1
 
-// move relieves the most loaded rank, hot, of an expert: another rank takes it, or, where
-// rank is none, those that hold it already do. Gives is the expert that makes room there,
-// or none. Leaves tells that hot gives up its own copy, back that it gets the expert that
-// made room for it.
+// move takes load of an expert off the most loaded rank, hot. The target rank gets a replica;
+// if target is absent, the other ranks with a replica take over. Displaced is the expert that
+// the target drops for it, or absent. With dropsFromHot, hot drops its own replica. With
+// isExchange, hot gets the displaced expert in return.
 type move struct {
 	hot          int
 	target       int
@@ -176,11 +178,12 @@
 	displaced    int
 	dropsFromHot bool
 	isExchange   bool
-	// gain is by how much the higher of the ranks concerned falls.
+	// gain is by how much the highest time of the ranks involved decreases.
 	gain float64
 }
 
-// findMove finds the best move for the most loaded rank that is worth it.
+// findMove finds the move with the highest gain for the most loaded rank, if one reaches the
+// least gain.
 func (b *balancer) findMove() {
 	hot := 0
 	for r := range b.times {
@@ -191,7 +194,7 @@
 	b.bestMove, b.hasMove = move{gain: b.params.MinGain * b.mean}, false
 	for _, e := range b.held[hot] {
 		if b.share(e)*b.slowdown(hot) <= b.bestMove.gain {
-			// No move of it relieves hot by more than that.
+			// A move of e can't gain more than the time that hot spends on e.
 			continue
 		}
 		b.considerDrop(hot, e)
@@ -203,14 +206,14 @@
 	}
 }
 
-// consider keeps a move that gains more than the best so far.
+// consider keeps a move if it has the highest gain so far.
 func (b *balancer) consider(m move) {
 	if m.gain > b.bestMove.gain {
 		b.bestMove, b.hasMove = m, true
 	}
 }
 
-// fitsBudget reports whether the budgets of the ranks still have room for a move.
+// fitsBudget reports whether a move still fits the limits on new experts of the ranks.
 func (b *balancer) fitsBudget(m move) bool {
 	if m.target == absent {
 		return true
@@ -221,9 +224,9 @@
 	return !m.isExchange || b.mayTake(m.hot, uint16(m.displaced), int(m.expert))
 }
 
-// considerMoves looks at the moves that put e on rank r.
+// considerMoves considers the moves that put a replica of e on rank r.
 func (b *balancer) considerMoves(hot, r int, e uint16) {
-	share, extra := b.share(e), b.shareAmong(e, b.copies[e]+1)
+	share, extra := b.share(e), b.shareAmong(e, b.replicas[e]+1)
 	relief := share - extra
 	if len(b.held[r]) < b.params.SlotsPerRank && b.mayTake(r, e, absent) {
 		b.consider(move{hot: hot, target: r, expert: e, displaced: absent, gain: b.gain(hot, r, relief, extra)})
@@ -233,7 +236,7 @@
 		if !b.mayTake(r, e, int(f)) {
 			continue
 		}
-		if b.copies[f] > 1 {
+		if b.replicas[f] > 1 {
 			b.considerReplace(move{hot: hot, target: r, expert: e, displaced: int(f)}, relief, extra)
 			b.considerReplace(move{hot: hot, target: r, expert: e, displaced: int(f), dropsFromHot: true}, share, share)
 		}
@@ -244,67 +247,70 @@
 	}
 }
 
-// considerReplace looks at a move that takes the place of another copy of an expert, and
-// by itself takes less from the most loaded rank and gives extra to the other one.
-func (b *balancer) considerReplace(m move, less, extra float64) {
+// considerReplace considers a move that replaces a replica of another expert on the target
+// rank. Relief and added are the tokens that the most loaded rank loses and the target gains
+// by the new replica alone.
+func (b *balancer) considerReplace(m move, relief, added float64) {
 	f := uint16(m.displaced)
-	// The other holders of f get more; the most loaded rank may be one.
-	more := b.shareAmong(f, b.copies[f]-1) - b.share(f)
+	// The remaining replicas of f get more tokens. One of them may be on the most loaded rank.
+	extra := b.shareAmong(f, b.replicas[f]-1) - b.share(f)
 	if b.has[m.hot][f] {
-		less -= more
+		relief -= extra
 	}
-	m.gain = b.gain(m.hot, m.target, less, extra-b.share(f))
-	if m.gain > b.bestMove.gain && b.holdersStayBelow(f, m.target, m.hot, more, less) {
+	m.gain = b.gain(m.hot, m.target, relief, added-b.share(f))
+	if m.gain > b.bestMove.gain && b.holdersStayBelow(f, m.target, m.hot, extra, relief) {
 		b.consider(m)
 	}
 }
 
-// considerDrop looks at the move by which hot leaves e to the other ranks that hold it,
-// which costs no copy.
+// considerDrop considers the move by which hot drops its replica of e and leaves e to the other
+// ranks that hold it. No expert is copied for it.
 func (b *balancer) considerDrop(hot int, e uint16) {
-	n := b.copies[e]
+	n := b.replicas[e]
 	if n < 2 {
 		return
 	}
-	more, less := b.shareAmong(e, n-1)-b.share(e), b.share(e)
-	top := b.times[hot] - less*b.slowdown(hot)
+	extra, relief := b.shareAmong(e, n-1)-b.share(e), b.share(e)
+	top := b.times[hot] - relief*b.slowdown(hot)
 	for h := range b.held {
 		if h != hot && b.has[h][e] {
-			top = max(top, b.times[h]+more*b.slowdown(h))
+			top = max(top, b.times[h]+extra*b.slowdown(h))
 		}
 	}
 	b.consider(move{hot: hot, target: absent, expert: e, displaced: absent, dropsFromHot: true, gain: b.times[hot] - top})
 }
 
-// gain is by how much the higher of two ranks' times falls where hot gets fewer tokens
-// and r more.
-func (b *balancer) gain(hot, r int, less, more float64) float64 {
-	return b.times[hot] - max(b.times[hot]-less*b.slowdown(hot), b.times[r]+more*b.slowdown(r))
+// gain returns by how much the higher of two ranks' times decreases if hot loses tokens
+// (relief) and r gains tokens (extra).
+func (b *balancer) gain(hot, r int, relief, extra float64) float64 {
+	return b.times[hot] - max(b.times[hot]-relief*b.slowdown(hot), b.times[r]+extra*b.slowdown(r))
 }
 
-// holdersStayBelow reports whether the other holders of f can take its tokens.
-func (b *balancer) holdersStayBelow(f uint16, r, hot int, more, less float64) bool {
+// holdersStayBelow reports whether the other ranks with a replica of f, which get extra tokens
+// each, stay below the time of hot after the move.
+func (b *balancer) holdersStayBelow(f uint16, r, hot int, extra, relief float64) bool {
 	for h := range b.held {
-		if h != r && h != hot && b.has[h][f] && b.times[h]+more*b.slowdown(h) > b.times[hot]-less*b.slowdown(hot) {
+		if h != r && h != hot && b.has[h][f] && b.times[h]+extra*b.slowdown(h) > b.times[hot]-relief*b.slowdown(hot) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayTake reports whether rank r may take e in place of gives.
-func (b *balancer) mayTake(r int, e uint16, gives int) bool {
-	more := 0
-	if gives != absent && !b.initial[r][gives] {
-		more--
+// mayTake reports whether the limits on new experts allow rank r to take e in place of the
+// displaced expert.
+func (b *balancer) mayTake(r int, e uint16, displaced int) bool {
+	extra := 0
+	if displaced != absent && !b.initial[r][displaced] {
+		extra--
 	}
 	if !b.initial[r][e] {
-		more++
+		extra++
 	}
-	return b.added[r]+more <= b.params.MaxNewPerSet && b.budget.added[r]+more <= b.budget.max
+	return b.added[r]+extra <= b.params.MaxNewPerSet && b.budget.added[r]+extra <= b.budget.max
 }
 
-// apply makes a move.
+// apply applies a move.
 func (b *balancer) apply(m move) {
 	if m.displaced != absent {
 		b.remove(m.target, uint16(m.displaced))
@@ -324,7 +330,7 @@
 func (b *balancer) add(r int, e uint16) {
 	b.held[r] = append(b.held[r], e)
 	b.has[r][e] = true
-	b.copies[e]++
+	b.replicas[e]++
 	if !b.initial[r][e] {
 		b.added[r]++
 		b.budget.added[r]++
@@ -335,7 +341,7 @@
 	i := slices.Index(b.held[r], e)
 	b.held[r] = slices.Delete(b.held[r], i, i+1)
 	b.has[r][e] = false
-	b.copies[e]--
+	b.replicas[e]--
 	if !b.initial[r][e] {
 		b.added[r]--
 		b.budget.added[r]--
--- a/internal/placement/balance_test.go
+++ b/internal/placement/balance_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// roundRobin holds each expert on one rank, as a group begins.
+// roundRobin assigns each expert to one rank in turn, as in the first map of a group.
 func roundRobin(ranks, experts int) [][]uint16 {
 	held := make([][]uint16, ranks)
 	for e := range experts {
@@ -18,15 +18,18 @@
 	return held
 }
 
+// An expert with most of the load must get replicas on other ranks.
 func TestBalanceReplicatesAHotExpert(t *testing.T) {
 	held := roundRobin(4, 8)
 	load := []float64{100, 1, 1, 1, 1, 1, 1, 1}
 	next := Balance(held, load, SetParams{SlotsPerRank: 3, MaxNewPerSet: 1, MinGain: 0.01})
 	require.InDelta(t, 101, slices.Max(SetTimes(held, load, nil)), 1e-9)
 	require.Less(t, slices.Max(SetTimes(next, load, nil)), 35.0)
-	require.Equal(t, roundRobin(4, 8), held, "the map in use is not touched")
+	require.Equal(t, roundRobin(4, 8), held, "the input is not modified")
 }
 
+// Balance must never raise the highest load, exceed the slots or the new experts of a rank, or
+// leave an expert without a rank.
 func TestBalanceRespectsSlotAndCopyLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ranks := rapid.IntRange(2, 6).Draw(t, "ranks")
@@ -52,6 +55,8 @@
 	})
 }
 
+// The new experts of a rank over all sets must stay within MaxNewPerRank, since the time of a
+// change grows with them.
 func TestBalanceSetsRespectsRankLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ranks := rapid.IntRange(2, 6).Draw(t, "ranks")
@@ -71,16 +76,16 @@
 		}
 		next := BalanceSets(held, load, p)
 		for r := range ranks {
-			fresh := 0
+			added := 0
 			for set := range next {
 				for _, e := range next[set][r] {
 					if !slices.Contains(held[set][r], e) {
-						fresh++
+						added++
 					}
 				}
 			}
-			if fresh > p.MaxNewPerRank {
-				t.Fatalf("rank %d takes %d new experts", r, fresh)
+			if added > p.MaxNewPerRank {
+				t.Fatalf("rank %d takes %d new experts", r, added)
 			}
 		}
 		for set := range next {
@@ -89,7 +94,8 @@
 	})
 }
 
-// What the ranks may take goes to the set that is furthest out of balance.
+// The limit on new experts per rank must be spent on the set with the worst imbalance. Guards
+// against a first set that uses it up for small gains.
 func TestBalanceSetsRelievesTheWorstSetFirst(t *testing.T) {
 	held := [][][]uint16{roundRobin(4, 8), roundRobin(4, 8)}
 	even, skewed := []float64{12, 10, 10, 10, 10, 10, 10, 10}, []float64{100, 1, 1, 1, 1, 1, 1, 1}
@@ -98,21 +104,22 @@
 	require.Less(t, slices.Max(SetTimes(next[1], skewed, nil)), 35.0)
 }
 
+// checkSet checks that a change respects the limits of a set and loses no expert.
 func checkSet(t *rapid.T, before, after [][]uint16, experts int, p SetParams) {
 	seen := make([]bool, experts)
 	for r, list := range after {
-		fresh := 0
+		added := 0
 		for i, e := range list {
 			seen[e] = true
 			if slices.Contains(list[:i], e) {
 				t.Fatalf("rank %d holds expert %d twice", r, e)
 			}
 			if !slices.Contains(before[r], e) {
-				fresh++
+				added++
 			}
 		}
-		if len(list) > p.SlotsPerRank || fresh > p.MaxNewPerSet {
-			t.Fatalf("rank %d holds %d, %d of them new", r, len(list), fresh)
+		if len(list) > p.SlotsPerRank || added > p.MaxNewPerSet {
+			t.Fatalf("rank %d holds %d, %d of them new", r, len(list), added)
 		}
 	}
 	if slices.Contains(seen, false) {
@@ -151,8 +158,8 @@
 	}
 }
 
-// skewedSets holds the experts of each set in turn, or several times where there are more
-// ranks, under loads that differ much.
+// skewedSets assigns the experts of each set to the ranks in turn, repeatedly if there are more
+// ranks than experts, and returns loads that differ strongly.
 func skewedSets(ranks, experts, sets int) ([][][]uint16, [][]float64) {
 	held, load := make([][][]uint16, sets), make([][]float64, sets)
 	for set := range held {
@@ -169,20 +176,21 @@
 	return held, load
 }
 
+// Guards against balancing by tokens alone, which leaves a slow rank as the bottleneck.
 func TestBalanceGivesASlowRankLess(t *testing.T) {
 	held := roundRobin(4, 16)
 	load := make([]float64, 16)
 	for e := range load {
 		load[e] = 10
 	}
-	pace := []float64{1, 3, 1, 1}
-	next := Balance(held, load, SetParams{SlotsPerRank: 6, MaxNewPerSet: 3, MinGain: 0.001, Slowdown: pace})
-	require.InDelta(t, 120, slices.Max(SetTimes(held, load, pace)), 1e-9)
-	require.Less(t, slices.Max(SetTimes(next, load, pace)), 70.0)
+	slowdown := []float64{1, 3, 1, 1}
+	next := Balance(held, load, SetParams{SlotsPerRank: 6, MaxNewPerSet: 3, MinGain: 0.001, Slowdown: slowdown})
+	require.InDelta(t, 120, slices.Max(SetTimes(held, load, slowdown)), 1e-9)
+	require.Less(t, slices.Max(SetTimes(next, load, slowdown)), 70.0)
 }
 
-// A slow rank sets the pace of all, so its experts go to the others, the last copies too:
-// it may be left without any.
+// All ranks wait for a slow one, so its experts must move to the others, also those of which it
+// has the only replica. The slow rank may end up without experts.
 func TestSlowRankIsRelievedOfItsExperts(t *testing.T) {
 	const ranks, experts, slots = 8, 64, 11
 	held := make([][]uint16, ranks)
@@ -191,15 +199,16 @@
 		held[e%ranks] = append(held[e%ranks], uint16(e))
 		load[e] = 1
 	}
-	pace := []float64{4, 1, 1, 1, 1, 1, 1, 1}
-	p := SetParams{SlotsPerRank: slots, MaxNewPerSet: slots, MinGain: 0.02, Slowdown: pace}
-	before := SetTimes(held, load, pace)
-	after := SetTimes(Balance(held, load, p), load, pace)
+	slowdown := []float64{4, 1, 1, 1, 1, 1, 1, 1}
+	p := SetParams{SlotsPerRank: slots, MaxNewPerSet: slots, MinGain: 0.02, Slowdown: slowdown}
+	before := SetTimes(held, load, slowdown)
+	after := SetTimes(Balance(held, load, p), load, slowdown)
 	require.InDelta(t, 32, slices.Max(before), 0.01)
-	require.Less(t, slices.Max(after), 11.0, "a group of seven would have 9.1 each")
+	require.Less(t, slices.Max(after), 11.0, "seven ranks alone would have 9.1 each")
 }
 
-// A copy that is no longer worth its load is left without a copy elsewhere.
+// An overloaded rank must be able to drop a replica of an expert that another rank holds too,
+// even if no expert may be copied.
 func TestBalanceDropsARedundantReplica(t *testing.T) {
 	held := [][]uint16{{0, 1}, {0, 2}, {3}}
 	load := []float64{10, 10, 1, 10}
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -1,20 +1,21 @@
-// Package placement plans which experts the ranks of a group hold, from the
-// observed load by expert and the measured time by rank. It is pure: equal
-// inputs give equal plans.
+// Package placement plans which experts of a mixture-of-experts model the ranks of a
+// group hold, from the observed load by expert and the measured time by rank. It has
+// no state and no side effects: equal inputs give equal plans.
 //
-// The group's skew is the highest step time of a rank over the mean one. A rank's
-// step time is the tokens of its experts over all layers, times its slowness.
-// An expert's tokens are split evenly among its replicas.
+// The skew of a group is the highest step time of a rank divided by the mean step
+// time. A rank's step time is the sum of its experts' tokens over all layers, times
+// its slowness. An expert's tokens are split evenly among its replicas.
 package placement
 
 import "math"
 
-// Load is the tokens by layer and expert in one interval, decayed.
+// Load is the number of tokens by layer and expert in one interval, as a moving
+// average.
 type Load [][]float64
 
-// Observe decays the load towards what the last interval has shown and returns
-// it. Weight is the share of the new interval, in (0, 1]. A nil load takes the
-// observation whole.
+// Observe updates the moving average with the tokens of a new interval and returns
+// it. Weight is the weight of the new interval, in (0, 1]. A nil load becomes the
+// new interval.
 func (l Load) Observe(tokens Load, weight float64) Load {
 	if l == nil {
 		weight = 1
@@ -31,9 +32,9 @@
 	return l
 }
 
-// Slowness returns each rank's time per token over the median rank's, from the
-// measured step times and the tokens that each rank had. A rank without tokens
-// counts as 1.
+// Slowness returns each rank's time per token divided by the median of the ranks,
+// from the measured step times and the tokens of each rank. It is 1 for a rank
+// without tokens.
 func Slowness(stepTimes, tokens []float64) []float64 {
 	perToken := make([]float64, len(stepTimes))
 	for r := range stepTimes {
@@ -52,8 +53,8 @@
 	return perToken
 }
 
-// Distance returns how far the shares of the tokens by expert are from those of another
-// interval: half the sum of the differences, averaged over the layers, in [0, 1].
+// Distance returns the total variation distance between the distributions of tokens over
+// experts of the load and of another interval, averaged over the layers, in [0, 1].
 func (l Load) Distance(tokens Load) float64 {
 	if len(l) == 0 || len(l) != len(tokens) {
 		return 0
@@ -85,7 +86,7 @@
 	return sum
 }
 
-// Sum returns all tokens of an interval.
+// Sum returns the total number of tokens of an interval.
 func Sum(tokens Load) float64 {
 	sum := 0.0
 	for i := range tokens {
--- a/internal/placement/measure_test.go
+++ b/internal/placement/measure_test.go
@@ -17,10 +17,9 @@
 	intervals = 200
 )
 
-// workload is drifting popularity of each layer's experts: log-normal weights
-// that walk and return to their mean. In intervals 80 to 119 (entry week) half
-// of the tokens follow another popularity; rank 1 is slow in 60 to 99; the last
-// rank leaves at 150.
+// workload simulates the popularity of each layer's experts: log-normal weights that
+// drift as a mean-reverting random walk. In intervals 80 to 119 half of the tokens
+// follow a second set of weights. See slownessAt for the ranks.
 type workload struct {
 	rng    *rand.Rand
 	logits [2][][]float64
@@ -40,28 +39,31 @@
 	return w
 }
 
+// next returns the tokens of interval t and advances the random walk.
 func (w *workload) next(t int) Load {
-	swing := 0.0
+	secondShare := 0.0
 	if t >= 80 && t < 120 {
-		swing = 0.5
+		secondShare = 0.5
 	}
 	out := make(Load, layers)
 	for l := range out {
 		out[l] = make([]float64, experts)
-		for k, part := range []float64{1 - swing, swing} {
+		for k, weight := range []float64{1 - secondShare, secondShare} {
 			row, sum := w.logits[k][l], 0.0
 			for e := range row {
 				row[e] = 0.999*row[e] + 0.02*w.rng.NormFloat64()
 				sum += math.Exp(row[e])
 			}
 			for e := range row {
-				out[l][e] += part * 4096 * math.Exp(row[e]) / sum
+				out[l][e] += weight * 4096 * math.Exp(row[e]) / sum
 			}
 		}
 	}
 	return out
 }
 
+// slownessAt returns the slowness of the ranks in interval t: rank 1 is slow in
+// intervals 60 to 99, and the last rank is gone from 150 on.
 func slownessAt(t, ranks int) []float64 {
 	s := slices.Repeat([]float64{1}, ranks)
 	if t >= 60 && t < 100 {
@@ -88,8 +90,8 @@
 var (
 	static     = policy{name: "no change", params: withWeights(0, 1)}
 	fullReplan = policy{name: "full re-plan", replan: true, params: DefaultParams()}
-	skewFirst  = policy{name: "ours, Trotro (skew 3, rebalance 1)", params: withWeights(3, 1)}
-	costFirst  = policy{name: "ours, Velotrak (skew 1, rebalance 3)", params: withWeights(1, 3)}
+	skewFirst  = policy{name: "weights skew 3, rebalance 1", params: withWeights(3, 1)}
+	costFirst  = policy{name: "weights skew 1, rebalance 3", params: withWeights(1, 3)}
 )
 
 type result struct {
@@ -99,11 +101,12 @@
 
 func (r result) String() string {
 	p := DefaultParams()
-	return fmt.Sprintf("skew p50 %.3f p99 %.3f mean %.3f, %d changes, %.0f steps held, %d loads, %.0f steps of cache",
+	return fmt.Sprintf("skew p50 %.3f p99 %.3f mean %.3f, %d changes, %.0f steps of fixed cost, %d loads, %.0f steps of cache",
 		r.p50, r.p99, r.mean, r.changes, float64(r.changes)*p.FixedSteps, r.loads, float64(r.loads)*p.CacheSteps)
 }
 
-// slotsFor gives 80, 96 and 128 slots a layer to 8, 32 and 128 ranks.
+// slotsFor returns the slots per rank: 80, 96 and 128 slots in a layer of 8, 32 and
+// 128 ranks.
 func slotsFor(ranks int) int {
 	return max(1, experts/ranks+max(0, 16/ranks, 2-ranks/32))
 }
@@ -119,10 +122,10 @@
 	var r result
 	var skews []float64
 	for t := 1; t <= intervals; t++ {
-		slow := slownessAt(t, ranks)
-		next := MakePlan(m, load, slow, p.params).Apply(m)
+		slowness := slownessAt(t, ranks)
+		next := MakePlan(m, load, slowness, p.params).Apply(m)
 		if p.replan {
-			next = Replan(m, load, slow)
+			next = Replan(m, load, slowness)
 		}
 		if n := loadsBetween(m, next, ranks); n > 0 {
 			r.loads += n
@@ -130,7 +133,7 @@
 		}
 		m = next
 		tokens := w.next(t)
-		skews = append(skews, Skew(m, tokens, slow))
+		skews = append(skews, Skew(m, tokens, slowness))
 		r.mean += skews[t-1] / intervals
 		load = load.Observe(tokens, 0.5)
 	}
@@ -139,7 +142,7 @@
 	return r
 }
 
-// loadsBetween counts the experts that ranks hold after but not before.
+// loadsBetween counts the experts that ranks hold under map b but not under map a.
 func loadsBetween(a, b Map, ranks int) int {
 	n := 0
 	for l := range a.Layers {
@@ -155,29 +158,32 @@
 	return n
 }
 
+// Plans must stay close to the balance of a full replan with a tenth of its weight loads, or,
+// with a high weight on costs, halve the excess skew of a map that never changes with a
+// thirtieth of them.
 func TestPlanBalancesWithFarFewerLoadsThanReplan(t *testing.T) {
 	for _, ranks := range []int{8, 32, 128} {
 		t.Run(fmt.Sprint(ranks, " ranks"), func(t *testing.T) {
 			t.Parallel()
 			none, all := static.run(ranks), fullReplan.run(ranks)
-			skewed, sparing := skewFirst.run(ranks), costFirst.run(ranks)
-			for i, r := range []result{none, all, skewed, sparing} {
+			balanced, cheap := skewFirst.run(ranks), costFirst.run(ranks)
+			for i, r := range []result{none, all, balanced, cheap} {
 				t.Log([]policy{static, fullReplan, skewFirst, costFirst}[i].name, r)
 			}
-			require.Less(t, skewed.mean, 1.1*all.mean)
-			require.Less(t, skewed.loads*10, all.loads)
-			require.Less(t, sparing.mean-1, (none.mean-1)/2)
-			require.Less(t, sparing.loads*30, all.loads)
+			require.Less(t, balanced.mean, 1.1*all.mean)
+			require.Less(t, balanced.loads*10, all.loads)
+			require.Less(t, cheap.mean-1, (none.mean-1)/2)
+			require.Less(t, cheap.loads*30, all.loads)
 		})
 	}
 }
 
-// A plan keeps a living replica of each expert, also when a rank is gone, stays
-// within its bound, and expects what the map then shows.
+// Every expert must keep a replica on a remaining rank, also when a rank is gone. A plan
+// must stay within MaxLoads, and the skew that it predicts must be that of the new map.
 func TestPlanKeepsAReplicaOfEachExpert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ranks := rapid.SampledFrom([]int{2, 3, 8}).Draw(t, "ranks")
-		slow := slices.Repeat([]float64{1}, ranks)
+		slowness := slices.Repeat([]float64{1}, ranks)
 		m := Map{SlotsPerRank: 8}
 		load := Load{make([]float64, 4), make([]float64, 4)}
 		for l := range load {
@@ -186,29 +192,30 @@
 			}
 			m.Layers = append(m.Layers, make([]uint16, ranks*m.SlotsPerRank))
 		}
-		m = Replan(m, load, slow)
+		m = Replan(m, load, slowness)
 		slices.Reverse(load[0])
-		slow[0] = rapid.SampledFrom([]float64{0, 1, 2}).Draw(t, "slowness")
+		slowness[0] = rapid.SampledFrom([]float64{0, 1, 2}).Draw(t, "slowness")
 		p := DefaultParams()
 		p.MaxLoads = rapid.IntRange(0, 6).Draw(t, "bound")
-		plan := MakePlan(m, load, slow, p)
+		plan := MakePlan(m, load, slowness, p)
 		next := plan.Apply(m)
-		require.InDelta(t, Skew(next, load, slow), plan.SkewAfter, 1e-9)
-		if slow[0] > 0 {
+		require.InDelta(t, Skew(next, load, slowness), plan.SkewAfter, 1e-9)
+		if slowness[0] > 0 {
 			require.LessOrEqual(t, len(plan.Moves), p.MaxLoads)
 		}
 		for l := range next.Layers {
-			living := next.Layers[l]
-			if slow[0] == 0 {
-				living = living[m.SlotsPerRank:]
+			remaining := next.Layers[l]
+			if slowness[0] == 0 {
+				remaining = remaining[m.SlotsPerRank:]
 			}
 			for e := range load[l] {
-				require.Contains(t, living, uint16(e), "layer %d", l)
+				require.Contains(t, remaining, uint16(e), "layer %d", l)
 			}
 		}
 	})
 }
 
+// Guards against changes that cost more steps than they save.
 func TestNoChangeBelowItsCost(t *testing.T) {
 	m := Map{SlotsPerRank: 2, Layers: [][]uint16{{0, 1, 2, 3}}}
 	load := Load{{50, 50, 49, 49}}
@@ -219,12 +226,13 @@
 	require.NotEmpty(t, MakePlan(m, load, []float64{1, 1}, p).Moves)
 }
 
+// Guards against plans that ignore the measured time per token of a rank.
 func TestSlowRankGetsFewerTokens(t *testing.T) {
-	slow := Slowness([]float64{1, 2, 1}, []float64{10, 10, 10})
-	require.Equal(t, []float64{1, 2, 1}, slow)
+	slowness := Slowness([]float64{1, 2, 1}, []float64{10, 10, 10})
+	require.Equal(t, []float64{1, 2, 1}, slowness)
 	m := Map{SlotsPerRank: 2, Layers: [][]uint16{{0, 1, 2, 3, 4, 5}}}
 	load := Load{{10, 20, 30, 30, 20, 10}}
-	plan := MakePlan(m, load, slow, withWeights(3, 1))
+	plan := MakePlan(m, load, slowness, withWeights(3, 1))
 	tokens := StepTimes(plan.Apply(m), load, []float64{1, 1, 1})
 	require.Less(t, tokens[1], tokens[0])
 	require.Less(t, tokens[1], tokens[2])
@@ -232,14 +240,14 @@
 
 // BenchmarkMakePlan plans for 128 ranks, 64 experts and 58 layers.
 func BenchmarkMakePlan(b *testing.B) {
-	const ranks, deep = 128, 58
+	const ranks, depth = 128, 58
 	w, m, load := newWorkload(), Map{SlotsPerRank: 1}, Load{}
-	for len(load) < deep {
+	for len(load) < depth {
 		load = append(load, w.next(0)...)
 		m.Layers = slices.Grow(m.Layers, layers)
 	}
-	load = load[:deep]
-	for range deep {
+	load = load[:depth]
+	for range depth {
 		m.Layers = append(m.Layers, make([]uint16, ranks))
 	}
 	m = Replan(m, load, slownessAt(0, ranks))
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -2,25 +2,26 @@
 
 import "slices"
 
-// Move puts an expert into a slot.
+// Move assigns an expert to a slot.
 type Move struct {
 	Layer  int
 	Slot   int
 	Expert uint16
 }
 
-// Plan is a change of the map.
+// Plan is a change of the expert map.
 type Plan struct {
-	// Moves are in the order of their gain; each is one weight load. Empty means
-	// that no change is worth its cost.
+	// Moves are listed in the order in which they were chosen. Each is one weight
+	// load. An empty list means that no change is worth its cost.
 	Moves []Move
-	// SkewBefore and SkewAfter are expected on the given load.
+	// SkewBefore and SkewAfter are the skews expected under the given load without
+	// and with the change.
 	SkewBefore, SkewAfter float64
-	// NetSteps is the weighed gain less the weighed cost.
+	// NetSteps is the weighted gain minus the weighted cost, in steps.
 	NetSteps float64
 }
 
-// Apply returns the map with the moves made.
+// Apply returns a copy of the map with the moves applied.
 func (p Plan) Apply(m Map) Map {
 	out := m.Clone()
 	for _, mv := range p.Moves {
@@ -29,11 +30,11 @@
 	return out
 }
 
-// MakePlan plans a change of the map. Slowness is each rank's time per token over
-// the usual one; 0 marks a rank that is gone, whose experts are placed elsewhere
-// whatever that costs. Of the bounded list of moves, each the best for the
-// slowest rank by gain per load, the plan takes the first so many that bring the
-// highest net gain.
+// MakePlan plans a change of the map. Slowness is each rank's time per token
+// relative to the others; 0 marks a rank that is gone. Experts that were only on
+// such a rank are placed elsewhere whatever that costs. Otherwise MakePlan makes a
+// greedy list of at most MaxLoads moves, each with the highest gain per load for the
+// slowest rank, and keeps the prefix of the list with the highest net gain.
 func MakePlan(m Map, load Load, slowness []float64, p Params) Plan {
 	s := newState(m, load, slowness)
 	plan := Plan{SkewBefore: s.skew()}
@@ -42,7 +43,8 @@
 	plan.accept(moves, s.skew(), 0)
 	start := s.skew()
 	for len(moves) < p.MaxLoads+forced {
-		// No map has a skew below 1: stop where even that wouldn't pay.
+		// No map has a skew below 1. Stop when even a skew of 1 would not improve
+		// the net gain.
 		if p.netGain(start-1, len(moves)-forced+1) <= plan.NetSteps {
 			break
 		}
@@ -66,23 +68,24 @@
 	p.NetSteps = net
 }
 
-// Skew returns the highest step time of a rank over the mean one.
+// Skew returns the highest step time of a rank divided by the mean step time.
 func Skew(m Map, load Load, slowness []float64) float64 {
 	return newState(m, load, slowness).skew()
 }
 
-// StepTimes returns each rank's step time in tokens of a usual rank.
+// StepTimes returns each rank's step time. The unit is the time that a rank of
+// slowness 1 takes for one token.
 func StepTimes(m Map, load Load, slowness []float64) []float64 {
 	return newState(m, load, slowness).times
 }
 
-// mapState is a map under change with the times that follow from it.
+// mapState is the map during planning, with the step times that follow from it.
 type mapState struct {
 	m        Map
 	load     Load
 	slowness []float64
-	// holders lists, by layer and expert, the ranks with a replica, one entry a
-	// slot.
+	// holders lists the ranks with a replica, by layer and expert. A rank is listed
+	// once for each slot that holds the expert.
 	holders [][][]int
 	times   []float64
 }
@@ -106,7 +109,8 @@
 
 func (s *mapState) rank(slot int) int { return slot / s.m.SlotsPerRank }
 
-// addTokens adds an expert's tokens to its holders' times, or takes them off.
+// addTokens adds an expert's tokens to the times of the ranks that hold it, or
+// subtracts them if sign is -1.
 func (s *mapState) addTokens(l int, e uint16, sign float64) {
 	h := s.holders[l][e]
 	for _, r := range h {
@@ -131,7 +135,7 @@
 	return top * float64(alive) / sum
 }
 
-// applyMove makes one move.
+// applyMove applies one move and updates the step times.
 func (s *mapState) applyMove(mv Move) {
 	old, r := s.m.Layers[mv.Layer][mv.Slot], s.rank(mv.Slot)
 	s.addTokens(mv.Layer, old, -1)
@@ -152,8 +156,8 @@
 	}
 }
 
-// restoreLost places the experts that no rank holds any more, each over the smallest
-// share that has another replica.
+// restoreLost places the experts that no remaining rank holds. Each replaces the
+// replica with the least tokens whose expert has another replica.
 func (s *mapState) restoreLost() []Move {
 	var out []Move
 	for l := range s.holders {
@@ -171,16 +175,16 @@
 	return out
 }
 
-// leastNeededSlot returns the living slot of the layer with the smallest share that has
-// another replica, or -1.
+// leastNeededSlot returns the slot of a remaining rank whose replica gets the least
+// tokens, among the experts of the layer that have another replica, or -1.
 func (s *mapState) leastNeededSlot(l int) int {
 	best, least := -1, 0.0
 	for slot, e := range s.m.Layers[l] {
-		n := len(s.holders[l][e])
-		if s.slowness[s.rank(slot)] == 0 || n < 2 {
+		replicas := len(s.holders[l][e])
+		if s.slowness[s.rank(slot)] == 0 || replicas < 2 {
 			continue
 		}
-		if t := s.load[l][e] / float64(n); best < 0 || t < least {
+		if t := s.load[l][e] / float64(replicas); best < 0 || t < least {
 			best, least = slot, t
 		}
 	}
@@ -188,8 +192,8 @@
 }
 
 // bestStep returns the moves with the highest gain per load for the slowest rank:
-// a further replica of one of its experts elsewhere (one load), or an exchange
-// of slots with another rank (two loads). It returns nil if none helps.
+// another replica of one of its experts on another rank (one load), or an exchange
+// of two experts with another rank (two loads). It returns nil if nothing helps.
 func (s *mapState) bestStep() []Move {
 	hot := 0
 	for r := range s.times {
@@ -213,7 +217,8 @@
 	moves          []Move
 }
 
-// accept takes note of the gain per load if it is the highest so far.
+// accept reports whether a step has the highest gain per load so far, and if so
+// raises minGainPerLoad to it.
 func (c *stepChoice) accept(gain float64, loads int) bool {
 	perLoad := gain / float64(loads)
 	if perLoad <= c.minGainPerLoad {
@@ -223,35 +228,35 @@
 	return true
 }
 
-// considerSlot considers all moves that take tokens off one slot of the hot rank.
+// considerSlot considers all steps that reduce the tokens of one slot of the slowest rank.
 func (s *mapState) considerSlot(l, slot int, c *stepChoice) {
 	hot, e := s.rank(slot), s.m.Layers[l][slot]
-	hotSlow := s.slowness[hot]
-	n := float64(len(s.holders[l][e]))
-	mine := s.load[l][e] / n
+	hotSlowness := s.slowness[hot]
+	replicas := float64(len(s.holders[l][e]))
+	hotShare := s.load[l][e] / replicas
 	for other, f := range s.m.Layers[l] {
 		r := s.rank(other)
 		if r == hot || s.slowness[r] == 0 || f == e || s.times[r] >= s.times[hot] {
 			continue
 		}
-		k := float64(len(s.holders[l][f]))
-		theirs := s.load[l][f] / k
-		swap := min((mine-theirs)*hotSlow, s.times[hot]-s.times[r]-(mine-theirs)*s.slowness[r])
+		otherReplicas := float64(len(s.holders[l][f]))
+		otherShare := s.load[l][f] / otherReplicas
+		swap := min((hotShare-otherShare)*hotSlowness, s.times[hot]-s.times[r]-(hotShare-otherShare)*s.slowness[r])
 		if c.accept(swap, 2) {
 			c.moves = []Move{{l, slot, f}, {l, other, e}}
 		}
-		if k < 2 {
+		if otherReplicas < 2 {
 			continue
 		}
-		less := mine - s.load[l][e]/(n+1)
+		relief := hotShare - s.load[l][e]/(replicas+1)
 		if slices.Contains(s.holders[l][f], hot) {
-			less -= s.load[l][f]/(k-1) - theirs
+			relief -= s.load[l][f]/(otherReplicas-1) - otherShare
 		}
-		grown := s.load[l][e]/(n+1) - theirs
-		replica := min(less*hotSlow, s.times[hot]-s.times[r]-grown*s.slowness[r])
+		extra := s.load[l][e]/(replicas+1) - otherShare
+		replica := min(relief*hotSlowness, s.times[hot]-s.times[r]-extra*s.slowness[r])
 		for _, h := range s.holders[l][f] {
 			if h != r && h != hot {
-				replica = min(replica, s.times[hot]-s.times[h]-(s.load[l][f]/(k-1)-theirs)*s.slowness[h])
+				replica = min(replica, s.times[hot]-s.times[h]-(s.load[l][f]/(otherReplicas-1)-otherShare)*s.slowness[h])
 			}
 		}
 		if c.accept(replica, 1) {
--- a/internal/placement/replicas.go
+++ b/internal/placement/replicas.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Map gives the expert in each slot of each layer; slot s belongs to rank
-// s/SlotsPerRank.
+// Map is the assignment of experts to the slots of each layer. Slot s belongs to
+// rank s/SlotsPerRank.
 type Map struct {
 	SlotsPerRank int
 	Layers       [][]uint16
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (m Map) Clone() Map {
 	out := Map{SlotsPerRank: m.SlotsPerRank}
 	for _, l := range m.Layers {
@@ -21,8 +21,8 @@
 	return out
 }
 
-// replicaCounts gives every expert one replica and the rest of the slots, one after
-// the other, to the expert with the most tokens per replica.
+// replicaCounts returns the number of replicas of each expert: one each, and the
+// remaining slots one by one to the expert with the most tokens per replica.
 func replicaCounts(tokens []float64, slots int) []int {
 	n := make([]int, len(tokens))
 	for e := range n {
@@ -40,15 +40,15 @@
 	return n
 }
 
-// share is one replica's part of an expert's tokens.
+// share is the part of an expert's tokens that one of its replicas gets.
 type share struct {
 	expert uint16
 	tokens float64
 }
 
-// Replan places all experts anew, the largest share first, each on the rank
-// with the least step time. It suits a group's first map; it ignores what a
-// change costs. Ranks whose slowness is 0 are gone and keep their old content.
+// Replan places all experts from scratch, the largest share first, each on the rank
+// with the lowest step time. It ignores the cost of the change, so it suits the
+// first map of a group. Ranks with slowness 0 are gone and keep their old experts.
 func Replan(m Map, load Load, slowness []float64) Map {
 	out := m.Clone()
 	times := make([]float64, len(slowness))
@@ -67,9 +67,9 @@
 	}
 	n := replicaCounts(tokens, alive*m.SlotsPerRank)
 	var shares []share
-	for e, k := range n {
-		for range k {
-			shares = append(shares, share{uint16(e), tokens[e] / float64(k)})
+	for e, count := range n {
+		for range count {
+			shares = append(shares, share{uint16(e), tokens[e] / float64(count)})
 		}
 	}
 	slices.SortStableFunc(shares, func(a, b share) int { return cmp.Compare(b.tokens, a.tokens) })
