--- a/internal/planner/change.go
+++ b/internal/planner/change.go
@@ -11,90 +11,93 @@
 )
 
 const (
-	// selectionsWeight is the share of a new interval in the load, while popularity only
-	// drifts.
+	// selectionsWeight is the weight of a new interval in the moving average of the load while
+	// the popularity of experts only drifts.
 	selectionsWeight = 0.25
-	// jumpDistance is the distance of an interval from the load (see placement.Load.Distance) from
-	// which popularity counts as having jumped: what was before is forgotten at once.
-	// Intervals of a tenth of a second differ by less by chance.
+	// jumpDistance is the distance of a new interval from the load (see
+	// placement.Load.Distance) above which popularity has changed abruptly. The load before is
+	// discarded then. Random differences between intervals of 0.1 s stay below it.
 	jumpDistance = 0.13
-	// copyTimeLimit is how long the ranks may copy experts in one change, of all sets together:
-	// a rank copies them one after the other, and all wait for the last. Small changes in
-	// quick succession follow a jump sooner than one that is complete.
+	// copyTimeLimit is how long a rank may copy experts in one change, over all sets. A rank
+	// copies them one after the other, and all ranks wait for the last. Several small changes
+	// in quick succession adapt to a jump of popularity sooner than one large change.
 	copyTimeLimit = 100 * time.Millisecond
-	// minStepGain is the part of a rank's mean load that a copied expert has to save: passes
-	// are slower while experts are copied.
+	// minStepGain is the fraction of the mean load of a rank that one copied expert must save,
+	// since forward passes are slower while experts are copied.
 	minStepGain = 0.07
-	// minChangeGain is the part of the mean load by which the most loaded ranks of all sets
-	// together have to fall for a change where passes are late: it costs a round of orders,
-	// and slower passes while experts are copied.
+	// minChangeGain is the fraction of the mean load by which a change must lower the highest
+	// load, averaged over the sets, when forward passes are near or over their time limit. A
+	// change costs a round of orders to the ranks, and slower passes while experts are copied.
 	minChangeGain = 0.1
-	// maxGainFactor is how many times that has to be gained where passes have room: nobody
-	// waits for them, and each copy takes the links of the ranks.
+	// maxGainFactor multiplies minChangeGain when forward passes are far below their time
+	// limit. Nobody waits for a faster pass then, and each copy takes bandwidth from the links
+	// of the ranks.
 	maxGainFactor = 4
-	// idleFraction and fullPart are the parts of the longest pass that is not late up to which
-	// passes have room, and from which they have none.
+	// idleFraction is the fraction of the time limit up to which a pass counts as far below
+	// the limit, and busyFraction that from which it counts as near the limit.
 	idleFraction = 0.4
 	busyFraction = 0.7
 )
 
-// GainFactor returns how many times the least gain a change has to bring, in [1, easeChange]:
-// less, the nearer passes are to the longest one that is not late. Where either is not
-// known it is 1.
-func GainFactor(pass, late time.Duration) float64 {
-	if pass <= 0 || late <= 0 {
+// GainFactor returns the factor, in [1, maxGainFactor], by which a change must exceed the
+// least gain. Pass is the mean time of a forward pass, and limit the longest time at which no
+// stream is late. The closer pass is to limit, the lower the factor. It is 1 if either time is
+// not known.
+func GainFactor(pass, limit time.Duration) float64 {
+	if pass <= 0 || limit <= 0 {
 		return 1
 	}
-	room := (busyFraction - float64(pass)/float64(late)) / (busyFraction - idleFraction)
-	return 1 + (maxGainFactor-1)*min(max(room, 0), 1)
+	idle := (busyFraction - float64(pass)/float64(limit)) / (busyFraction - idleFraction)
+	return 1 + (maxGainFactor-1)*min(max(idle, 0), 1)
 }
 
-// Forecast is what a planned change is expected to do.
+// Forecast is the expected effect of a planned change.
 type Forecast struct {
-	// ImbalanceBefore and After are the load of the most loaded rank over the mean one, averaged
-	// over the sets as the passes are: each set waits for its own slowest rank.
+	// ImbalanceBefore and ImbalanceAfter are the load of the most loaded rank divided by the
+	// mean load, averaged over the sets: in a forward pass, each set waits for its own slowest
+	// rank.
 	ImbalanceBefore, ImbalanceAfter float64
-	// Distance is that of the last interval from the load before.
+	// Distance is the distance of the last interval from the load before.
 	Distance float64
-	// Copies counts the experts that are new to a rank.
+	// Copies is the number of experts that have to be copied to a rank.
 	Copies int
-	// IsWorthwhile tells that the change is worth its cost.
+	// IsWorthwhile is set if the change is worth its cost.
 	IsWorthwhile bool
 }
 
-// NextBySelections returns the map that the planner wants, the version that it was planned
-// on, and what is expected of it. The picks have to be complete. Ease is how many times
-// the least gain a change has to bring.
-func (p *Planner) NextBySelections(shape *wire.GroupShape, ease float64) (expertmap.Map, uint64, Forecast) {
+// NextBySelections plans the next map from the counts of selected experts. It returns the map,
+// the version of the map that it is based on, and a forecast. IsComplete must hold. GainFactor
+// is the factor that the function of that name returns.
+func (p *Planner) NextBySelections(shape *wire.GroupShape, gainFactor float64) (expertmap.Map, uint64, Forecast) {
 	distance := p.observe(p.stats.takeMean(shape))
-	fresh := maxNewExperts(shape)
+	maxNew := maxNewExperts(shape)
 	params := placement.SetParams{
-		Slowdown: p.stats.slowdowns(), SlotsPerRank: int(shape.SlotsPerRank), MaxNewPerSet: fresh, MaxNewPerRank: fresh, MinGain: minStepGain,
+		Slowdown: p.stats.slowdowns(), SlotsPerRank: int(shape.SlotsPerRank), MaxNewPerSet: maxNew, MaxNewPerRank: maxNew, MinGain: minStepGain,
 	}
 	if shape.Spare > 0 {
-		params.MaxNewPerSet = min(fresh, int(shape.Spare))
+		params.MaxNewPerSet = min(maxNew, int(shape.Spare))
 	}
 	held, base := p.stats.held()
 	next := placement.BalanceSets(held, p.load, params)
 	m := expertmap.Map{SlotsPerRank: params.SlotsPerRank}
 	f := Forecast{Distance: distance}
-	top, topAfter, mean := 0.0, 0.0, 0.0
+	highest, highestAfter, mean := 0.0, 0.0, 0.0
 	for set := range next {
 		before := placement.SetTimes(held[set], p.load[set], params.Slowdown)
-		top += maxOf(before)
-		topAfter += maxOf(placement.SetTimes(next[set], p.load[set], params.Slowdown))
+		highest += maxOf(before)
+		highestAfter += maxOf(placement.SetTimes(next[set], p.load[set], params.Slowdown))
 		mean += meanOf(before)
 		f.Copies += countNewExperts(held[set], next[set])
 		m.Layers = append(m.Layers, layerSlots(next[set], params.SlotsPerRank))
 	}
 	if mean > 0 {
-		f.ImbalanceBefore, f.ImbalanceAfter = top/mean, topAfter/mean
+		f.ImbalanceBefore, f.ImbalanceAfter = highest/mean, highestAfter/mean
 	}
-	f.IsWorthwhile = f.ImbalanceBefore-f.ImbalanceAfter > minChangeGain*ease
+	f.IsWorthwhile = f.ImbalanceBefore-f.ImbalanceAfter > minChangeGain*gainFactor
 	return m, base, f
 }
 
-// maxNewExperts is how many experts may be new to a rank in one change.
+// maxNewExperts returns how many experts may be new to a rank in one change.
 func maxNewExperts(shape *wire.GroupShape) int {
 	if shape.CopyUS == 0 {
 		return 1
@@ -102,12 +105,14 @@
 	return max(int(copyTimeLimit/(time.Duration(shape.CopyUS)*time.Microsecond)), 1)
 }
 
-// MaxCopyTime is how long the ranks copy experts in one change at most, 0 if that is not known.
+// MaxCopyTime returns the longest time for which the ranks copy experts in one change, or 0 if
+// the time of one copy is not known.
 func MaxCopyTime(shape *wire.GroupShape) time.Duration {
 	return time.Duration(maxNewExperts(shape)) * time.Duration(shape.CopyUS) * time.Microsecond
 }
 
-// observe takes an interval's counts into the load, and returns their distance from it.
+// observe adds the counts of an interval to the load, and returns their distance from the load
+// before.
 func (p *Planner) observe(tokens placement.Load) float64 {
 	if placement.Sum(tokens) == 0 && p.load != nil {
 		return 0
@@ -120,7 +125,7 @@
 	return distance
 }
 
-// countNewExperts counts the experts that are new to a rank.
+// countNewExperts returns the number of experts that are new to a rank, over all ranks.
 func countNewExperts(before, after [][]uint16) int {
 	n := 0
 	for r := range after {
@@ -133,7 +138,8 @@
 	return n
 }
 
-// layerSlots writes the ranks' experts into slots.
+// layerSlots returns the slots of a layer, given the experts of each rank. Free slots hold
+// NoExpert.
 func layerSlots(held [][]uint16, slots int) []uint16 {
 	out := make([]uint16, 0, len(held)*slots)
 	for _, list := range held {
@@ -146,11 +152,11 @@
 }
 
 func maxOf(v []float64) float64 {
-	top := 0.0
+	highest := 0.0
 	for _, x := range v {
-		top = max(top, x)
+		highest = max(highest, x)
 	}
-	return top
+	return highest
 }
 
 func meanOf(v []float64) float64 {
--- a/internal/planner/pack.go
+++ b/internal/planner/pack.go
@@ -3,43 +3,43 @@
 import "math"
 
 const (
-	// bitsPerCode is how many bits a packed count has, mostCode the highest of them.
+	// bitsPerCode is the size of a packed count, and maxCode the largest packed count.
 	bitsPerCode = 4
 	maxCode     = 1<<bitsPerCode - 1
-	// headerBytes is how many bytes go before the counts: the largest one, of 32 bits.
+	// headerBytes is the size of the header, which holds the largest count in 32 bits.
 	headerBytes = 4
 )
 
-// Pack writes counts, set after set, in half a byte each: as their square roots, in
-// steps of a fifteenth of the largest one's. A count of events that come by chance varies
-// by its square root, so that what rounding adds is about the same everywhere, and small
-// beside that where several ranks are added up.
-func Pack(picks [][]uint32) []byte {
-	most, n := uint32(0), 0
-	for _, set := range picks {
+// Pack encodes counts, set by set, in 4 bits each. It quantizes the square root of a count in
+// steps of 1/15 of the square root of the largest count. A count of random events has a
+// standard deviation of about its square root. So the rounding error is about the same
+// fraction of that deviation for all counts, and small beside it in a sum over several ranks.
+func Pack(counts [][]uint32) []byte {
+	highest, n := uint32(0), 0
+	for _, set := range counts {
 		n += len(set)
 		for _, count := range set {
-			most = max(most, count)
+			highest = max(highest, count)
 		}
 	}
 	out := make([]byte, headerBytes+(n+1)/2)
-	out[0], out[1], out[2], out[3] = byte(most>>24), byte(most>>16), byte(most>>8), byte(most)
-	step, at := codeStep(most), 0
-	for _, set := range picks {
+	out[0], out[1], out[2], out[3] = byte(highest>>24), byte(highest>>16), byte(highest>>8), byte(highest)
+	step, index := codeStep(highest), 0
+	for _, set := range counts {
 		for _, count := range set {
 			code := byte(math.Round(math.Sqrt(float64(count)) / step))
-			out[headerBytes+at/2] |= code << (bitsPerCode * (at % 2))
-			at++
+			out[headerBytes+index/2] |= code << (bitsPerCode * (index % 2))
+			index++
 		}
 	}
 	return out
 }
 
-// codeStep is the distance of two codes, as square roots.
-func codeStep(most uint32) float64 { return max(math.Sqrt(float64(most))/maxCode, 1.0/maxCode) }
+// codeStep returns the difference between the square roots that adjacent codes stand for.
+func codeStep(highest uint32) float64 { return max(math.Sqrt(float64(highest))/maxCode, 1.0/maxCode) }
 
-// Unpack reads packed counts of that many sets and experts. It returns nil where they
-// are not of that shape.
+// Unpack decodes the counts of a number of sets and experts. It returns nil if the data has
+// another size.
 func Unpack(data []byte, sets, experts int) [][]uint32 {
 	if len(data) != headerBytes+(sets*experts+1)/2 {
 		return nil
@@ -54,8 +54,8 @@
 	for set := range out {
 		out[set] = make([]uint32, experts)
 		for e := range out[set] {
-			at := set*experts + e
-			out[set][e] = counts[data[headerBytes+at/2]>>(bitsPerCode*(at%2))&maxCode]
+			index := set*experts + e
+			out[set][e] = counts[data[headerBytes+index/2]>>(bitsPerCode*(index%2))&maxCode]
 		}
 	}
 	return out
--- a/internal/planner/pack_test.go
+++ b/internal/planner/pack_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// What packing adds to a count is less than what chance does.
+// The rounding error of a packed count must stay below the random variation of the count, which
+// is its square root.
 func TestPackedCountsAreRoundedByLessThanChance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		picks := rapid.SliceOfN(rapid.SliceOfN(rapid.Uint32Range(0, 225), 5, 5), 1, 4).Draw(t, "picks")
@@ -22,7 +23,8 @@
 	})
 }
 
-// The reports of an interval add up to what was counted, within a few percent.
+// The packed counts of several ranks must add up to the true sum within a few percent. Guards
+// against rounding with a bias.
 func TestPackedCountsAddUp(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	const ranks, experts = 12, 258
@@ -40,6 +42,7 @@
 	require.InEpsilon(t, before, after, 0.05)
 }
 
+// Guards against reports from ranks with another number of sets or experts.
 func TestPackedCountsOfAnotherShapeAreRefused(t *testing.T) {
 	data := Pack([][]uint32{{1, 2, 3}, {4, 5, 6}})
 	require.NotNil(t, Unpack(data, 2, 3))
--- a/internal/planner/picks.go
+++ b/internal/planner/picks.go
@@ -7,25 +7,28 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// rankStats is what the ranks counted last, and the experts that they hold.
+// rankStats holds the latest counts of the ranks, and the experts that the ranks hold.
 type rankStats struct {
-	// ranks is what each rank said last, by rank; reported are those that did since the
-	// last plan.
+	// ranks holds the latest report of each rank, by rank number. reported has the ranks that
+	// reported since the last plan.
 	ranks    map[uint32]*rankStat
 	reported map[uint32]bool
 }
 
-// rankStat is what a rank said last.
+// rankStat is what is known of one rank.
 type rankStat struct {
+	// slowdown is the rank's step time divided by its usual step time, 0 if not known.
 	slowdown float64
-	// counts are the choices between its last two reports, by set and expert.
+	// counts tells how often the rank's requests selected each expert between the last two
+	// reports, by set and expert.
 	counts  [][]uint32
 	version uint64
-	// held are its experts by set under the map version; nil if they are not known.
+	// held are the experts of the rank by set, under the map with that version. It is nil if
+	// they are not known.
 	held [][]uint16
 }
 
-// rank returns what is known of a rank.
+// rank returns the entry of a rank, and adds it if necessary.
 func (p *rankStats) rank(number uint32) *rankStat {
 	if p.ranks == nil {
 		p.ranks, p.reported = make(map[uint32]*rankStat), make(map[uint32]bool)
@@ -38,21 +41,23 @@
 	return s
 }
 
-// add takes a report.
+// add stores a report of one or more ranks.
 func (p *rankStats) add(l *wire.ExpertLoad) {
 	for i := range l.Ranks {
 		number := l.FirstRank + uint32(i)
 		s := p.rank(number)
 		p.reported[number] = true
 		s.slowdown, s.counts = l.Ranks[i].Pace, l.Ranks[i].Picks
-		// A report that was on its way during a change speaks of the map before.
+		// A report that was sent before a change but arrives after it has the experts of an
+		// older map.
 		if l.Ranks[i].Held != nil && l.Ranks[i].Version >= s.version {
 			s.version, s.held = l.Ranks[i].Version, l.Ranks[i].Held
 		}
 	}
 }
 
-// isMissingExperts reports whether a report leaves out experts that are not known here.
+// isMissingExperts reports whether a report omits the experts of a rank although they are not
+// known here.
 func (p *rankStats) isMissingExperts(l *wire.ExpertLoad) bool {
 	for i := range l.Ranks {
 		s := p.ranks[l.FirstRank+uint32(i)]
@@ -63,8 +68,8 @@
 	return false
 }
 
-// syncMap takes the experts of all ranks from the map in use, where find knows its content: a
-// plan needs no report of each rank then.
+// syncMap sets the experts of all ranks from the map in use, if find returns its content. The
+// next plan then need not wait for a report of every rank.
 func (p *rankStats) syncMap(active expertmap.Version, find func(expertmap.Version) (expertmap.Map, bool), shape *wire.GroupShape) {
 	if len(p.reported) == 0 {
 		return
@@ -82,7 +87,7 @@
 	p.setMap(rank.Version(active), m)
 }
 
-// setMap notes the map that has come into force, which the planner knows.
+// setMap sets the experts of all known ranks from a map that has taken effect.
 func (p *rankStats) setMap(version uint64, m expertmap.Map) {
 	for number, s := range p.ranks {
 		held := make([][]uint16, len(m.Layers))
@@ -101,8 +106,8 @@
 	}
 }
 
-// isComplete reports whether there is enough to plan by: as many reports as come in an
-// interval, and the experts of all ranks under one map.
+// isComplete reports whether there is enough data for a plan: as many reports as arrive in an
+// interval, and the experts of all ranks under the same map.
 func (p *rankStats) isComplete(shape *wire.GroupShape) bool {
 	if len(p.ranks) != int(shape.Ranks) || uint32(len(p.reported)) < min(shape.Ranks, ReportsPerInterval) {
 		return false
@@ -119,7 +124,7 @@
 	return true
 }
 
-// hasShape reports whether counts are those of the group's sets and experts.
+// hasShape reports whether counts match the group's number of sets and experts.
 func hasShape(counts [][]uint32, shape *wire.GroupShape) bool {
 	if len(counts) != int(shape.Layers) {
 		return false
@@ -132,26 +137,26 @@
 	return true
 }
 
-// takeMean returns the counts of the ranks that reported since the last call, on the mean of
-// them.
+// takeMean returns the mean of the counts of the ranks that reported since the last call, and
+// starts a new interval.
 func (p *rankStats) takeMean(shape *wire.GroupShape) placement.Load {
-	out := make(placement.Load, shape.Layers)
-	for set := range out {
-		out[set] = make([]float64, shape.Experts)
+	mean := make(placement.Load, shape.Layers)
+	for set := range mean {
+		mean[set] = make([]float64, shape.Experts)
 	}
-	part := 1 / float64(max(len(p.reported), 1))
+	weight := 1 / float64(max(len(p.reported), 1))
 	for number := range p.reported {
 		for set, counts := range p.ranks[number].counts {
 			for e, n := range counts {
-				out[set][e] += float64(n) * part
+				mean[set][e] += float64(n) * weight
 			}
 		}
 	}
 	clear(p.reported)
-	return out
+	return mean
 }
 
-// held returns the experts by set and rank, and the version of the map.
+// held returns the experts of the ranks, by set and rank, and the version of their map.
 func (p *rankStats) held() ([][][]uint16, uint64) {
 	out := make([][][]uint16, len(p.ranks[0].held))
 	for set := range out {
@@ -162,7 +167,7 @@
 	return out, p.ranks[0].version
 }
 
-// slowdowns returns the ranks' paces as they were reported.
+// slowdowns returns the slowdown of each rank, as last reported.
 func (p *rankStats) slowdowns() []float64 {
 	out := make([]float64, len(p.ranks))
 	for r := range out {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,7 +1,7 @@
-// Package planner decides on the next expert map of a group, by what its ranks measured:
-// tokens by expert slot, or how often each rank's requests chose each expert.
+// Package planner plans the next expert map of a group from the measurements of its ranks:
+// tokens by expert slot, or how often the requests of each rank selected each expert.
 //
-// It is pure: reports, maps and times come in as arguments, and nothing is sent.
+// It does no I/O and reads no clock: reports, maps and times are arguments.
 package planner
 
 import (
@@ -11,44 +11,45 @@
 )
 
 // ReportsPerInterval is how many ranks report in one interval. In larger groups the ranks take
-// turns, so that what the planning host receives and adds up does not grow with the group.
+// turns, so the work of the planning host does not grow with the group.
 const ReportsPerInterval = 12
 
-// loadWeight is the share of a new interval in the decayed load.
+// loadWeight is the weight of a new interval in the moving average of the load.
 const loadWeight = 0.5
 
-// Planner gathers what the ranks of a group measured, and plans their next map.
+// Planner collects the measurements of a group's ranks and plans the next expert map.
 type Planner struct {
-	// byHost holds the last report of each host, by its first rank.
+	// byHost holds the last report of each host, by the host's first rank.
 	byHost map[uint32]*wire.ExpertLoad
 	load   placement.Load
-	// stats is for ranks that count what their own requests chose.
+	// stats is used if ranks count the experts that their own requests selected.
 	stats rankStats
 }
 
-// New returns a Planner that knows the popularity load of before, nil if nothing.
+// New returns a Planner that starts with the load of an earlier Planner, or nil.
 func New(load placement.Load) *Planner {
 	return &Planner{byHost: make(map[uint32]*wire.ExpertLoad), load: load}
 }
 
-// Load returns what is known of popularity.
+// Load returns the current load by expert.
 func (p *Planner) Load() placement.Load { return p.load }
 
-// IsMissingExperts reports whether a report leaves out experts that are not known here.
+// IsMissingExperts reports whether a report omits the experts of a rank although the Planner
+// does not know them.
 func (p *Planner) IsMissingExperts(l *wire.ExpertLoad) bool { return p.stats.isMissingExperts(l) }
 
-// SyncMap takes the experts of all ranks from the map in use, where find knows its content.
+// SyncMap sets the experts of all ranks from the map in use, if find returns its content.
 func (p *Planner) SyncMap(active expertmap.Version, find func(expertmap.Version) (expertmap.Map, bool), shape *wire.GroupShape) {
 	p.stats.syncMap(active, find, shape)
 }
 
-// SetMap notes the map that has come into force.
+// SetMap sets the experts of all ranks from a map that has taken effect.
 func (p *Planner) SetMap(version uint64, m expertmap.Map) { p.stats.setMap(version, m) }
 
-// IsComplete reports whether there are picks enough for NextByPicks.
+// IsComplete reports whether there is enough data for NextBySelections.
 func (p *Planner) IsComplete(shape *wire.GroupShape) bool { return p.stats.isComplete(shape) }
 
-// Add takes a report.
+// Add stores a report of one or more ranks.
 func (p *Planner) Add(l *wire.ExpertLoad) {
 	if len(l.Ranks) > 0 && l.Ranks[0].Picks != nil {
 		p.stats.add(l)
@@ -57,8 +58,8 @@
 	p.byHost[l.FirstRank] = l
 }
 
-// TakeReports returns the reports of all ranks in order and forgets them, or nil where some
-// rank has not reported since.
+// TakeReports returns the token reports of all ranks in order and removes them. It returns nil
+// if a rank has not reported since the last call.
 func (p *Planner) TakeReports(ranks uint32) []wire.RankLoad {
 	var out []wire.RankLoad
 	for next := uint32(0); next < ranks; {
@@ -76,7 +77,8 @@
 	return out
 }
 
-// NextByTokens returns the map that the planner wants, and whether it is worth the change.
+// NextByTokens plans the next map from token counts by slot. It returns the map, and whether
+// there is one that is worth the change.
 func (p *Planner) NextByTokens(present expertmap.Map, reports []wire.RankLoad, shape *wire.GroupShape) (expertmap.Map, bool) {
 	tokens, byRank, times, ok := sumTokens(present, reports, int(shape.Experts))
 	if !ok {
@@ -94,8 +96,8 @@
 	return expertmap.Map{SlotsPerRank: out.SlotsPerRank, Layers: out.Layers}, true
 }
 
-// sumTokens adds up the tokens by layer and expert, and by rank. It refuses reports that do
-// not have the map's shape, as after a change between them.
+// sumTokens adds up the tokens by layer and expert, and by rank. It returns false if a report
+// does not have the shape of the map, as happens if the map has changed between reports.
 func sumTokens(m expertmap.Map, reports []wire.RankLoad, experts int) (tokens placement.Load, byRank, times []float64, ok bool) {
 	tokens = make(placement.Load, len(m.Layers))
 	for l := range tokens {
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -14,6 +14,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
+// Guards against plans from the reports of a part of the ranks, or from the same report twice.
 func TestPlannerWaitsForAllRanks(t *testing.T) {
 	p := New(nil)
 	load := func(first uint32, ranks int) *wire.ExpertLoad {
@@ -26,6 +27,8 @@
 	require.Nil(t, p.TakeReports(4), "each report counts once")
 }
 
+// Guards against tokens that are attributed to the wrong expert or rank, also by a report under
+// a map of another shape.
 func TestLoadsAreSummedByExpertAndRank(t *testing.T) {
 	m := expertmap.Map{SlotsPerRank: 2, Layers: [][]uint16{{0, 1, 1, 2}}}
 	reports := []wire.RankLoad{
@@ -43,8 +46,8 @@
 	require.False(t, ok, "a report of another map's shape")
 }
 
-// report is what rank r says that holds the experts of each of four sets in turn, where
-// some of 72 experts are hot.
+// report returns a report of rank r. The 72 experts of each of four sets are assigned to the
+// ranks in turn, and the hot ones were selected more often than the others.
 func report(r, ranks int, hot ...uint16) *wire.ExpertLoad {
 	const sets, experts = 4, 72
 	l := wire.RankLoad{Pace: 1}
@@ -70,9 +73,9 @@
 	return &wire.GroupShape{Ranks: ranks, Experts: 72, Layers: 4, SlotsPerRank: 8, Spare: spare}
 }
 
-// A group follows a jump of popularity when its slowest rank has copied what is new to
-// it: a change asks each rank to copy one expert, whatever the number of sets. That holds
-// also where the configuration bounds nothing.
+// After a jump of popularity, a change takes effect only when the slowest rank has copied its
+// new experts. So a change must give each rank at most one new expert over all sets, also if
+// the settings set no limit.
 func TestChangeAfterAJumpCopiesOneExpertPerRank(t *testing.T) {
 	for _, spare := range []uint32{0, 3} {
 		shape := shapeOf(12, spare)
@@ -87,31 +90,32 @@
 		require.True(t, f.IsWorthwhile, "spare %d", spare)
 		require.Less(t, f.ImbalanceAfter, f.ImbalanceBefore)
 		for r := range 12 {
-			fresh := 0
+			added := 0
 			for set, slots := range next.Layers {
 				for _, e := range slots[r*8 : (r+1)*8] {
 					if e != rank.NoExpert && !slices.Contains(held[set][r], e) {
-						fresh++
+						added++
 					}
 				}
 			}
-			require.LessOrEqual(t, fresh, 1, "rank %d", r)
+			require.LessOrEqual(t, added, 1, "rank %d", r)
 		}
 		require.False(t, p.stats.isComplete(shape), "each report counts once")
 	}
 }
 
-// Where passes have room, a change has to gain more: nobody waits for it.
+// The least gain of a change must rise while forward passes are far below their time limit.
+// Guards against changes that take bandwidth although nobody waits for a faster pass.
 func TestMinGainRisesWhilePassesAreFast(t *testing.T) {
-	const late = 120 * time.Millisecond
+	const limit = 120 * time.Millisecond
 	for _, c := range []struct {
-		pass, late time.Duration
-		least      float64
+		pass, limit time.Duration
+		factor      float64
 	}{
-		{0, late, 1}, {late, 0, 1}, {44 * time.Millisecond, late, maxGainFactor}, {66 * time.Millisecond, late, 2.5},
-		{84 * time.Millisecond, late, 1}, {late, late, 1}, {2 * late, late, 1},
+		{0, limit, 1}, {limit, 0, 1}, {44 * time.Millisecond, limit, maxGainFactor}, {66 * time.Millisecond, limit, 2.5},
+		{84 * time.Millisecond, limit, 1}, {limit, limit, 1}, {2 * limit, limit, 1},
 	} {
-		require.InDelta(t, c.least, GainFactor(c.pass, c.late), 0.001, "%v of %v", c.pass, c.late)
+		require.InDelta(t, c.factor, GainFactor(c.pass, c.limit), 0.001, "%v of %v", c.pass, c.limit)
 	}
 	p := New(nil)
 	for r := range 12 {
@@ -127,8 +131,8 @@
 	require.False(t, f.IsWorthwhile)
 }
 
-// A planner goes on from its own change without a report of each rank, and isn't taken
-// back by a report that was on its way.
+// After its own change a planner must plan on the new map without a report of every rank. A
+// report that was sent before the change must not bring back the old map.
 func TestLateReportDoesNotRevertTheMap(t *testing.T) {
 	shape := shapeOf(24, 0)
 	p := New(nil)
@@ -138,9 +142,9 @@
 	next, _, _ := p.NextBySelections(shape, 1)
 	p.stats.setMap(7, next)
 	for r := range ReportsPerInterval {
-		late := report(r, 24, 0, 1)
-		late.Ranks[0].Version = 3
-		p.Add(late)
+		stale := report(r, 24, 0, 1)
+		stale.Ranks[0].Version = 3
+		p.Add(stale)
 	}
 	require.True(t, p.stats.isComplete(shape))
 	held, version := p.stats.held()
@@ -150,7 +154,7 @@
 	}
 }
 
-// BenchmarkPlan plans for the shape of a group at the present sizes and the target's.
+// BenchmarkPlan plans for groups of the sizes in use and of the largest size intended.
 func BenchmarkPlan(b *testing.B) {
 	for _, c := range []struct{ ranks, sets, experts, slots int }{{8, 6, 64, 11}, {32, 12, 128, 5}, {63, 8, 252, 5}, {129, 16, 258, 4}, {128, 58, 64, 1}} {
 		b.Run(strconv.Itoa(c.ranks)+"x"+strconv.Itoa(c.sets)+"x"+strconv.Itoa(c.experts), func(b *testing.B) {
@@ -181,9 +185,9 @@
 	}
 }
 
-// Load pattern: a new epoch, or a planning host that has started anew in one. The experts of
-// all ranks are known from the map, so the first plan needs the reports of one interval, not
-// one of each rank.
+// In a new epoch of the group, or after a restart of the planning host, the first plan must need
+// the reports of one interval only, since the map tells the experts of all ranks. Guards against
+// a planner that waits for a report of every rank.
 func TestFirstPlanNeedsReportsOfOneInterval(t *testing.T) {
 	const ranks = 129
 	shape := &wire.GroupShape{Ranks: ranks, Experts: 72, Layers: 4, SlotsPerRank: 8}
@@ -204,5 +208,5 @@
 	require.Zero(t, base)
 	require.True(t, f.IsWorthwhile)
 	p.SyncMap(expertmap.Version{Counter: 9}, find, shape)
-	require.False(t, p.IsComplete(shape), "a map that is not known teaches nothing")
+	require.False(t, p.IsComplete(shape), "a map with unknown content sets no experts")
 }
