--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -12,7 +12,7 @@
 	for n := range DefaultLimits.Total {
 		for crash := range 2 {
 			s := Suspicion{
-				Fingerprint: testFingerprint(n), Workspace: fmt.Sprint("w", n%16), Incarnation: Incarnation{Upstream: fmt.Sprintf("i-%08x", n/10*2+crash)},
+				Fingerprint: print(n), Workspace: fmt.Sprint("w", n%16), Incarnation: Incarnation{Upstream: fmt.Sprintf("i-%08x", n/10*2+crash)},
 				Request: fmt.Sprintf("%016x", n), AgeMS: int64(n * 10),
 			}
 			t.add(s, time.Hour)
--- a/internal/quarantine/chance_test.go
+++ b/internal/quarantine/chance_test.go
@@ -74,7 +74,7 @@
 			return u
 		}
 		for _, n := range retries {
-			if table.Verdict(testFingerprint(n), now) == Quarantined {
+			if table.Verdict(print(n), now) == Quarantined {
 				refused[n] = true
 				continue
 			}
@@ -83,7 +83,7 @@
 		retries = nil
 		crashed := map[int]bool{}
 		for g := 1; g <= sim.guilty; g++ {
-			if table.Verdict(testFingerprint(g), now) == Quarantined {
+			if table.Verdict(print(g), now) == Quarantined {
 				continue
 			}
 			outages[g]++
@@ -108,7 +108,7 @@
 			for i := range all {
 				all[i].AgeMS, all[i].RanMS = int64(rng.IntN(30)), int64(200+rng.IntN(100))
 				// Hosts that recently saw a popular request answered clear the suspicion.
-				isPopular := all[i].Fingerprint.compare(testFingerprint(100)) >= 0 && all[i].Fingerprint.compare(testFingerprint(100+sim.popular)) < 0
+				isPopular := all[i].Fingerprint.compare(print(100)) >= 0 && all[i].Fingerprint.compare(print(100+sim.popular)) < 0
 				all[i].IsCleared = isPopular && answered > 0 && now-answered < trustAfterAnswer
 			}
 			table.Add(all, now)
@@ -126,12 +126,12 @@
 			answered = now
 			for _, all := range requestsOn {
 				for _, n := range all {
-					table.Clear(testFingerprint(n), now)
+					table.Clear(print(n), now)
 				}
 			}
 		}
 		for n := range suspected {
-			quarantined[n] = quarantined[n] || table.Verdict(testFingerprint(n), now) == Quarantined
+			quarantined[n] = quarantined[n] || table.Verdict(print(n), now) == Quarantined
 		}
 	}
 	var r result
@@ -160,8 +160,8 @@
 	for _, c := range []struct {
 		name string
 		simulation
-		// maxOutages is how many outages one request may cause.
-		maxOutages int
+		// outages is how many outages one request may cause.
+		outages int
 	}{
 		{"outside crashes", simulation{upstreams: 12, requestsPerUpstream: 5, outsideCrashChance: 0.5, outsideCrashes: 1, retryChance: 0.5}, 0},
 		{"outside crashes of several upstreams", simulation{upstreams: 12, requestsPerUpstream: 5, outsideCrashChance: 0.5, outsideCrashes: 3, retryChance: 0.5}, 0},
@@ -185,7 +185,7 @@
 				all.refused += r.refused
 			}
 			t.Logf("outages %.2f on average, at most %d, crashes %d, of %d suspected %d quarantined, %d refused", float64(sum)/seeds, all.outages, all.crashes, all.innocent, all.quarantined, all.refused)
-			require.LessOrEqual(t, all.outages, c.maxOutages)
+			require.LessOrEqual(t, all.outages, c.outages)
 			require.LessOrEqual(t, float64(all.refused), maxRefusedShare*float64(all.innocent))
 		})
 	}
--- a/internal/quarantine/join_test.go
+++ b/internal/quarantine/join_test.go
@@ -18,7 +18,7 @@
 		age := rapid.Int64Range(0, 30_000).Draw(t, "age")
 		for _, f := range rapid.SliceOfN(rapid.IntRange(1, 6), 1, 4).Draw(t, "requests") {
 			all = append(all, Suspicion{
-				Fingerprint: testFingerprint(f), Workspace: "w", Incarnation: Incarnation{Upstream: string(rune('a' + n))}, AgeMS: age,
+				Fingerprint: print(f), Workspace: "w", Incarnation: Incarnation{Upstream: string(rune('a' + n))}, AgeMS: age,
 				RanMS: rapid.Int64Range(0, 500).Draw(t, "ran"), IsCleared: rapid.IntRange(0, 5).Draw(t, "cleared") == 0,
 			})
 		}
@@ -30,7 +30,7 @@
 func verdicts(table *Table, now time.Duration) []Verdict {
 	var out []Verdict
 	for f := range 8 {
-		out = append(out, table.Verdict(testFingerprint(f), now))
+		out = append(out, table.Verdict(print(f), now))
 	}
 	return out
 }
@@ -90,8 +90,8 @@
 	require.Empty(t, table.Add(old, 0))
 	old[0].AgeMS = (minQuarantine - time.Second).Milliseconds()
 	table.Add(append(old, crashUnder("b", 1)...), 0)
-	require.Equal(t, Quarantined, table.Verdict(testFingerprint(1), 0))
-	e := table.Entry(testFingerprint(1), time.Second)
+	require.Equal(t, Quarantined, table.Verdict(print(1), 0))
+	e := table.Entry(print(1), time.Second)
 	require.Equal(t, "a", e.Crashes[0].Upstream, "the oldest crash comes first")
 	require.Equal(t, minQuarantine, e.Crashes[0].Age)
 	require.Equal(t, minQuarantine-time.Second, e.Remaining)
@@ -105,16 +105,16 @@
 	table.Add(crashUnder("a", 1), now)
 	table.Add(crashUnder("b", 1), now+time.Minute)
 	now += time.Minute
-	require.Equal(t, Quarantined, table.Verdict(testFingerprint(1), now+minQuarantine-1))
-	require.Equal(t, Suspect, table.Verdict(testFingerprint(1), now+minQuarantine), "it is tried once more")
+	require.Equal(t, Quarantined, table.Verdict(print(1), now+minQuarantine-1))
+	require.Equal(t, Suspect, table.Verdict(print(1), now+minQuarantine), "it is tried once more")
 	now += minQuarantine
 	table.Add(crashUnder("c", 1), now)
-	require.Equal(t, Quarantined, table.Verdict(testFingerprint(1), now+2*minQuarantine-1))
-	require.Equal(t, Suspect, table.Verdict(testFingerprint(1), now+2*minQuarantine))
+	require.Equal(t, Quarantined, table.Verdict(print(1), now+2*minQuarantine-1))
+	require.Equal(t, Suspect, table.Verdict(print(1), now+2*minQuarantine))
 	table.Sweep(now + 4*minQuarantine - 1)
-	require.True(t, table.Contains(testFingerprint(1)))
+	require.True(t, table.Contains(print(1)))
 	table.Sweep(now + 4*minQuarantine)
-	require.False(t, table.Contains(testFingerprint(1)))
+	require.False(t, table.Contains(print(1)))
 	require.Equal(t, maxQuarantine, quarantineTime(100))
 }
 
@@ -134,11 +134,11 @@
 			table.Add(crashUnder(string(rune('a'+n))+"2", 2*n), now)
 		}
 	}
-	require.True(t, table.Contains(testFingerprint(9000)))
+	require.True(t, table.Contains(print(9000)))
 	require.Equal(t, 20, table.perWorkspace["w"])
 	require.LessOrEqual(t, len(table.records), 50)
 	for n := range 5 {
-		require.True(t, table.Contains(testFingerprint(2*n)), "request %d has two crashes", 2*n)
+		require.True(t, table.Contains(print(2*n)), "request %d has two crashes", 2*n)
 	}
 	for w := range 10 {
 		name := string(rune('A' + w))
@@ -149,7 +149,7 @@
 		}
 	}
 	require.Len(t, table.records, 50)
-	require.True(t, table.Contains(testFingerprint(9000)), "the smallest workspace loses no record")
+	require.True(t, table.Contains(print(9000)), "the smallest workspace loses no record")
 }
 
 // Suspicions with names beyond the limit must be rejected, since callers and other hosts choose
@@ -165,6 +165,6 @@
 		change(&s[0])
 		require.Empty(t, table.Add(s, 0))
 	}
-	attempt := Attempt{Fingerprint: testFingerprint(1), Request: long, Incarnation: Incarnation{Upstream: "a"}}
+	attempt := Attempt{Fingerprint: print(1), Request: long, Incarnation: Incarnation{Upstream: "a"}}
 	require.Len(t, table.Add([]Suspicion{attempt.suspicion(0)}, 0), 1)
 }
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -25,10 +25,10 @@
 // evaluation is the working state while verdicts are derived.
 type evaluation struct {
 	table *Table
-	// crashes are all known crashes, sorted by time. crashOf finds one by its incarnation.
-	crashes  []crash
-	crashOf  map[Incarnation]crash
-	suspects suspectsByCrash
+	// allCrashes are all known crashes, sorted by time. crashOf finds one by its incarnation.
+	allCrashes []crash
+	crashOf    map[Incarnation]crash
+	suspectsOf suspectsByCrash
 	// candidates are the requests with enough crashes to be quarantined, with the executions
 	// under which upstreams crashed. One crash is not enough, and neither are two crashes
 	// under concurrent copies of a request.
@@ -54,15 +54,15 @@
 // The first two rules quarantine no request that has a rival (see hasRival). Crashes under a
 // quarantined request are no longer attributed to other requests.
 func (t *Table) updateVerdicts() {
-	v := &evaluation{table: t, crashOf: t.crashes(), suspects: t.suspects(), candidates: make(map[Fingerprint][]execution)}
-	v.crashes = slices.SortedFunc(maps.Values(v.crashOf), crash.compare)
+	v := &evaluation{table: t, crashOf: t.allCrashes(), suspectsOf: t.suspects(), candidates: make(map[Fingerprint][]execution)}
+	v.allCrashes = slices.SortedFunc(maps.Values(v.crashOf), crash.compare)
 	for f, r := range t.records {
 		r.isQuarantined = false
 		if executions := v.executions(r); len(executions) >= minExecutions || r.countUncleared() >= minCrashes {
 			v.candidates[f] = executions
 		}
 	}
-	for _, c := range v.crashes {
+	for _, c := range v.allCrashes {
 		// A request that is quarantined takes over the crashes so far, which can change the
 		// evidence against the others.
 		for next := v.nextToQuarantine(c.at); len(next) > 0; next = v.nextToQuarantine(c.at) {
@@ -72,13 +72,13 @@
 	for f, r := range t.records {
 		r.isSuspect = false
 		for incarnation := range r.crashes {
-			r.isSuspect = r.isSuspect || slices.Contains(v.suspects[incarnation], f)
+			r.isSuspect = r.isSuspect || slices.Contains(v.suspectsOf[incarnation], f)
 		}
 	}
 }
 
-// crashes returns all known crashes by incarnation.
-func (t *Table) crashes() map[Incarnation]crash {
+// allCrashes returns all known crashes by incarnation.
+func (t *Table) allCrashes() map[Incarnation]crash {
 	out := map[Incarnation]crash{}
 	for _, r := range t.records {
 		for incarnation, s := range r.crashes {
@@ -173,10 +173,10 @@
 // evidenceAgainst collects the evidence against a request from the crashes up to a time.
 func (v *evaluation) evidenceAgainst(f Fingerprint, executions []execution, until time.Duration) evidence {
 	ev := evidence{isExplained: true, isRecentExplained: v.isExplained(f, executions[0][0].service, until-recentWindow, until)}
-	for _, ex := range executions {
+	for _, execution := range executions {
 		n := 0
-		for _, c := range ex {
-			if c.at <= until && slices.Contains(v.suspects[c.Incarnation], f) {
+		for _, c := range execution {
+			if c.at <= until && slices.Contains(v.suspectsOf[c.Incarnation], f) {
 				n++
 			}
 		}
@@ -185,7 +185,7 @@
 		}
 		ev.executions++
 		ev.crashes += n
-		ev.isExplained = ev.isExplained && v.isExplained(f, ex[0].service, ex[0].at-sharedCauseWindow, ex[len(ex)-1].at+sharedCauseWindow)
+		ev.isExplained = ev.isExplained && v.isExplained(f, execution[0].service, execution[0].at-sharedCauseWindow, execution[len(execution)-1].at+sharedCauseWindow)
 	}
 	return ev
 }
@@ -193,12 +193,12 @@
 // isExplained reports whether each crash of a service in an interval is attributed to this
 // request or to another candidate.
 func (v *evaluation) isExplained(f Fingerprint, service string, from, to time.Duration) bool {
-	first, _ := slices.BinarySearchFunc(v.crashes, from, func(c crash, t time.Duration) int { return cmp.Compare(c.at, t) })
-	for _, c := range v.crashes[first:] {
+	first, _ := slices.BinarySearchFunc(v.allCrashes, from, func(c crash, t time.Duration) int { return cmp.Compare(c.at, t) })
+	for _, c := range v.allCrashes[first:] {
 		if c.at > to {
 			break
 		}
-		if c.service == service && !slices.ContainsFunc(v.suspects[c.Incarnation], func(g Fingerprint) bool { return g == f || v.candidates[g] != nil }) {
+		if c.service == service && !slices.ContainsFunc(v.suspectsOf[c.Incarnation], func(g Fingerprint) bool { return g == f || v.candidates[g] != nil }) {
 			return false
 		}
 	}
@@ -210,7 +210,7 @@
 func (v *evaluation) hasRival(f Fingerprint) bool {
 	isRival := func(g Fingerprint) bool { return g != f && v.candidates[g] != nil && !v.table.records[g].isQuarantined }
 	for incarnation := range v.table.records[f].crashes {
-		if all := v.suspects[incarnation]; slices.Contains(all, f) && !slices.ContainsFunc(all, isRival) {
+		if all := v.suspectsOf[incarnation]; slices.Contains(all, f) && !slices.ContainsFunc(all, isRival) {
 			return false
 		}
 	}
@@ -230,5 +230,5 @@
 			}
 		}
 	}
-	maps.Copy(v.suspects, explained)
+	maps.Copy(v.suspectsOf, explained)
 }
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -10,13 +10,14 @@
 // testLimits are so high that no test reaches them unintentionally.
 var testLimits = Limits{PerWorkspace: 100, Total: 1000}
 
-func testFingerprint(n int) Fingerprint { return Fingerprint{byte(n >> 8), byte(n)} }
+// print returns the fingerprint of request n.
+func print(n int) Fingerprint { return Fingerprint{byte(n >> 8), byte(n)} }
 
 // crashUnder returns the suspicions of requests that ran on an upstream when it crashed.
 func crashUnder(upstream string, requests ...int) []Suspicion {
 	var out []Suspicion
 	for _, n := range requests {
-		out = append(out, Suspicion{Fingerprint: testFingerprint(n), Workspace: "w", Incarnation: Incarnation{Upstream: upstream}})
+		out = append(out, Suspicion{Fingerprint: print(n), Workspace: "w", Incarnation: Incarnation{Upstream: upstream}})
 	}
 	return out
 }
@@ -45,7 +46,7 @@
 		now = time.Duration(s.at) * time.Second
 		t.Add(s.suspicions, now)
 		if s.answered != 0 {
-			t.Clear(testFingerprint(s.answered), now)
+			t.Clear(print(s.answered), now)
 		}
 	}
 	return t, now
@@ -154,13 +155,13 @@
 			table, now := replay(c.events)
 			want := map[Fingerprint]Verdict{}
 			for _, n := range c.suspect {
-				want[testFingerprint(n)] = Suspect
+				want[print(n)] = Suspect
 			}
 			for _, n := range c.quarantined {
-				want[testFingerprint(n)] = Quarantined
+				want[print(n)] = Quarantined
 			}
 			for n := range 200 {
-				require.Equal(t, want[testFingerprint(n)], table.Verdict(testFingerprint(n), now), "request %d", n)
+				require.Equal(t, want[print(n)], table.Verdict(print(n), now), "request %d", n)
 			}
 		})
 	}
