--- a/internal/planner/change.go
+++ b/internal/planner/change.go
@@ -26,8 +26,9 @@
 	// since forward passes are slower while experts are copied.
 	minStepGain = 0.07
 	// minChangeGain is the fraction of the mean load by which a change must lower the highest
-	// load, averaged over the sets, when forward passes are near or over their time limit. A
-	// change costs a round of orders to the ranks, and slower passes while experts are copied.
+	// load, averaged over the sets, when forward passes are near or over their time limit. The
+	// limit is the longest time at which no stream is late. A change costs a round of orders to
+	// the ranks, and slower passes while experts are copied.
 	minChangeGain = 0.1
 	// maxGainFactor multiplies minChangeGain when forward passes are far below their time
 	// limit. Nobody waits for a faster pass then, and each copy takes bandwidth from the links
@@ -57,7 +58,8 @@
 	// mean load, averaged over the sets: in a forward pass, each set waits for its own slowest
 	// rank.
 	ImbalanceBefore, ImbalanceAfter float64
-	// Distance is the distance of the last interval from the load before.
+	// Distance is how far the last interval is from the load before (see
+	// placement.Load.Distance).
 	Distance float64
 	// Copies is the number of experts that have to be copied to a rank.
 	Copies int
@@ -66,8 +68,9 @@
 }
 
 // NextBySelections plans the next map from the counts of selected experts. It returns the map,
-// the version of the map that it is based on, and a forecast. IsComplete must hold. GainFactor
-// is the factor that the function of that name returns.
+// the version of the map that it is based on, and a forecast. It must only be called after
+// IsComplete has returned true. The parameter gainFactor multiplies the least gain for which a
+// change is worthwhile.
 func (p *Planner) NextBySelections(shape *wire.GroupShape, gainFactor float64) (expertmap.Map, uint64, Forecast) {
 	distance := p.observe(p.stats.takeMean(shape))
 	maxNew := maxNewExperts(shape)
--- a/internal/quarantine/chance_test.go
+++ b/internal/quarantine/chance_test.go
@@ -18,8 +18,8 @@
 	// upstreams form one group: a crash of one fails the requests on all.
 	// requestsPerUpstream innocent requests run on each.
 	upstreams, requestsPerUpstream int
-	// guilty is the number of requests that crash every upstream that runs them. Callers retry
-	// them in every round, with this many concurrent copies of each.
+	// guilty is the number of requests that crash every upstream that runs them. Callers send
+	// them again in every round. copies is how many copies of each run concurrently.
 	guilty, copies int
 	// outsideCrashChance is the chance that a round without a crash by a request ends with
 	// crashes by an outside cause, of up to outsideCrashes upstreams at once.
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -127,6 +127,7 @@
 // nextToQuarantine returns the requests to quarantine next by the crashes up to a time, given
 // those already in quarantine. Requests without a rival come first. Among these the one with
 // the most crashes comes first, since it may explain crashes that are attributed to others.
+// Requests with a rival follow only if the evidence against them is certain.
 func (v *evaluation) nextToQuarantine(until time.Duration) []Fingerprint {
 	var unrivalled, rivalled []Fingerprint
 	most := 0
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -75,21 +75,21 @@
 func (k *Keeper) AttemptFailed(r Attempt, isAlive bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	wait := failedAttemptLifetime
+	lifetime := failedAttemptLifetime
 	if isAlive {
-		wait = failedAttemptLifetimeIfAlive
+		lifetime = failedAttemptLifetimeIfAlive
 	}
 	now := k.cfg.Now()
-	k.failed.add(r, now, now+wait)
+	k.failed.add(r, now, now+lifetime)
 }
 
 // UpstreamStarted records which incarnation is at an address now. Earlier incarnations of the
 // upstream, and others at the address, must have crashed.
 func (k *Keeper) UpstreamStarted(current Incarnation, address string) {
 	k.mu.Lock()
-	isAwaited := len(k.failed.all) > 0
+	hasFailedAttempts := len(k.failed.all) > 0
 	k.mu.Unlock()
-	if !isAwaited {
+	if !hasFailedAttempts {
 		return
 	}
 	k.update(func(now time.Duration) []Suspicion {
@@ -127,13 +127,13 @@
 // Release clears the suspicions of a request on behalf of an operator. It reports whether
 // there were any.
 func (k *Keeper) Release(f Fingerprint) bool {
-	isKnown := false
+	hadSuspicions := false
 	k.update(func(now time.Duration) []Suspicion {
 		updates := k.clear(f, now)
-		isKnown = len(updates) > 0
+		hadSuspicions = len(updates) > 0
 		return updates
 	})
-	return isKnown
+	return hadSuspicions
 }
 
 // clear clears the suspicions of a request. The caller holds mu.
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -23,8 +23,9 @@
 	// minExecutions is the number of executions with a crash after which a request is usually
 	// quarantined.
 	minExecutions = 2
-	// minCrashes is the most upstreams that one request may crash before it is quarantined, as
-	// the system guarantees. Copies of the request that run concurrently can crash more.
+	// minCrashes is the number of crashes after which a request is quarantined at the latest.
+	// The system guarantees that one request crashes no more upstreams than this, except by
+	// copies of it that run concurrently.
 	minCrashes = 3
 	// recentWindow is how long after a crash with an outside cause the next crash is also more
 	// likely to have one.
@@ -86,14 +87,14 @@
 const (
 	// Free means that no crash is attributed to the request.
 	Free Verdict = iota
-	// Suspect means that an upstream crashed while it ran the request. The request is sent to
-	// one upstream only and not retried on another.
+	// Suspect means that an upstream crashed while it ran the request. The request is still
+	// sent, but to one upstream only.
 	Suspect
 	// Quarantined means that the request is sent to no upstream.
 	Quarantined
 )
 
-// String returns the verdict's name in the administration API.
+// String returns the name of the verdict, as used in the administration API.
 func (v Verdict) String() string { return [...]string{"free", "suspect", "held"}[v] }
 
 // observation is what is known of one request at one crash.
