--- a/internal/quarantine/attempts.go
+++ b/internal/quarantine/attempts.go
@@ -18,7 +18,8 @@
 	// trustAfterAnswer is how long a complete answer clears a request: crashes under the
 	// request within this time are not attributed to it.
 	trustAfterAnswer = 30 * time.Second
-	// maxAnswers is how many answered requests are remembered. The latest are kept.
+	// maxAnswers is how many answered requests are remembered. The request that was added first
+	// is dropped first.
 	maxAnswers = 1024
 	// maxRequestIDBytes is the length to which request ids from callers are cut.
 	maxRequestIDBytes = 64
