--- /dev/null
+++ b/internal/planner/rankstats.go
@@ -0,0 +1,177 @@
+package planner
+
+import (
+	"github.com/sassafraspost/sassafraspost/internal/expertmap"
+	"github.com/sassafraspost/sassafraspost/internal/placement"
+	"github.com/sassafraspost/sassafraspost/internal/rank"
+	"github.com/sassafraspost/sassafraspost/internal/wire"
+)
+
+// rankStats holds the latest counts of the ranks, and the experts that the ranks hold.
+type rankStats struct {
+	// ranks holds the latest report of each rank, by rank number. reported has the ranks that
+	// reported since the last plan.
+	ranks    map[uint32]*rankStat
+	reported map[uint32]bool
+}
+
+// rankStat is what is known of one rank.
+type rankStat struct {
+	// slowdown is the rank's step time divided by its usual step time, 0 if not known.
+	slowdown float64
+	// counts tells how often the rank's requests selected each expert between the last two
+	// reports, by set and expert.
+	counts  [][]uint32
+	version uint64
+	// held are the experts of the rank by set, under the map with that version. It is nil if
+	// they are not known.
+	held [][]uint16
+}
+
+// rank returns the entry of a rank, and adds it if necessary.
+func (p *rankStats) rank(number uint32) *rankStat {
+	if p.ranks == nil {
+		p.ranks, p.reported = make(map[uint32]*rankStat), make(map[uint32]bool)
+	}
+	s := p.ranks[number]
+	if s == nil {
+		s = &rankStat{}
+		p.ranks[number] = s
+	}
+	return s
+}
+
+// add stores a report of one or more ranks.
+func (p *rankStats) add(l *wire.ExpertLoad) {
+	for i := range l.Ranks {
+		number := l.FirstRank + uint32(i)
+		s := p.rank(number)
+		p.reported[number] = true
+		s.slowdown, s.counts = l.Ranks[i].Pace, l.Ranks[i].Picks
+		// A report that was sent before a change but arrives after it has the experts of an
+		// older map.
+		if l.Ranks[i].Held != nil && l.Ranks[i].Version >= s.version {
+			s.version, s.held = l.Ranks[i].Version, l.Ranks[i].Held
+		}
+	}
+}
+
+// isMissingExperts reports whether a report omits the experts of a rank although they are not
+// known here.
+func (p *rankStats) isMissingExperts(l *wire.ExpertLoad) bool {
+	for i := range l.Ranks {
+		s := p.ranks[l.FirstRank+uint32(i)]
+		if s != nil && l.Ranks[i].Held == nil && (s.held == nil || s.version < l.Ranks[i].Version) {
+			return true
+		}
+	}
+	return false
+}
+
+// syncMap sets the experts of all ranks from the map in use, if find returns its content. The
+// next plan then need not wait for a report of every rank.
+func (p *rankStats) syncMap(active expertmap.Version, find func(expertmap.Version) (expertmap.Map, bool), shape *wire.GroupShape) {
+	if len(p.reported) == 0 {
+		return
+	}
+	if s := p.ranks[0]; s != nil && len(p.ranks) == int(shape.Ranks) && s.held != nil && s.version >= rank.Version(active) {
+		return
+	}
+	m, ok := find(active)
+	if !ok || len(m.Layers) != int(shape.Layers) {
+		return
+	}
+	for number := range shape.Ranks {
+		p.rank(number)
+	}
+	p.setMap(rank.Version(active), m)
+}
+
+// setMap sets the experts of all known ranks from a map that has taken effect.
+func (p *rankStats) setMap(version uint64, m expertmap.Map) {
+	for number, s := range p.ranks {
+		held := make([][]uint16, len(m.Layers))
+		for set, slots := range m.Layers {
+			first := int(number) * m.SlotsPerRank
+			if first+m.SlotsPerRank > len(slots) {
+				return
+			}
+			for _, e := range slots[first : first+m.SlotsPerRank] {
+				if e != rank.NoExpert {
+					held[set] = append(held[set], e)
+				}
+			}
+		}
+		s.version, s.held = version, held
+	}
+}
+
+// isComplete reports whether there is enough data for a plan: as many reports as arrive in an
+// interval, and the experts of all ranks under the same map.
+func (p *rankStats) isComplete(shape *wire.GroupShape) bool {
+	if len(p.ranks) != int(shape.Ranks) || uint32(len(p.reported)) < min(shape.Ranks, ReportsPerInterval) {
+		return false
+	}
+	for r := range shape.Ranks {
+		s := p.ranks[r]
+		if s == nil || len(s.held) != int(shape.Layers) || s.version != p.ranks[0].version {
+			return false
+		}
+		if p.reported[r] && !hasShape(s.counts, shape) {
+			return false
+		}
+	}
+	return true
+}
+
+// hasShape reports whether counts match the group's number of sets and experts.
+func hasShape(counts [][]uint32, shape *wire.GroupShape) bool {
+	if len(counts) != int(shape.Layers) {
+		return false
+	}
+	for set := range counts {
+		if len(counts[set]) != int(shape.Experts) {
+			return false
+		}
+	}
+	return true
+}
+
+// takeMean returns the mean of the counts of the ranks that reported since the last call, and
+// starts a new interval.
+func (p *rankStats) takeMean(shape *wire.GroupShape) placement.Load {
+	mean := make(placement.Load, shape.Layers)
+	for set := range mean {
+		mean[set] = make([]float64, shape.Experts)
+	}
+	weight := 1 / float64(max(len(p.reported), 1))
+	for number := range p.reported {
+		for set, counts := range p.ranks[number].counts {
+			for e, n := range counts {
+				mean[set][e] += float64(n) * weight
+			}
+		}
+	}
+	clear(p.reported)
+	return mean
+}
+
+// held returns the experts of the ranks, by set and rank, and the version of their map.
+func (p *rankStats) held() ([][][]uint16, uint64) {
+	out := make([][][]uint16, len(p.ranks[0].held))
+	for set := range out {
+		for r := range uint32(len(p.ranks)) {
+			out[set] = append(out[set], p.ranks[r].held[set])
+		}
+	}
+	return out, p.ranks[0].version
+}
+
+// slowdowns returns the slowdown of each rank, as last reported.
+func (p *rankStats) slowdowns() []float64 {
+	out := make([]float64, len(p.ranks))
+	for r := range out {
+		out[r] = p.ranks[uint32(r)].slowdown
+	}
+	return out
+}
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -7,42 +7,44 @@
 	"github.com/stretchr/testify/require"
 )
 
-// usual are limits that no test reaches by chance.
-var usual = Limits{PerWorkspace: 100, Total: 1000}
+// testLimits are so high that no test reaches them unintentionally.
+var testLimits = Limits{PerWorkspace: 100, Total: 1000}
 
+// print returns the fingerprint of request n.
 func print(n int) Fingerprint { return Fingerprint{byte(n >> 8), byte(n)} }
 
-// ended says that requests ran on an upstream as it ended.
-func ended(upstream string, prints ...int) []Suspicion {
+// crashUnder returns the suspicions of requests that ran on an upstream when it crashed.
+func crashUnder(upstream string, requests ...int) []Suspicion {
 	var out []Suspicion
-	for _, n := range prints {
-		out = append(out, Suspicion{Fingerprint: print(n), Workspace: "w", End: End{Upstream: upstream}})
+	for _, n := range requests {
+		out = append(out, Suspicion{Fingerprint: print(n), Workspace: "w", Incarnation: Incarnation{Upstream: upstream}})
 	}
 	return out
 }
 
-// of lets upstreams serve another service.
-func of(service string, all []Suspicion) []Suspicion {
+// withService sets the service of suspicions.
+func withService(service string, all []Suspicion) []Suspicion {
 	for i := range all {
 		all[i].Service = service
 	}
 	return all
 }
 
-// step is something that a host hears of, at a second.
-type step struct {
-	at  int
-	all []Suspicion
-	// answered is a request that was answered whole, 0 is none.
+// event is something that a host learns of.
+type event struct {
+	// at is the time in seconds.
+	at         int
+	suspicions []Suspicion
+	// answered is a request that got a complete answer, 0 for none.
 	answered int
 }
 
-func play(steps []step) (*Table, time.Duration) {
-	t := NewTable(usual)
+func replay(events []event) (*Table, time.Duration) {
+	t := NewTable(testLimits)
 	now := time.Duration(0)
-	for _, s := range steps {
+	for _, s := range events {
 		now = time.Duration(s.at) * time.Second
-		t.Add(s.all, now)
+		t.Add(s.suspicions, now)
 		if s.answered != 0 {
 			t.Clear(print(s.answered), now)
 		}
@@ -50,111 +52,113 @@
 	return t, now
 }
 
-// Each pattern of ends holds the requests that explain them, and no other.
-func TestVerdictsByPattern(t *testing.T) {
-	guilty, innocents := 1, []int{2, 3, 4, 5, 6, 7, 8, 9, 10}
-	beside := append([]int{guilty}, innocents...)
-	herd := func(at int, names ...string) step {
+// For each pattern of crashes, exactly the requests that explain the crashes must be in
+// quarantine. Guards against guilty requests that go on crashing upstreams, and innocent ones
+// that are refused.
+func TestVerdictsByCrashPattern(t *testing.T) {
+	guilty, innocent := 1, []int{2, 3, 4, 5, 6, 7, 8, 9, 10}
+	together := append([]int{guilty}, innocent...)
+	outsideCrashes := func(at int, names ...string) event {
 		var all []Suspicion
 		for i, n := range names {
-			all = append(all, ended(n, 100+10*i, 101+10*i, 102+10*i)...)
+			all = append(all, crashUnder(n, 100+10*i, 101+10*i, 102+10*i)...)
 		}
-		return step{at: at, all: all}
+		return event{at: at, suspicions: all}
 	}
 	for name, c := range map[string]struct {
-		steps         []step
-		held, suspect []int
+		events               []event
+		quarantined, suspect []int
 	}{
-		"one end speaks against nobody alone": {
-			steps: []step{{at: 0, all: ended("a", beside...)}}, suspect: beside,
+		"one crash quarantines nobody": {
+			events: []event{{at: 0, suspicions: crashUnder("a", together...)}}, suspect: together,
 		},
 		"guilty alone": {
-			steps: []step{{at: 0, all: ended("a", 1)}, {at: 5, all: ended("b", 1)}}, held: []int{1},
+			events: []event{{at: 0, suspicions: crashUnder("a", 1)}, {at: 5, suspicions: crashUnder("b", 1)}}, quarantined: []int{1},
 		},
 		"guilty among nine innocent, then alone": {
-			steps: []step{{at: 0, all: ended("a", beside...)}, {at: 5, all: ended("b", 1)}},
-			held:  []int{1},
+			events:      []event{{at: 0, suspicions: crashUnder("a", together...)}, {at: 5, suspicions: crashUnder("b", 1)}},
+			quarantined: []int{1},
 		},
-		"an innocent one beside it twice may be guilty as well": {
-			steps: []step{{at: 0, all: ended("a", 1, 2, 3)}, {at: 5, all: ended("b", 1, 2)}}, suspect: []int{1, 2, 3},
+		"an innocent one twice beside the guilty one can't be told apart": {
+			events: []event{{at: 0, suspicions: crashUnder("a", 1, 2, 3)}, {at: 5, suspicions: crashUnder("b", 1, 2)}}, suspect: []int{1, 2, 3},
 		},
-		"until it is answered": {
-			steps: []step{{at: 0, all: ended("a", 1, 2, 3)}, {at: 5, all: ended("b", 1, 2)}, {at: 6, answered: 2}}, held: []int{1},
+		"an innocent one twice beside the guilty one is answered": {
+			events: []event{{at: 0, suspicions: crashUnder("a", 1, 2, 3)}, {at: 5, suspicions: crashUnder("b", 1, 2)}, {at: 6, answered: 2}}, quarantined: []int{1},
 		},
-		"or three ends are reached": {
-			steps: []step{{at: 0, all: ended("a", 1, 2, 3)}, {at: 5, all: ended("b", 1, 2)}, {at: 9, all: ended("c", 1, 2)}},
-			held:  []int{1, 2},
+		"an innocent one three times beside the guilty one": {
+			events:      []event{{at: 0, suspicions: crashUnder("a", 1, 2, 3)}, {at: 5, suspicions: crashUnder("b", 1, 2)}, {at: 9, suspicions: crashUnder("c", 1, 2)}},
+			quarantined: []int{1, 2},
 		},
-		"asked by two at once counts once": {
-			steps: []step{{at: 0, all: append(ended("a", 1, 2), ended("b", 1)...)}}, suspect: []int{1, 2},
+		"two copies at once count as one execution": {
+			events: []event{{at: 0, suspicions: append(crashUnder("a", 1, 2), crashUnder("b", 1)...)}}, suspect: []int{1, 2},
 		},
-		"asked by three at once, and nothing else ended": {
-			steps: []step{{at: 0, all: append(append(ended("a", 1, 2), ended("b", 1, 3)...), ended("c", 1)...)}}, held: []int{1},
+		"three copies at once, and nothing else crashed": {
+			events: []event{{at: 0, suspicions: append(append(crashUnder("a", 1, 2), crashUnder("b", 1, 3)...), crashUnder("c", 1)...)}}, quarantined: []int{1},
 		},
-		"on three that ended in a herd": {
-			steps:   []step{{at: 0, all: append(append(append(ended("a", 1, 2), ended("b", 1, 3)...), ended("c", 1)...), ended("d", 4)...)}},
+		"three copies at once, and another upstream crashed": {
+			events:  []event{{at: 0, suspicions: append(append(append(crashUnder("a", 1, 2), crashUnder("b", 1, 3)...), crashUnder("c", 1)...), crashUnder("d", 4)...)}},
 			suspect: []int{1, 2, 3, 4},
 		},
-		"asked by many at once, twice": {
-			steps: []step{
-				{at: 0, all: append(ended("a", 1, 2), ended("b", 1, 3)...)}, {at: 5, all: append(ended("c", 1), ended("d", 1)...)},
+		"two copies at once, twice": {
+			events: []event{
+				{at: 0, suspicions: append(crashUnder("a", 1, 2), crashUnder("b", 1, 3)...)}, {at: 5, suspicions: append(crashUnder("c", 1), crashUnder("d", 1)...)},
 			},
-			held: []int{1},
+			quarantined: []int{1},
 		},
-		"a herd of ends twice, the same request beside": {
-			steps: []step{
-				{at: 0, all: append(ended("a", 1, 2), ended("b", 3)...)}, {at: 9, all: append(ended("c", 1, 4), ended("d", 5)...)},
+		"two outside crashes twice, the same request on one each time": {
+			events: []event{
+				{at: 0, suspicions: append(crashUnder("a", 1, 2), crashUnder("b", 3)...)}, {at: 9, suspicions: append(crashUnder("c", 1, 4), crashUnder("d", 5)...)},
 			},
 			suspect: []int{1, 2, 3, 4, 5},
 		},
-		"herds three times, the same request beside each time": {
-			steps: []step{
-				{at: 0, all: append(ended("a", 1, 2), ended("b", 3)...)}, {at: 9, all: append(ended("c", 1, 4), ended("d", 5)...)},
-				{at: 20, all: append(ended("e", 1, 6), ended("f", 7)...)},
+		"two outside crashes three times, the same request on one each time": {
+			events: []event{
+				{at: 0, suspicions: append(crashUnder("a", 1, 2), crashUnder("b", 3)...)}, {at: 9, suspicions: append(crashUnder("c", 1, 4), crashUnder("d", 5)...)},
+				{at: 20, suspicions: append(crashUnder("e", 1, 6), crashUnder("f", 7)...)},
 			},
-			held: []int{1}, suspect: []int{3, 5, 7},
+			quarantined: []int{1}, suspect: []int{3, 5, 7},
 		},
-		"a popular request in a herd": {
-			steps: []step{
-				{at: 0, all: append(append(ended("a", 1, 2), ended("b", 1, 3)...), ended("c", 4)...)}, {at: 3, answered: 1},
-				{at: 9, all: append(append(ended("d", 1, 5), ended("e", 1, 6)...), ended("f", 7)...)}, {at: 12, answered: 1},
+		"a popular request among outside crashes": {
+			events: []event{
+				{at: 0, suspicions: append(append(crashUnder("a", 1, 2), crashUnder("b", 1, 3)...), crashUnder("c", 4)...)}, {at: 3, answered: 1},
+				{at: 9, suspicions: append(append(crashUnder("d", 1, 5), crashUnder("e", 1, 6)...), crashUnder("f", 7)...)}, {at: 12, answered: 1},
 			},
 			suspect: []int{2, 3, 4, 5, 6, 7},
 		},
 		"two guilty ones at the same moments": {
-			steps: []step{
-				{at: 0, all: append(ended("a", 1, 3), ended("b", 2, 4)...)}, {at: 5, all: append(ended("c", 1), ended("d", 2)...)},
+			events: []event{
+				{at: 0, suspicions: append(crashUnder("a", 1, 3), crashUnder("b", 2, 4)...)}, {at: 5, suspicions: append(crashUnder("c", 1), crashUnder("d", 2)...)},
 			},
-			held: []int{1, 2},
+			quarantined: []int{1, 2},
 		},
-		"a guilty one beside a herd, then alone twice": {
-			steps: []step{
-				{at: 0, all: ended("a", 1, 2)}, herd(0, "x", "y"), {at: 9, all: ended("b", 1)}, {at: 15, all: ended("c", 1)},
+		"a guilty one among outside crashes, then alone twice": {
+			events: []event{
+				{at: 0, suspicions: crashUnder("a", 1, 2)}, outsideCrashes(0, "x", "y"), {at: 9, suspicions: crashUnder("b", 1)}, {at: 15, suspicions: crashUnder("c", 1)},
 			},
-			held: []int{1}, suspect: []int{100, 101, 102, 110, 111, 112},
+			quarantined: []int{1}, suspect: []int{100, 101, 102, 110, 111, 112},
 		},
-		"a herd at another service says nothing": {
-			steps: []step{
-				{at: 0, all: append(ended("a", 1, 2), of("other", ended("x", 7))...)},
-				{at: 5, all: append(ended("b", 1), of("other", ended("y", 8))...)},
+		"crashes of another service don't count": {
+			events: []event{
+				{at: 0, suspicions: append(crashUnder("a", 1, 2), withService("other", crashUnder("x", 7))...)},
+				{at: 5, suspicions: append(crashUnder("b", 1), withService("other", crashUnder("y", 8))...)},
 			},
-			held: []int{1}, suspect: []int{7, 8},
+			quarantined: []int{1}, suspect: []int{7, 8},
 		},
-		"what is explained speaks against nobody else": {
-			steps: []step{
-				{at: 0, all: ended("a", 1, 2)}, {at: 5, all: ended("b", 1, 3)}, {at: 9, all: ended("x", 2, 5)},
+		"crashes under a quarantined request count against no other": {
+			events: []event{
+				{at: 0, suspicions: crashUnder("a", 1, 2)}, {at: 5, suspicions: crashUnder("b", 1, 3)}, {at: 9, suspicions: crashUnder("x", 2, 5)},
 			},
-			held: []int{1}, suspect: []int{2, 5},
+			quarantined: []int{1}, suspect: []int{2, 5},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			table, now := play(c.steps)
+			table, now := replay(c.events)
 			want := map[Fingerprint]Verdict{}
 			for _, n := range c.suspect {
 				want[print(n)] = Suspect
 			}
-			for _, n := range c.held {
-				want[print(n)] = Held
+			for _, n := range c.quarantined {
+				want[print(n)] = Quarantined
 			}
 			for n := range 200 {
 				require.Equal(t, want[print(n)], table.Verdict(print(n), now), "request %d", n)
