--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -21,8 +21,8 @@
 // ErrOtherAttempt tells that a message belongs to another attempt; it was dropped.
 var ErrOtherAttempt = errors.New("answer: message of another attempt")
 
-// ErrRepeated tells that a message had come before; it was dropped.
-var ErrRepeated = errors.New("answer: repeated message")
+// ErrDuplicate tells that a message had come before; it was dropped.
+var ErrDuplicate = errors.New("answer: repeated message")
 
 // Receiver holds what has come of one attempt's answer and was not read yet.
 type Receiver struct {
@@ -52,19 +52,19 @@
 	}
 }
 
-// Take adds a message. It never blocks. The error tells why m was dropped or that
+// Add adds a message. It never blocks. The error tells why m was dropped or that
 // it failed the answer.
-func (r *Receiver) Take(m wire.Message) error {
+func (r *Receiver) Add(m wire.Message) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if of(m) != r.attempt {
 		return ErrOtherAttempt
 	}
 	if r.ended || r.err != nil {
-		return ErrRepeated
+		return ErrDuplicate
 	}
 	err := r.take(m)
-	if err != nil && !errors.Is(err, ErrRepeated) {
+	if err != nil && !errors.Is(err, ErrDuplicate) {
 		r.err = err
 	}
 	r.signal()
@@ -102,7 +102,7 @@
 
 func (r *Receiver) takeHead(h *wire.Head) error {
 	if r.head != nil {
-		return ErrRepeated
+		return ErrDuplicate
 	}
 	r.head = h
 	return nil
@@ -113,7 +113,7 @@
 		return broken("frame before head")
 	}
 	if f.Seq <= r.seq {
-		return ErrRepeated
+		return ErrDuplicate
 	}
 	if f.Seq != r.seq+1 {
 		return broken("gap between frames")
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -63,7 +63,7 @@
 		}
 		r := New(own, 1<<20)
 		for _, m := range sent {
-			_ = r.Take(m)
+			_ = r.Add(m)
 		}
 		got, err := read(r)
 		want := bytes.Join(pieces, nil)
@@ -102,7 +102,7 @@
 		change(sent[2].(*wire.End))
 		r := New(own, 10)
 		for _, m := range sent {
-			_ = r.Take(m)
+			_ = r.Add(m)
 		}
 		_, err := read(r)
 		require.Equal(t, verdict.CodeUpstreamFailed, verdict.Of(err).Code)
@@ -112,10 +112,10 @@
 func TestOtherAttemptsAreDropped(t *testing.T) {
 	r := New(own, 10)
 	for _, m := range messages(other, [][]byte{[]byte("a")}) {
-		require.ErrorIs(t, r.Take(m), ErrOtherAttempt)
+		require.ErrorIs(t, r.Add(m), ErrOtherAttempt)
 	}
 	for _, m := range messages(own, [][]byte{[]byte("b")}) {
-		require.NoError(t, r.Take(m))
+		require.NoError(t, r.Add(m))
 	}
 	got, err := read(r)
 	require.Equal(t, io.EOF, err)
@@ -125,7 +125,7 @@
 func TestMoreThanTheWindowFails(t *testing.T) {
 	r := New(own, 3)
 	for _, m := range messages(own, [][]byte{[]byte("ab"), []byte("cd")})[:3] {
-		_ = r.Take(m)
+		_ = r.Add(m)
 	}
 	_, err := read(r)
 	require.ErrorContains(t, err, "more bytes than allowed")
@@ -134,8 +134,8 @@
 func TestRefusalAfterAHeadMayHaveRun(t *testing.T) {
 	refused := &wire.Refused{Attempt: own, Verdict: uint8(verdict.NotRun), Code: string(verdict.CodeLeaving)}
 	r := New(own, 3)
-	require.Equal(t, verdict.NotRun, verdict.Of(r.Take(refused)).Verdict)
+	require.Equal(t, verdict.NotRun, verdict.Of(r.Add(refused)).Verdict)
 	r = New(own, 3)
-	require.NoError(t, r.Take(&wire.Head{Attempt: own}))
-	require.Equal(t, verdict.MayHaveRun, verdict.Of(r.Take(refused)).Verdict)
+	require.NoError(t, r.Add(&wire.Head{Attempt: own}))
+	require.Equal(t, verdict.MayHaveRun, verdict.Of(r.Add(refused)).Verdict)
 }
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -28,8 +28,8 @@
 	// ID is the incarnation that is meant.
 	ID      string
 	Address string
-	// Connections bounds this host's connections to it; 0 is no bound.
-	Connections int
+	// MaxConnections bounds this host's connections to it; 0 is no bound.
+	MaxConnections int
 }
 
 // Request is what an attempt sends.
@@ -43,8 +43,8 @@
 	Body   []byte
 }
 
-// Answer is an upstream's answer to the attempt. Close has to be called.
-type Answer struct {
+// Response is an upstream's answer to the attempt. Close has to be called.
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is that of the body, -1 where it is not stated.
@@ -60,7 +60,7 @@
 
 // Client sends attempts.
 type Client struct {
-	names Names
+	names HeaderNames
 	pool  *pool
 	now   func() time.Time
 	// looks are those that are under way, by address.
@@ -69,7 +69,7 @@
 
 // Config is what a Client needs.
 type Config struct {
-	Names Names
+	HeaderNames HeaderNames
 	// DialTimeout bounds the opening of a connection.
 	DialTimeout time.Duration
 	// Now is the clock; time.Now if nil.
@@ -81,7 +81,7 @@
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
-	return &Client{names: cfg.Names, pool: newPool(cfg.DialTimeout), now: cfg.Now}
+	return &Client{names: cfg.HeaderNames, pool: newPool(cfg.DialTimeout), now: cfg.Now}
 }
 
 // Sweep closes connections that have idled for too long. It is called now and then.
@@ -90,8 +90,8 @@
 // Send sends one attempt and returns the answer's head, which has to be closed. It ends when ctx does, which
 // also ends the reading of the answer's body. Errors are *verdict.Error: NotRun only
 // where the upstream said so, or no byte of the request left.
-func (c *Client) Send(ctx context.Context, t Target, r *Request) (*Answer, error) {
-	conn, err := c.pool.get(ctx, t.Address, t.Connections, c.now())
+func (c *Client) Send(ctx context.Context, t Target, r *Request) (*Response, error) {
+	conn, err := c.pool.get(ctx, t.Address, t.MaxConnections, c.now())
 	if err != nil {
 		return nil, wrap(verdict.NotRun, verdict.CodeNoUpstream, "no connection to the upstream", err)
 	}
@@ -113,7 +113,7 @@
 }
 
 // exchange writes the request and reads the head of its answer.
-func (c *Client) exchange(ctx context.Context, conn *conn, t Target, r *Request) (*Answer, error) {
+func (c *Client) exchange(ctx context.Context, conn *conn, t Target, r *Request) (*Response, error) {
 	if ctx.Err() != nil {
 		return nil, wrap(verdict.NotRun, codeOf(ctx), "ended before it was sent", ctx.Err())
 	}
@@ -130,7 +130,7 @@
 		return nil, c.broken(ctx, "no answer", err)
 	}
 	conn.previous = attempt
-	return &Answer{
+	return &Response{
 		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength,
 		client: c, conn: conn, resp: resp,
 	}, nil
@@ -163,7 +163,7 @@
 }
 
 // refusal turns an answer that says that the request did not run into an error.
-func (c *Client) refusal(a *Answer) error {
+func (c *Client) refusal(a *Response) error {
 	isMisdirected := a.Status == http.StatusMisdirectedRequest
 	if !isMisdirected && a.Header.Get(c.names.NotRun) == "" {
 		return nil
@@ -173,7 +173,7 @@
 		code, text = verdict.CodeConflict, "another upstream has the address"
 	}
 	return &RefusedError{
-		Misdirected: isMisdirected, Fault: a.Header.Get(c.names.Fault),
+		Misdirected: isMisdirected, FaultyUpstream: a.Header.Get(c.names.FaultyUpstream),
 		Err: verdict.New(verdict.NotRun, code, text),
 	}
 }
@@ -182,17 +182,17 @@
 type RefusedError struct {
 	// Misdirected tells that the address belongs to another incarnation.
 	Misdirected bool
-	// Fault names the upstream at fault, if another one is.
-	Fault string
-	Err   *verdict.Error
+	// FaultyUpstream names the upstream at fault, if another one is.
+	FaultyUpstream string
+	Err            *verdict.Error
 }
 
 // Error implements error.
 func (e *RefusedError) Error() string {
-	if e.Fault == "" {
+	if e.FaultyUpstream == "" {
 		return e.Err.Error()
 	}
-	return e.Err.Error() + ", at fault is " + e.Fault
+	return e.Err.Error() + ", at fault is " + e.FaultyUpstream
 }
 
 // Unwrap returns the verdict.
@@ -220,7 +220,7 @@
 }
 
 // encode returns the bytes of the request.
-func encode(t Target, r *Request, names Names) []byte {
+func encode(t Target, r *Request, names HeaderNames) []byte {
 	var b bytes.Buffer
 	b.Grow(1024 + len(r.Body))
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.URI, r.Host)
@@ -237,7 +237,7 @@
 }
 
 // Read reads the body. An error other than io.EOF means that the answer is not whole.
-func (a *Answer) Read(p []byte) (int, error) {
+func (a *Response) Read(p []byte) (int, error) {
 	n, err := a.resp.Body.Read(p)
 	if err == io.EOF {
 		a.isWhole = true
@@ -246,14 +246,14 @@
 }
 
 // SetReadDeadline bounds the wait for the next bytes of the body.
-func (a *Answer) SetReadDeadline(t time.Time) { _ = a.conn.SetReadDeadline(t) }
+func (a *Response) SetReadDeadline(t time.Time) { _ = a.conn.SetReadDeadline(t) }
 
 // IsTimeout reports whether a read failed since its deadline passed.
 func IsTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
 // Close ends the answer. The connection is kept only where the body was read whole;
 // otherwise its end tells the upstream to stop.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	ended := !a.stop()
 	if !ended && a.isWhole && a.conn.keep(a.resp, a.client.now()) && a.conn.SetDeadline(time.Time{}) == nil {
 		a.client.pool.put(a.conn)
@@ -263,7 +263,7 @@
 }
 
 // ReadAll reads the body to its end, up to limit bytes.
-func (a *Answer) ReadAll(limit int64) ([]byte, error) {
+func (a *Response) ReadAll(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(readerOf{a}, limit+1))
 	if err != nil {
 		return nil, err
@@ -274,7 +274,7 @@
 	return body, nil
 }
 
-type readerOf struct{ a *Answer }
+type readerOf struct{ a *Response }
 
 // Read implements io.Reader.
 func (r readerOf) Read(p []byte) (int, error) { return r.a.Read(p) }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -16,7 +16,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-var names = Names{Attempt: "X-A", Instance: "X-I", Deadline: "X-D", NotRun: "X-N", Fault: "X-F"}
+var names = HeaderNames{Attempt: "X-A", Instance: "X-I", Deadline: "X-D", NotRun: "X-N", FaultyUpstream: "X-F"}
 
 // serve runs an upstream that answers each request by what answer writes.
 func serve(t *testing.T, answer func(c net.Conn, r *http.Request, n int)) string {
@@ -68,7 +68,7 @@
 	return string(body), err
 }
 
-func client() *Client { return New(Config{Names: names, DialTimeout: 5 * time.Second}) }
+func client() *Client { return New(Config{HeaderNames: names, DialTimeout: 5 * time.Second}) }
 
 func TestConnectionIsReused(t *testing.T) {
 	reused := false
@@ -120,7 +120,7 @@
 	var refused *RefusedError
 	require.True(t, errors.As(err, &refused))
 	require.False(t, refused.Misdirected)
-	require.Equal(t, "i7", refused.Fault)
+	require.Equal(t, "i7", refused.FaultyUpstream)
 	require.Equal(t, verdict.NotRun, verdict.Of(err).Verdict)
 
 	other := serve(t, func(c net.Conn, r *http.Request, _ int) {
@@ -177,7 +177,7 @@
 	c := client()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	target := Target{ID: "i1", Address: address, Connections: 1}
+	target := Target{ID: "i1", Address: address, MaxConnections: 1}
 	go func() {
 		_, _ = c.Send(ctx, target, &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}})
 	}()
--- a/internal/dispatch/look.go
+++ b/internal/dispatch/look.go
@@ -8,22 +8,22 @@
 	"github.com/pkg/errors"
 )
 
-// Presence is whether an upstream is there.
-type Presence uint8
+// ProbeResult is whether an upstream is there.
+type ProbeResult uint8
 
 const (
 	// Unknown: it said nothing, or could not be asked.
-	Unknown Presence = iota
+	Unknown ProbeResult = iota
 	// Present: a connection could be opened.
-	Present
+	Alive
 	// Ended: nobody listens at the address.
 	Ended
 )
 
 // String names the presence in counters.
-func (p Presence) String() string {
+func (p ProbeResult) String() string {
 	switch p {
-	case Present:
+	case Alive:
 		return "present"
 	case Ended:
 		return "ended"
@@ -35,18 +35,18 @@
 // trip; one that says nothing may be cut off.
 const lookTimeout = 250 * time.Millisecond
 
-// Look finds out whether an upstream is there after an answer of its has broken off: the
+// Probe finds out whether an upstream is there after an answer of its has broken off: the
 // connection that this opens takes the place of one that is lost. All answers of an upstream
 // that ends break off at once; they share one look.
-func (c *Client) Look(t Target) Presence {
+func (c *Client) Probe(t Target) ProbeResult {
 	p, _, _ := c.looks.Do(t.Address, func() (any, error) { return c.look(t), nil })
-	return p.(Presence)
+	return p.(ProbeResult)
 }
 
-func (c *Client) look(t Target) Presence {
+func (c *Client) look(t Target) ProbeResult {
 	ctx, cancel := context.WithTimeout(context.Background(), lookTimeout)
 	defer cancel()
-	if !c.pool.reserve(t.Address, t.Connections) {
+	if !c.pool.reserve(t.Address, t.MaxConnections) {
 		return Unknown
 	}
 	conn, err := dial(ctx, t.Address, c.pool.dialTimeout)
@@ -59,5 +59,5 @@
 	}
 	conn.expires = c.now().Add(defaultIdle)
 	c.pool.put(conn)
-	return Present
+	return Alive
 }
--- a/internal/dispatch/look_test.go
+++ b/internal/dispatch/look_test.go
@@ -13,15 +13,15 @@
 // An upstream that broke one answer off is told from one whose process has ended.
 func TestLookTellsAnEndFromABrokenAnswer(t *testing.T) {
 	up := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
-	c := New(Config{Names: names, DialTimeout: 5 * time.Second})
-	target := Target{ID: "u", Address: up.Listener.Addr().String(), Connections: 1}
+	c := New(Config{HeaderNames: names, DialTimeout: 5 * time.Second})
+	target := Target{ID: "u", Address: up.Listener.Addr().String(), MaxConnections: 1}
 	_, err := send(t, c, target.Address, "1")
 	require.Error(t, err)
-	require.Equal(t, Present, c.Look(target))
-	require.Equal(t, Unknown, c.Look(target), "the connection that the look opened is the only one allowed")
+	require.Equal(t, Alive, c.Probe(target))
+	require.Equal(t, Unknown, c.Probe(target), "the connection that the look opened is the only one allowed")
 	up.Close()
 	c.pool.sweep(time.Now().Add(time.Hour))
-	require.Equal(t, Ended, c.Look(target))
+	require.Equal(t, Ended, c.Probe(target))
 }
 
 // An address at which nobody answers tells nothing: it may be cut off.
@@ -29,6 +29,6 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
-	c := New(Config{Names: names, DialTimeout: time.Nanosecond})
-	require.Equal(t, Unknown, c.Look(Target{Address: l.Addr().String()}))
+	c := New(Config{HeaderNames: names, DialTimeout: time.Nanosecond})
+	require.Equal(t, Unknown, c.Probe(Target{Address: l.Addr().String()}))
 }
--- a/internal/dispatch/names.go
+++ b/internal/dispatch/names.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// Names are the header fields that the upstreams understand, in canonical form.
-type Names struct {
+// HeaderNames are the header fields that the upstreams understand, in canonical form.
+type HeaderNames struct {
 	// Attempt carries the id of the attempt, both ways.
 	Attempt string
 	// Instance asks for one incarnation of an upstream: any other one refuses.
@@ -10,6 +10,6 @@
 	Deadline string
 	// NotRun marks an answer to a request that did not run.
 	NotRun string
-	// Fault names the upstream at fault in a refusal.
-	Fault string
+	// FaultyUpstream names the upstream at fault in a refusal.
+	FaultyUpstream string
 }
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -68,7 +68,7 @@
 		return false
 	}
 	r := s.attempts.find(id, session)
-	if r == nil || errors.Is(r.Take(m), answer.ErrRepeated) {
+	if r == nil || errors.Is(r.Add(m), answer.ErrDuplicate) {
 		s.counters.dropped.Inc(1)
 	}
 	return true
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -49,7 +49,7 @@
 }
 
 // send picks an upstream and sends it the request. Where ok is false, c.last tells why.
-func (c *call) send(ctx context.Context, resume string) (*dispatch.Answer, *ticket, bool) {
+func (c *call) send(ctx context.Context, resume string) (*dispatch.Response, *ticket, bool) {
 	u, hold, err := c.reserve(ctx, resume != "")
 	if err != nil {
 		c.last, c.isGivenUp = err, true
@@ -64,7 +64,7 @@
 	c.sends++
 	c.sent = time.Now()
 	c.tried = append(c.tried, u.ID)
-	target := dispatch.Target{ID: u.ID, Address: u.Address, Connections: c.g.connections(c.service)}
+	target := dispatch.Target{ID: u.ID, Address: u.Address, MaxConnections: c.g.connections(c.service)}
 	request := &dispatch.Request{
 		Method: c.r.Method, URI: c.r.RequestURI, Host: c.r.Host, Header: c.header(resume), Body: c.body,
 	}
@@ -96,7 +96,7 @@
 // repeated, an engine whose group does not serve is not waited for to the end.
 func (c *call) exchange(
 	ctx context.Context, hold *ticket, since time.Time, t dispatch.Target, r *dispatch.Request,
-) (*dispatch.Answer, error) {
+) (*dispatch.Response, error) {
 	if c.service.Engine == nil || !c.route.AllowsRetry() {
 		return c.g.cfg.Client.Send(ctx, t, r)
 	}
@@ -166,7 +166,7 @@
 
 // passWhole reads the answer to its end and passes it on. It reports whether the caller
 // has its answer.
-func (c *call) passWhole(ctx context.Context, a *dispatch.Answer, hold *ticket) bool {
+func (c *call) passWhole(ctx context.Context, a *dispatch.Response, hold *ticket) bool {
 	body, err := a.ReadAll(maxAnswerBytes)
 	a.Close()
 	if err != nil {
@@ -223,7 +223,7 @@
 }
 
 // copyHead passes the fields of an answer on.
-func (c *call) copyHead(a *dispatch.Answer) {
+func (c *call) copyHead(a *dispatch.Response) {
 	strip(a.Header)
 	h := c.w.Header()
 	for name, values := range a.Header {
@@ -236,7 +236,7 @@
 }
 
 // reply passes a whole answer on.
-func (c *call) reply(a *dispatch.Answer, body []byte) {
+func (c *call) reply(a *dispatch.Response, body []byte) {
 	c.copyHead(a)
 	if bodyAllowed(a.Status) && c.r.Method != http.MethodHead {
 		c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -27,8 +27,8 @@
 	if e.Verdict == verdict.NotRun || e.Code != verdict.CodeUpstreamFailed || ctx.Err() != nil || c.g.isLeaving(hold) {
 		return
 	}
-	presence := c.g.cfg.Client.Look(dispatch.Target{
-		ID: hold.ID(), Address: hold.Address(), Connections: c.g.connections(c.service),
+	presence := c.g.cfg.Client.Probe(dispatch.Target{
+		ID: hold.ID(), Address: hold.Address(), MaxConnections: c.g.connections(c.service),
 	})
 	c.g.counts.count("upstreams-looked-at." + presence.String())
 	run := quarantine.Run{
@@ -36,7 +36,7 @@
 		End: quarantine.End{Upstream: hold.ID(), Born: hold.Born()}, Service: c.service.Name, Address: hold.Address(), Ran: time.Since(c.sent),
 	}
 	if presence != dispatch.Ended {
-		c.g.cfg.Quarantine.Broke(run, presence == dispatch.Present)
+		c.g.cfg.Quarantine.Broke(run, presence == dispatch.Alive)
 		return
 	}
 	c.g.cfg.Quarantine.Ended(run)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -29,12 +29,12 @@
 
 // Dialect is what callers and upstreams call things. It only translates.
 type Dialect struct {
-	// Dispatch are the names that upstreams understand.
-	Dispatch dispatch.Names
-	// Key carries the caller's key; Workspace tells an upstream whose request it is.
-	Key, Workspace string
-	// Resume carries the id of the last event that the caller has.
-	Resume string
+	// UpstreamHeaders are the names that upstreams understand.
+	UpstreamHeaders dispatch.HeaderNames
+	// KeyHeader carries the caller's key; Workspace tells an upstream whose request it is.
+	KeyHeader, WorkspaceHeader string
+	// ResumeHeader carries the id of the last event that the caller has.
+	ResumeHeader string
 	// Deadline returns how long the caller waits, if it says so.
 	Deadline func(http.Header) (time.Duration, bool)
 }
@@ -122,8 +122,8 @@
 	}
 }
 
-// Leave makes each answer the last one on its connection.
-func (g *Gateway) Leave() { g.leaving.Store(true) }
+// StartDraining makes each answer the last one on its connection.
+func (g *Gateway) StartDraining() { g.leaving.Store(true) }
 
 // Merge takes what a control host says of upstreams. It is in force when Merge returns.
 func (g *Gateway) Merge(source string, all []registry.Upstream) {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -50,8 +50,8 @@
 	l := &lab{t: t, addresses: map[string]string{}}
 	began := time.Now()
 	d := Dialect{
-		Dispatch: dispatch.Names{Attempt: "X-A", Instance: "X-I", Deadline: "X-D", NotRun: "X-N"},
-		Key:      "X-K", Workspace: "X-W", Resume: "X-R",
+		UpstreamHeaders: dispatch.HeaderNames{Attempt: "X-A", Instance: "X-I", Deadline: "X-D", NotRun: "X-N"},
+		KeyHeader:       "X-K", WorkspaceHeader: "X-W", ResumeHeader: "X-R",
 		Deadline: func(h http.Header) (time.Duration, bool) {
 			ms, err := strconv.Atoi(h.Get("X-D"))
 			return time.Duration(ms) * time.Millisecond, err == nil
@@ -62,7 +62,7 @@
 		Quarantine: quarantine.NewKeeper(quarantine.Config{
 			Limits: quarantine.DefaultLimits, Now: now, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 		}),
-		Dialect: d, Client: dispatch.New(dispatch.Config{Names: d.Dispatch, DialTimeout: 5 * time.Second}),
+		Dialect: d, Client: dispatch.New(dispatch.Config{HeaderNames: d.UpstreamHeaders, DialTimeout: 5 * time.Second}),
 		Budget: retrybudget.Params{Ratio: 0.2, Extra: 100, Window: 10 * time.Second},
 		Now:    now, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 	})
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -65,7 +65,7 @@
 	if g.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	c := &call{g: g, w: w, r: r, began: time.Now(), attempt: r.Header.Get(g.cfg.Dialect.Dispatch.Attempt)}
+	c := &call{g: g, w: w, r: r, began: time.Now(), attempt: r.Header.Get(g.cfg.Dialect.UpstreamHeaders.Attempt)}
 	if err := c.prepare(); err != nil {
 		c.fail(err)
 		return
@@ -88,7 +88,7 @@
 	}
 	c.priority = c.route.Priority
 	if c.table.NeedsKey(c.route) {
-		w := c.table.WorkspaceByKey(c.r.Header.Get(g.cfg.Dialect.Key))
+		w := c.table.WorkspaceByKey(c.r.Header.Get(g.cfg.Dialect.KeyHeader))
 		if w == nil {
 			return verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "unknown key")
 		}
@@ -188,15 +188,15 @@
 	d := c.g.cfg.Dialect
 	h := c.r.Header.Clone()
 	strip(h)
-	h.Del(d.Key)
-	h.Del(d.Workspace)
-	h.Del(d.Dispatch.Instance)
+	h.Del(d.KeyHeader)
+	h.Del(d.WorkspaceHeader)
+	h.Del(d.UpstreamHeaders.Instance)
 	if c.workspace != "" {
-		h.Set(d.Workspace, c.workspace)
+		h.Set(d.WorkspaceHeader, c.workspace)
 	}
 	if resume != "" {
-		h.Set(d.Resume, resume)
+		h.Set(d.ResumeHeader, resume)
 	}
-	h.Set(d.Dispatch.Deadline, strconv.FormatInt(max(time.Until(c.deadline).Milliseconds(), 1), 10))
+	h.Set(d.UpstreamHeaders.Deadline, strconv.FormatInt(max(time.Until(c.deadline).Milliseconds(), 1), 10))
 	return h
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -40,9 +40,9 @@
 
 // stream passes a stream on. It reports whether the caller has its answer, or what there
 // is of it; false only where nothing was sent and another attempt may be made.
-func (c *call) stream(ctx context.Context, a *dispatch.Answer, hold *ticket) bool {
+func (c *call) stream(ctx context.Context, a *dispatch.Response, hold *ticket) bool {
 	r := &relay{c: c, buffer: make([]byte, streamBuffer)}
-	if id, err := strconv.ParseUint(c.r.Header.Get(c.g.cfg.Dialect.Resume), 10, 64); err == nil {
+	if id, err := strconv.ParseUint(c.r.Header.Get(c.g.cfg.Dialect.ResumeHeader), 10, 64); err == nil {
 		r.last, r.hasID = id, true
 	}
 	for {
@@ -89,7 +89,7 @@
 }
 
 // resume goes on at another upstream after the last event that the caller has.
-func (r *relay) resume(ctx context.Context) (*dispatch.Answer, *ticket, bool) {
+func (r *relay) resume(ctx context.Context) (*dispatch.Response, *ticket, bool) {
 	c := r.c
 	for c.route.IsResumable && r.hasID && c.mayGoOn(ctx) {
 		a, hold, ok := c.send(ctx, strconv.FormatUint(r.last, 10))
@@ -108,7 +108,7 @@
 
 // pass passes on the events of one upstream until its stream ends. It returns nil where
 // the stream came to its own end.
-func (r *relay) pass(a *dispatch.Answer) error {
+func (r *relay) pass(a *dispatch.Response) error {
 	var events sse.Splitter
 	for {
 		n, err := a.Read(r.buffer)
@@ -119,7 +119,7 @@
 			}
 		}
 		switch {
-		case err == io.EOF && len(events.Rest()) == 0:
+		case err == io.EOF && len(events.Incomplete()) == 0:
 			r.begin(a)
 			return nil
 		case err == io.EOF:
@@ -131,7 +131,7 @@
 }
 
 // forward sends the whole events to the caller at once.
-func (r *relay) forward(a *dispatch.Answer, events *sse.Splitter) error {
+func (r *relay) forward(a *dispatch.Response, events *sse.Splitter) error {
 	sent := false
 	for event := events.Next(); event != nil; event = events.Next() {
 		ok, err := r.accept(event)
@@ -199,7 +199,7 @@
 }
 
 // begin sends the head of the first upstream's answer.
-func (r *relay) begin(a *dispatch.Answer) {
+func (r *relay) begin(a *dispatch.Response) {
 	if r.isBegun {
 		return
 	}
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -47,7 +47,7 @@
 		Limits: quarantine.DefaultLimits, Now: func() time.Duration { return time.Since(started) }, Tell: n.tellSuspicions,
 		Log: n.log, Metrics: n.metrics,
 	})
-	client := dispatch.New(dispatch.Config{Names: n.platform.Dialect.Dispatch, DialTimeout: upstreamDial})
+	client := dispatch.New(dispatch.Config{HeaderNames: n.platform.Dialect.UpstreamHeaders, DialTimeout: upstreamDial})
 	e := &entryRole{n: n, client: client, gateway: gateway.New(gateway.Config{
 		Dialect: n.platform.Dialect, Client: client, DataCentre: n.set.DataCentre,
 		Budget: n.set.Budget, Fingerprints: quarantine.NewHasher(secret), Quarantine: keeper, Log: n.log, Metrics: n.metrics,
@@ -98,7 +98,7 @@
 // served end.
 func (e *entryRole) drain(ctx context.Context) {
 	e.leaving.Store(true)
-	e.gateway.Leave()
+	e.gateway.StartDraining()
 	pause.For(ctx, leaveTime)
 	if err := e.callers.Shutdown(ctx); err != nil {
 		e.n.log.Warn("requests were cut at the end", "error", err.Error())
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -23,8 +23,8 @@
 	return event
 }
 
-// Rest returns what has come after the last whole event.
-func (s *Splitter) Rest() []byte { return s.pending }
+// Incomplete returns what has come after the last whole event.
+func (s *Splitter) Incomplete() []byte { return s.pending }
 
 // ID returns the value of an event's id field, empty if it has none.
 func ID(event []byte) string {
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -21,7 +21,7 @@
 			}
 		}
 		require.Equal(t, []string{"id: 1\ndata: a\n\n", "id: 2\ndata: b\ndata: c\n\n"}, got)
-		require.Equal(t, "id: 3\nda", string(s.Rest()))
+		require.Equal(t, "id: 3\nda", string(s.Incomplete()))
 	})
 }
 
