--- a/internal/answer/record.go
+++ b/internal/answer/record.go
@@ -7,8 +7,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// Recorder stores the outcomes of claimed calls through consensus. A call is claimed under its
-// idempotency key, so that it runs once.
+// Recorder stores the outcomes of claimed calls through consensus. A claim reserves
+// the idempotency key of a call, so that the call runs only once.
 type Recorder interface {
 	Finish(ctx context.Context, r *wire.FinishRequest) error
 }
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -240,34 +240,34 @@
 }
 
 // Read reads the body. An error other than io.EOF means that the response is incomplete.
-func (a *Response) Read(p []byte) (int, error) {
-	n, err := a.resp.Body.Read(p)
+func (r *Response) Read(p []byte) (int, error) {
+	n, err := r.resp.Body.Read(p)
 	if err == io.EOF {
-		a.isComplete = true
+		r.isComplete = true
 	}
 	return n, err
 }
 
 // SetReadDeadline sets the deadline for reading from the body.
-func (a *Response) SetReadDeadline(t time.Time) { _ = a.conn.SetReadDeadline(t) }
+func (r *Response) SetReadDeadline(t time.Time) { _ = r.conn.SetReadDeadline(t) }
 
 // IsTimeout reports whether a read failed because its deadline has passed.
 func IsTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
 // Close ends the response. The connection is kept for reuse only if the body was read to its
 // end. Otherwise it is closed, which tells the upstream to stop.
-func (a *Response) Close() {
-	cancelled := !a.stopCancel()
-	if !cancelled && a.isComplete && a.conn.allowReuse(a.resp, a.client.now()) && a.conn.SetDeadline(time.Time{}) == nil {
-		a.client.pool.put(a.conn)
+func (r *Response) Close() {
+	cancelled := !r.stopCancel()
+	if !cancelled && r.isComplete && r.conn.allowReuse(r.resp, r.client.now()) && r.conn.SetDeadline(time.Time{}) == nil {
+		r.client.pool.put(r.conn)
 		return
 	}
-	a.client.pool.closeConn(a.conn)
+	r.client.pool.closeConn(r.conn)
 }
 
 // ReadAll reads the body to its end and fails if it is longer than limit bytes.
-func (a *Response) ReadAll(limit int64) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(bodyReader{a}, limit+1))
+func (r *Response) ReadAll(limit int64) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(bodyReader{r}, limit+1))
 	if err != nil {
 		return nil, err
 	}
@@ -277,7 +277,7 @@
 	return body, nil
 }
 
-type bodyReader struct{ a *Response }
+type bodyReader struct{ resp *Response }
 
 // Read implements io.Reader.
-func (r bodyReader) Read(p []byte) (int, error) { return r.a.Read(p) }
+func (r bodyReader) Read(p []byte) (int, error) { return r.resp.Read(p) }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -18,9 +18,9 @@
 
 var testHeaderNames = HeaderNames{Attempt: "X-A", Instance: "X-I", Deadline: "X-D", NotRun: "X-N", FaultyUpstream: "X-F"}
 
-// serveUpstream runs an upstream that calls answer for each request. n counts the requests of
+// serveUpstream runs an upstream that calls respond for each request. n counts the requests of
 // the connection from 0.
-func serveUpstream(t *testing.T, answer func(c net.Conn, r *http.Request, n int)) string {
+func serveUpstream(t *testing.T, respond func(c net.Conn, r *http.Request, n int)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -31,13 +31,13 @@
 			if err != nil {
 				return
 			}
-			go serveConn(c, answer)
+			go serveConn(c, respond)
 		}
 	}()
 	return l.Addr().String()
 }
 
-func serveConn(c net.Conn, answer func(c net.Conn, r *http.Request, n int)) {
+func serveConn(c net.Conn, respond func(c net.Conn, r *http.Request, n int)) {
 	defer func() { _ = c.Close() }()
 	b := bufio.NewReader(c)
 	for n := 0; ; n++ {
@@ -46,7 +46,7 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
-		answer(c, r, n)
+		respond(c, r, n)
 	}
 }
 
@@ -60,12 +60,12 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	r := &Request{Method: "POST", URI: "/p?q", Host: "h", Header: http.Header{"X-A": {attempt}}, Body: []byte("body")}
-	a, err := c.Send(ctx, Target{ID: "i1", Address: address}, r)
+	resp, err := c.Send(ctx, Target{ID: "i1", Address: address}, r)
 	if err != nil {
 		return "", err
 	}
-	defer a.Close()
-	body, err := a.ReadAll(1000)
+	defer resp.Close()
+	body, err := resp.ReadAll(1000)
 	return string(body), err
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -170,9 +170,9 @@
 
 // forwardBuffered reads the response to its end and then forwards it. It reports whether the
 // caller has its response.
-func (c *call) forwardBuffered(ctx context.Context, a *dispatch.Response, reserved *reservation) bool {
-	body, err := a.ReadAll(maxResponseBytes)
-	a.Close()
+func (c *call) forwardBuffered(ctx context.Context, resp *dispatch.Response, reserved *reservation) bool {
+	body, err := resp.ReadAll(maxResponseBytes)
+	resp.Close()
 	if err != nil {
 		c.last = incompleteResponse(ctx, err)
 		reserved.release(outcomeOfError(ctx, c.last))
@@ -181,17 +181,17 @@
 		return false
 	}
 	c.g.cfg.Quarantine.Answered(c.fingerprint)
-	isFailure := a.Status >= http.StatusInternalServerError
+	isFailure := resp.Status >= http.StatusInternalServerError
 	if isFailure {
 		reserved.release(outcomeBad)
 	} else {
 		reserved.release(outcomeGood)
 	}
-	if impliesNotRun(a.Status) || isFailure && c.shouldRetryStatus(ctx, a.Status) {
-		c.last = verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "upstream answered "+strconv.Itoa(a.Status))
+	if impliesNotRun(resp.Status) || isFailure && c.shouldRetryStatus(ctx, resp.Status) {
+		c.last = verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "upstream answered "+strconv.Itoa(resp.Status))
 		return false
 	}
-	c.reply(a, body)
+	c.reply(resp, body)
 	return true
 }
 
@@ -227,28 +227,28 @@
 }
 
 // copyHeader copies the header of an upstream's response to the caller's response.
-func (c *call) copyHeader(a *dispatch.Response) {
-	stripHopByHop(a.Header)
+func (c *call) copyHeader(resp *dispatch.Response) {
+	stripHopByHop(resp.Header)
 	h := c.w.Header()
-	for name, values := range a.Header {
+	for name, values := range resp.Header {
 		h[name] = values
 	}
-	if _, ok := a.Header["Content-Type"]; !ok {
+	if _, ok := resp.Header["Content-Type"]; !ok {
 		// A nil value keeps net/http from guessing the content type.
 		h["Content-Type"] = nil
 	}
 }
 
 // reply forwards a buffered response.
-func (c *call) reply(a *dispatch.Response, body []byte) {
-	c.copyHeader(a)
-	if bodyAllowed(a.Status) && c.r.Method != http.MethodHead {
+func (c *call) reply(resp *dispatch.Response, body []byte) {
+	c.copyHeader(resp)
+	if bodyAllowed(resp.Status) && c.r.Method != http.MethodHead {
 		c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	c.w.WriteHeader(a.Status)
+	c.w.WriteHeader(resp.Status)
 	_, _ = c.w.Write(body)
-	c.g.counts.recordResponse(a.Status, time.Since(c.began))
-	c.log("request answered", "status", a.Status, "sends", c.attempts, "elapsed_ms", time.Since(c.began).Milliseconds())
+	c.g.counts.recordResponse(resp.Status, time.Since(c.began))
+	c.log("request answered", "status", resp.Status, "sends", c.attempts, "elapsed_ms", time.Since(c.began).Milliseconds())
 }
 
 func bodyAllowed(status int) bool {
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -21,9 +21,9 @@
 
 // probeAfterFailure finds out whether the upstream of a failed attempt has ended or only broke
 // off the response, if the attempt may have run. If the upstream has ended, the request is not
-// sent to another one, because it may be what crashed the upstream. If the caller retries, more
-// is known by then. An upstream that has announced that it is draining is not probed, because
-// its end is expected.
+// sent to another one, because it may be what crashed the upstream. If the caller retries, the
+// quarantine has more evidence by then. An upstream that has announced that it is draining is
+// not probed, because its end is expected.
 func (c *call) probeAfterFailure(ctx context.Context, reserved *reservation, err error) {
 	e := verdict.Of(err)
 	if e.Verdict == verdict.NotRun || e.Code != verdict.CodeUpstreamFailed || ctx.Err() != nil || c.g.isDraining(reserved) {
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -67,7 +67,8 @@
 	require.Zero(t, env.passStallTimeout())
 }
 
-// Guards against cancelling a request that must not run twice because its group has stalled.
+// Guards against cancelling an unsafe request when its group stalls: it must not run twice, so
+// the gateway can't retry it.
 func TestUnsafeRequestInStalledGroupIsNotCancelled(t *testing.T) {
 	env := newTestEnv(t)
 	env.setTable(engine)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -43,20 +43,20 @@
 // stream forwards a stream. It returns false if nothing was sent to the caller and another
 // attempt may be made. Otherwise the caller has the whole response, or the connection is
 // aborted.
-func (c *call) stream(ctx context.Context, a *dispatch.Response, reserved *reservation) bool {
+func (c *call) stream(ctx context.Context, resp *dispatch.Response, reserved *reservation) bool {
 	r := &relay{c: c, buffer: make([]byte, streamBufferBytes)}
 	if id, err := strconv.ParseUint(c.r.Header.Get(c.g.cfg.Dialect.ResumeHeader), 10, 64); err == nil {
 		r.last, r.hasID = id, true
 	}
 	for {
 		r.reserved = reserved
-		err := r.copyEvents(a)
-		a.Close()
+		err := r.copyEvents(resp)
+		resp.Close()
 		if err == nil {
 			reserved.release(outcomeGood)
 			c.g.cfg.Quarantine.Answered(c.fingerprint)
-			c.g.counts.recordResponse(a.Status, time.Since(c.began))
-			c.log("request answered", "status", a.Status, "sends", c.attempts, "elapsed_ms", time.Since(c.began).Milliseconds(),
+			c.g.counts.recordResponse(resp.Status, time.Since(c.began))
+			c.log("request answered", "status", resp.Status, "sends", c.attempts, "elapsed_ms", time.Since(c.began).Milliseconds(),
 				"event", r.last, "first_ms", r.firstEventDelay.Milliseconds(), "gap_ms", r.gap.Milliseconds())
 			return true
 		}
@@ -72,7 +72,7 @@
 			return false
 		}
 		var ok bool
-		if a, reserved, ok = r.resume(ctx); !ok {
+		if resp, reserved, ok = r.resume(ctx); !ok {
 			// The connection is aborted so that the caller does not take a truncated stream for
 			// a complete one.
 			c.g.counts.streamsCut.Inc(1)
@@ -97,35 +97,35 @@
 func (r *relay) resume(ctx context.Context) (*dispatch.Response, *reservation, bool) {
 	c := r.c
 	for c.route.IsResumable && r.hasID && c.mayRetry(ctx) {
-		a, reserved, ok := c.send(ctx, strconv.FormatUint(r.last, 10))
+		resp, reserved, ok := c.send(ctx, strconv.FormatUint(r.last, 10))
 		if !ok {
 			continue
 		}
-		if a.Status/100 == 2 {
-			return a, reserved, true
+		if resp.Status/100 == 2 {
+			return resp, reserved, true
 		}
-		a.Close()
+		resp.Close()
 		reserved.release(outcomeBad)
-		c.last = verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "upstream answered "+strconv.Itoa(a.Status))
+		c.last = verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "upstream answered "+strconv.Itoa(resp.Status))
 	}
 	return nil, nil, false
 }
 
 // copyEvents forwards the events of one upstream until its stream ends. It returns nil if the
 // stream ended properly.
-func (r *relay) copyEvents(a *dispatch.Response) error {
+func (r *relay) copyEvents(resp *dispatch.Response) error {
 	var events sse.Splitter
 	for {
-		n, err := a.Read(r.buffer)
+		n, err := resp.Read(r.buffer)
 		events.Write(r.buffer[:n])
 		if n > 0 {
-			if writeErr := r.forward(a, &events); writeErr != nil {
+			if writeErr := r.forward(resp, &events); writeErr != nil {
 				return writeErr
 			}
 		}
 		switch {
 		case err == io.EOF && len(events.Incomplete()) == 0:
-			r.sendHeader(a)
+			r.sendHeader(resp)
 			return nil
 		case err == io.EOF:
 			return errors.New("the stream ended within an event")
@@ -136,7 +136,7 @@
 }
 
 // forward sends the buffered complete events to the caller and flushes them together.
-func (r *relay) forward(a *dispatch.Response, events *sse.Splitter) error {
+func (r *relay) forward(resp *dispatch.Response, events *sse.Splitter) error {
 	sent := false
 	for event := events.Next(); event != nil; event = events.Next() {
 		ok, err := r.isNextEvent(event)
@@ -146,7 +146,7 @@
 		if !ok {
 			continue
 		}
-		r.sendHeader(a)
+		r.sendHeader(resp)
 		if _, err := r.c.w.Write(event); err != nil {
 			return &callerError{err}
 		}
@@ -204,12 +204,12 @@
 }
 
 // sendHeader sends the response header of the first upstream, once per stream.
-func (r *relay) sendHeader(a *dispatch.Response) {
+func (r *relay) sendHeader(resp *dispatch.Response) {
 	if r.isHeaderSent {
 		return
 	}
 	r.isHeaderSent = true
-	r.c.copyHeader(a)
-	r.c.w.WriteHeader(a.Status)
+	r.c.copyHeader(resp)
+	r.c.w.WriteHeader(resp.Status)
 	r.c.g.counts.firstEvent.AddSince(r.c.began)
 }
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -19,19 +19,20 @@
 	cancel context.CancelCauseFunc
 }
 
-// reservePlain reserves an upstream of a plain service that was not tried yet. If the host has
-// just started, it waits for the upstreams to be known. It returns false if there is none.
+// reservePlain reserves an upstream of a plain service, which is one without engines, that was
+// not tried yet. If the host has just started, it waits until the upstreams are known. It
+// returns false if there is none.
 func (g *Gateway) reservePlain(ctx context.Context, name string, tried []string) (registry.Upstream, *reservation, bool) {
 	for {
 		g.mu.Lock()
 		u, t, ok := g.scheduler.ReserveLeastLoaded(name, tried, g.now())
-		published := g.upstreamsChanged
+		changed := g.upstreamsChanged
 		g.mu.Unlock()
 		if ok {
 			return u, &reservation{Ticket: t, g: g}, true
 		}
 		wait := startupWait - g.now()
-		if wait <= 0 || !waitClosed(ctx, published, wait) {
+		if wait <= 0 || !waitClosed(ctx, changed, wait) {
 			return u, nil, false
 		}
 	}
@@ -60,7 +61,8 @@
 	outcomeGood
 	// outcomeBad means that the upstream broke off the response, refused the request or failed.
 	outcomeBad
-	// outcomeMisdirected means that the address now belongs to another incarnation.
+	// outcomeMisdirected means that the address now belongs to another upstream, or to a later
+	// start of the same one.
 	outcomeMisdirected
 )
 
