--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -1,8 +1,8 @@
-// Package answer receives the messages of one attempt and gives its answer on
-// only as far as it is certainly the right one, in order, and whole.
+// Package answer reassembles the response to one attempt from the messages of its session, and
+// hands it on only as far as it is certain to be that response, in order and complete.
 //
-// A message of another attempt and a repeated frame are dropped. A gap, a wrong
-// count or digest and a missing end fail the answer; it never ends short.
+// Messages of other attempts and duplicate frames are dropped. A gap, a wrong count or digest,
+// or a missing end fails the response, so a truncated response never looks complete.
 package answer
 
 import (
@@ -18,31 +18,32 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// ErrOtherAttempt tells that a message belongs to another attempt; it was dropped.
+// ErrOtherAttempt reports that a message was dropped because it belongs to another attempt.
 var ErrOtherAttempt = errors.New("answer: message of another attempt")
 
-// ErrRepeated tells that a message had come before; it was dropped.
-var ErrRepeated = errors.New("answer: repeated message")
+// ErrDuplicate reports that a message was dropped because it was received before, or because
+// the response has already ended or failed.
+var ErrDuplicate = errors.New("answer: duplicate message")
 
-// Receiver holds what has come of one attempt's answer and was not read yet.
+// Receiver buffers the part of one attempt's response that was received but not read yet.
 type Receiver struct {
 	attempt wire.AttemptID
 	window  uint64
 	changed chan struct{}
 
-	// mu guards the rest.
-	mu     sync.Mutex
-	head   *wire.Head
-	frames [][]byte
-	held   uint64
-	seq    uint64
-	bytes  uint64
-	digest *xxhash.Digest
-	ended  bool
-	err    error
+	// mu guards the fields below.
+	mu          sync.Mutex
+	head        *wire.Head
+	frames      [][]byte
+	unreadBytes uint64
+	lastSeq     uint64
+	totalBytes  uint64
+	digest      *xxhash.Digest
+	ended       bool
+	err         error
 }
 
-// New returns a Receiver that holds at most window unread body bytes.
+// New returns a Receiver that buffers at most window unread body bytes.
 func New(attempt wire.AttemptID, window uint64) *Receiver {
 	return &Receiver{
 		attempt: attempt,
@@ -52,26 +53,26 @@
 	}
 }
 
-// Take adds a message. It never blocks. The error tells why m was dropped or that
-// it failed the answer.
-func (r *Receiver) Take(m wire.Message) error {
+// Add adds a message and never blocks. The error says why m was dropped or why it failed the
+// response.
+func (r *Receiver) Add(m wire.Message) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if of(m) != r.attempt {
+	if attemptOf(m) != r.attempt {
 		return ErrOtherAttempt
 	}
 	if r.ended || r.err != nil {
-		return ErrRepeated
+		return ErrDuplicate
 	}
-	err := r.take(m)
-	if err != nil && !errors.Is(err, ErrRepeated) {
+	err := r.addToOwnAttempt(m)
+	if err != nil && !errors.Is(err, ErrDuplicate) {
 		r.err = err
 	}
 	r.signal()
 	return err
 }
 
-func of(m wire.Message) wire.AttemptID {
+func attemptOf(m wire.Message) wire.AttemptID {
 	switch m := m.(type) {
 	case *wire.Head:
 		return m.Attempt
@@ -85,67 +86,67 @@
 	return wire.AttemptID{}
 }
 
-// take requires mu.
-func (r *Receiver) take(m wire.Message) error {
+// addToOwnAttempt adds a message of this attempt. The caller holds mu.
+func (r *Receiver) addToOwnAttempt(m wire.Message) error {
 	switch m := m.(type) {
 	case *wire.Head:
-		return r.takeHead(m)
+		return r.addHead(m)
 	case *wire.Frame:
-		return r.takeFrame(m)
+		return r.addFrame(m)
 	case *wire.End:
-		return r.takeEnd(m)
+		return r.addEnd(m)
 	case *wire.Refused:
-		return r.takeRefused(m)
+		return r.addRefused(m)
 	}
-	return broken("message of an unexpected type")
+	return upstreamFailure("message of an unexpected type")
 }
 
-func (r *Receiver) takeHead(h *wire.Head) error {
+func (r *Receiver) addHead(h *wire.Head) error {
 	if r.head != nil {
-		return ErrRepeated
+		return ErrDuplicate
 	}
 	r.head = h
 	return nil
 }
 
-func (r *Receiver) takeFrame(f *wire.Frame) error {
+func (r *Receiver) addFrame(f *wire.Frame) error {
 	if r.head == nil {
-		return broken("frame before head")
+		return upstreamFailure("frame before head")
 	}
-	if f.Seq <= r.seq {
-		return ErrRepeated
+	if f.Seq <= r.lastSeq {
+		return ErrDuplicate
 	}
-	if f.Seq != r.seq+1 {
-		return broken("gap between frames")
+	if f.Seq != r.lastSeq+1 {
+		return upstreamFailure("gap between frames")
 	}
-	if r.held+uint64(len(f.Data)) > r.window {
-		return broken("more bytes than allowed")
+	if r.unreadBytes+uint64(len(f.Data)) > r.window {
+		return upstreamFailure("more bytes than allowed")
 	}
-	r.seq = f.Seq
-	r.held += uint64(len(f.Data))
-	r.bytes += uint64(len(f.Data))
+	r.lastSeq = f.Seq
+	r.unreadBytes += uint64(len(f.Data))
+	r.totalBytes += uint64(len(f.Data))
 	_, _ = r.digest.Write(f.Data)
 	r.frames = append(r.frames, f.Data)
 	return nil
 }
 
-func (r *Receiver) takeEnd(e *wire.End) error {
+func (r *Receiver) addEnd(e *wire.End) error {
 	if e.Broken {
-		err := broken("upstream ended early: " + e.Text)
-		err.Cause = ended(e.UpstreamEnded)
+		err := upstreamFailure("upstream ended early: " + e.Text)
+		err.Cause = upstreamEndedCause(e.UpstreamEnded)
 		return err
 	}
 	if r.head == nil {
-		return broken("end before head")
+		return upstreamFailure("end before head")
 	}
-	if e.Frames != r.seq || e.Bytes != r.bytes || e.Digest != r.digest.Sum64() {
-		return broken("count or digest differs")
+	if e.Frames != r.lastSeq || e.Bytes != r.totalBytes || e.Digest != r.digest.Sum64() {
+		return upstreamFailure("count or digest differs")
 	}
 	r.ended = true
 	return nil
 }
 
-func (r *Receiver) takeRefused(m *wire.Refused) error {
+func (r *Receiver) addRefused(m *wire.Refused) error {
 	v := verdict.Verdict(m.Verdict)
 	if v > verdict.Ran || r.head != nil {
 		v = verdict.MayHaveRun
@@ -155,32 +156,34 @@
 		Code:       verdict.Code(m.Code),
 		Text:       m.Text,
 		RetryAfter: time.Duration(m.RetryAfterMS) * time.Millisecond,
-		Cause:      ended(m.UpstreamEnded),
+		Cause:      upstreamEndedCause(m.UpstreamEnded),
 	}
 }
 
-// UpstreamEndedError is the cause of an error where the upstream ended under the attempt.
+// UpstreamEndedError is the cause of an error if the upstream's process ended while it ran the
+// attempt.
 type UpstreamEndedError struct {
-	// At tells this end from others of the upstream, in Unix milliseconds of its agent's clock.
+	// At identifies this end of the upstream among others, in Unix milliseconds by the clock of
+	// its agent.
 	At int64
 }
 
 // Error implements error.
 func (*UpstreamEndedError) Error() string { return "the upstream ended" }
 
-// ended returns the cause that a message tells, nil if it tells none.
-func ended(at int64) error {
+// upstreamEndedCause returns the cause for the end time in a message, or nil if it has none.
+func upstreamEndedCause(at int64) error {
 	if at == 0 {
 		return nil
 	}
 	return &UpstreamEndedError{At: at}
 }
 
-func broken(text string) *verdict.Error {
+func upstreamFailure(text string) *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, text)
 }
 
-// signal requires mu.
+// signal wakes the reader. The caller holds mu.
 func (r *Receiver) signal() {
 	select {
 	case r.changed <- struct{}{}:
@@ -188,8 +191,8 @@
 	}
 }
 
-// Head waits for the head. lost is closed when the session that carries the
-// answer ends. Errors are *verdict.Error.
+// Head waits for the response header. lost is closed when the session that carries the response
+// ends. Errors are *verdict.Error.
 func (r *Receiver) Head(ctx context.Context, lost <-chan struct{}) (*wire.Head, error) {
 	err := r.wait(ctx, lost, func() bool { return r.head != nil })
 	if err != nil {
@@ -198,9 +201,8 @@
 	return r.head, nil
 }
 
-// Next waits for the next piece of the body. After the last piece of an answer
-// that is whole it returns io.EOF; other errors are *verdict.Error. It is called
-// by one goroutine, after Head.
+// Next waits for the next piece of the body. After the last piece of a complete response it
+// returns io.EOF; other errors are *verdict.Error. It is called by one goroutine, after Head.
 func (r *Receiver) Next(ctx context.Context, lost <-chan struct{}) ([]byte, error) {
 	err := r.wait(ctx, lost, func() bool { return len(r.frames) > 0 || r.ended })
 	if err != nil {
@@ -213,14 +215,14 @@
 	}
 	data := r.frames[0]
 	r.frames = r.frames[1:]
-	r.held -= uint64(len(data))
+	r.unreadBytes -= uint64(len(data))
 	return data, nil
 }
 
-// wait returns nil once ready, which is called under mu, holds.
-func (r *Receiver) wait(ctx context.Context, lost <-chan struct{}, ready func() bool) error {
+// wait returns nil as soon as isReady returns true. isReady is called with mu held.
+func (r *Receiver) wait(ctx context.Context, lost <-chan struct{}, isReady func() bool) error {
 	for {
-		if done, err := r.check(ready); done || err != nil {
+		if done, err := r.pollReady(isReady); done || err != nil {
 			return err
 		}
 		select {
@@ -228,27 +230,28 @@
 		case <-ctx.Done():
 			return contextError(ctx)
 		case <-lost:
-			return r.afterLoss(ready)
+			return r.checkAfterLoss(isReady)
 		}
 	}
 }
 
-func (r *Receiver) check(ready func() bool) (bool, error) {
+func (r *Receiver) pollReady(isReady func() bool) (bool, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if ready() {
+	if isReady() {
 		return true, nil
 	}
 	return false, r.err
 }
 
-// afterLoss looks once more: what came before the loss counts.
-func (r *Receiver) afterLoss(ready func() bool) error {
-	done, err := r.check(ready)
+// checkAfterLoss checks once more after the session was lost, because messages received before
+// the loss still count.
+func (r *Receiver) checkAfterLoss(isReady func() bool) error {
+	done, err := r.pollReady(isReady)
 	if done || err != nil {
 		return err
 	}
-	return broken("session lost")
+	return upstreamFailure("session lost")
 }
 
 func contextError(ctx context.Context) error {
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -16,130 +16,132 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// maxSurplus is how many answers of other attempts are read past before a connection is
-// given up.
-const maxSurplus = 2
+// maxStaleResponses is how many responses to the connection's previous attempt are skipped
+// before the connection is closed.
+const maxStaleResponses = 2
 
-// maxRefusalBytes is how much of a refusal's body is read to keep its connection.
+// maxRefusalBytes is how much of a refusal's body is read so that its connection can be reused.
 const maxRefusalBytes = 4 << 10
 
-// Target is the upstream that an attempt goes to.
+// Target is the upstream that an attempt is sent to.
 type Target struct {
-	// ID is the incarnation that is meant.
+	// ID identifies the expected incarnation of the upstream, which is one start of its
+	// process.
 	ID      string
 	Address string
-	// Connections bounds this host's connections to it; 0 is no bound.
-	Connections int
+	// MaxConnections limits this host's connections to the upstream; 0 means no limit.
+	MaxConnections int
 }
 
-// Request is what an attempt sends.
+// Request is the HTTP request of an attempt.
 type Request struct {
 	Method string
-	// URI is the request target as the caller sent it.
+	// URI is the request target exactly as the caller sent it.
 	URI  string
 	Host string
-	// Header goes out as it is; it holds the attempt's id.
+	// Header is sent unchanged. It contains the attempt's id.
 	Header http.Header
 	Body   []byte
 }
 
-// Answer is an upstream's answer to the attempt. Close has to be called.
-type Answer struct {
+// Response is an upstream's response to an attempt. Callers must close it.
+type Response struct {
 	Status int
 	Header http.Header
-	// Length is that of the body, -1 where it is not stated.
+	// Length is the length of the body, or -1 if the upstream does not state it.
 	Length int64
 
-	client *Client
-	conn   *conn
-	resp   *http.Response
-	stop   func() bool
-	// isWhole is set once the body was read to its end.
-	isWhole bool
+	client     *Client
+	conn       *conn
+	resp       *http.Response
+	stopCancel func() bool
+	// isComplete is set once the body was read to its end.
+	isComplete bool
 }
 
-// Client sends attempts.
+// Client sends attempts to upstreams.
 type Client struct {
-	names Names
-	pool  *pool
-	now   func() time.Time
-	// looks are those that are under way, by address.
-	looks singleflight.Group
+	headerNames HeaderNames
+	pool        *pool
+	now         func() time.Time
+	// probes holds the probes in progress by address, so that concurrent callers share one.
+	probes singleflight.Group
 }
 
-// Config is what a Client needs.
+// Config holds the parameters of a Client.
 type Config struct {
-	Names Names
-	// DialTimeout bounds the opening of a connection.
+	HeaderNames HeaderNames
+	// DialTimeout limits how long opening a connection may take.
 	DialTimeout time.Duration
-	// Now is the clock; time.Now if nil.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 }
 
-// New returns a Client without connections.
+// New returns a Client without open connections.
 func New(cfg Config) *Client {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
-	return &Client{names: cfg.Names, pool: newPool(cfg.DialTimeout), now: cfg.Now}
+	return &Client{headerNames: cfg.HeaderNames, pool: newPool(cfg.DialTimeout), now: cfg.Now}
 }
 
-// Sweep closes connections that have idled for too long. It is called now and then.
+// Sweep closes the connections whose idle timeout has passed. It is called periodically.
 func (c *Client) Sweep() { c.pool.sweep(c.now()) }
 
-// Send sends one attempt and returns the answer's head, which has to be closed. It ends when ctx does, which
-// also ends the reading of the answer's body. Errors are *verdict.Error: NotRun only
-// where the upstream said so, or no byte of the request left.
-func (c *Client) Send(ctx context.Context, t Target, r *Request) (*Answer, error) {
-	conn, err := c.pool.get(ctx, t.Address, t.Connections, c.now())
+// Send sends one attempt and returns its response, whose header has been read; the caller must
+// close it. Cancelling ctx aborts the attempt, and later the reading of the body as well.
+// Errors wrap a *verdict.Error, which is NotRun only if the upstream said so or no byte of the
+// request was sent.
+func (c *Client) Send(ctx context.Context, t Target, r *Request) (*Response, error) {
+	conn, err := c.pool.get(ctx, t.Address, t.MaxConnections, c.now())
 	if err != nil {
-		return nil, wrap(verdict.NotRun, verdict.CodeNoUpstream, "no connection to the upstream", err)
+		return nil, newError(verdict.NotRun, verdict.CodeNoUpstream, "no connection to the upstream", err)
 	}
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
-	a, err := c.exchange(ctx, conn, t, r)
+	stopCancel := context.AfterFunc(ctx, func() { _ = conn.Close() })
+	resp, err := c.roundTrip(ctx, conn, t, r)
 	if err != nil {
-		stop()
-		c.pool.drop(conn)
+		stopCancel()
+		c.pool.closeConn(conn)
 		return nil, err
 	}
-	a.stop = stop
-	if err := c.refusal(a); err != nil {
-		// Read to its end, the answer leaves the connection in use.
-		_, _ = a.ReadAll(maxRefusalBytes)
-		a.Close()
+	resp.stopCancel = stopCancel
+	if err := c.refusalError(resp); err != nil {
+		// Once the body was read to its end, the connection can be reused.
+		_, _ = resp.ReadAll(maxRefusalBytes)
+		resp.Close()
 		return nil, err
 	}
-	return a, nil
+	return resp, nil
 }
 
-// exchange writes the request and reads the head of its answer.
-func (c *Client) exchange(ctx context.Context, conn *conn, t Target, r *Request) (*Answer, error) {
+// roundTrip writes the request and reads the header of its response.
+func (c *Client) roundTrip(ctx context.Context, conn *conn, t Target, r *Request) (*Response, error) {
 	if ctx.Err() != nil {
-		return nil, wrap(verdict.NotRun, codeOf(ctx), "ended before it was sent", ctx.Err())
+		return nil, newError(verdict.NotRun, contextCode(ctx), "ended before it was sent", ctx.Err())
 	}
-	conn.used++
-	if n, err := conn.Write(encode(t, r, c.names)); err != nil {
+	conn.requests++
+	if n, err := conn.Write(encodeRequest(t, r, c.headerNames)); err != nil {
 		if n == 0 {
-			return nil, wrap(verdict.NotRun, verdict.CodeUpstreamFailed, "nothing was sent", err)
+			return nil, newError(verdict.NotRun, verdict.CodeUpstreamFailed, "nothing was sent", err)
 		}
-		return nil, c.broken(ctx, "upstream took a part of the request", err)
+		return nil, c.mayHaveRunError(ctx, "upstream took a part of the request", err)
 	}
-	attempt := r.Header.Get(c.names.Attempt)
-	resp, err := c.readAnswer(conn, r, attempt)
+	attempt := r.Header.Get(c.headerNames.Attempt)
+	resp, err := c.readResponse(conn, r, attempt)
 	if err != nil {
-		return nil, c.broken(ctx, "no answer", err)
+		return nil, c.mayHaveRunError(ctx, "no answer", err)
 	}
-	conn.previous = attempt
-	return &Answer{
+	conn.previousAttempt = attempt
+	return &Response{
 		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength,
 		client: c, conn: conn, resp: resp,
 	}, nil
 }
 
-// readAnswer reads answers until one carries the attempt's id. Late answers of the
-// attempt before, on a connection that is used again, are read past.
-func (c *Client) readAnswer(conn *conn, r *Request, attempt string) (*http.Response, error) {
-	for range 1 + maxSurplus {
+// readResponse reads responses until one carries the attempt's id. On a reused connection it
+// skips late responses to the previous attempt.
+func (c *Client) readResponse(conn *conn, r *Request, attempt string) (*http.Response, error) {
+	for range 1 + maxStaleResponses {
 		resp, err := http.ReadResponse(conn.reader, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, err
@@ -147,80 +149,81 @@
 		if resp.StatusCode/100 == 1 {
 			continue
 		}
-		switch got := resp.Header.Get(c.names.Attempt); {
-		case got == attempt:
+		switch received := resp.Header.Get(c.headerNames.Attempt); {
+		case received == attempt:
 			return resp, nil
-		case got == "" && conn.used == 1:
+		case received == "" && conn.requests == 1:
 			return resp, nil
-		case got == "" || got != conn.previous:
-			return nil, errors.New("answer to another request")
+		case received == "" || received != conn.previousAttempt:
+			return nil, errors.New("response to another request")
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errors.New("too many answers to other requests")
+	return nil, errors.New("too many responses to other requests")
 }
 
-// refusal turns an answer that says that the request did not run into an error.
-func (c *Client) refusal(a *Answer) error {
-	isMisdirected := a.Status == http.StatusMisdirectedRequest
-	if !isMisdirected && a.Header.Get(c.names.NotRun) == "" {
+// refusalError returns an error if the response says that the request did not run, else nil.
+func (c *Client) refusalError(resp *Response) error {
+	isMisdirected := resp.Status == http.StatusMisdirectedRequest
+	if !isMisdirected && resp.Header.Get(c.headerNames.NotRun) == "" {
 		return nil
 	}
-	code, text := verdict.CodeOverloaded, "upstream refused with status "+strconv.Itoa(a.Status)
+	code, text := verdict.CodeOverloaded, "upstream refused with status "+strconv.Itoa(resp.Status)
 	if isMisdirected {
 		code, text = verdict.CodeConflict, "another upstream has the address"
 	}
 	return &RefusedError{
-		Misdirected: isMisdirected, Fault: a.Header.Get(c.names.Fault),
+		Misdirected: isMisdirected, FaultyUpstream: resp.Header.Get(c.headerNames.FaultyUpstream),
 		Err: verdict.New(verdict.NotRun, code, text),
 	}
 }
 
-// RefusedError is an upstream's answer that the request did not run.
+// RefusedError reports that an upstream has refused the request without running it.
 type RefusedError struct {
-	// Misdirected tells that the address belongs to another incarnation.
+	// Misdirected reports that the address now belongs to another incarnation.
 	Misdirected bool
-	// Fault names the upstream at fault, if another one is.
-	Fault string
-	Err   *verdict.Error
+	// FaultyUpstream names the upstream that caused the refusal, if it is another one than the
+	// upstream that refused.
+	FaultyUpstream string
+	Err            *verdict.Error
 }
 
 // Error implements error.
 func (e *RefusedError) Error() string {
-	if e.Fault == "" {
+	if e.FaultyUpstream == "" {
 		return e.Err.Error()
 	}
-	return e.Err.Error() + ", at fault is " + e.Fault
+	return e.Err.Error() + ", upstream at fault: " + e.FaultyUpstream
 }
 
-// Unwrap returns the verdict.
+// Unwrap returns the verdict error.
 func (e *RefusedError) Unwrap() error { return e.Err }
 
-// broken is the error of an attempt that may have run.
-func (c *Client) broken(ctx context.Context, text string, err error) error {
+// mayHaveRunError returns the error for an attempt that failed after it may have run.
+func (c *Client) mayHaveRunError(ctx context.Context, text string, err error) error {
 	if ctx.Err() != nil {
-		return wrap(verdict.MayHaveRun, codeOf(ctx), text, ctx.Err())
+		return newError(verdict.MayHaveRun, contextCode(ctx), text, ctx.Err())
 	}
-	return wrap(verdict.MayHaveRun, verdict.CodeUpstreamFailed, text, err)
+	return newError(verdict.MayHaveRun, verdict.CodeUpstreamFailed, text, err)
 }
 
-func codeOf(ctx context.Context) verdict.Code {
+func contextCode(ctx context.Context) verdict.Code {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return verdict.CodeDeadline
 	}
 	return verdict.CodeCancelled
 }
 
-func wrap(v verdict.Verdict, code verdict.Code, text string, cause error) *verdict.Error {
+func newError(v verdict.Verdict, code verdict.Code, text string, cause error) *verdict.Error {
 	e := verdict.New(v, code, text)
 	e.Cause = cause
 	return e
 }
 
-// encode returns the bytes of the request.
-func encode(t Target, r *Request, names Names) []byte {
+// encodeRequest returns the request in HTTP/1.1 wire format.
+func encodeRequest(t Target, r *Request, names HeaderNames) []byte {
 	var b bytes.Buffer
 	b.Grow(1024 + len(r.Body))
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.URI, r.Host)
@@ -236,45 +239,45 @@
 	return b.Bytes()
 }
 
-// Read reads the body. An error other than io.EOF means that the answer is not whole.
-func (a *Answer) Read(p []byte) (int, error) {
-	n, err := a.resp.Body.Read(p)
+// Read reads the body. An error other than io.EOF means that the response is incomplete.
+func (r *Response) Read(p []byte) (int, error) {
+	n, err := r.resp.Body.Read(p)
 	if err == io.EOF {
-		a.isWhole = true
+		r.isComplete = true
 	}
 	return n, err
 }
 
-// SetReadDeadline bounds the wait for the next bytes of the body.
-func (a *Answer) SetReadDeadline(t time.Time) { _ = a.conn.SetReadDeadline(t) }
+// SetReadDeadline sets the deadline for reading from the body.
+func (r *Response) SetReadDeadline(t time.Time) { _ = r.conn.SetReadDeadline(t) }
 
-// IsTimeout reports whether a read failed since its deadline passed.
+// IsTimeout reports whether a read failed because its deadline has passed.
 func IsTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// Close ends the answer. The connection is kept only where the body was read whole;
-// otherwise its end tells the upstream to stop.
-func (a *Answer) Close() {
-	ended := !a.stop()
-	if !ended && a.isWhole && a.conn.keep(a.resp, a.client.now()) && a.conn.SetDeadline(time.Time{}) == nil {
-		a.client.pool.put(a.conn)
+// Close ends the response. The connection is kept for reuse only if the body was read to its
+// end. Otherwise it is closed, which tells the upstream to stop.
+func (r *Response) Close() {
+	cancelled := !r.stopCancel()
+	if !cancelled && r.isComplete && r.conn.allowReuse(r.resp, r.client.now()) && r.conn.SetDeadline(time.Time{}) == nil {
+		r.client.pool.put(r.conn)
 		return
 	}
-	a.client.pool.drop(a.conn)
+	r.client.pool.closeConn(r.conn)
 }
 
-// ReadAll reads the body to its end, up to limit bytes.
-func (a *Answer) ReadAll(limit int64) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(readerOf{a}, limit+1))
+// ReadAll reads the body to its end and fails if it is longer than limit bytes.
+func (r *Response) ReadAll(limit int64) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(bodyReader{r}, limit+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(body)) > limit {
-		return nil, errors.New("answer is too large")
+		return nil, errors.New("response is too large")
 	}
 	return body, nil
 }
 
-type readerOf struct{ a *Answer }
+type bodyReader struct{ resp *Response }
 
 // Read implements io.Reader.
-func (r readerOf) Read(p []byte) (int, error) { return r.a.Read(p) }
+func (r bodyReader) Read(p []byte) (int, error) { return r.resp.Read(p) }
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -8,18 +8,18 @@
 	"github.com/pkg/errors"
 )
 
-// errFull tells that the bound on connections to an upstream is reached.
-var errFull = errors.New("all connections to the upstream are in use")
+// errTooManyConnections reports that the limit on connections to an upstream is reached.
+var errTooManyConnections = errors.New("all connections to the upstream are in use")
 
-// pool holds the connections by the address of the upstream.
+// pool holds the connections to upstreams by address.
 type pool struct {
 	dialTimeout time.Duration
 
 	// mu guards the fields below. It is not held while dialling.
 	mu sync.Mutex
-	// idle holds the connections to reuse, the last used one at the end.
+	// idle holds the idle connections, the most recently used one last.
 	idle map[string][]*conn
-	// open counts the connections, idle ones included.
+	// open counts the open connections, including idle ones.
 	open map[string]int
 }
 
@@ -27,21 +27,21 @@
 	return &pool{dialTimeout: dialTimeout, idle: make(map[string][]*conn), open: make(map[string]int)}
 }
 
-// get returns a connection, and whether it was used before. Limit bounds the open ones;
-// 0 is no bound. The connection goes back by put or drop.
+// get returns an idle connection, or opens one if there is none. limit is the maximum number of
+// open connections; 0 means no limit. The caller returns the connection by put or closeConn.
 func (p *pool) get(ctx context.Context, address string, limit int, now time.Time) (*conn, error) {
 	for {
-		c := p.take(address)
+		c := p.popIdle(address)
 		if c == nil {
 			break
 		}
-		if now.Before(c.expires) && c.isSound() {
+		if now.Before(c.expires) && c.isReusable() {
 			return c, nil
 		}
-		p.drop(c)
+		p.closeConn(c)
 	}
 	if !p.reserve(address, limit) {
-		return nil, errFull
+		return nil, errTooManyConnections
 	}
 	c, err := dial(ctx, address, p.dialTimeout)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return c, nil
 }
 
-func (p *pool) take(address string) *conn {
+func (p *pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -87,7 +87,7 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-func (p *pool) drop(c *conn) {
+func (p *pool) closeConn(c *conn) {
 	_ = c.Close()
 	p.release(c.address)
 }
@@ -95,14 +95,14 @@
 // sweep closes the idle connections that have expired.
 func (p *pool) sweep(now time.Time) {
 	p.mu.Lock()
-	var old []*conn
+	var expired []*conn
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
 			if now.Before(c.expires) {
 				kept = append(kept, c)
 			} else {
-				old = append(old, c)
+				expired = append(expired, c)
 			}
 		}
 		if p.idle[address] = kept; len(kept) == 0 {
@@ -110,7 +110,7 @@
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
-		p.drop(c)
+	for _, c := range expired {
+		p.closeConn(c)
 	}
 }
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -16,79 +16,83 @@
 )
 
 const (
-	// defaultBodyBytes bounds a request's body where the configuration does not.
-	defaultBodyBytes = 8 << 20
-	// answerMargin is how long before the caller's deadline a request is given up, so
-	// that the final answer still reaches it.
-	answerMargin = 20 * time.Millisecond
+	// defaultMaxBodyBytes limits a request's body if the configuration sets no limit.
+	defaultMaxBodyBytes = 8 << 20
+	// responseMargin is how long before the caller's deadline the gateway gives up, so that the
+	// final error response still reaches the caller.
+	responseMargin = 20 * time.Millisecond
 )
 
-// call is one request of a caller on its way.
+// call is the state of one caller's request while it is served.
 type call struct {
 	g     *Gateway
 	w     http.ResponseWriter
 	r     *http.Request
 	table *routetable.Table
 	route *routetable.Route
-	// workspace is who asks, empty on public routes.
+	// workspace is the workspace of the caller, empty on public routes.
 	workspace string
-	// priority is the workspace's rank, else the route's; 0 is the most urgent.
-	priority int
-	service  *routetable.Service
-	attempt  string
-	body     []byte
-	// fingerprint is the same for the same request asked again.
+	// priority is the priority of the workspace, or of the route if the workspace has none; 0
+	// is the most urgent.
+	priority  int
+	service   *routetable.Service
+	attemptID string
+	body      []byte
+	// fingerprint identifies the request; a retry by the caller has the same one.
 	fingerprint quarantine.Fingerprint
-	// standing is what the quarantine said of it before the last attempt.
-	standing quarantine.Verdict
-	began    time.Time
-	// deadline is when the caller is given its final answer at the latest.
+	// quarantineVerdict is the verdict of the quarantine just before the last attempt.
+	quarantineVerdict quarantine.Verdict
+	began             time.Time
+	// deadline is when the caller gets the final response at the latest.
 	deadline time.Time
-	// sent is when the last attempt went out.
-	sent time.Time
-	// sends counts the attempts, tried names the upstreams that had one. Misdirected are
-	// those that found another upstream at the address: no upstream of the route had them,
-	// and each is the last one there, since its upstream is revoked.
-	sends, misdirected int
-	tried              []string
-	// isTainted is set once an attempt may have run: no later refusal says otherwise.
-	isTainted bool
-	// isGivenUp is set once there is no upstream for another attempt, or the group of the
-	// last one does not serve: the caller is not held any longer.
-	isGivenUp bool
-	// last tells how the last attempt ended.
+	// sentAt is when the last attempt was sent.
+	sentAt time.Time
+	// attempts counts the attempts, and tried holds the ids of their upstreams. misdirected
+	// counts the attempts whose address belonged to another upstream. They don't count towards
+	// the limit on attempts, because no upstream of the route received them. Each upstream
+	// causes at most one, because it is then revoked.
+	attempts, misdirected int
+	tried                 []string
+	// hasPossiblyRun is set once an attempt may have run, so that a later refusal can't claim
+	// otherwise.
+	hasPossiblyRun bool
+	// isFinal is set if no further attempt is to be made, so that the caller gets its response
+	// without delay: no upstream is left, the group of the last attempt does not serve, the
+	// request is quarantined, or the upstream has ended while it ran the request.
+	isFinal bool
+	// last is the error of the last attempt.
 	last error
 }
 
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if g.leaving.Load() {
+	if g.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	c := &call{g: g, w: w, r: r, began: time.Now(), attempt: r.Header.Get(g.cfg.Dialect.Dispatch.Attempt)}
+	c := &call{g: g, w: w, r: r, began: time.Now(), attemptID: r.Header.Get(g.cfg.Dialect.UpstreamHeaders.Attempt)}
 	if err := c.prepare(); err != nil {
 		c.fail(err)
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
-	c.run(ctx)
+	c.serve(ctx)
 }
 
-// prepare finds out what the request asks for and whether it may. Errors are
-// *verdict.Error.
+// prepare finds the route, workspace and service of the request and checks whether it is
+// allowed. Errors are *verdict.Error.
 func (c *call) prepare() error {
 	g := c.g
 	if c.table = c.awaitTable(); c.table == nil {
-		return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no configuration is known yet").After(startRetryAfter)
+		return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no configuration is known yet").After(startupRetryAfter)
 	}
-	c.route = c.table.Match(c.r.Host, path(c.r))
+	c.route = c.table.Match(c.r.Host, requestPath(c.r))
 	if c.route == nil {
 		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "no route for this host and path")
 	}
 	c.priority = c.route.Priority
 	if c.table.NeedsKey(c.route) {
-		w := c.table.WorkspaceByKey(c.r.Header.Get(g.cfg.Dialect.Key))
+		w := c.table.WorkspaceByKey(c.r.Header.Get(g.cfg.Dialect.KeyHeader))
 		if w == nil {
 			return verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "unknown key")
 		}
@@ -100,56 +104,57 @@
 	if err := c.readBody(); err != nil {
 		return err
 	}
-	c.fingerprint = c.takeFingerprint()
+	c.fingerprint = c.computeFingerprint()
 	if g.cfg.Quarantine.Verdict(c.fingerprint) == quarantine.Quarantined {
-		return c.refuseHeld()
+		return c.refuseQuarantined()
 	}
 	wait := c.route.Timeout
 	if stated, ok := g.cfg.Dialect.Deadline(c.r.Header); ok {
-		wait = min(wait, stated-answerMargin)
+		wait = min(wait, stated-responseMargin)
 	}
 	c.deadline = c.began.Add(wait)
-	name := c.route.PickService(draw())
+	name := c.route.PickService(randomFraction())
 	c.service = c.table.Service(name)
-	g.request(name)
+	g.countRequest(name)
 	return nil
 }
 
-// takeFingerprint names the request by what it asks and for whom.
-func (c *call) takeFingerprint() quarantine.Fingerprint {
+// computeFingerprint computes the fingerprint from the workspace and the contents of the
+// request.
+func (c *call) computeFingerprint() quarantine.Fingerprint {
 	return c.g.cfg.Fingerprints.Of(&quarantine.Request{
 		Workspace: c.workspace, Method: c.r.Method, Host: c.r.Host, Target: c.r.RequestURI, Body: c.body,
 	})
 }
 
-// startWait is for how long after its start a host lets requests wait for its first
-// configuration. It is on its way then: control hosts that have started too elect a leader
-// within half a second, and most callers have one try left.
-const startWait = 1500 * time.Millisecond
+// startupWait is how long after its start a host lets requests wait for its first
+// configuration, which is expected soon: control hosts that have just started too elect a
+// leader within half a second. Most callers have only one retry left.
+const startupWait = 1500 * time.Millisecond
 
-// awaitTable returns the configuration in force, after waiting for the first one where
-// the host has just started; nil if there is none.
+// awaitTable returns the current configuration, or nil if there is none. If the host has just
+// started, it waits for the first one.
 func (c *call) awaitTable() *routetable.Table {
 	g := c.g
-	wait := startWait - g.now()
+	wait := startupWait - g.now()
 	if t := g.table.Load(); t != nil || wait <= 0 {
 		return t
 	}
-	isClosedWithin(c.r.Context(), g.hasTable, wait)
+	waitClosed(c.r.Context(), g.tableKnown, wait)
 	return g.table.Load()
 }
 
-// path returns the request's path as it came.
-func path(r *http.Request) string {
+// requestPath returns the path of the request exactly as the caller sent it.
+func requestPath(r *http.Request) string {
 	p, _, _ := strings.Cut(r.RequestURI, "?")
 	return p
 }
 
-// readBody reads the body within the limits of the configuration.
+// readBody reads the body up to the configured limit.
 func (c *call) readBody() error {
 	limit := c.table.Limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBodyBytes
+		limit = defaultMaxBodyBytes
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, limit))
 	c.body = body
@@ -164,39 +169,39 @@
 	}
 }
 
-// hopByHop are the fields that concern one connection.
-var hopByHop = []string{
+// hopByHopFields are the header fields that apply to a single connection and are not forwarded.
+var hopByHopFields = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// strip removes the fields that concern one connection.
-func strip(h http.Header) {
+// stripHopByHop removes the header fields that apply to a single connection.
+func stripHopByHop(h http.Header) {
 	for _, v := range h["Connection"] {
 		for _, name := range strings.Split(v, ",") {
 			h.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopFields {
 		h.Del(name)
 	}
 }
 
-// header returns what goes to an upstream. Resume, if not empty, is the last event that
-// the caller has.
-func (c *call) header(resume string) http.Header {
+// upstreamHeader returns the header for an upstream. If not empty, resume is the id of the last
+// event that the caller has received.
+func (c *call) upstreamHeader(resume string) http.Header {
 	d := c.g.cfg.Dialect
 	h := c.r.Header.Clone()
-	strip(h)
-	h.Del(d.Key)
-	h.Del(d.Workspace)
-	h.Del(d.Dispatch.Instance)
+	stripHopByHop(h)
+	h.Del(d.KeyHeader)
+	h.Del(d.WorkspaceHeader)
+	h.Del(d.UpstreamHeaders.Instance)
 	if c.workspace != "" {
-		h.Set(d.Workspace, c.workspace)
+		h.Set(d.WorkspaceHeader, c.workspace)
 	}
 	if resume != "" {
-		h.Set(d.Resume, resume)
+		h.Set(d.ResumeHeader, resume)
 	}
-	h.Set(d.Dispatch.Deadline, strconv.FormatInt(max(time.Until(c.deadline).Milliseconds(), 1), 10))
+	h.Set(d.UpstreamHeaders.Deadline, strconv.FormatInt(max(time.Until(c.deadline).Milliseconds(), 1), 10))
 	return h
 }
--- /dev/null
+++ b/internal/gateway/quarantine.go
@@ -0,0 +1,50 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"github.com/sassafraspost/sassafraspost/internal/dispatch"
+	"github.com/sassafraspost/sassafraspost/internal/quarantine"
+	"github.com/sassafraspost/sassafraspost/internal/schedule"
+	"github.com/sassafraspost/sassafraspost/internal/verdict"
+)
+
+// refuseQuarantined returns the final error for a quarantined request, which is the same on
+// every host. The request was not sent this time. The response has no Retry-After, because the
+// caller is not meant to send the request again.
+func (c *call) refuseQuarantined() error {
+	c.g.cfg.Quarantine.CountRefusal()
+	c.warn("request refused: it is held", "fingerprint", c.fingerprint.String(), "workspace", c.workspace)
+	return verdict.New(verdict.NotRun, verdict.CodeQuarantined, "upstreams ended while they ran this request")
+}
+
+// probeAfterFailure finds out whether the upstream of a failed attempt has ended or only broke
+// off the response, if the attempt may have run. If the upstream has ended, the request is not
+// sent to another one, because it may be what crashed the upstream. If the caller retries, the
+// quarantine has more evidence by then. An upstream that has announced that it is draining is
+// not probed, because its end is expected.
+func (c *call) probeAfterFailure(ctx context.Context, reserved *reservation, err error) {
+	e := verdict.Of(err)
+	if e.Verdict == verdict.NotRun || e.Code != verdict.CodeUpstreamFailed || ctx.Err() != nil || c.g.isDraining(reserved) {
+		return
+	}
+	result := c.g.cfg.Client.Probe(dispatch.Target{
+		ID: reserved.ID(), Address: reserved.Address(), MaxConnections: c.g.maxConnections(c.service),
+	})
+	c.g.counts.increment("upstreams-looked-at." + result.String())
+	run := quarantine.Attempt{
+		Fingerprint: c.fingerprint, Workspace: c.workspace, Request: c.attemptID,
+		Incarnation: quarantine.Incarnation{Upstream: reserved.ID(), Born: reserved.Born()}, Service: c.service.Name, Address: reserved.Address(), Ran: time.Since(c.sentAt),
+	}
+	if result != dispatch.Ended {
+		c.g.cfg.Quarantine.AttemptFailed(run, result == dispatch.Alive)
+		return
+	}
+	c.g.cfg.Quarantine.UpstreamCrashed(run)
+	c.isFinal = true
+	if c.service.Engine != nil {
+		// The engine's group does not serve until the engine is back.
+		c.last = e.After(schedule.MaxRetryAfter(time.Until(c.deadline)))
+	}
+}
--- /dev/null
+++ b/internal/gateway/slot.go
@@ -0,0 +1,119 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"github.com/sassafraspost/sassafraspost/internal/registry"
+	"github.com/sassafraspost/sassafraspost/internal/routetable"
+	"github.com/sassafraspost/sassafraspost/internal/schedule"
+	"github.com/sassafraspost/sassafraspost/internal/verdict"
+)
+
+// callerRetryTimeFraction is the fraction of a route's timeout that a caller must have left to
+// be refused during an outage and told to retry. Callers with less time left wait in the queue.
+const callerRetryTimeFraction = 0.8
+
+// stalledError is the reason for cancelling an attempt in a group that does not serve.
+type stalledError struct {
+	// hasOtherGroup reports that another group serves.
+	hasOtherGroup bool
+	retryAfter    time.Duration
+}
+
+// Error implements error.
+func (*stalledError) Error() string { return schedule.Outage.String() }
+
+// verdict returns the error for an attempt that was cancelled because of its group. The request
+// may still run there.
+func (e *stalledError) verdict() error {
+	return verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, e.Error()).After(e.retryAfter)
+}
+
+// reserveSlot reserves a slot at an engine, and waits for one if none is free. Errors are
+// *verdict.Error and always NotRun.
+func (c *call) reserveSlot(ctx context.Context, e *routetable.Engine, isResumed bool) (registry.Upstream, *reservation, error) {
+	g := c.g
+	request := &schedule.Request{
+		Service: c.service.Name, Engine: e, Gap: c.route.Gap, OnTimeUntil: g.clockTime(c.onTimeUntil()),
+		Priority: c.priority, Tried: c.tried, TimeLeft: time.Until(c.deadline), CanRetry: c.callerCanRetry(), IsResumed: isResumed,
+	}
+	g.mu.Lock()
+	d := g.scheduler.Admit(request, g.now())
+	var decided chan schedule.Decision
+	if d.Waiter != nil {
+		decided = make(chan schedule.Decision, 1)
+		g.waiters[d.Waiter] = decided
+	}
+	g.mu.Unlock()
+	if d.Waiter != nil {
+		d = c.waitInQueue(ctx, d.Waiter, decided)
+	}
+	if d.Ticket == nil {
+		c.logRefusal(d.Reason)
+		return registry.Upstream{}, nil, overloadError(d)
+	}
+	return d.Upstream, &reservation{Ticket: d.Ticket, g: g}, nil
+}
+
+// onTimeUntil returns the latest time for the first event to count as on time. A retry by the
+// caller is late already, because its time started with the first try.
+func (c *call) onTimeUntil() time.Time {
+	if c.isCallerRetry() {
+		return c.began
+	}
+	return c.began.Add(c.route.TargetLatency)
+}
+
+// isCallerRetry reports whether the caller has so little of the route's timeout left that it
+// must have tried before.
+func (c *call) isCallerRetry() bool {
+	return c.deadline.Sub(c.began) < time.Duration(callerRetryTimeFraction*float64(c.route.Timeout))
+}
+
+// callerCanRetry reports whether the caller has enough time left to try again, and may do so
+// because no attempt can have run.
+func (c *call) callerCanRetry() bool {
+	return !c.mayHaveRun() && time.Until(c.deadline) > time.Duration(callerRetryTimeFraction*float64(c.route.Timeout))
+}
+
+func overloadError(d schedule.Decision) error {
+	return verdict.New(verdict.NotRun, verdict.CodeOverloaded, d.Reason.String()).After(d.RetryAfter)
+}
+
+// waitInQueue waits for the decision on a queued request.
+func (c *call) waitInQueue(ctx context.Context, w *schedule.Waiter, decided <-chan schedule.Decision) schedule.Decision {
+	c.g.counts.queued.Inc(1)
+	began := time.Now()
+	defer c.g.counts.queueWait.AddSince(began)
+	timer := time.NewTimer(schedule.MaxQueueWait)
+	defer timer.Stop()
+	select {
+	case d := <-decided:
+		return d
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+	c.g.mu.Lock()
+	defer c.g.mu.Unlock()
+	select {
+	case d := <-decided:
+		// The decision arrived together with the timeout or the cancellation.
+		return d
+	default:
+	}
+	delete(c.g.waiters, w)
+	return c.g.scheduler.Abandon(w, c.g.now())
+}
+
+// logRefusal logs and counts why a request got no slot.
+func (c *call) logRefusal(reason schedule.Reason) {
+	c.g.counts.increment("refused." + reason.Name())
+	c.g.mu.Lock()
+	s, hosts := c.g.scheduler.State(c.service.Name, c.g.now()), c.g.scheduler.Hosts()
+	c.g.mu.Unlock()
+	c.warn("no place", "reason", reason.Name(), "upstreams", s.Upstreams, "loads_heard", s.Reporting, "serving", s.Serving,
+		"groups", s.Groups, "groups_closed", s.ClosedGroups, "load_age_ms", s.OldestReport.Milliseconds(), "places", s.Capacity,
+		"taken", s.EstimatedLoad, "late", s.LateAttempts, "need", s.OnTimeDemand, "waiting", s.Waiting, "hosts", hosts,
+		"waited_ms", time.Since(c.began).Milliseconds())
+}
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -11,103 +11,106 @@
 	"github.com/sassafraspost/sassafraspost/internal/schedule"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// hanging is an upstream that never answers; sent and gone tell of its requests.
-func hanging(l *lab) (sent, gone chan string) {
-	sent, gone = make(chan string, 10), make(chan string, 10)
-	l.upstream("u1", func(_ http.ResponseWriter, r *http.Request) {
-		// The server hears of a hang-up only once it has read the body.
+// addHangingUpstream adds an upstream that never responds. Each request sends its path on the
+// channel sent when it arrives and on cancelled when it is cancelled.
+func addHangingUpstream(env *testEnv) (sent, cancelled chan string) {
+	sent, cancelled = make(chan string, 10), make(chan string, 10)
+	env.addUpstream("u1", func(_ http.ResponseWriter, r *http.Request) {
+		// The server notices a closed connection only after it has read the body.
 		_, _ = io.Copy(io.Discard, r.Body)
 		sent <- r.URL.Path
 		<-r.Context().Done()
-		gone <- r.URL.Path
+		cancelled <- r.URL.Path
 	})
-	l.load("u1", 0, true)
-	return sent, gone
+	env.reportRunning("u1", 0, true)
+	return sent, cancelled
 }
 
-// age makes all attempts that wait for an answer older by the patience with a group that
-// stands still, and returns how many there are.
-func (l *lab) age() int {
-	l.later.Add(int64(schedule.StalledAttemptTimeout))
-	l.gateway.mu.Lock()
-	defer l.gateway.mu.Unlock()
-	return len(l.gateway.taken)
+// passStallTimeout advances the gateway's clock by the time after which attempts in a stalled
+// group are cancelled. It returns how many attempts wait for their response header.
+func (env *testEnv) passStallTimeout() int {
+	env.clockAhead.Add(int64(schedule.StalledAttemptTimeout))
+	env.gateway.mu.Lock()
+	defer env.gateway.mu.Unlock()
+	return len(env.gateway.cancels)
 }
 
-// A request that was sent into a group that then stands still gets its final answer before
-// its caller gives up, and is taken back.
-func TestRequestInAStalledGroupIsGivenUp(t *testing.T) {
-	l := newLab(t)
-	l.table(engine)
-	sent, gone := hanging(l)
+// Guards against a request being stuck in a group that stalls after the request was sent there.
+// It must be cancelled, and its caller must get a final response before the caller itself gives
+// up.
+func TestRequestInStalledGroupIsCancelled(t *testing.T) {
+	env := newTestEnv(t)
+	env.setTable(engine)
+	sent, cancelled := addHangingUpstream(env)
 	done := make(chan *http.Response, 1)
 	go func() {
-		resp, _ := l.ask("/stream/", nil)
+		resp, _ := env.post("/stream/", nil)
 		done <- resp
 	}()
 	<-sent
-	l.load("u1", 1, false)
-	require.Equal(t, 1, l.age(), "it had time left yet")
-	l.load("u1", 1, true)
-	require.Equal(t, 1, l.age(), "the group serves")
-	l.load("u1", 1, false)
+	env.reportRunning("u1", 1, false)
+	require.Equal(t, 1, env.passStallTimeout(), "not cancelled before the timeout")
+	env.reportRunning("u1", 1, true)
+	require.Equal(t, 1, env.passStallTimeout(), "not cancelled while the group serves")
+	env.reportRunning("u1", 1, false)
 	select {
 	case resp := <-done:
-		require.Equal(t, http.StatusBadGateway, resp.StatusCode, "it may run later")
+		require.Equal(t, http.StatusBadGateway, resp.StatusCode, "the request may still run")
 		require.NotEmpty(t, resp.Header.Get("Retry-After"))
-	case <-time.After(patience):
-		t.Fatal("no final answer")
+	case <-time.After(testTimeout):
+		t.Fatal("no final response")
 	}
-	require.Equal(t, "/stream/", <-gone)
-	require.Empty(t, sent, "nor is it sent elsewhere in the same group")
-	require.Zero(t, l.age())
+	require.Equal(t, "/stream/", <-cancelled)
+	require.Empty(t, sent, "not sent to another engine of the same group")
+	require.Zero(t, env.passStallTimeout())
 }
 
-// What may run only once is never given up for its group.
-func TestUnsafeRequestInAStalledGroupIsWaitedFor(t *testing.T) {
-	l := newLab(t)
-	l.table(engine)
-	sent, answer := make(chan bool, 1), make(chan bool)
-	l.upstream("u1", func(http.ResponseWriter, *http.Request) {
+// Guards against cancelling an unsafe request when its group stalls: it must not run twice, so
+// the gateway can't retry it.
+func TestUnsafeRequestInStalledGroupIsNotCancelled(t *testing.T) {
+	env := newTestEnv(t)
+	env.setTable(engine)
+	sent, finish := make(chan bool, 1), make(chan bool)
+	env.addUpstream("u1", func(http.ResponseWriter, *http.Request) {
 		sent <- true
-		<-answer
+		<-finish
 	})
-	l.load("u1", 0, true)
+	env.reportRunning("u1", 0, true)
 	done := make(chan int, 1)
 	go func() {
-		resp, _ := l.ask("/unsafe/", nil)
+		resp, _ := env.post("/unsafe/", nil)
 		done <- resp.StatusCode
 	}()
 	<-sent
-	require.Zero(t, l.age(), "nothing that could be taken back")
-	l.load("u1", 1, false)
-	close(answer)
+	require.Zero(t, env.passStallTimeout(), "no attempt that may be cancelled")
+	env.reportRunning("u1", 1, false)
+	close(finish)
 	require.Equal(t, http.StatusOK, <-done)
 }
 
-// Once no upstream is left the caller has its answer at once, and the repeats that others
-// share are not spent on looking again.
-func TestNoUpstreamLeftIsTheEnd(t *testing.T) {
-	// repeats counts those that are left after one request.
-	repeats := func(l *lab) int {
-		l.gateway.mu.Lock()
-		defer l.gateway.mu.Unlock()
+// Guards against spending the shared retry budget on a request for which no upstream is left.
+// Its caller gets the final response at once.
+func TestRetryBudgetIsNotSpentWithoutUpstream(t *testing.T) {
+	// retriesLeft counts the retries left in the budget after one request.
+	retriesLeft := func(env *testEnv) int {
+		env.gateway.mu.Lock()
+		defer env.gateway.mu.Unlock()
 		left := 0
-		for l.gateway.scheduler.TakeRetry("s", l.gateway.now()) {
+		for env.gateway.scheduler.TakeRetry("s", env.gateway.now()) {
 			left++
 		}
 		return left
 	}
-	one, none := newLab(t), newLab(t)
-	one.table(nil)
-	one.upstream("u1", func(http.ResponseWriter, *http.Request) {})
-	resp, _ := one.ask("/safe/", nil)
+	served, refused := newTestEnv(t), newTestEnv(t)
+	served.setTable(nil)
+	served.addUpstream("u1", func(http.ResponseWriter, *http.Request) {})
+	resp, _ := served.post("/safe/", nil)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	none.table(nil)
-	none.upstream("u1", notRun)
-	resp, _ = none.ask("/safe/", nil)
+	refused.setTable(nil)
+	refused.addUpstream("u1", refuseNotRun)
+	resp, _ = refused.post("/safe/", nil)
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
-	require.Equal(t, repeats(one)-1, repeats(none))
+	require.Equal(t, retriesLeft(served)-1, retriesLeft(refused))
 }
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -10,39 +10,40 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// ticket is an attempt's hold on an upstream; it ends once.
-type ticket struct {
+// reservation reserves an upstream for an attempt. It is released once.
+type reservation struct {
 	*schedule.Ticket
 	g *Gateway
-	// cancel frees what the attempt's context holds; nil if it has none of its own.
+	// cancel frees the resources of the attempt's context; nil if the attempt has no context of
+	// its own.
 	cancel context.CancelCauseFunc
 }
 
-// choose picks an upstream of a plain service that was not tried, and counts the attempt
-// there. Where the host has just started, it waits for one to be known. It returns false
-// where there is none.
-func (g *Gateway) choose(ctx context.Context, name string, tried []string) (registry.Upstream, *ticket, bool) {
+// reservePlain reserves an upstream of a plain service, which is one without engines, that was
+// not tried yet. If the host has just started, it waits until the upstreams are known. It
+// returns false if there is none.
+func (g *Gateway) reservePlain(ctx context.Context, name string, tried []string) (registry.Upstream, *reservation, bool) {
 	for {
 		g.mu.Lock()
 		u, t, ok := g.scheduler.ReserveLeastLoaded(name, tried, g.now())
-		published := g.published
+		changed := g.upstreamsChanged
 		g.mu.Unlock()
 		if ok {
-			return u, &ticket{Ticket: t, g: g}, true
+			return u, &reservation{Ticket: t, g: g}, true
 		}
-		wait := startWait - g.now()
-		if wait <= 0 || !isClosedWithin(ctx, published, wait) {
+		wait := startupWait - g.now()
+		if wait <= 0 || !waitClosed(ctx, changed, wait) {
 			return u, nil, false
 		}
 	}
 }
 
-// isClosedWithin waits for c to be closed, until ctx ends or the time is over.
-func isClosedWithin(ctx context.Context, c <-chan struct{}, wait time.Duration) bool {
+// waitClosed reports whether the channel is closed before ctx ends or the wait is over.
+func waitClosed(ctx context.Context, closed <-chan struct{}, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case <-c:
+	case <-closed:
 		return true
 	case <-timer.C:
 	case <-ctx.Done():
@@ -50,107 +51,111 @@
 	return false
 }
 
-// outcome is how an attempt went, as far as it says something of the upstream.
+// outcome is what the end of an attempt says about its upstream.
 type outcome uint8
 
 const (
-	// outcomeNeutral: the attempt was ended for a reason of the caller's.
+	// outcomeNeutral means that the attempt ended for a reason of the caller, not of the
+	// upstream.
 	outcomeNeutral outcome = iota
 	outcomeGood
-	// outcomeBad: the upstream broke off, refused or failed.
+	// outcomeBad means that the upstream broke off the response, refused the request or failed.
 	outcomeBad
-	// outcomeMisdirected: another incarnation has the address.
+	// outcomeMisdirected means that the address now belongs to another upstream, or to a later
+	// start of the same one.
 	outcomeMisdirected
 )
 
-// judgements are what outcomes say of an upstream's work.
-var judgements = map[outcome]schedule.Outcome{outcomeGood: schedule.Success, outcomeBad: schedule.Failure}
+// schedulerOutcomes maps outcomes to those of the scheduler. The others are neutral there.
+var schedulerOutcomes = map[outcome]schedule.Outcome{outcomeGood: schedule.Success, outcomeBad: schedule.Failure}
 
-// end gives the hold back.
-func (t *ticket) end(o outcome) {
-	g := t.g
+// release releases the reservation and records the outcome of the attempt.
+func (r *reservation) release(o outcome) {
+	g := r.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if t.cancel != nil {
-		t.cancel(nil)
+	if r.cancel != nil {
+		r.cancel(nil)
 	}
-	delete(g.taken, t.Ticket)
-	results, isSuspected := g.scheduler.Release(t.Ticket, judgements[o], g.now())
+	delete(g.cancels, r.Ticket)
+	results, isSuspected := g.scheduler.Release(r.Ticket, schedulerOutcomes[o], g.now())
 	g.deliver(results)
 	if isSuspected {
-		g.cfg.Log.Info("upstream suspected", "upstream", t.ID())
+		g.cfg.Log.Info("upstream suspected", "upstream", r.ID())
 	}
-	if o == outcomeMisdirected && g.view.Revoke(t.ID(), t.Born()) {
-		g.cfg.Log.Info("upstream revoked: another one has its address", "upstream", t.ID())
-		g.publish()
+	if o == outcomeMisdirected && g.view.Revoke(r.ID(), r.Born()) {
+		g.cfg.Log.Info("upstream revoked: another upstream has its address", "upstream", r.ID())
+		g.updateUpstreams()
 	}
 }
 
-// isLeaving reports whether an upstream has said that it leaves.
-func (g *Gateway) isLeaving(t *ticket) bool {
+// isDraining reports whether an upstream has announced that it is draining.
+func (g *Gateway) isDraining(r *reservation) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.view.IsLeaving(t.ID(), t.Born())
+	return g.view.IsLeaving(r.ID(), r.Born())
 }
 
-// request counts a caller's request to a service.
-func (g *Gateway) request(name string) {
+// countRequest counts a caller's request to a service for its retry budget.
+func (g *Gateway) countRequest(name string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.scheduler.CountRequest(name, g.now())
 }
 
-// mayRepeat takes one repeat from the service's budget.
-func (g *Gateway) mayRepeat(name string) bool {
+// takeRetry takes one retry from the service's budget, and reports whether the budget allows
+// it.
+func (g *Gateway) takeRetry(name string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.scheduler.TakeRetry(name, g.now())
 }
 
-// SetHosts tells how many hosts share the budgets.
+// SetHosts sets how many hosts share the budgets and limits.
 func (g *Gateway) SetHosts(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.scheduler.SetHosts(n)
 }
 
-// SetLoads takes in the loads of engines.
+// SetLoads applies load reports of engines.
 func (g *Gateway) SetLoads(all []wire.EngineLoad) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	results, stalled := g.scheduler.SetLoads(all, g.now())
 	g.deliver(results)
 	for _, s := range stalled {
-		if end := g.taken[s.Ticket]; end != nil {
-			end(&stalledError{hasOther: s.HasOtherGroup, retryAfter: s.RetryAfter})
+		if cancel := g.cancels[s.Ticket]; cancel != nil {
+			cancel(&stalledError{hasOtherGroup: s.HasOtherGroup, retryAfter: s.RetryAfter})
 		}
 	}
 }
 
-// deliver tells the requests that wait what becomes of them. The caller holds mu.
+// deliver sends queued requests the decisions about them. The caller holds mu.
 func (g *Gateway) deliver(results []schedule.Result) {
 	for _, r := range results {
-		g.waiting[r.Waiter] <- r.Decision
-		delete(g.waiting, r.Waiter)
+		g.waiters[r.Waiter] <- r.Decision
+		delete(g.waiters, r.Waiter)
 	}
 }
 
-// begun tells that the first event of an answer is there.
-func (t *ticket) begun() {
-	t.g.mu.Lock()
-	defer t.g.mu.Unlock()
-	t.g.scheduler.RecordFirstEvent(t.Ticket, t.g.now())
+// recordFirstEvent records that the first event of a response has arrived.
+func (r *reservation) recordFirstEvent() {
+	r.g.mu.Lock()
+	defer r.g.mu.Unlock()
+	r.g.scheduler.RecordFirstEvent(r.Ticket, r.g.now())
 }
 
-// paused tells how long the answer paused between two events.
-func (t *ticket) paused(took time.Duration) {
-	t.g.mu.Lock()
-	defer t.g.mu.Unlock()
-	t.g.scheduler.RecordEventGap(t.Ticket, took, t.g.now())
+// recordEventGap records the time between two events of a response.
+func (r *reservation) recordEventGap(gap time.Duration) {
+	r.g.mu.Lock()
+	defer r.g.mu.Unlock()
+	r.g.scheduler.RecordEventGap(r.Ticket, gap, r.g.now())
 }
 
-// connections returns this host's part of the bound on connections to an upstream.
-func (g *Gateway) connections(s *routetable.Service) int {
+// maxConnections returns this host's share of the limit on connections to an upstream; 0 means
+// no limit.
+func (g *Gateway) maxConnections(s *routetable.Service) int {
 	if s == nil || s.MaxConnections == 0 {
 		return 0
 	}
@@ -159,17 +164,17 @@
 	return max(s.MaxConnections/g.scheduler.Hosts(), 1)
 }
 
-// listen lets an attempt be ended while its group does not serve. The caller calls stop
-// once the head of the answer is there.
-func (g *Gateway) listen(t *ticket, since time.Duration, end context.CancelCauseFunc) (stop func()) {
+// awaitHeader registers an attempt to be cancelled if its group does not serve. The caller
+// calls stop when the response header has arrived.
+func (g *Gateway) awaitHeader(r *reservation, since time.Duration, cancel context.CancelCauseFunc) (stop func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.taken[t.Ticket] = end
-	g.scheduler.AwaitHeader(t.Ticket, since)
+	g.cancels[r.Ticket] = cancel
+	g.scheduler.AwaitHeader(r.Ticket, since)
 	return func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		delete(g.taken, t.Ticket)
-		g.scheduler.HeaderReceived(t.Ticket)
+		delete(g.cancels, r.Ticket)
+		g.scheduler.HeaderReceived(r.Ticket)
 	}
 }
