--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -215,7 +215,7 @@
 		verdict oas.ProblemVerdict
 		after   string
 	}{
-		{verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no leader").After(1500 * time.Millisecond), 503, oas.ProblemVerdictNotRun, "2"},
+		{verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no leader").WithRetryAfter(1500 * time.Millisecond), 503, oas.ProblemVerdictNotRun, "2"},
 		{errors.Wrap(verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, "no answer"), "submit"), 504, oas.ProblemVerdictMayHaveRun, ""},
 		{errors.New("broken"), 500, oas.ProblemVerdictMayHaveRun, ""},
 		{context.DeadlineExceeded, 500, oas.ProblemVerdictMayHaveRun, ""},
--- a/internal/adminapi/bound.go
+++ b/internal/adminapi/bound.go
@@ -61,5 +61,5 @@
 
 func (b *bounded) refuse(w http.ResponseWriter, r *http.Request) {
 	busy := verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many requests in progress")
-	b.problems.serve(w, r, busy.After(overloadRetry))
+	b.problems.serve(w, r, busy.WithRetryAfter(overloadRetry))
 }
--- a/internal/adminapi/problem.go
+++ b/internal/adminapi/problem.go
@@ -123,7 +123,7 @@
 	case errors.As(err, &params), errors.As(err, &request), errors.As(err, &body):
 		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, err.Error())
 	}
-	return verdict.Of(err)
+	return verdict.FromError(err)
 }
 
 // faultsOf lists the faults of a document.
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -73,7 +73,7 @@
 	waits := func() bool { c.Update(); return reg.Get("admission.queued").(metrics.Gauge).Value() == 1 }
 	require.Eventually(t, waits, testWait, time.Millisecond)
 	cancel()
-	require.Equal(t, verdict.NotRun, verdict.Of(<-left).Verdict)
+	require.Equal(t, verdict.NotRun, verdict.FromError(<-left).Verdict)
 	c.Update()
 	require.Zero(t, reg.Get("admission.queued").(metrics.Gauge).Value())
 	release()
@@ -90,16 +90,16 @@
 	r := request("b")
 	r.Deadline = 50 * time.Millisecond
 	_, err = c.Admit(context.Background(), r)
-	require.Equal(t, verdict.NotRun, verdict.Of(err).Verdict)
-	require.Equal(t, verdict.CodeOverloaded, verdict.Of(err).Code)
+	require.Equal(t, verdict.NotRun, verdict.FromError(err).Verdict)
+	require.Equal(t, verdict.CodeOverloaded, verdict.FromError(err).Code)
 	require.EqualValues(t, 1, reg.Get("admission.refused.queued").(metrics.Counter).Count())
 }
 
 func TestNoUpstreamIsToldAtOnce(t *testing.T) {
 	c, _ := newController(0, 10)
 	_, err := c.Admit(context.Background(), request("a"))
-	require.Equal(t, verdict.CodeNoUpstream, verdict.Of(err).Code)
-	require.Equal(t, verdict.NotRun, verdict.Of(err).Verdict)
+	require.Equal(t, verdict.CodeNoUpstream, verdict.FromError(err).Code)
+	require.Equal(t, verdict.NotRun, verdict.FromError(err).Verdict)
 }
 
 func TestLimitedWorkspaceIsRefusedAndRefunded(t *testing.T) {
@@ -109,12 +109,12 @@
 	hold, err := c.Admit(context.Background(), request("b"))
 	require.NoError(t, err)
 	_, err = c.Admit(context.Background(), r)
-	require.Equal(t, verdict.CodeOverloaded, verdict.Of(err).Code, "the queue is full")
+	require.Equal(t, verdict.CodeOverloaded, verdict.FromError(err).Code, "the queue is full")
 	hold()
 	release, err := c.Admit(context.Background(), r)
 	require.NoError(t, err, "what the queue refused does not count against the limit")
 	_, err = c.Admit(context.Background(), r)
-	require.Equal(t, verdict.CodeLimited, verdict.Of(err).Code)
+	require.Equal(t, verdict.CodeLimited, verdict.FromError(err).Code)
 	release()
 	require.Empty(t, c.Demands(), "one host has the whole limit without asking")
 }
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -211,5 +211,5 @@
 }
 
 func limited(text string, wait time.Duration, draw float64) *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.CodeLimited, text).After(spread(max(wait, time.Millisecond), draw))
+	return verdict.New(verdict.NotRun, verdict.CodeLimited, text).WithRetryAfter(spread(max(wait, time.Millisecond), draw))
 }
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -255,7 +255,7 @@
 		after = unknownRetryAfter
 	}
 	t.state = stateRefused
-	t.err = verdict.New(verdict.NotRun, code, text).After(spread(after, t.Draw))
+	t.err = verdict.New(verdict.NotRun, code, text).WithRetryAfter(spread(after, t.Draw))
 	return t
 }
 
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -193,11 +193,11 @@
 	case d.Incarnation != id.Incarnation:
 		return notRun(verdict.CodeNoUpstream, "another start of the agent is meant")
 	case a.state == wire.UpstreamLeaving:
-		return notRun(verdict.CodeLeaving, "upstream is leaving").After(a.cfg.RetryAfter)
+		return notRun(verdict.CodeLeaving, "upstream is leaving").WithRetryAfter(a.cfg.RetryAfter)
 	case a.state != wire.UpstreamReady:
-		return notRun(verdict.CodeNoUpstream, "upstream is not ready").After(a.cfg.RetryAfter)
+		return notRun(verdict.CodeNoUpstream, "upstream is not ready").WithRetryAfter(a.cfg.RetryAfter)
 	case a.running >= a.cfg.Capacity && len(a.queue) >= a.cfg.QueueLength:
-		return notRun(verdict.CodeOverloaded, "upstream's queue is full").After(a.cfg.RetryAfter)
+		return notRun(verdict.CodeOverloaded, "upstream's queue is full").WithRetryAfter(a.cfg.RetryAfter)
 	}
 	return nil
 }
@@ -253,7 +253,7 @@
 	if errors.Is(at.ctx.Err(), context.DeadlineExceeded) {
 		code = verdict.CodeDeadline
 	}
-	a.refuse(at.s, at.d.Attempt, notRun(code, "ended while it waited").After(a.cfg.RetryAfter))
+	a.refuse(at.s, at.d.Attempt, notRun(code, "ended while it waited").WithRetryAfter(a.cfg.RetryAfter))
 }
 
 // forget requires mu.
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -84,7 +84,7 @@
 	require.Equal(t, uint64(5000), u.Load.StepUS)
 	require.Equal(t, uint32(3), u.Load.Capacity)
 
-	prompt := strings.Repeat("x", 3*entry.PrefixBlock)
+	prompt := strings.Repeat("x", 3*entry.PrefixBlockBytes)
 	body := strings.NewReader(`{"prompt":"` + prompt + `"}`)
 	resp, err := http.Post(srv.URL+"/v1/completions", "application/json", body)
 	require.NoError(t, err)
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -60,7 +60,7 @@
 	defer a.done(at)
 	resp, err := a.roundTrip(at)
 	if err != nil {
-		a.fail(at, verdict.Of(err))
+		a.fail(at, verdict.FromError(err))
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -71,7 +71,7 @@
 			require.True(t, bytes.Equal(want, got), "whole answer %x, want %x", got, want)
 			return
 		}
-		require.Equal(t, verdict.MayHaveRun, verdict.Of(err).Verdict)
+		require.Equal(t, verdict.MayHaveRun, verdict.FromError(err).Verdict)
 		require.True(t, bytes.HasPrefix(want, got), "part %x of %x", got, want)
 	})
 }
@@ -105,7 +105,7 @@
 			_ = r.Take(m)
 		}
 		_, err := read(r)
-		require.Equal(t, verdict.CodeUpstreamFailed, verdict.Of(err).Code)
+		require.Equal(t, verdict.CodeUpstreamFailed, verdict.FromError(err).Code)
 	}
 }
 
@@ -134,8 +134,8 @@
 func TestRefusalAfterAHeadMayHaveRun(t *testing.T) {
 	refused := &wire.Refused{Attempt: own, Verdict: uint8(verdict.NotRun), Code: string(verdict.CodeLeaving)}
 	r := New(own, 3)
-	require.Equal(t, verdict.NotRun, verdict.Of(r.Take(refused)).Verdict)
+	require.Equal(t, verdict.NotRun, verdict.FromError(r.Take(refused)).Verdict)
 	r = New(own, 3)
 	require.NoError(t, r.Take(&wire.Head{Attempt: own}))
-	require.Equal(t, verdict.MayHaveRun, verdict.Of(r.Take(refused)).Verdict)
+	require.Equal(t, verdict.MayHaveRun, verdict.FromError(r.Take(refused)).Verdict)
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -274,7 +274,7 @@
 	gone := func(t *testing.T, _ *cluster) string { return closed(t) }
 	cut := func(t *testing.T, c *cluster) string {
 		behind := newFake()
-		behind.err = verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no leader").After(2 * time.Second)
+		behind.err = verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no leader").WithRetryAfter(2 * time.Second)
 		return start(t, behind.handler(t))
 	}
 	type server = func(*testing.T, *cluster) string
--- a/internal/command/batcher.go
+++ b/internal/command/batcher.go
@@ -84,7 +84,7 @@
 	}
 	if len(b.pending) >= b.bound {
 		e := verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many requests wait for the log")
-		return nil, e.After(overloadRetry)
+		return nil, e.WithRetryAfter(overloadRetry)
 	}
 	c := &call[Q, R]{request: request, done: make(chan struct{})}
 	b.pending = append(b.pending, c)
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -151,7 +151,7 @@
 func (s *Service) Claim(ctx context.Context, c state.Claim) (state.ClaimResult, error) {
 	result, err := s.claims.do(ctx, c)
 	if err != nil {
-		e := *verdict.Of(err)
+		e := *verdict.FromError(err)
 		e.Verdict = verdict.NotRun
 		return state.ClaimResult{}, &e
 	}
@@ -163,7 +163,7 @@
 func (s *Service) Finish(ctx context.Context, f state.Finish) (state.FinishOutcome, error) {
 	outcome, err := s.finishes.do(ctx, f)
 	if err != nil {
-		return 0, verdict.Of(err)
+		return 0, verdict.FromError(err)
 	}
 	return outcome, nil
 }
@@ -185,7 +185,7 @@
 	if err == nil && result.Outcome != state.ClaimGranted {
 		return
 	}
-	if err != nil && verdict.Of(err).Verdict == verdict.NotRun {
+	if err != nil && verdict.FromError(err).Verdict == verdict.NotRun {
 		return
 	}
 	// A full queue or a closed service leaves the claim to its deadline.
@@ -229,7 +229,7 @@
 	if cause := errors.Cause(err); cause == context.DeadlineExceeded || cause == context.Canceled {
 		return contextError(verdict.MayHaveRun, cause)
 	}
-	return verdict.Of(err)
+	return verdict.FromError(err)
 }
 
 // rejection types a command that had no effect. A command counts as applied
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -138,7 +138,7 @@
 		if err != nil {
 			e := verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "control host "+address+" does not answer; all must, before the first start")
 			e.Cause = err
-			return e.After(noLeaderRetryAfter)
+			return e.WithRetryAfter(noLeaderRetryAfter)
 		}
 		if answer.ClusterID != "" || len(answer.Voters) > 0 {
 			return verdict.New(verdict.NotRun, verdict.CodeConflict, "control host "+address+" belongs to a cluster")
@@ -150,7 +150,7 @@
 func (h *Host) awaitLeader(ctx context.Context) error {
 	for !h.replica.IsLeader() {
 		if ctx.Err() != nil {
-			return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no leader yet").After(noLeaderRetryAfter)
+			return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no leader yet").WithRetryAfter(noLeaderRetryAfter)
 		}
 		pause.For(ctx, appliedPoll)
 	}
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -155,7 +155,7 @@
 
 // isElsewhere reports whether a host refused since it does not lead or is leaving.
 func isElsewhere(err error) bool {
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	return e.Verdict == verdict.NotRun && (e.Code == verdict.CodeNoQuorum || e.Code == verdict.CodeLeaving)
 }
 
@@ -165,7 +165,7 @@
 		e = verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, "control hosts did not answer")
 	}
 	e.Cause = cause
-	return e.After(noLeaderRetryAfter)
+	return e.WithRetryAfter(noLeaderRetryAfter)
 }
 
 func (c *Client) callOne(ctx context.Context, address string, m wire.Message) (wire.Message, bool, error) {
--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -18,13 +18,13 @@
 // The only control host of a system has no others to ask.
 func TestClientWithoutAddressesRefuses(t *testing.T) {
 	_, err := newTestClient().Read(context.Background())
-	require.Equal(t, verdict.NotRun, verdict.Of(err).Verdict)
+	require.Equal(t, verdict.NotRun, verdict.FromError(err).Verdict)
 }
 
 func TestClientRefusesSoonWhereNobodyAnswers(t *testing.T) {
 	// Nothing listens on these: port 1 of loopback addresses.
 	_, err := newTestClient("127.0.0.1:1", "127.0.0.2:1").Claim(context.Background(), &wire.ClaimRequest{})
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	require.Equal(t, verdict.NotRun, e.Verdict)
 	require.Equal(t, verdict.CodeNoQuorum, e.Code)
 	require.Positive(t, e.RetryAfter)
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -91,7 +91,7 @@
 		return nil, verdict.New(verdict.NotRun, verdict.CodeForbidden, "a host may join for itself only")
 	}
 	if !h.joins.enter() {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeInProgress, "another replica is joining").After(joinInterval)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeInProgress, "another replica is joining").WithRetryAfter(joinInterval)
 	}
 	go func() {
 		defer h.joins.leave()
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -121,7 +121,7 @@
 		return nil
 	}
 	leader, _ := h.replica.Leader()
-	e := verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "this control host does not lead").After(noLeaderRetryAfter)
+	e := verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "this control host does not lead").WithRetryAfter(noLeaderRetryAfter)
 	e.Cause = &replica.NotLeaderError{Leader: leader}
 	return e
 }
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -90,7 +90,7 @@
 		MaxInFlight:  set.MaxSessions,
 		MaxBody:      int64(set.MaxBody),
 		MaxDeadline:  set.RequestTimeout,
-		RetryShare:   set.RetryBudget,
+		RetryRatio:   set.RetryBudget,
 	})
 	r.server.SetReady(false)
 	var err error
--- a/internal/daemon/resolver_test.go
+++ b/internal/daemon/resolver_test.go
@@ -85,8 +85,8 @@
 		t.Run(name, func(t *testing.T) {
 			p, err := r.Resolve(c.lookup)
 			if c.code != "" {
-				require.Equal(t, c.code, verdict.Of(err).Code)
-				require.Equal(t, verdict.NotRun, verdict.Of(err).Verdict)
+				require.Equal(t, c.code, verdict.FromError(err).Code)
+				require.Equal(t, verdict.NotRun, verdict.FromError(err).Verdict)
 				return
 			}
 			require.NoError(t, err)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -109,7 +109,7 @@
 func TestAnswerToAnotherRequestIsAnError(t *testing.T) {
 	address := serve(t, func(c net.Conn, _ *http.Request, _ int) { whole(c, "stranger", "not yours") })
 	_, err := send(t, client(), address, "mine")
-	require.Equal(t, verdict.MayHaveRun, verdict.Of(err).Verdict)
+	require.Equal(t, verdict.MayHaveRun, verdict.FromError(err).Verdict)
 }
 
 func TestVerdicts(t *testing.T) {
@@ -121,7 +121,7 @@
 	require.True(t, errors.As(err, &refused))
 	require.False(t, refused.Misdirected)
 	require.Equal(t, "i7", refused.Fault)
-	require.Equal(t, verdict.NotRun, verdict.Of(err).Verdict)
+	require.Equal(t, verdict.NotRun, verdict.FromError(err).Verdict)
 
 	other := serve(t, func(c net.Conn, r *http.Request, _ int) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 421 Other\r\nX-A: %s\r\nContent-Length: 0\r\n\r\n", r.Header.Get("X-A"))
@@ -132,14 +132,14 @@
 
 	silent := serve(t, func(c net.Conn, _ *http.Request, _ int) { _ = c.Close() })
 	_, err = send(t, client(), silent, "a")
-	require.Equal(t, verdict.MayHaveRun, verdict.Of(err).Verdict, "it was sent")
+	require.Equal(t, verdict.MayHaveRun, verdict.FromError(err).Verdict, "it was sent")
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	nobody := l.Addr().String()
 	require.NoError(t, l.Close())
 	_, err = send(t, client(), nobody, "a")
-	require.Equal(t, verdict.NotRun, verdict.Of(err).Verdict)
+	require.Equal(t, verdict.NotRun, verdict.FromError(err).Verdict)
 }
 
 // A connection that its upstream has closed while it was idle is not used again: a
@@ -187,7 +187,7 @@
 		return c.pool.open[address] == 1
 	}, 20*time.Second, time.Millisecond)
 	_, err := c.Send(ctx, target, &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}})
-	require.Equal(t, verdict.NotRun, verdict.Of(err).Verdict)
+	require.Equal(t, verdict.NotRun, verdict.FromError(err).Verdict)
 }
 
 func TestEndOfTheCallerEndsTheAttempt(t *testing.T) {
@@ -199,7 +199,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(10*time.Millisecond, cancel)
 	_, err := client().Send(ctx, Target{Address: address}, &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}})
-	require.Equal(t, verdict.CodeCancelled, verdict.Of(err).Code)
+	require.Equal(t, verdict.CodeCancelled, verdict.FromError(err).Code)
 	<-gone
 }
 
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -96,8 +96,8 @@
 	o := Outcome{Verdict: answered(a.status), FirstByte: a.firstByte, Bytes: a.bytes}
 	o.OK = err == nil && o.Verdict == verdict.Ran
 	if err != nil {
-		o.Verdict = verdict.Of(err).Verdict
-		o.Code = verdict.Of(err).Code
+		o.Verdict = verdict.FromError(err).Verdict
+		o.Code = verdict.FromError(err).Code
 	}
 	if err != nil && a.c.r.Context().Err() != nil {
 		o.Code = verdict.CodeCancelled
--- a/internal/entry/budget_test.go
+++ b/internal/entry/budget_test.go
@@ -24,7 +24,7 @@
 func TestBytesOfAllRequestsAreBounded(t *testing.T) {
 	const answerBytes = 64 << 10
 	p := startPath(t, func(c *entry.Config) {
-		c.MaxAnswer, c.Window = answerBytes, 1<<10
+		c.MaxResponse, c.Window = answerBytes, 1<<10
 		c.MaxBuffered = answerBytes + 8<<10
 	})
 	s := standin.NewService(0)
@@ -198,7 +198,7 @@
 type refusingAdmission struct{}
 
 func (refusingAdmission) Admit(context.Context, entry.AdmitRequest) (func(), error) {
-	return nil, verdict.New(verdict.NotRun, verdict.CodeLimited, "limit").After(time.Second)
+	return nil, verdict.New(verdict.NotRun, verdict.CodeLimited, "limit").WithRetryAfter(time.Second)
 }
 
 // A refusal before the claim is looked at says nothing of a key's earlier sendings;
--- a/internal/entry/bytebudget.go
+++ b/internal/entry/bytebudget.go
@@ -63,10 +63,10 @@
 	}
 	n := bodyCopies*body + int64(c.s.cfg.Window)
 	if c.isResolved && !c.plan.Idempotent {
-		n += int64(c.s.cfg.MaxAnswer)
+		n += int64(c.s.cfg.MaxResponse)
 	}
 	if c.held.grow(n) {
 		return nil
 	}
-	return notRun(verdict.CodeOverloaded, "entry host holds too many bytes").After(c.s.cfg.RetryAfter)
+	return notRun(verdict.CodeOverloaded, "entry host holds too many bytes").WithRetryAfter(c.s.cfg.RetryAfter)
 }
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -102,7 +102,7 @@
 		return c.resolve()
 	}
 	_, err := c.s.cfg.Catalog.Resolve(c.lookup())
-	if err != nil && verdict.Of(err).Code == verdict.CodeUnauthorized {
+	if err != nil && verdict.FromError(err).Code == verdict.CodeUnauthorized {
 		return err
 	}
 	return nil
@@ -159,9 +159,9 @@
 
 // fail writes the final error of a call whose answer has not begun.
 func (c *call) fail(err error) {
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	if e.RetryAfter == 0 && retriable(e) {
-		e = e.After(c.s.cfg.RetryAfter)
+		e = e.WithRetryAfter(c.s.cfg.RetryAfter)
 	}
 	if e.Verdict == verdict.NotRun && retriable(e) && c.isKeyOpen() {
 		e = withOpenKey(e)
@@ -253,7 +253,7 @@
 		if err == nil {
 			return
 		}
-		last = worse(last, verdict.Of(err), name)
+		last = worse(last, verdict.FromError(err), name)
 		tried = append(tried, name)
 		if !c.mayGoOn(ctx, err, name, len(tried)) {
 			c.giveUp(last)
@@ -281,10 +281,10 @@
 	if name == "" || ctx.Err() != nil || attempts >= c.s.cfg.MaxAttempts || !c.out.canGoOn() {
 		return false
 	}
-	if hasEnded(err) || c.s.cfg.Quarantine.Verdict(c.fingerprint) != quarantine.Free && verdict.Of(err).Verdict != verdict.NotRun {
+	if hasEnded(err) || c.s.cfg.Quarantine.Verdict(c.fingerprint) != quarantine.Free && verdict.FromError(err).Verdict != verdict.NotRun {
 		return false
 	}
-	return verdict.Of(err).Verdict == verdict.NotRun || c.s.mayRetry()
+	return verdict.FromError(err).Verdict == verdict.NotRun || c.s.mayRetry()
 }
 
 // tryOne makes one attempt. The name is empty where no upstream could be chosen.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -154,14 +154,14 @@
 const (
 	DefaultMaxInFlight   = 2048
 	DefaultMaxBody       = 1 << 20
-	DefaultMaxAnswer     = 1 << 20
+	DefaultMaxResponse   = 1 << 20
 	DefaultMaxRecorded   = 64 << 10
 	DefaultMaxDeadline   = 2 * time.Minute
 	DefaultWindow        = 64 << 10
 	DefaultMaxBuffered   = 256 << 20
 	DefaultMaxAttempts   = 3
 	DefaultRetryAfter    = time.Second
-	DefaultRetryShare    = 0.2
+	DefaultRetryRatio    = 0.2
 	DefaultFinishTimeout = time.Second
 	DefaultSendTimeout   = time.Second
 	DefaultWriteTimeout  = 30 * time.Second
@@ -186,8 +186,8 @@
 	MaxBuffered int64
 	// MaxBody bounds a request's body, in bytes.
 	MaxBody int64
-	// MaxAnswer bounds the bytes of an answer that is held back until it is whole.
-	MaxAnswer int
+	// MaxResponse bounds the bytes of an answer that is held back until it is whole.
+	MaxResponse int
 	// MaxRecorded bounds the body of an answer that is recorded for resends, in bytes.
 	MaxRecorded int
 	// MaxDeadline bounds the time of one request.
@@ -198,9 +198,9 @@
 	MaxAttempts int
 	// RetryAfter is what a caller is told to wait where nobody knows better.
 	RetryAfter time.Duration
-	// RetryShare is the share of recent requests that may be tried again after they
+	// RetryRatio is the share of recent requests that may be tried again after they
 	// may have run.
-	RetryShare float64
+	RetryRatio float64
 	// FirstByteTimeout, if set, gives an idempotent attempt up that has no answer by
 	// then, so that another upstream can be tried.
 	FirstByteTimeout time.Duration
@@ -236,7 +236,7 @@
 		cfg:      cfg,
 		counters: newCounters(cfg.Metrics),
 		attempts: attempts{byID: make(map[wire.AttemptID]*live)},
-		budget:   NewRetryBudget(cfg.RetryShare),
+		budget:   NewRetryBudget(cfg.RetryRatio),
 		idle:     make(chan struct{}, 1),
 		buffered: byteBudget{left: cfg.MaxBuffered},
 
@@ -248,13 +248,13 @@
 	setDefault(&c.MaxInFlight, DefaultMaxInFlight)
 	setDefault(&c.MaxBuffered, DefaultMaxBuffered)
 	setDefault(&c.MaxBody, DefaultMaxBody)
-	setDefault(&c.MaxAnswer, DefaultMaxAnswer)
+	setDefault(&c.MaxResponse, DefaultMaxResponse)
 	setDefault(&c.MaxRecorded, DefaultMaxRecorded)
 	setDefault(&c.MaxDeadline, DefaultMaxDeadline)
 	setDefault(&c.Window, DefaultWindow)
 	setDefault(&c.MaxAttempts, DefaultMaxAttempts)
 	setDefault(&c.RetryAfter, DefaultRetryAfter)
-	setDefault(&c.RetryShare, DefaultRetryShare)
+	setDefault(&c.RetryRatio, DefaultRetryRatio)
 	setDefault(&c.FinishTimeout, DefaultFinishTimeout)
 	setDefault(&c.WriteTimeout, DefaultWriteTimeout)
 	if c.Metrics == nil {
@@ -335,10 +335,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.draining {
-		return notRun(verdict.CodeLeaving, "entry host is shutting down").After(s.cfg.RetryAfter)
+		return notRun(verdict.CodeLeaving, "entry host is shutting down").WithRetryAfter(s.cfg.RetryAfter)
 	}
 	if s.running >= s.cfg.MaxInFlight {
-		return notRun(verdict.CodeOverloaded, "entry host is full").After(s.cfg.RetryAfter)
+		return notRun(verdict.CodeOverloaded, "entry host is full").WithRetryAfter(s.cfg.RetryAfter)
 	}
 	s.running++
 	s.budget.Deposit()
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -261,7 +261,7 @@
 func (p *path) book(key, rider string) reply {
 	r := p.newRequest(context.Background(), http.MethodPost, "/slots/book", `{"slot":"A1","rider":"`+rider+`"}`)
 	if key != "" {
-		r.Header.Set(entry.KeyHeader, key)
+		r.Header.Set(entry.IdempotencyKeyHeader, key)
 	}
 	return p.do(r)
 }
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -20,7 +20,7 @@
 // that is cut in the middle helps nobody, and a resend finds the answer.
 func (c *call) serveOnce(ctx context.Context) {
 	if c.q.key == "" {
-		c.fail(notRun(verdict.CodeBadRequest, "this call may not repeat: "+KeyHeader+" is missing"))
+		c.fail(notRun(verdict.CodeBadRequest, "this call may not repeat: "+IdempotencyKeyHeader+" is missing"))
 		return
 	}
 	deadline, _ := ctx.Deadline()
@@ -54,7 +54,7 @@
 	if err == nil {
 		return reply, nil
 	}
-	e := *verdict.Of(err)
+	e := *verdict.FromError(err)
 	if e.Verdict != verdict.NotRun {
 		// The claim may be held, now or once it arrives; this attempt will never use it.
 		c.finishLater(a, verdict.NotRun, nil)
@@ -69,7 +69,7 @@
 // at. What is known of this sending then says nothing of the call: an earlier
 // sending may have run.
 func (c *call) isKeyOpen() bool {
-	if c.keyChecked || c.r.Header.Get(KeyHeader) == "" {
+	if c.keyChecked || c.r.Header.Get(IdempotencyKeyHeader) == "" {
 		return false
 	}
 	return !c.isResolved || !c.plan.Idempotent
@@ -146,7 +146,7 @@
 // endOnce records that a claimed call has failed and tells the caller. NotRun frees
 // the key; the caller asks again.
 func (c *call) endOnce(a *attempt, err error) {
-	c.finish(a, verdict.Of(err).Verdict, nil)
+	c.finish(a, verdict.FromError(err).Verdict, nil)
 	c.fail(err)
 }
 
--- a/internal/entry/output.go
+++ b/internal/entry/output.go
@@ -34,7 +34,7 @@
 }
 
 func newOutput(c *call) *output {
-	o := &output{c: c, hold: c.s.cfg.MaxAnswer, whole: !c.plan.Idempotent}
+	o := &output{c: c, hold: c.s.cfg.MaxResponse, whole: !c.plan.Idempotent}
 	if c.plan.Idempotent && c.q.completion.Stream {
 		o.hold = 0
 	}
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -422,7 +422,7 @@
 	require.Equal(t, http.StatusUnprocessableEntity, r.status)
 	require.Equal(t, "not-run", r.verdict())
 
-	p.claims.refuse = verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no quorum").After(2 * time.Second)
+	p.claims.refuse = verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no quorum").WithRetryAfter(2 * time.Second)
 	r = p.book("k2", "ana")
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.Equal(t, "may-have-run", r.verdict(), "an earlier sending of the key may have run")
@@ -534,7 +534,7 @@
 	}), nil)
 	require.Equal(t, http.StatusOK, p.do(p.newRequest(context.Background(), http.MethodGet, "/slots", "")).status)
 	r := p.newRequest(context.Background(), http.MethodPost, "/slots/book", "")
-	r.Header.Set(entry.KeyHeader, "k")
+	r.Header.Set(entry.IdempotencyKeyHeader, "k")
 	require.Equal(t, "may-have-run", p.do(r).verdict())
 	require.Equal(t, int32(1), calls.Load())
 }
@@ -594,7 +594,7 @@
 	require.Equal(t, http.StatusBadRequest, p.do(p.newRequest(context.Background(), "post", "/slots/book", `{}`)).status)
 	require.Empty(t, s.Executions().ByRequest)
 	r := p.newRequest(context.Background(), http.MethodPost, "/slots/%62ook", `{}`)
-	r.Header.Set(entry.KeyHeader, "k")
+	r.Header.Set(entry.IdempotencyKeyHeader, "k")
 	require.Equal(t, http.StatusCreated, p.do(r).status)
 	require.Equal(t, 1, s.Executions().ByKey["k"].Finished)
 }
@@ -612,7 +612,7 @@
 	require.NoError(t, err)
 	d := wire.Dispatch{
 		Attempt: wire.AttemptID{1}, Upstream: "u1", Incarnation: incarnation, Method: http.MethodPost, Path: "/slots/book",
-		Header: []wire.Field{{Name: entry.KeyHeader, Value: "k"}}, Body: []byte(`{}`),
+		Header: []wire.Field{{Name: entry.IdempotencyKeyHeader, Value: "k"}}, Body: []byte(`{}`),
 		Claim: &wire.Claim{Workspace: "w", Key: "k"}, TimeoutMS: 10000, Window: 1000,
 	}
 	second := d
@@ -673,7 +673,7 @@
 			g.Go(func() error {
 				key := name[:len(name)-1] + fmt.Sprint(i/2)
 				q := p.newRequest(context.Background(), http.MethodPost, "/slots/book", `{}`)
-				q.Header.Set(entry.KeyHeader, key)
+				q.Header.Set(entry.IdempotencyKeyHeader, key)
 				q.Header.Set(entry.RequestIDHeader, name)
 				r := p.do(q)
 				counts := service.Executions()
--- a/internal/entry/prefix.go
+++ b/internal/entry/prefix.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixBlock is the length of the prompt blocks that prefixes are made of, in bytes.
-const PrefixBlock = 256
+// PrefixBlockBytes is the length of the prompt blocks that prefixes are made of, in bytes.
+const PrefixBlockBytes = 256
 
 // MaxPrefixes bounds the prefixes of one prompt.
 const MaxPrefixes = 64
@@ -16,13 +16,13 @@
 // shortest first. Each is the xxHash64 of the hash before it and its last block, so
 // that equal hashes mean equal prefixes.
 func PrefixHashes(prompt []byte) []uint64 {
-	n := min(len(prompt)/PrefixBlock, MaxPrefixes)
+	n := min(len(prompt)/PrefixBlockBytes, MaxPrefixes)
 	out := make([]uint64, 0, n)
-	buf := make([]byte, 8+PrefixBlock)
+	buf := make([]byte, 8+PrefixBlockBytes)
 	var last uint64
 	for i := range n {
 		binary.LittleEndian.PutUint64(buf, last)
-		copy(buf[8:], prompt[i*PrefixBlock:(i+1)*PrefixBlock])
+		copy(buf[8:], prompt[i*PrefixBlockBytes:(i+1)*PrefixBlockBytes])
 		last = xxhash.Sum64(buf)
 		out = append(out, last)
 	}
--- a/internal/entry/pure_test.go
+++ b/internal/entry/pure_test.go
@@ -28,15 +28,15 @@
 }
 
 func TestEqualHashesMeanEqualPrefixes(t *testing.T) {
-	a := make([]byte, 3*PrefixBlock+10)
+	a := make([]byte, 3*PrefixBlockBytes+10)
 	b := append([]byte{}, a...)
-	b[PrefixBlock] = 1
+	b[PrefixBlockBytes] = 1
 	ha, hb := PrefixHashes(a), PrefixHashes(b)
 	require.Len(t, ha, 3)
 	require.Equal(t, ha[0], hb[0])
 	require.NotEqual(t, ha[1], hb[1])
 	require.NotEqual(t, ha[2], hb[2], "equal blocks after different ones")
-	require.Len(t, PrefixHashes(make([]byte, 100*PrefixBlock)), MaxPrefixes)
+	require.Len(t, PrefixHashes(make([]byte, 100*PrefixBlockBytes)), MaxPrefixes)
 }
 
 func TestUrgency(t *testing.T) {
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -19,10 +19,10 @@
 
 // Header names of the callers' interface.
 const (
-	RequestIDHeader = "X-Request-Id"
-	KeyHeader       = "Idempotency-Key"
-	PriorityHeader  = "Priority"
-	ReplayedHeader  = "Idempotency-Replayed"
+	RequestIDHeader      = "X-Request-Id"
+	IdempotencyKeyHeader = "Idempotency-Key"
+	PriorityHeader       = "Priority"
+	ReplayedHeader       = "Idempotency-Replayed"
 	// resumeHeader is between agent and engine only.
 	resumeHeader      = "Resume-Offset"
 	completionsPath   = "/v1/completions"
@@ -122,7 +122,7 @@
 		return q, notRun(verdict.CodeUnauthorized, "bearer token is missing")
 	}
 	q.token = sha256.Sum256([]byte(token))
-	q.key = strings.Trim(r.Header.Get(KeyHeader), `"`)
+	q.key = strings.Trim(r.Header.Get(IdempotencyKeyHeader), `"`)
 	if q.key != "" && !isWellFormed(q.key, maxKeyBytes) {
 		return q, notRun(verdict.CodeBadRequest, "idempotency key is malformed")
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -158,7 +158,7 @@
 
 // mayHaveRun notes and reports whether an attempt of the request may have run.
 func (c *call) mayHaveRun() bool {
-	if c.sends > 0 && verdict.Of(c.last).Verdict != verdict.NotRun {
+	if c.sends > 0 && verdict.FromError(c.last).Verdict != verdict.NotRun {
 		c.isTainted = true
 	}
 	return c.isTainted
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -43,6 +43,6 @@
 }
 
 func (c *counters) attemptFailed(err error) {
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	c.count("attempts-failed." + string(e.Code) + "." + e.Verdict.String())
 }
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -23,7 +23,7 @@
 // it, and its caller, if it asks again, finds out more by then. One that has said that it
 // leaves ends by itself.
 func (c *call) look(ctx context.Context, hold *ticket, err error) {
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	if e.Verdict == verdict.NotRun || e.Code != verdict.CodeUpstreamFailed || ctx.Err() != nil || c.g.isLeaving(hold) {
 		return
 	}
@@ -43,6 +43,6 @@
 	c.isGivenUp = true
 	if c.service.Engine != nil {
 		// Its group is out until it is back.
-		c.last = e.After(schedule.MaxRetryAfter(time.Until(c.deadline)))
+		c.last = e.WithRetryAfter(schedule.MaxRetryAfter(time.Until(c.deadline)))
 	}
 }
--- a/internal/gateway/failure.go
+++ b/internal/gateway/failure.go
@@ -44,7 +44,7 @@
 
 // giveUp sends the final answer after the last attempt.
 func (c *call) giveUp(ctx context.Context) {
-	e := verdict.Of(c.last)
+	e := verdict.FromError(c.last)
 	if c.mayHaveRun() && e.Verdict == verdict.NotRun {
 		e = verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "an attempt failed, and no other was possible")
 	}
@@ -56,14 +56,14 @@
 		e = verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, "no answer in time")
 	}
 	if e.Verdict == verdict.NotRun && e.RetryAfter == 0 && e.Code != verdict.CodeQuarantined {
-		e = e.After(refusedRetryAfter)
+		e = e.WithRetryAfter(refusedRetryAfter)
 	}
 	c.fail(e)
 }
 
 // fail sends a failure of this host's own.
 func (c *call) fail(err error) {
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	code := status(e)
 	h := c.w.Header()
 	h.Set(verdict.Header, e.Verdict.String())
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -80,7 +80,7 @@
 func (c *call) prepare() error {
 	g := c.g
 	if c.table = c.awaitTable(); c.table == nil {
-		return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no configuration is known yet").After(startRetryAfter)
+		return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no configuration is known yet").WithRetryAfter(startRetryAfter)
 	}
 	c.route = c.table.Match(c.r.Host, path(c.r))
 	if c.route == nil {
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -26,7 +26,7 @@
 
 // verdict is the error of the attempt that was given up for its group: it may run yet.
 func (e *stalledError) verdict() error {
-	return verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, e.Error()).After(e.retryAfter)
+	return verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, e.Error()).WithRetryAfter(e.retryAfter)
 }
 
 // await takes a place at an engine, and waits for one where there is none. Errors are
@@ -76,7 +76,7 @@
 }
 
 func refusal(d schedule.Decision) error {
-	return verdict.New(verdict.NotRun, verdict.CodeOverloaded, d.Reason.String()).After(d.RetryAfter)
+	return verdict.New(verdict.NotRun, verdict.CodeOverloaded, d.Reason.String()).WithRetryAfter(d.RetryAfter)
 }
 
 // wait waits for the decision on a request.
--- a/internal/peer/failure.go
+++ b/internal/peer/failure.go
@@ -9,7 +9,7 @@
 
 // NewFailure turns err into the message that carries it.
 func NewFailure(err error) *wire.Failure {
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	return &wire.Failure{
 		Verdict:      uint8(e.Verdict),
 		Code:         string(e.Code),
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -63,7 +63,7 @@
 	b := startHost(t, "b", HandlerFunc(func(s *Session, call uint64, m wire.Message) {
 		q := m.(*wire.OrderQuery)
 		if q.Pool == "" {
-			_ = s.Reply(call, NewFailure(verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no leader").After(time.Second)))
+			_ = s.Reply(call, NewFailure(verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no leader").WithRetryAfter(time.Second)))
 			return
 		}
 		go func() { _ = s.Reply(call, &wire.OrderAnswer{Nonce: q.Nonce}) }()
@@ -77,7 +77,7 @@
 		require.Equal(t, [16]byte{i}, reply.(*wire.OrderAnswer).Nonce)
 	}
 	_, _, err = s.Call(context.Background(), &wire.OrderQuery{})
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	require.Equal(t, verdict.NotRun, e.Verdict)
 	require.Equal(t, time.Second, e.RetryAfter)
 }
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -137,7 +137,7 @@
 	if err == nil {
 		return nil
 	}
-	e := *verdict.Of(err)
+	e := *verdict.FromError(err)
 	e.Verdict = verdict.NotRun
 	return &e
 }
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -111,7 +111,7 @@
 	}
 	s, _ := newService(commands...)
 	_, err := s.Document(t.Context(), "other")
-	require.Equal(t, verdict.CodeNotFound, verdict.Of(err).Code)
+	require.Equal(t, verdict.CodeNotFound, verdict.FromError(err).Code)
 	for limit, want := range map[int]int{0: DefaultPage, 7: 7, MaxPage + 1: MaxPage} {
 		page, err := s.History(t.Context(), HistoryRequest{Limit: limit, All: true})
 		require.NoError(t, err)
@@ -124,5 +124,5 @@
 	require.Equal(t, "8", page.Records[0].Subject)
 	require.Zero(t, page.Next)
 	_, err = s.History(t.Context(), HistoryRequest{Limit: -1})
-	require.Equal(t, verdict.CodeBadRequest, verdict.Of(err).Code)
+	require.Equal(t, verdict.CodeBadRequest, verdict.FromError(err).Code)
 }
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -262,6 +262,6 @@
 func requireVerdict(t *testing.T, err error, v verdict.Verdict, code verdict.Code) {
 	t.Helper()
 	require.Error(t, err)
-	require.Equal(t, v, verdict.Of(err).Verdict, err)
-	require.Equal(t, code, verdict.Of(err).Code, err)
+	require.Equal(t, v, verdict.FromError(err).Verdict, err)
+	require.Equal(t, code, verdict.FromError(err).Code, err)
 }
--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -59,7 +59,7 @@
 
 // overwrittenError is the error of a proposal whose log index was taken by another entry.
 func (r *Replica) overwrittenError() *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "another leader's entry took the place").After(r.electionTimeout())
+	return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "another leader's entry took the place").WithRetryAfter(r.electionTimeout())
 }
 
 // unknownOutcomeError is the error of a proposal that may still be committed.
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -71,7 +71,7 @@
 	select {
 	case r.proposals <- p:
 	default:
-		return Result{}, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many proposals wait").After(r.opts.Tick)
+		return Result{}, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many proposals wait").WithRetryAfter(r.opts.Tick)
 	}
 	select {
 	case o := <-p.outcome:
--- a/internal/replica/read.go
+++ b/internal/replica/read.go
@@ -26,7 +26,7 @@
 	select {
 	case r.reads <- request:
 	default:
-		return 0, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many reads wait").After(r.opts.Tick)
+		return 0, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many reads wait").WithRetryAfter(r.opts.Tick)
 	}
 	select {
 	case o := <-request.outcome:
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -62,14 +62,14 @@
 		defer cancel()
 		_, err := old.Propose(ctx, []byte(data))
 		require.Error(t, err)
-		if verdict.Of(err).Verdict == verdict.NotRun {
+		if verdict.FromError(err).Verdict == verdict.NotRun {
 			notRun = append(notRun, data)
 		}
 		return !old.IsLeader()
 	}, waitTimeout, pollInterval)
 	_, err := old.Propose(c.ctx(), []byte("late"))
 	requireVerdict(t, err, verdict.NotRun, verdict.CodeNoQuorum)
-	require.NotZero(t, verdict.Of(err).RetryAfter)
+	require.NotZero(t, verdict.FromError(err).RetryAfter)
 	_, err = old.Read(c.ctx())
 	requireVerdict(t, err, verdict.NotRun, verdict.CodeNoQuorum)
 	next := c.leader(old.ID())
@@ -120,7 +120,7 @@
 	l.storage.update(func(s *memStorage) { s.failAppends = true })
 	_, err := l.Propose(c.ctx(), []byte("x"))
 	require.Error(t, err)
-	require.Equal(t, verdict.MayHaveRun, verdict.Of(err).Verdict)
+	require.Equal(t, verdict.MayHaveRun, verdict.FromError(err).Verdict)
 	<-l.Done()
 	require.ErrorIs(t, l.Err(), errDisk)
 	appends := l.storage.appendCount()
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -89,7 +89,7 @@
 }
 
 // ErrNoUpstream tells that no upstream fits the request; nothing has run.
-var ErrNoUpstream = verdict.New(verdict.NotRun, verdict.CodeNoUpstream, "no upstream can take the request").After(time.Second)
+var ErrNoUpstream = verdict.New(verdict.NotRun, verdict.CodeNoUpstream, "no upstream can take the request").WithRetryAfter(time.Second)
 
 // Choose returns the index of the chosen candidate, or ErrNoUpstream.
 func (p *Policy) Choose(r *Request, candidates []Candidate, rng *rand.Rand) (int, error) {
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -91,15 +91,15 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// After returns a copy of e with a RetryAfter.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e with a RetryAfter.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// Of returns the Error in the chain of err. An error of another type may have run.
-func Of(err error) *Error {
+// FromError returns the Error in the chain of err. An error of another type may have run.
+func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
 		return e
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -8,9 +8,9 @@
 )
 
 func TestUnknownErrorsMayHaveRun(t *testing.T) {
-	require.Equal(t, MayHaveRun, Of(errors.New("broken pipe")).Verdict)
+	require.Equal(t, MayHaveRun, FromError(errors.New("broken pipe")).Verdict)
 	wrapped := errors.Wrap(New(NotRun, CodeLeaving, "agent is leaving"), "dispatch")
-	require.Equal(t, NotRun, Of(wrapped).Verdict)
+	require.Equal(t, NotRun, FromError(wrapped).Verdict)
 }
 
 func TestParseReadsWhatStringWrites(t *testing.T) {
--- a/test/standin/standin.go
+++ b/test/standin/standin.go
@@ -116,7 +116,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	bump(c.report.ByRequest, r.Header.Get(agent.RequestIDHeader), change)
-	bump(c.report.ByKey, r.Header.Get(entry.KeyHeader), change)
+	bump(c.report.ByKey, r.Header.Get(entry.IdempotencyKeyHeader), change)
 }
 
 func bump(m map[string]Executions, name string, change func(*Executions)) {
