--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -8,7 +8,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/settings"
 )
 
-func TestTable(t *testing.T) {
+func TestTableFindsIdentities(t *testing.T) {
 	table := NewTable([]settings.Operator{
 		{Name: "platform", TokenHash: HashToken("secret-a"), Admin: true},
 		{Name: "team", TokenHash: HashToken("secret-b"), Documents: []string{"entries"}},
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -15,32 +15,32 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// live is an attempt that waits for messages from one session.
-type live struct {
+// activeAttempt is an attempt that waits for messages from one session.
+type activeAttempt struct {
 	session  *peer.Session
 	receiver *answer.Receiver
 }
 
-// attempts finds live attempts by their id.
-type attempts struct {
+// activeAttempts finds live attempts by their id.
+type activeAttempts struct {
 	// mu guards byID.
 	mu   sync.Mutex
-	byID map[wire.AttemptID]*live
+	byID map[wire.AttemptID]*activeAttempt
 }
 
-func (a *attempts) add(id wire.AttemptID, l *live) {
+func (a *activeAttempts) add(id wire.AttemptID, l *activeAttempt) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.byID[id] = l
 }
 
-func (a *attempts) remove(id wire.AttemptID) {
+func (a *activeAttempts) remove(id wire.AttemptID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.byID, id)
 }
 
-func (a *attempts) find(id wire.AttemptID, s *peer.Session) *answer.Receiver {
+func (a *activeAttempts) find(id wire.AttemptID, s *peer.Session) *answer.Receiver {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	l := a.byID[id]
@@ -67,7 +67,7 @@
 	default:
 		return false
 	}
-	r := s.attempts.find(id, session)
+	r := s.activeAttempts.find(id, session)
 	if r == nil || errors.Is(r.Take(m), answer.ErrRepeated) {
 		s.counters.dropped.Inc(1)
 	}
@@ -93,7 +93,7 @@
 }
 
 func (a *attempt) outcome(err error) Outcome {
-	o := Outcome{Verdict: answered(a.status), FirstByte: a.firstByte, Bytes: a.bytes}
+	o := Outcome{Verdict: verdictOfStatus(a.status), FirstByte: a.firstByte, Bytes: a.bytes}
 	o.OK = err == nil && o.Verdict == verdict.Ran
 	if err != nil {
 		o.Verdict = verdict.FromError(err).Verdict
@@ -116,8 +116,8 @@
 	session.Hold()
 	defer session.Release()
 	receiver := answer.New(a.id, s.cfg.Window)
-	s.attempts.add(a.id, &live{session: session, receiver: receiver})
-	defer s.attempts.remove(a.id)
+	s.activeAttempts.add(a.id, &activeAttempt{session: session, receiver: receiver})
+	defer s.activeAttempts.remove(a.id)
 	if err := a.dispatch(ctx, session, out.offset()); err != nil {
 		return err
 	}
@@ -131,12 +131,12 @@
 func (a *attempt) session(ctx context.Context) (*peer.Session, error) {
 	session, err := a.c.s.cfg.Sessions.Get(ctx, a.upstream.Address)
 	if err != nil {
-		return nil, a.unsent(err)
+		return nil, a.notSentError(err)
 	}
 	return session, nil
 }
 
-func (a *attempt) unsent(cause error) error {
+func (a *attempt) notSentError(cause error) error {
 	return &verdict.Error{
 		Verdict:    verdict.NotRun,
 		Code:       verdict.CodeNoUpstream,
@@ -147,12 +147,12 @@
 }
 
 func (a *attempt) dispatch(ctx context.Context, session *peer.Session, offset uint64) error {
-	d := a.message(ctx, offset)
+	d := a.newDispatch(ctx, offset)
 	ctx, cancel := context.WithTimeout(ctx, DefaultSendTimeout)
 	defer cancel()
 	a.began = time.Now()
 	if err := session.Send(ctx, d); err != nil {
-		return a.unsent(err)
+		return a.notSentError(err)
 	}
 	if offset > 0 {
 		a.c.s.counters.resumed.Inc(1)
@@ -160,25 +160,25 @@
 	return nil
 }
 
-func (a *attempt) message(ctx context.Context, offset uint64) *wire.Dispatch {
+func (a *attempt) newDispatch(ctx context.Context, offset uint64) *wire.Dispatch {
 	c := a.c
 	d := &wire.Dispatch{
 		Attempt:     a.id,
-		RequestID:   c.q.id,
+		RequestID:   c.req.id,
 		Workspace:   c.plan.Workspace,
 		Upstream:    a.upstream.Name,
 		Incarnation: a.upstream.Incarnation,
-		Method:      c.q.method,
-		Path:        c.q.target(),
-		Header:      c.q.header,
-		Body:        c.q.body,
+		Method:      c.req.method,
+		Path:        c.req.target(),
+		Header:      c.req.header,
+		Body:        c.req.body,
 		TimeoutMS:   millisecondsLeft(ctx),
-		Urgency:     c.q.urgency,
+		Urgency:     c.req.urgency,
 		Window:      c.s.cfg.Window,
 		Offset:      offset,
 	}
 	if !c.plan.Idempotent {
-		d.Claim = &wire.Claim{Workspace: c.plan.Workspace, Key: c.q.key}
+		d.Claim = &wire.Claim{Workspace: c.plan.Workspace, Key: c.req.key}
 	}
 	return d
 }
@@ -194,7 +194,7 @@
 		return err
 	}
 	a.status = head.Status
-	if err := out.start(head); err != nil {
+	if err := out.acceptHead(head); err != nil {
 		return err
 	}
 	for {
@@ -205,11 +205,11 @@
 		if err != nil {
 			return err
 		}
-		a.count(data)
+		a.countBytes(data)
 		if err := out.write(data); err != nil {
 			return err
 		}
-		a.giveCredit(ctx, session, len(data))
+		a.sendCredit(ctx, session, len(data))
 	}
 }
 
@@ -222,7 +222,7 @@
 	return r.Head(ctx, session.Done())
 }
 
-func (a *attempt) count(data []byte) {
+func (a *attempt) countBytes(data []byte) {
 	if a.bytes == 0 {
 		a.firstByte = time.Since(a.began)
 		a.c.s.counters.firstByte.Update(a.firstByte.Microseconds())
@@ -230,9 +230,9 @@
 	a.bytes += uint64(len(data))
 }
 
-// giveCredit lets the agent send on. It says so once for a quarter of the window.
+// sendCredit lets the agent send on. It says so once for a quarter of the window.
 // Where the session is lost, the next read of the answer tells.
-func (a *attempt) giveCredit(ctx context.Context, session *peer.Session, n int) {
+func (a *attempt) sendCredit(ctx context.Context, session *peer.Session, n int) {
 	a.uncredited += uint64(n)
 	if a.uncredited < a.c.s.cfg.Window/4 {
 		return
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -18,13 +18,13 @@
 // BenchmarkAddedLatency compares a call by way of entry host and agent with a
 // direct call to the same stand-in, one after the other, in one run.
 func BenchmarkAddedLatency(b *testing.B) {
-	p := startPath(b, nil)
+	p := startHarness(b, nil)
 	e := standin.NewEngine(standin.EngineConfig{})
-	p.upstream("u1", e, nil)
+	p.addUpstream("u1", e, nil)
 	direct := httptest.NewServer(e)
 	defer direct.Close()
 	client := &http.Client{Transport: &http.Transport{}}
-	body := p.body("prompt", 8, false)
+	body := p.completionBody("prompt", 8, false)
 	times := map[string]*hdrhistogram.Histogram{}
 	for _, url := range []string{direct.URL, p.url} {
 		times[url] = hdrhistogram.New(1, time.Minute.Microseconds(), 3)
@@ -32,7 +32,7 @@
 	for b.Loop() {
 		for url, h := range times {
 			start := time.Now()
-			call(b, client, url, body)
+			postCompletion(b, client, url, body)
 			_ = h.RecordValue(time.Since(start).Microseconds())
 		}
 	}
@@ -46,20 +46,20 @@
 // BenchmarkThroughput runs many callers at once. Callers, entry host, agent and
 // stand-in share the process; bytes and time count for all of them.
 func BenchmarkThroughput(b *testing.B) {
-	p := startPath(b, nil)
-	p.upstream("u1", standin.NewEngine(standin.EngineConfig{}), nil)
+	p := startHarness(b, nil)
+	p.addUpstream("u1", standin.NewEngine(standin.EngineConfig{}), nil)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
-	body := p.body("prompt", 8, false)
+	body := p.completionBody("prompt", 8, false)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			call(b, client, p.url, body)
+			postCompletion(b, client, p.url, body)
 		}
 	})
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
 }
 
-func call(b *testing.B, client *http.Client, url string, body []byte) {
+func postCompletion(b *testing.B, client *http.Client, url string, body []byte) {
 	r, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url+"/v1/completions", bytes.NewReader(body))
 	require.NoError(b, err)
 	r.Header.Set("Authorization", "Bearer token")
--- a/internal/entry/budget_test.go
+++ b/internal/entry/budget_test.go
@@ -23,7 +23,7 @@
 // fails: the second booking runs.
 func TestBytesOfAllRequestsAreBounded(t *testing.T) {
 	const answerBytes = 64 << 10
-	p := startPath(t, func(c *entry.Config) {
+	p := startHarness(t, func(c *entry.Config) {
 		c.MaxResponse, c.Window = answerBytes, 1<<10
 		c.MaxBuffered = answerBytes + 8<<10
 	})
@@ -31,12 +31,12 @@
 	started, release := make(chan struct{}, 8), make(chan struct{})
 	end := sync.OnceFunc(func() { close(release) })
 	defer end()
-	p.upstream("u1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	p.addUpstream("u1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		started <- struct{}{}
 		<-release
 		s.ServeHTTP(w, r)
 	}), nil)
-	first := make(chan reply, 1)
+	first := make(chan response, 1)
 	go func() { first <- p.book("k1", "ana") }()
 	<-started
 	r := p.book("k2", "ana")
@@ -45,7 +45,7 @@
 	require.Contains(t, r.body, "too many bytes")
 	end()
 	require.Equal(t, "ran", (<-first).verdict())
-	require.Eventually(t, func() bool { return p.book("k2", "ana").verdict() == "ran" }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return p.book("k2", "ana").verdict() == "ran" }, testTimeout, time.Millisecond)
 	require.Equal(t, 1, s.Executions().ByKey["k2"].Begun)
 }
 
@@ -59,21 +59,21 @@
 	return c.testCatalog.Resolve(l)
 }
 
-// unreadable is a body that never comes; reading it fails the test's time limit.
-type unreadable struct{ ctx context.Context }
+// blockedBody is a body that never comes; reading it fails the test's time limit.
+type blockedBody struct{ ctx context.Context }
 
-func (u unreadable) Read([]byte) (int, error) {
+func (u blockedBody) Read([]byte) (int, error) {
 	<-u.ctx.Done()
 	return 0, io.ErrUnexpectedEOF
 }
 
 // An unknown caller is refused before any byte of its body. Without resolveEarly
 // this fails: the answer does not come as long as the body does not.
-func TestUnknownCallerIsRefusedBeforeItsBody(t *testing.T) {
-	p := startPath(t, func(c *entry.Config) { c.Catalog = tokenCatalog{} })
+func TestUnknownCallerIsRefusedBeforeItsBodyIsRead(t *testing.T) {
+	p := startHarness(t, func(c *entry.Config) { c.Catalog = tokenCatalog{} })
 	for _, target := range []string{"/v1/completions", "/slots/book"} {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
-		r, err := http.NewRequestWithContext(ctx, http.MethodPost, p.url+target, unreadable{ctx})
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+		r, err := http.NewRequestWithContext(ctx, http.MethodPost, p.url+target, blockedBody{ctx})
 		require.NoError(t, err)
 		r.Header.Set("Authorization", "Bearer another")
 		resp, err := http.DefaultTransport.RoundTrip(r)
@@ -85,14 +85,14 @@
 	}
 }
 
-// lateClaims loses the reply of each claim that it grants, and the first finishes.
-type lateClaims struct {
+// lossyClaims loses the reply of each claim that it grants, and the first finishes.
+type lossyClaims struct {
 	*testClaims
-	loseReply bool
-	loseFirst int
+	loseReply      bool
+	finishesToLose int
 }
 
-func (c *lateClaims) Claim(ctx context.Context, r *wire.ClaimRequest) (*wire.ClaimReply, error) {
+func (c *lossyClaims) Claim(ctx context.Context, r *wire.ClaimRequest) (*wire.ClaimReply, error) {
 	reply, err := c.testClaims.Claim(ctx, r)
 	if err == nil && c.loseReply {
 		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, "reply lost")
@@ -100,10 +100,10 @@
 	return reply, err
 }
 
-func (c *lateClaims) Finish(ctx context.Context, r *wire.FinishRequest) error {
+func (c *lossyClaims) Finish(ctx context.Context, r *wire.FinishRequest) error {
 	c.mu.Lock()
-	isLost := c.loseFirst > 0
-	c.loseFirst--
+	isLost := c.finishesToLose > 0
+	c.finishesToLose--
 	c.mu.Unlock()
 	if isLost {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, "leader died")
@@ -114,31 +114,31 @@
 // A claim whose reply was lost is given back also where the leader is gone for a
 // while, so that the key can be used. Without the tries of keepFinishing this
 // fails: the key stays in progress.
-func TestUnclearClaimIsGivenBack(t *testing.T) {
-	claims := &lateClaims{testClaims: &testClaims{byKey: make(map[string]*testClaim)}, loseReply: true, loseFirst: 1}
-	p := startPath(t, func(c *entry.Config) { c.Claims = claims })
+func TestClaimWithLostReplyIsReleased(t *testing.T) {
+	claims := &lossyClaims{testClaims: &testClaims{byKey: make(map[string]*testClaim)}, loseReply: true, finishesToLose: 1}
+	p := startHarness(t, func(c *entry.Config) { c.Claims = claims })
 	s := standin.NewService(0)
-	p.upstream("u1", s, nil)
+	p.addUpstream("u1", s, nil)
 	r := p.book("k", "ana")
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.True(t, strings.Contains(r.body, "SAME key"), r.body)
 	claims.loseReply = false
-	require.Eventually(t, func() bool { return p.book("k", "ana").verdict() == "ran" }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return p.book("k", "ana").verdict() == "ran" }, testTimeout, 10*time.Millisecond)
 	require.Equal(t, 1, s.Executions().ByKey["k"].Begun)
 }
 
 // delayedClaims commits a claim only after the first finish of its attempt.
 type delayedClaims struct {
 	*testClaims
-	onTheWay *wire.ClaimRequest
-	arrived  bool
+	delayedClaim *wire.ClaimRequest
+	isCommitted  bool
 }
 
 func (c *delayedClaims) Claim(ctx context.Context, r *wire.ClaimRequest) (*wire.ClaimReply, error) {
 	c.mu.Lock()
-	isFirst := c.onTheWay == nil
+	isFirst := c.delayedClaim == nil
 	if isFirst {
-		c.onTheWay = r
+		c.delayedClaim = r
 	}
 	c.mu.Unlock()
 	if isFirst {
@@ -150,12 +150,12 @@
 func (c *delayedClaims) Finish(ctx context.Context, r *wire.FinishRequest) error {
 	err := c.testClaims.Finish(ctx, r)
 	c.mu.Lock()
-	isFirst := !c.arrived && c.onTheWay.Attempt == r.Attempt && err != nil
+	isFirst := !c.isCommitted && c.delayedClaim.Attempt == r.Attempt && err != nil
 	c.mu.Unlock()
 	if isFirst {
-		_, _ = c.testClaims.Claim(ctx, c.onTheWay)
+		_, _ = c.testClaims.Claim(ctx, c.delayedClaim)
 		c.mu.Lock()
-		c.arrived = true
+		c.isCommitted = true
 		c.mu.Unlock()
 	}
 	return nil
@@ -163,49 +163,49 @@
 
 // A claim that is committed after its finish is given back too. Without isClaimUnclear
 // in keepFinishing this fails: the key stays in progress.
-func TestClaimThatArrivesAfterItsFinishIsGivenBack(t *testing.T) {
+func TestClaimCommittedAfterItsFinishIsReleased(t *testing.T) {
 	claims := &delayedClaims{testClaims: &testClaims{byKey: make(map[string]*testClaim)}}
-	p := startPath(t, func(c *entry.Config) { c.Claims = claims })
+	p := startHarness(t, func(c *entry.Config) { c.Claims = claims })
 	s := standin.NewService(0)
-	p.upstream("u1", s, nil)
+	p.addUpstream("u1", s, nil)
 	require.Contains(t, p.book("k", "ana").body, "SAME key")
 	require.Eventually(t, func() bool {
 		claims.mu.Lock()
 		defer claims.mu.Unlock()
-		return claims.arrived
-	}, patience, time.Millisecond, "the late claim")
-	require.Eventually(t, func() bool { return p.book("k", "ana").verdict() == "ran" }, patience, 10*time.Millisecond)
+		return claims.isCommitted
+	}, testTimeout, time.Millisecond, "the late claim")
+	require.Eventually(t, func() bool { return p.book("k", "ana").verdict() == "ran" }, testTimeout, 10*time.Millisecond)
 	require.Equal(t, 1, s.Executions().ByKey["k"].Begun)
 }
 
 // An outcome that could not be recorded at first is recorded beside the answer.
 // Without finishLater in finish this fails: a resend finds the call in progress.
-func TestOutcomeIsRecordedLate(t *testing.T) {
-	claims := &lateClaims{testClaims: &testClaims{byKey: make(map[string]*testClaim)}, loseFirst: 2}
-	p := startPath(t, func(c *entry.Config) { c.Claims = claims })
+func TestFailedFinishIsRetriedInBackground(t *testing.T) {
+	claims := &lossyClaims{testClaims: &testClaims{byKey: make(map[string]*testClaim)}, finishesToLose: 2}
+	p := startHarness(t, func(c *entry.Config) { c.Claims = claims })
 	s := standin.NewService(0)
-	p.upstream("u1", s, nil)
+	p.addUpstream("u1", s, nil)
 	first := p.book("k", "ana")
 	require.Equal(t, "ran", first.verdict())
 	require.Eventually(t, func() bool {
 		again := p.book("k", "ana")
 		return again.body == first.body && again.header.Get(entry.ReplayedHeader) == "true"
-	}, patience, 10*time.Millisecond)
+	}, testTimeout, 10*time.Millisecond)
 	require.Equal(t, 1, s.Executions().ByKey["k"].Begun)
 }
 
-// refusingAdmission refuses everything.
-type refusingAdmission struct{}
+// rejectingAdmission refuses everything.
+type rejectingAdmission struct{}
 
-func (refusingAdmission) Admit(context.Context, entry.AdmitRequest) (func(), error) {
+func (rejectingAdmission) Admit(context.Context, entry.AdmitRequest) (func(), error) {
 	return nil, verdict.New(verdict.NotRun, verdict.CodeLimited, "limit").WithRetryAfter(time.Second)
 }
 
 // A refusal before the claim is looked at says nothing of a key's earlier sendings;
 // without a key, and on calls that may repeat, "not run" stays. Without isKeyOpen
 // this fails: the booking is told not-run.
-func TestRefusalBeforeTheClaimLeavesTheKeyOpen(t *testing.T) {
-	p := startPath(t, func(c *entry.Config) { c.Admission = refusingAdmission{} })
+func TestRefusalBeforeTheClaimCheckIsNotCalledNotRun(t *testing.T) {
+	p := startHarness(t, func(c *entry.Config) { c.Admission = rejectingAdmission{} })
 	r := p.book("k", "ana")
 	require.Equal(t, http.StatusTooManyRequests, r.status)
 	require.Equal(t, "may-have-run", r.verdict())
--- a/internal/entry/bytebudget.go
+++ b/internal/entry/bytebudget.go
@@ -9,54 +9,54 @@
 // byteBudget bounds the bytes that all requests of a Server hold.
 type byteBudget struct {
 	// mu guards left.
-	mu   sync.Mutex
-	left int64
+	mu        sync.Mutex
+	available int64
 }
 
-func (b *byteBudget) take(n int64) bool {
+func (b *byteBudget) acquire(n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if n > b.left {
+	if n > b.available {
 		return false
 	}
-	b.left -= n
+	b.available -= n
 	return true
 }
 
-func (b *byteBudget) give(n int64) {
+func (b *byteBudget) free(n int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left += n
+	b.available += n
 }
 
 // bodyCopies is how often a body is held: as it was read, in the parsed prompt, and
 // encoded on its way to the agent.
 const bodyCopies = 3
 
-// share is the part of the budget that one call holds. It is used by one goroutine.
-type share struct {
+// byteReservation is the part of the budget that one call holds. It is used by one goroutine.
+type byteReservation struct {
 	budget *byteBudget
 	bytes  int64
 }
 
 // grow takes n more bytes, or none.
-func (h *share) grow(n int64) bool {
-	if !h.budget.take(n) {
+func (h *byteReservation) grow(n int64) bool {
+	if !h.budget.acquire(n) {
 		return false
 	}
 	h.bytes += n
 	return true
 }
 
-func (h *share) release() {
-	h.budget.give(h.bytes)
+func (h *byteReservation) release() {
+	h.budget.free(h.bytes)
 	h.bytes = 0
 }
 
-// reserve takes what the call can hold before its answer grows: its body, the window
+// reserveMemory takes what the call can hold before its answer grows: its body, the window
 // of its answer and, where the answer must be whole before it begins, all of that. A
 // body of unknown length counts as the largest one.
-func (c *call) reserve() error {
+func (c *call) reserveMemory() error {
 	body := c.r.ContentLength
 	if body < 0 || body > c.s.cfg.MaxBody {
 		body = c.s.cfg.MaxBody
@@ -65,7 +65,7 @@
 	if c.isResolved && !c.plan.Idempotent {
 		n += int64(c.s.cfg.MaxResponse)
 	}
-	if c.held.grow(n) {
+	if c.reservation.grow(n) {
 		return nil
 	}
 	return notRun(verdict.CodeOverloaded, "entry host holds too many bytes").WithRetryAfter(c.s.cfg.RetryAfter)
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -19,30 +19,30 @@
 	s    *Server
 	w    http.ResponseWriter
 	r    *http.Request
-	q    *request
+	req  *request
 	plan Plan
 	// isResolved tells that plan is set, keyChecked that the claim of the call's key
 	// was looked at.
-	isResolved, keyChecked bool
-	// isBodyTaken tells that reading the body has begun.
-	isBodyTaken bool
-	held        share
-	out         *output
+	isResolved, isClaimChecked bool
+	// hasBodyReadBegun tells that reading the body has begun.
+	hasBodyReadBegun bool
+	reservation      byteReservation
+	out              *output
 	// fingerprint is the same for the same request asked again.
 	fingerprint quarantine.Fingerprint
 }
 
 func newCall(s *Server, w http.ResponseWriter, r *http.Request) *call {
-	return &call{s: s, w: w, r: r, q: &request{id: requestID(r)}, held: share{budget: &s.buffered}}
+	return &call{s: s, w: w, r: r, req: &request{id: requestID(r)}, reservation: byteReservation{budget: &s.memory}}
 }
 
 func (c *call) serve() {
-	defer c.held.release()
+	defer c.reservation.release()
 	if err := c.prepare(); err != nil {
 		c.fail(err)
 		return
 	}
-	if err := c.refuseEarly(); err != nil {
+	if err := c.checkQuarantineEarly(); err != nil {
 		c.fail(err)
 		return
 	}
@@ -58,26 +58,26 @@
 		c.serveIdempotent(ctx)
 		return
 	}
-	c.serveOnce(ctx)
+	c.serveNonIdempotent(ctx)
 }
 
 // prepare reads the request and finds its plan. The body of a caller who is not
 // known is not read.
 func (c *call) prepare() error {
-	id := c.q.id
+	id := c.req.id
 	q, err := readHeader(c.r)
-	c.q = q
-	c.q.id = id
+	c.req = q
+	c.req.id = id
 	if err != nil {
 		return err
 	}
 	if err := c.resolveEarly(); err != nil {
 		return err
 	}
-	if err := c.reserve(); err != nil {
+	if err := c.reserveMemory(); err != nil {
 		return err
 	}
-	c.isBodyTaken = true
+	c.hasBodyReadBegun = true
 	if err := q.readBody(c.w, c.r, c.s.cfg.MaxBody); err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 // the plan of a plain service, and the caller of a completion, whose body names the
 // model.
 func (c *call) resolveEarly() error {
-	if !c.q.isCompletion() {
+	if !c.req.isCompletion() {
 		return c.resolve()
 	}
 	_, err := c.s.cfg.Catalog.Resolve(c.lookup())
@@ -122,7 +122,7 @@
 }
 
 func (c *call) lookup() Lookup {
-	return Lookup{TokenHash: c.q.token, Method: c.q.method, Path: c.q.path, Model: c.q.completion.Model}
+	return Lookup{TokenHash: c.req.token, Method: c.req.method, Path: c.req.path, Model: c.req.completion.Model}
 }
 
 func (c *call) deadline() time.Duration {
@@ -137,8 +137,8 @@
 		Workspace: c.plan.Workspace,
 		Service:   c.plan.Service,
 		Pool:      c.plan.Pool,
-		Urgency:   c.q.urgency,
-		Cost:      uint64(len(c.q.body)) + c.q.completion.MaxTokens,
+		Urgency:   c.req.urgency,
+		Cost:      uint64(len(c.req.body)) + c.req.completion.MaxTokens,
 		Deadline:  c.deadline(),
 	}
 }
@@ -160,11 +160,11 @@
 // fail writes the final error of a call whose answer has not begun.
 func (c *call) fail(err error) {
 	e := verdict.FromError(err)
-	if e.RetryAfter == 0 && retriable(e) {
+	if e.RetryAfter == 0 && mayRetryLater(e) {
 		e = e.WithRetryAfter(c.s.cfg.RetryAfter)
 	}
-	if e.Verdict == verdict.NotRun && retriable(e) && c.isKeyOpen() {
-		e = withOpenKey(e)
+	if e.Verdict == verdict.NotRun && mayRetryLater(e) && c.isClaimUnchecked() {
+		e = withUncheckedClaim(e)
 	}
 	status := statusOf(e)
 	body, _ := json.Marshal(problem{
@@ -174,13 +174,13 @@
 		Detail:    e.Text,
 		Verdict:   e.Verdict.String(),
 		Code:      e.Code,
-		RequestID: c.q.id,
+		RequestID: c.req.id,
 	})
 	h := c.w.Header()
 	if e.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.Itoa(seconds(e.RetryAfter)))
+		h.Set("Retry-After", strconv.Itoa(wholeSeconds(e.RetryAfter)))
 	}
-	if !c.isBodyTaken && c.r.ContentLength != 0 && c.r.ProtoMajor == 1 {
+	if !c.hasBodyReadBegun && c.r.ContentLength != 0 && c.r.ProtoMajor == 1 {
 		// The library would read on before it answers, to keep the connection.
 		h.Set("Connection", "close")
 	}
@@ -193,15 +193,15 @@
 func (c *call) writeHead(status int, v verdict.Verdict) {
 	c.s.counters.byVerdict[v].Inc(1)
 	h := c.w.Header()
-	h.Set(RequestIDHeader, c.q.id)
+	h.Set(RequestIDHeader, c.req.id)
 	h.Set(verdict.Header, v.String())
 	c.w.WriteHeader(status)
 }
 
-func seconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
+func wholeSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
 
-// retriable tells whether asking again later may help.
-func retriable(e *verdict.Error) bool {
+// mayRetryLater tells whether asking again later may help.
+func mayRetryLater(e *verdict.Error) bool {
 	switch e.Code {
 	case verdict.CodeOverloaded, verdict.CodeLimited, verdict.CodeNoUpstream, verdict.CodeNoQuorum,
 		verdict.CodeLeaving, verdict.CodeInProgress:
@@ -212,7 +212,7 @@
 	return false
 }
 
-var statuses = map[verdict.Code]int{
+var statusByCode = map[verdict.Code]int{
 	verdict.CodeBadRequest:     http.StatusBadRequest,
 	verdict.CodeUnauthorized:   http.StatusUnauthorized,
 	verdict.CodeForbidden:      http.StatusForbidden,
@@ -233,7 +233,7 @@
 }
 
 func statusOf(e *verdict.Error) int {
-	status, ok := statuses[e.Code]
+	status, ok := statusByCode[e.Code]
 	if !ok {
 		return http.StatusInternalServerError
 	}
@@ -249,13 +249,13 @@
 	var tried []string
 	var last *verdict.Error
 	for {
-		name, err := c.tryOne(ctx, tried)
+		name, err := c.tryUpstream(ctx, tried)
 		if err == nil {
 			return
 		}
-		last = worse(last, verdict.FromError(err), name)
+		last = errorToReport(last, verdict.FromError(err), name)
 		tried = append(tried, name)
-		if !c.mayGoOn(ctx, err, name, len(tried)) {
+		if !c.shouldRetry(ctx, err, name, len(tried)) {
 			c.giveUp(last)
 			return
 		}
@@ -263,10 +263,10 @@
 	}
 }
 
-// worse is what the caller is told after a further attempt failed: that no upstream
+// errorToReport is what the caller is told after a further attempt failed: that no upstream
 // is left says less than the failure before, and a call of which any attempt may
 // have run may have run.
-func worse(last, next *verdict.Error, name string) *verdict.Error {
+func errorToReport(last, next *verdict.Error, name string) *verdict.Error {
 	if last == nil {
 		return next
 	}
@@ -276,19 +276,19 @@
 	return next
 }
 
-// mayGoOn decides whether an idempotent call is tried once more after err.
-func (c *call) mayGoOn(ctx context.Context, err error, name string, attempts int) bool {
-	if name == "" || ctx.Err() != nil || attempts >= c.s.cfg.MaxAttempts || !c.out.canGoOn() {
+// shouldRetry decides whether an idempotent call is tried once more after err.
+func (c *call) shouldRetry(ctx context.Context, err error, name string, attempts int) bool {
+	if name == "" || ctx.Err() != nil || attempts >= c.s.cfg.MaxAttempts || !c.out.canContinue() {
 		return false
 	}
-	if hasEnded(err) || c.s.cfg.Quarantine.Verdict(c.fingerprint) != quarantine.Free && verdict.FromError(err).Verdict != verdict.NotRun {
+	if hasUpstreamCrashed(err) || c.s.cfg.Quarantine.Verdict(c.fingerprint) != quarantine.Free && verdict.FromError(err).Verdict != verdict.NotRun {
 		return false
 	}
 	return verdict.FromError(err).Verdict == verdict.NotRun || c.s.mayRetry()
 }
 
-// tryOne makes one attempt. The name is empty where no upstream could be chosen.
-func (c *call) tryOne(ctx context.Context, tried []string) (string, error) {
+// tryUpstream makes one attempt. The name is empty where no upstream could be chosen.
+func (c *call) tryUpstream(ctx context.Context, tried []string) (string, error) {
 	pick, err := c.pick(tried)
 	if err != nil {
 		return "", err
@@ -296,7 +296,7 @@
 	name := pick.Upstream.Name
 	a := newAttempt(c, pick.Upstream)
 	err = a.run(ctx, c.out)
-	c.note(a, err)
+	c.reportToQuarantine(a, err)
 	if err == nil {
 		err = c.out.finish()
 	}
@@ -305,13 +305,13 @@
 }
 
 func (c *call) pick(tried []string) (Pick, error) {
-	if err := c.heldBack(); err != nil {
+	if err := c.checkQuarantine(); err != nil {
 		return Pick{}, err
 	}
 	return c.s.cfg.Router.Pick(PickRequest{
 		Pool:     c.plan.Pool,
 		Version:  c.plan.Version,
-		Prefixes: PrefixHashes(c.q.completion.text()),
+		Prefixes: PrefixHashes(c.req.completion.text()),
 		Tried:    tried,
 	})
 }
@@ -322,7 +322,7 @@
 	if errors.Is(c.r.Context().Err(), context.Canceled) {
 		c.s.counters.cancelled.Inc(1)
 	}
-	if c.out.begun {
+	if c.out.hasBegun {
 		c.s.counters.aborted.Inc(1)
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -10,9 +10,9 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// heldBack returns why a request is sent to no upstream, nil if it is. This time it has not
+// checkQuarantine returns why a request is sent to no upstream, nil if it is. This time it has not
 // run; it is not invited back.
-func (c *call) heldBack() error {
+func (c *call) checkQuarantine() error {
 	if c.s.cfg.Quarantine.Verdict(c.fingerprint) != quarantine.Held {
 		return nil
 	}
@@ -20,31 +20,31 @@
 	return notRun(verdict.CodeQuarantined, "upstreams ended while they ran this request")
 }
 
-// refuseEarly refuses a request that is held before it waits for admission. The key of a
+// checkQuarantineEarly refuses a request that is held before it waits for admission. The key of a
 // non-idempotent one is looked at first: an earlier sending may have an answer.
-func (c *call) refuseEarly() error {
+func (c *call) checkQuarantineEarly() error {
 	if !c.plan.Idempotent {
 		return nil
 	}
-	return c.heldBack()
+	return c.checkQuarantine()
 }
 
-// hasEnded reports whether an attempt failed since its upstream ended under it. The call goes
+// hasUpstreamCrashed reports whether an attempt failed since its upstream ended under it. The call goes
 // to no other one then: it may be what ended it.
-func hasEnded(err error) bool {
+func hasUpstreamCrashed(err error) bool {
 	var ended *answer.UpstreamEndedError
 	return errors.As(err, &ended)
 }
 
-// note tells the quarantine how an attempt ended.
-func (c *call) note(a *attempt, err error) {
+// reportToQuarantine tells the quarantine how an attempt ended.
+func (c *call) reportToQuarantine(a *attempt, err error) {
 	var ended *answer.UpstreamEndedError
 	switch {
 	case err == nil:
 		c.s.cfg.Quarantine.Answered(c.fingerprint)
 	case errors.As(err, &ended):
 		c.s.cfg.Quarantine.Ended(quarantine.Run{
-			Fingerprint: c.fingerprint, Workspace: c.plan.Workspace, Request: c.q.id,
+			Fingerprint: c.fingerprint, Workspace: c.plan.Workspace, Request: c.req.id,
 			End: quarantine.End{Upstream: a.upstream.Name, Born: ended.At}, Service: c.plan.Pool, Ran: time.Since(a.began),
 		})
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -213,34 +213,34 @@
 
 // Server serves callers. It is an http.Handler.
 type Server struct {
-	cfg      Config
-	counters counters
-	attempts attempts
-	buffered byteBudget
-	// lateFinishes has room for the outcomes that are recorded beside their answers.
-	lateFinishes chan struct{}
+	cfg            Config
+	counters       counters
+	activeAttempts activeAttempts
+	memory         byteBudget
+	// backgroundFinishes has room for the outcomes that are recorded beside their answers.
+	backgroundFinishes chan struct{}
 
 	// mu guards budget, draining, ready and running.
-	mu       sync.Mutex
-	budget   RetryBudget
-	draining bool
-	notReady bool
-	running  int
-	idle     chan struct{}
+	mu          sync.Mutex
+	retryBudget RetryBudget
+	draining    bool
+	notReady    bool
+	running     int
+	idle        chan struct{}
 }
 
 // New returns a Server that is ready.
 func New(cfg Config) *Server {
 	cfg = cfg.withDefaults()
 	return &Server{
-		cfg:      cfg,
-		counters: newCounters(cfg.Metrics),
-		attempts: attempts{byID: make(map[wire.AttemptID]*live)},
-		budget:   NewRetryBudget(cfg.RetryRatio),
-		idle:     make(chan struct{}, 1),
-		buffered: byteBudget{left: cfg.MaxBuffered},
-
-		lateFinishes: make(chan struct{}, maxLateFinishes),
+		cfg:            cfg,
+		counters:       newCounters(cfg.Metrics),
+		activeAttempts: activeAttempts{byID: make(map[wire.AttemptID]*activeAttempt)},
+		retryBudget:    NewRetryBudget(cfg.RetryRatio),
+		idle:           make(chan struct{}, 1),
+		memory:         byteBudget{available: cfg.MaxBuffered},
+
+		backgroundFinishes: make(chan struct{}, maxBackgroundFinishes),
 	}
 }
 
@@ -279,7 +279,7 @@
 	firstByte                                                metrics.Histogram
 }
 
-const sampleSize = 1028
+const histogramSampleSize = 1028
 
 func newCounters(r metrics.Registry) counters {
 	c := counters{
@@ -292,7 +292,7 @@
 		aborted:    metrics.GetOrRegisterCounter("entry.answers.aborted", r),
 		granted:    metrics.GetOrRegisterCounter("entry.claims.granted", r),
 		unrecorded: metrics.GetOrRegisterCounter("entry.outcomes.unrecorded", r),
-		firstByte:  metrics.GetOrRegisterHistogram("entry.first-byte-us", r, metrics.NewUniformSample(sampleSize)),
+		firstByte:  metrics.GetOrRegisterHistogram("entry.first-byte-us", r, metrics.NewUniformSample(histogramSampleSize)),
 	}
 	for v := range c.byVerdict {
 		c.byVerdict[v] = metrics.GetOrRegisterCounter("entry.verdict."+verdict.Verdict(v).String(), r)
@@ -311,12 +311,12 @@
 	}
 	s.counters.requests.Inc(1)
 	c := newCall(s, w, r)
-	if err := s.enter(); err != nil {
+	if err := s.beginRequest(); err != nil {
 		w.Header().Set("Connection", "close")
 		c.fail(err)
 		return
 	}
-	defer s.leave()
+	defer s.endRequest()
 	c.serve()
 }
 
@@ -331,7 +331,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (s *Server) enter() error {
+func (s *Server) beginRequest() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.draining {
@@ -341,11 +341,11 @@
 		return notRun(verdict.CodeOverloaded, "entry host is full").WithRetryAfter(s.cfg.RetryAfter)
 	}
 	s.running++
-	s.budget.Deposit()
+	s.retryBudget.Deposit()
 	return nil
 }
 
-func (s *Server) leave() {
+func (s *Server) endRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
@@ -360,7 +360,7 @@
 func (s *Server) mayRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.Withdraw()
+	return s.retryBudget.Withdraw()
 }
 
 // SetReady sets what ReadyPath says. A shutdown that sets it false some time before
--- a/internal/entry/finishes.go
+++ b/internal/entry/finishes.go
@@ -6,24 +6,24 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// maxLateFinishes bounds the outcomes that are recorded beside their answers.
-const maxLateFinishes = 1024
+// maxBackgroundFinishes bounds the outcomes that are recorded beside their answers.
+const maxBackgroundFinishes = 1024
 
-// finishLater records an outcome beside the answer, in several tries. Beyond the
+// finishInBackground records an outcome beside the answer, in several tries. Beyond the
 // bound, and after the last try, the claim ends as unknown.
-func (s *Server) finishLater(f *wire.FinishRequest) {
+func (s *Server) finishInBackground(f *wire.FinishRequest) {
 	select {
-	case s.lateFinishes <- struct{}{}:
+	case s.backgroundFinishes <- struct{}{}:
 	default:
 		s.counters.unrecorded.Inc(1)
 		return
 	}
-	held := share{budget: &s.buffered}
+	held := byteReservation{budget: &s.memory}
 	if f.Answer != nil && !held.grow(int64(len(f.Answer.Body))) {
 		f.Answer = nil
 	}
 	go func() {
-		defer func() { <-s.lateFinishes }()
+		defer func() { <-s.backgroundFinishes }()
 		defer held.release()
 		// The claim of an attempt that has not run may be on its way still, and would
 		// be held by nobody if it arrived after the finish.
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	patience    = 15 * time.Second
+	testTimeout = 15 * time.Second
 	secret      = "a secret of the processes"
 	incarnation = 7
 )
@@ -41,9 +41,9 @@
 	return p, nil
 }
 
-type openAdmission struct{}
+type unlimitedAdmission struct{}
 
-func (openAdmission) Admit(context.Context, entry.AdmitRequest) (func(), error) {
+func (unlimitedAdmission) Admit(context.Context, entry.AdmitRequest) (func(), error) {
 	return func() {}, nil
 }
 
@@ -88,11 +88,11 @@
 
 // testClaims follows the rules of the replicated claims in one process.
 type testClaims struct {
-	mu     sync.Mutex
-	byKey  map[string]*testClaim
-	refuse error
-	// lose makes Finish fail.
-	lose bool
+	mu       sync.Mutex
+	byKey    map[string]*testClaim
+	claimErr error
+	// loseFinish makes Finish fail.
+	loseFinish bool
 }
 
 type testClaim struct {
@@ -105,8 +105,8 @@
 func (c *testClaims) Claim(_ context.Context, r *wire.ClaimRequest) (*wire.ClaimReply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.refuse != nil {
-		return nil, c.refuse
+	if c.claimErr != nil {
+		return nil, c.claimErr
 	}
 	held := c.byKey[r.Key]
 	switch {
@@ -123,7 +123,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	held := c.byKey[r.Key]
-	if c.lose || held == nil || held.attempt != r.Attempt {
+	if c.loseFinish || held == nil || held.attempt != r.Attempt {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, "lost")
 	}
 	switch verdict.Verdict(r.Verdict) {
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// path is an entry host with real sessions to agents, in one process.
-type path struct {
+// harness is an entry host with real sessions to agents, in one process.
+type harness struct {
 	t       testing.TB
 	url     string
 	pool    *peer.Pool
@@ -148,8 +148,8 @@
 	metrics metrics.Registry
 }
 
-func startPath(t testing.TB, change func(*entry.Config)) *path {
-	p := &path{
+func startHarness(t testing.TB, change func(*entry.Config)) *harness {
+	p := &harness{
 		t:       t,
 		router:  &testRouter{},
 		claims:  &testClaims{byKey: make(map[string]*testClaim)},
@@ -163,12 +163,12 @@
 	t.Cleanup(p.pool.Close)
 	cfg := entry.Config{
 		Catalog:     testCatalog{},
-		Admission:   openAdmission{},
+		Admission:   unlimitedAdmission{},
 		Router:      p.router,
 		Claims:      p.claims,
 		Sessions:    p.pool,
 		Metrics:     p.metrics,
-		MaxDeadline: patience,
+		MaxDeadline: testTimeout,
 	}
 	if change != nil {
 		change(&cfg)
@@ -180,8 +180,8 @@
 	return p
 }
 
-// host is an upstream host whose peer listener hands messages to h.
-func (p *path) host(name string, h peer.Handler) *peer.Pool {
+// addHost is an upstream host whose peer listener hands messages to h.
+func (p *harness) addHost(name string, h peer.Handler) *peer.Pool {
 	mux := http.NewServeMux()
 	srv := httptest.NewServer(mux)
 	p.t.Cleanup(srv.Close)
@@ -193,8 +193,8 @@
 	return pool
 }
 
-// upstream starts a real agent in front of h.
-func (p *path) upstream(name string, h http.Handler, change func(*agent.Config)) (*agent.Agent, *peer.Pool) {
+// addUpstream starts a real agent in front of h.
+func (p *harness) addUpstream(name string, h http.Handler, change func(*agent.Config)) (*agent.Agent, *peer.Pool) {
 	srv := httptest.NewServer(h)
 	p.t.Cleanup(srv.Close)
 	cfg := agent.Config{
@@ -208,15 +208,15 @@
 	a, err := agent.New(cfg)
 	require.NoError(p.t, err)
 	a.Ready()
-	pool := p.host(name, peer.HandlerFunc(func(s *peer.Session, call uint64, m wire.Message) { a.HandlePeer(s, call, m) }))
+	pool := p.addHost(name, peer.HandlerFunc(func(s *peer.Session, call uint64, m wire.Message) { a.HandlePeer(s, call, m) }))
 	return a, pool
 }
 
-func (p *path) counter(name string) int64 {
+func (p *harness) counter(name string) int64 {
 	return metrics.GetOrRegisterCounter(name, p.metrics).Count()
 }
 
-type reply struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
@@ -224,41 +224,41 @@
 	err error
 }
 
-func (r reply) verdict() string { return r.header.Get(verdict.Header) }
+func (r response) verdict() string { return r.header.Get(verdict.Header) }
 
-func (p *path) newRequest(ctx context.Context, method, target, body string) *http.Request {
+func (p *harness) newRequest(ctx context.Context, method, target, body string) *http.Request {
 	r, err := http.NewRequestWithContext(ctx, method, p.url+target, strings.NewReader(body))
 	require.NoError(p.t, err)
 	r.Header.Set("Authorization", "Bearer token")
 	return r
 }
 
-func (p *path) do(r *http.Request) reply {
+func (p *harness) do(r *http.Request) response {
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	require.NoError(p.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	var b bytes.Buffer
 	_, err = io.Copy(&b, resp.Body)
-	return reply{resp.StatusCode, resp.Header, b.String(), err}
+	return response{resp.StatusCode, resp.Header, b.String(), err}
 }
 
-func (p *path) complete(prompt string, tokens int, stream bool) reply {
-	return p.do(p.completion(context.Background(), prompt, tokens, stream))
+func (p *harness) complete(prompt string, tokens int, stream bool) response {
+	return p.do(p.newCompletion(context.Background(), prompt, tokens, stream))
 }
 
-func (p *path) body(prompt string, tokens int, stream bool) []byte {
+func (p *harness) completionBody(prompt string, tokens int, stream bool) []byte {
 	body, err := json.Marshal(map[string]any{"model": "m", "prompt": prompt, "max_tokens": tokens, "stream": stream})
 	require.NoError(p.t, err)
 	return body
 }
 
-func (p *path) completion(ctx context.Context, prompt string, tokens int, stream bool) *http.Request {
-	r := p.newRequest(ctx, http.MethodPost, "/v1/completions", string(p.body(prompt, tokens, stream)))
+func (p *harness) newCompletion(ctx context.Context, prompt string, tokens int, stream bool) *http.Request {
+	r := p.newRequest(ctx, http.MethodPost, "/v1/completions", string(p.completionBody(prompt, tokens, stream)))
 	r.Header.Set(entry.RequestIDHeader, prompt)
 	return r
 }
 
-func (p *path) book(key, rider string) reply {
+func (p *harness) book(key, rider string) response {
 	r := p.newRequest(context.Background(), http.MethodPost, "/slots/book", `{"slot":"A1","rider":"`+rider+`"}`)
 	if key != "" {
 		r.Header.Set(entry.IdempotencyKeyHeader, key)
@@ -266,13 +266,13 @@
 	return p.do(r)
 }
 
-func stream(prompt string, tokens int) string {
+func expectedStream(prompt string, tokens int) string {
 	return strings.Join(standin.Stream(prompt, tokens), "")
 }
 
-func whole(t testing.TB, prompt string, tokens int, r reply) {
+func requireWholeStream(t testing.TB, prompt string, tokens int, r response) {
 	require.NoError(t, r.err)
 	require.Equal(t, http.StatusOK, r.status, r.body)
-	require.Equal(t, stream(prompt, tokens), r.body)
+	require.Equal(t, expectedStream(prompt, tokens), r.body)
 	require.Equal(t, "ran", r.verdict())
 }
--- a/internal/entry/httpserver.go
+++ b/internal/entry/httpserver.go
@@ -44,7 +44,7 @@
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       limits.IdleTimeout,
 		MaxHeaderBytes:    limits.MaxHeader,
-		ConnState:         limit.change,
+		ConnState:         limit.connStateChanged,
 		Protocols:         protocols,
 		HTTP2:             &http.HTTP2Config{MaxConcurrentStreams: maxHTTP2Requests},
 	}
@@ -56,7 +56,7 @@
 	open atomic.Int64
 }
 
-func (l *connLimit) change(c net.Conn, state http.ConnState) {
+func (l *connLimit) connStateChanged(c net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		if l.open.Add(1) > l.max {
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -9,7 +9,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// serveOnce claims a non-idempotent call and dispatches it once.
+// serveNonIdempotent claims a non-idempotent call and dispatches it once.
 //
 // The outcome is recorded before the caller gets the answer: callers resend just
 // when an answer breaks off on its way, and then find it. That costs one commit of
@@ -18,8 +18,8 @@
 //
 // From the claim on, the call does not depend on the caller's connection: a call
 // that is cut in the middle helps nobody, and a resend finds the answer.
-func (c *call) serveOnce(ctx context.Context) {
-	if c.q.key == "" {
+func (c *call) serveNonIdempotent(ctx context.Context) {
+	if c.req.key == "" {
 		c.fail(notRun(verdict.CodeBadRequest, "this call may not repeat: "+IdempotencyKeyHeader+" is missing"))
 		return
 	}
@@ -33,9 +33,9 @@
 		c.fail(err)
 		return
 	}
-	c.keyChecked = true
+	c.isClaimChecked = true
 	if reply.State != wire.ClaimGranted {
-		c.answerClaim(reply)
+		c.respondToClaim(reply)
 		return
 	}
 	c.s.counters.granted.Inc(1)
@@ -46,8 +46,8 @@
 func (c *call) claim(ctx context.Context, a *attempt) (*wire.ClaimReply, error) {
 	reply, err := c.s.cfg.Claims.Claim(ctx, &wire.ClaimRequest{
 		Workspace: c.plan.Workspace,
-		Key:       c.q.key,
-		Digest:    c.q.digest(),
+		Key:       c.req.key,
+		Digest:    c.req.digest(),
 		Attempt:   a.id,
 		TimeoutMS: millisecondsLeft(ctx),
 	})
@@ -57,7 +57,7 @@
 	e := *verdict.FromError(err)
 	if e.Verdict != verdict.NotRun {
 		// The claim may be held, now or once it arrives; this attempt will never use it.
-		c.finishLater(a, verdict.NotRun, nil)
+		c.finishInBackground(a, verdict.NotRun, nil)
 		e.Verdict = verdict.NotRun
 		e.Code = verdict.CodeNoQuorum
 	}
@@ -65,31 +65,31 @@
 	return nil, &e
 }
 
-// isKeyOpen tells that this call has a key that counts, whose claim was not looked
+// isClaimUnchecked tells that this call has a key that counts, whose claim was not looked
 // at. What is known of this sending then says nothing of the call: an earlier
 // sending may have run.
-func (c *call) isKeyOpen() bool {
-	if c.keyChecked || c.r.Header.Get(IdempotencyKeyHeader) == "" {
+func (c *call) isClaimUnchecked() bool {
+	if c.isClaimChecked || c.r.Header.Get(IdempotencyKeyHeader) == "" {
 		return false
 	}
 	return !c.isResolved || !c.plan.Idempotent
 }
 
-// sameKey is told to a caller whose key could not be checked.
-const sameKey = "; this sending did not run, but an earlier one with this key may have: ask again with the SAME key"
+// sameKeyAdvice is told to a caller whose key could not be checked.
+const sameKeyAdvice = "; this sending did not run, but an earlier one with this key may have: ask again with the SAME key"
 
-// withOpenKey turns a passing refusal of a call whose key is open into one that may
+// withUncheckedClaim turns a passing refusal of a call whose key is open into one that may
 // have run: a caller that takes "not run" for the end of an earlier sending would
 // make the call again under a new key.
-func withOpenKey(e *verdict.Error) *verdict.Error {
+func withUncheckedClaim(e *verdict.Error) *verdict.Error {
 	open := *e
 	open.Verdict = verdict.MayHaveRun
-	open.Text += sameKey
+	open.Text += sameKeyAdvice
 	return &open
 }
 
-// answerClaim answers a call that another attempt has claimed.
-func (c *call) answerClaim(reply *wire.ClaimReply) {
+// respondToClaim answers a call that another attempt has claimed.
+func (c *call) respondToClaim(reply *wire.ClaimReply) {
 	switch reply.State {
 	case wire.ClaimInProgress:
 		c.fail(verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "another request with this key is in progress"))
@@ -111,13 +111,13 @@
 	}
 	c.s.counters.replayed.Inc(1)
 	h := c.w.Header()
-	setFields(h, answer.Header)
+	addFields(h, answer.Header)
 	h.Set(ReplayedHeader, "true")
-	if bodyAllowed(c.q.method, answer.Status) {
+	if bodyAllowed(c.req.method, answer.Status) {
 		h.Set("Content-Length", strconv.Itoa(len(answer.Body)))
 	}
-	c.writeHead(answer.Status, answered(answer.Status))
-	if bodyAllowed(c.q.method, answer.Status) {
+	c.writeHead(answer.Status, verdictOfStatus(answer.Status))
+	if bodyAllowed(c.req.method, answer.Status) {
 		_, _ = c.w.Write(answer.Body)
 	}
 }
@@ -125,27 +125,27 @@
 func (c *call) dispatchOnce(ctx context.Context, a *attempt) {
 	pick, err := c.pick(nil)
 	if err != nil {
-		c.endOnce(a, err)
+		c.failClaimed(a, err)
 		return
 	}
 	a.upstream = pick.Upstream
 	err = a.run(ctx, c.out)
-	c.note(a, err)
+	c.reportToQuarantine(a, err)
 	pick.Done(a.outcome(err))
 	if err != nil {
-		c.endOnce(a, err)
+		c.failClaimed(a, err)
 		return
 	}
-	c.finish(a, verdict.Ran, c.out.answer(c.s.cfg.MaxRecorded))
+	c.finish(a, verdict.Ran, c.out.recordedAnswer(c.s.cfg.MaxRecorded))
 	if c.out.finish() != nil {
 		c.s.counters.aborted.Inc(1)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// endOnce records that a claimed call has failed and tells the caller. NotRun frees
+// failClaimed records that a claimed call has failed and tells the caller. NotRun frees
 // the key; the caller asks again.
-func (c *call) endOnce(a *attempt, err error) {
+func (c *call) failClaimed(a *attempt, err error) {
 	c.finish(a, verdict.FromError(err).Verdict, nil)
 	c.fail(err)
 }
@@ -157,19 +157,19 @@
 	ctx, cancel := context.WithTimeout(context.Background(), c.s.cfg.FinishTimeout)
 	defer cancel()
 	if c.s.cfg.Claims.Finish(ctx, f) != nil {
-		c.s.finishLater(f)
+		c.s.finishInBackground(f)
 	}
 }
 
-// finishLater records the outcome beside the answer.
-func (c *call) finishLater(a *attempt, v verdict.Verdict, answer *wire.Answer) {
-	c.s.finishLater(c.finishRequest(a, v, answer))
+// finishInBackground records the outcome beside the answer.
+func (c *call) finishInBackground(a *attempt, v verdict.Verdict, answer *wire.Answer) {
+	c.s.finishInBackground(c.finishRequest(a, v, answer))
 }
 
 func (c *call) finishRequest(a *attempt, v verdict.Verdict, answer *wire.Answer) *wire.FinishRequest {
 	return &wire.FinishRequest{
 		Workspace: c.plan.Workspace,
-		Key:       c.q.key,
+		Key:       c.req.key,
 		Attempt:   a.id,
 		Verdict:   uint8(v),
 		Answer:    answer,
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -26,14 +26,14 @@
 
 const tokens = 30
 
-func TestCallersGetTheirOwnWholeAnswers(t *testing.T) {
-	p := startPath(t, nil)
-	p.upstream("u1", standin.NewEngine(standin.EngineConfig{}), nil)
+func TestConcurrentCallersGetTheirOwnResponses(t *testing.T) {
+	p := startHarness(t, nil)
+	p.addUpstream("u1", standin.NewEngine(standin.EngineConfig{}), nil)
 	var g errgroup.Group
 	for i := range 40 {
 		g.Go(func() error {
 			prompt := fmt.Sprintf("prompt-%d", i)
-			whole(t, prompt, tokens, p.complete(prompt, tokens, true))
+			requireWholeStream(t, prompt, tokens, p.complete(prompt, tokens, true))
 			r := p.complete(prompt, tokens, false)
 			require.Equal(t, http.StatusOK, r.status)
 			require.Contains(t, r.body, standin.Text(prompt, tokens))
@@ -47,24 +47,24 @@
 	require.NoError(t, g.Wait())
 }
 
-// script is a fake agent: it gets a dispatch and sends what it likes.
-type script func(s *peer.Session, d *wire.Dispatch)
+// fakeAgent is a fake agent: it gets a dispatch and sends what it likes.
+type fakeAgent func(s *peer.Session, d *wire.Dispatch)
 
-func (f script) ServePeer(s *peer.Session, _ uint64, m wire.Message) {
+func (f fakeAgent) ServePeer(s *peer.Session, _ uint64, m wire.Message) {
 	if d, ok := m.(*wire.Dispatch); ok {
 		f(s, d)
 	}
 }
 
-func frame(id wire.AttemptID, seq uint64, data string) wire.Message {
+func newFrame(id wire.AttemptID, seq uint64, data string) wire.Message {
 	return &wire.Frame{Attempt: id, Seq: seq, Data: []byte(data)}
 }
 
-func end(id wire.AttemptID, frames uint64, body string) wire.Message {
+func newEnd(id wire.AttemptID, frames uint64, body string) wire.Message {
 	return &wire.End{Attempt: id, Frames: frames, Bytes: uint64(len(body)), Digest: xxhash.Sum64String(body)}
 }
 
-func TestCrossedFramesNeverMakeAWrongOrShortAnswer(t *testing.T) {
+func TestForeignOrMissingFramesNeverAlterAResponse(t *testing.T) {
 	foreign := wire.AttemptID{9}
 	cases := []struct {
 		name  string
@@ -72,32 +72,32 @@
 		send  func(id wire.AttemptID) []wire.Message
 	}{
 		{"in order", true, func(id wire.AttemptID) []wire.Message {
-			return []wire.Message{frame(id, 1, "ab"), frame(id, 2, "cd"), end(id, 2, "abcd")}
+			return []wire.Message{newFrame(id, 1, "ab"), newFrame(id, 2, "cd"), newEnd(id, 2, "abcd")}
 		}},
 		{"another attempt's between", true, func(id wire.AttemptID) []wire.Message {
-			return []wire.Message{frame(foreign, 1, "XX"), frame(id, 1, "ab"), frame(foreign, 2, "YY"),
-				end(foreign, 2, "XXYY"), frame(id, 2, "cd"), end(id, 2, "abcd")}
+			return []wire.Message{newFrame(foreign, 1, "XX"), newFrame(id, 1, "ab"), newFrame(foreign, 2, "YY"),
+				newEnd(foreign, 2, "XXYY"), newFrame(id, 2, "cd"), newEnd(id, 2, "abcd")}
 		}},
 		{"repeated", true, func(id wire.AttemptID) []wire.Message {
-			return []wire.Message{frame(id, 1, "ab"), frame(id, 1, "ab"), frame(id, 2, "cd"), end(id, 2, "abcd")}
+			return []wire.Message{newFrame(id, 1, "ab"), newFrame(id, 1, "ab"), newFrame(id, 2, "cd"), newEnd(id, 2, "abcd")}
 		}},
 		{"gap", false, func(id wire.AttemptID) []wire.Message {
-			return []wire.Message{frame(id, 1, "ab"), frame(id, 3, "ef"), end(id, 2, "abef")}
+			return []wire.Message{newFrame(id, 1, "ab"), newFrame(id, 3, "ef"), newEnd(id, 2, "abef")}
 		}},
 		{"lost last frame", false, func(id wire.AttemptID) []wire.Message {
-			return []wire.Message{frame(id, 1, "ab"), end(id, 2, "abcd")}
+			return []wire.Message{newFrame(id, 1, "ab"), newEnd(id, 2, "abcd")}
 		}},
 		{"changed bytes", false, func(id wire.AttemptID) []wire.Message {
-			return []wire.Message{frame(id, 1, "ab"), frame(id, 2, "cX"), end(id, 2, "abcd")}
+			return []wire.Message{newFrame(id, 1, "ab"), newFrame(id, 2, "cX"), newEnd(id, 2, "abcd")}
 		}},
 		{"broken end", false, func(id wire.AttemptID) []wire.Message {
-			return []wire.Message{frame(id, 1, "ab"), &wire.End{Attempt: id, Frames: 1, Broken: true}}
+			return []wire.Message{newFrame(id, 1, "ab"), &wire.End{Attempt: id, Frames: 1, Broken: true}}
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := startPath(t, func(c *entry.Config) { c.MaxAttempts = 1 })
-			p.host("u1", script(func(s *peer.Session, d *wire.Dispatch) {
+			p := startHarness(t, func(c *entry.Config) { c.MaxAttempts = 1 })
+			p.addHost("u1", fakeAgent(func(s *peer.Session, d *wire.Dispatch) {
 				_ = s.Post(&wire.Head{Attempt: d.Attempt, Status: http.StatusOK})
 				for _, m := range c.send(d.Attempt) {
 					_ = s.Post(m)
@@ -117,11 +117,11 @@
 	}
 }
 
-func TestLostSessionIsNoEnd(t *testing.T) {
-	p := startPath(t, func(c *entry.Config) { c.MaxAttempts = 1 })
-	p.host("u1", script(func(s *peer.Session, d *wire.Dispatch) {
+func TestLostSessionFailsTheResponse(t *testing.T) {
+	p := startHarness(t, func(c *entry.Config) { c.MaxAttempts = 1 })
+	p.addHost("u1", fakeAgent(func(s *peer.Session, d *wire.Dispatch) {
 		_ = s.Post(&wire.Head{Attempt: d.Attempt, Status: http.StatusOK})
-		_ = s.Post(frame(d.Attempt, 1, "ab"))
+		_ = s.Post(newFrame(d.Attempt, 1, "ab"))
 		go func() {
 			_ = s.Send(context.Background(), &wire.Ping{})
 			s.Close()
@@ -133,77 +133,77 @@
 }
 
 // Another host can't put its frames into an answer, even with the attempt's id.
-func TestMessagesCountOnlyFromTheAttemptsOwnSession(t *testing.T) {
-	p := startPath(t, nil)
+func TestMessagesFromOtherSessionsAreDropped(t *testing.T) {
+	p := startHarness(t, nil)
 	dispatched := make(chan func(), 1)
 	ids := make(chan wire.AttemptID, 1)
-	p.host("u1", script(func(s *peer.Session, d *wire.Dispatch) {
+	p.addHost("u1", fakeAgent(func(s *peer.Session, d *wire.Dispatch) {
 		dispatched <- func() {
 			_ = s.Post(&wire.Head{Attempt: d.Attempt, Status: http.StatusOK})
-			_ = s.Post(frame(d.Attempt, 1, "right"))
-			_ = s.Post(end(d.Attempt, 1, "right"))
+			_ = s.Post(newFrame(d.Attempt, 1, "right"))
+			_ = s.Post(newEnd(d.Attempt, 1, "right"))
 		}
 		ids <- d.Attempt
 	}))
-	other := p.host("u2", script(nil))
+	other := p.addHost("u2", fakeAgent(nil))
 	_, err := p.pool.Get(context.Background(), p.router.upstreams[1].Address)
 	require.NoError(t, err)
 	// The other end takes the session in just after it has greeted.
-	require.Eventually(t, func() bool { return len(other.Sessions()) > 0 }, patience, time.Millisecond)
-	got := make(chan reply, 1)
+	require.Eventually(t, func() bool { return len(other.Sessions()) > 0 }, testTimeout, time.Millisecond)
+	got := make(chan response, 1)
 	go func() { got <- p.complete("a", 1, false) }()
 	id := <-ids
-	for _, m := range []wire.Message{&wire.Head{Attempt: id, Status: http.StatusOK}, frame(id, 1, "wrong"), end(id, 1, "wrong")} {
+	for _, m := range []wire.Message{&wire.Head{Attempt: id, Status: http.StatusOK}, newFrame(id, 1, "wrong"), newEnd(id, 1, "wrong")} {
 		require.NoError(t, other.Sessions()[0].Post(m))
 	}
-	require.Eventually(t, func() bool { return p.counter("entry.messages.dropped") == 3 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return p.counter("entry.messages.dropped") == 3 }, testTimeout, time.Millisecond)
 	(<-dispatched)()
 	require.Equal(t, "right", (<-got).body)
 }
 
 // The first attempt is given up, then both answer: only the second one's answer counts.
-func TestTwoAttemptsBothAnswer(t *testing.T) {
-	p := startPath(t, func(c *entry.Config) { c.FirstByteTimeout = 50 * time.Millisecond })
+func TestLateResponseOfTimedOutAttemptIsDropped(t *testing.T) {
+	p := startHarness(t, func(c *entry.Config) { c.FirstByteTimeout = 50 * time.Millisecond })
 	first := make(chan func(body string), 1)
 	answer := func(s *peer.Session, d *wire.Dispatch) func(string) {
 		return func(body string) {
 			_ = s.Post(&wire.Head{Attempt: d.Attempt, Status: http.StatusOK})
-			_ = s.Post(frame(d.Attempt, 1, body))
-			_ = s.Post(end(d.Attempt, 1, body))
+			_ = s.Post(newFrame(d.Attempt, 1, body))
+			_ = s.Post(newEnd(d.Attempt, 1, body))
 		}
 	}
-	p.host("u1", script(func(s *peer.Session, d *wire.Dispatch) { first <- answer(s, d) }))
-	p.host("u2", script(func(s *peer.Session, d *wire.Dispatch) {
+	p.addHost("u1", fakeAgent(func(s *peer.Session, d *wire.Dispatch) { first <- answer(s, d) }))
+	p.addHost("u2", fakeAgent(func(s *peer.Session, d *wire.Dispatch) {
 		(<-first)("late")
 		answer(s, d)("right")
 	}))
 	require.Equal(t, "right", p.complete("a", 1, false).body)
-	require.Eventually(t, func() bool { return p.counter("entry.messages.dropped") == 3 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return p.counter("entry.messages.dropped") == 3 }, testTimeout, time.Millisecond)
 }
 
-func TestBrokenStreams(t *testing.T) {
+func TestBrokenStreamEndsWithAnError(t *testing.T) {
 	for _, mode := range []standin.Mode{standin.Die, standin.Truncate} {
 		t.Run(string(mode), func(t *testing.T) {
-			p := startPath(t, nil)
+			p := startHarness(t, nil)
 			e := standin.NewEngine(standin.EngineConfig{})
-			p.upstream("u1", e, nil)
-			p.upstream("u2", standin.NewEngine(standin.EngineConfig{}), nil)
+			p.addUpstream("u1", e, nil)
+			p.addUpstream("u2", standin.NewEngine(standin.EngineConfig{}), nil)
 			e.Fail(standin.Failure{Mode: mode, After: 5, Times: 1})
-			q := p.completion(context.Background(), "a", tokens, true)
+			q := p.newCompletion(context.Background(), "a", tokens, true)
 			q.URL.RawQuery = "a=b"
 			r := p.do(q)
 			require.Error(t, r.err, "a stream that was cut ends as cut")
-			require.True(t, strings.HasPrefix(stream("a", tokens), r.body))
+			require.True(t, strings.HasPrefix(expectedStream("a", tokens), r.body))
 			require.Zero(t, p.counter("entry.retries"), "bytes were delivered")
 		})
 	}
 }
 
-func TestHeldAnswerIsTriedAgain(t *testing.T) {
-	p := startPath(t, nil)
+func TestBufferedResponseThatBreaksIsRetried(t *testing.T) {
+	p := startHarness(t, nil)
 	e := standin.NewEngine(standin.EngineConfig{})
-	p.upstream("u1", e, nil)
-	p.upstream("u2", standin.NewEngine(standin.EngineConfig{}), nil)
+	p.addUpstream("u1", e, nil)
+	p.addUpstream("u2", standin.NewEngine(standin.EngineConfig{}), nil)
 	e.Fail(standin.Failure{Mode: standin.Die, After: 5, Times: 1})
 	r := p.complete("a", tokens, false)
 	require.Equal(t, http.StatusOK, r.status)
@@ -212,11 +212,11 @@
 }
 
 // Without isCutShort this fails: the caller gets an empty answer with status 200.
-func TestAnswerThatIsCutShortIsTriedAgain(t *testing.T) {
-	p := startPath(t, nil)
+func TestTruncatedResponseIsRetried(t *testing.T) {
+	p := startHarness(t, nil)
 	e := standin.NewEngine(standin.EngineConfig{})
-	p.upstream("u1", e, nil)
-	p.upstream("u2", e, nil)
+	p.addUpstream("u1", e, nil)
+	p.addUpstream("u2", e, nil)
 	e.Fail(standin.Failure{Mode: standin.Truncate, After: 3, Times: 1})
 	r := p.complete("a prompt", tokens, false)
 	require.Equal(t, http.StatusOK, r.status, r.body)
@@ -228,49 +228,49 @@
 }
 
 func TestStreamIsResumed(t *testing.T) {
-	p := startPath(t, func(c *entry.Config) { c.Catalog = testCatalog{resumable: true} })
+	p := startHarness(t, func(c *entry.Config) { c.Catalog = testCatalog{resumable: true} })
 	e := standin.NewEngine(standin.EngineConfig{})
-	p.upstream("u1", e, nil)
-	p.upstream("u2", standin.NewEngine(standin.EngineConfig{}), nil)
+	p.addUpstream("u1", e, nil)
+	p.addUpstream("u2", standin.NewEngine(standin.EngineConfig{}), nil)
 	e.Fail(standin.Failure{Mode: standin.Die, After: 5, Times: 1})
-	whole(t, "a", tokens, p.complete("a", tokens, true))
+	requireWholeStream(t, "a", tokens, p.complete("a", tokens, true))
 	require.Equal(t, int64(1), p.counter("entry.resumed"))
 }
 
 // An engine that starts again from the beginning would repeat what was delivered.
-func TestEngineThatDoesNotResumeIsNotMixedIn(t *testing.T) {
-	p := startPath(t, func(c *entry.Config) { c.Catalog = testCatalog{resumable: true} })
+func TestEngineThatIgnoresTheResumeOffsetIsNotUsed(t *testing.T) {
+	p := startHarness(t, func(c *entry.Config) { c.Catalog = testCatalog{resumable: true} })
 	e := standin.NewEngine(standin.EngineConfig{})
-	p.upstream("u1", e, nil)
-	p.upstream("u2", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	p.addUpstream("u1", e, nil)
+	p.addUpstream("u2", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Header.Del(agent.ResumeHeader)
 		standin.NewEngine(standin.EngineConfig{}).ServeHTTP(w, r)
 	}), nil)
 	e.Fail(standin.Failure{Mode: standin.Die, After: 5, Times: 1})
 	r := p.complete("a", tokens, true)
 	require.Error(t, r.err)
-	require.True(t, strings.HasPrefix(stream("a", tokens), r.body))
+	require.True(t, strings.HasPrefix(expectedStream("a", tokens), r.body))
 }
 
-func TestCallerWhoLeavesCancelsTheEngine(t *testing.T) {
-	p := startPath(t, nil)
+func TestDisconnectedCallerCancelsTheEngine(t *testing.T) {
+	p := startHarness(t, nil)
 	e := standin.NewEngine(standin.EngineConfig{Step: 5 * time.Millisecond})
-	a, _ := p.upstream("u1", e, nil)
+	a, _ := p.addUpstream("u1", e, nil)
 	ctx, cancel := context.WithCancel(context.Background())
-	resp, err := http.DefaultTransport.RoundTrip(p.completion(ctx, "a", 20_000, true))
+	resp, err := http.DefaultTransport.RoundTrip(p.newCompletion(ctx, "a", 20_000, true))
 	require.NoError(t, err)
 	_, err = bufio.NewReader(resp.Body).ReadString('\n')
 	require.NoError(t, err, "the stream runs")
 	cancel()
-	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Cancelled == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Cancelled == 1 }, testTimeout, time.Millisecond)
 	require.NoError(t, a.Drained(context.Background()))
 	require.Equal(t, int64(1), p.counter("agent.cancelled"))
 }
 
-func TestSlowCallerHoldsUpNobody(t *testing.T) {
+func TestSlowCallerDoesNotDelayOthers(t *testing.T) {
 	const size = 24 << 20
-	p := startPath(t, func(c *entry.Config) { c.Window = 64 << 10 })
-	p.upstream("u1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	p := startHarness(t, func(c *entry.Config) { c.Window = 64 << 10 })
+	p.addUpstream("u1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n := 10
 		if r.Header.Get(entry.RequestIDHeader) == "slow" {
 			n = size
@@ -285,24 +285,24 @@
 			n -= m
 		}
 	}), nil)
-	resp, err := http.DefaultTransport.RoundTrip(p.completion(context.Background(), "slow", 1, true))
+	resp, err := http.DefaultTransport.RoundTrip(p.newCompletion(context.Background(), "slow", 1, true))
 	require.NoError(t, err)
 	for range 20 {
 		r := p.complete("quick", 1, false)
 		require.Equal(t, http.StatusOK, r.status)
 		require.Len(t, r.body, 10)
 	}
-	n, err := bufio.NewReader(resp.Body).WriteTo(&discard{})
+	n, err := bufio.NewReader(resp.Body).WriteTo(&discardWriter{})
 	require.NoError(t, err)
 	require.Equal(t, int64(size), n)
 }
 
-type discard struct{}
+type discardWriter struct{}
 
-func (*discard) Write(b []byte) (int, error) { return len(b), nil }
+func (*discardWriter) Write(b []byte) (int, error) { return len(b), nil }
 
-// notRunNowhere requires the verdict not-run and that no engine has begun the request.
-func notRunNowhere(t *testing.T, r reply, code verdict.Code, e *standin.Engine) {
+// requireNotRun requires the verdict not-run and that no engine has begun the request.
+func requireNotRun(t *testing.T, r response, code verdict.Code, e *standin.Engine) {
 	t.Helper()
 	require.Equal(t, "not-run", r.verdict())
 	require.Contains(t, r.body, string(code))
@@ -310,38 +310,38 @@
 	require.Empty(t, e.Executions().ByRequest)
 }
 
-func TestLeavingAgentRefusesAndEndsWhatRuns(t *testing.T) {
-	p := startPath(t, nil)
+func TestLeavingAgentRefusesNewRequestsAndFinishesRunningOnes(t *testing.T) {
+	p := startHarness(t, nil)
 	e := standin.NewEngine(standin.EngineConfig{Step: time.Millisecond})
-	a, _ := p.upstream("u1", e, nil)
-	running := make(chan reply, 1)
+	a, _ := p.addUpstream("u1", e, nil)
+	running := make(chan response, 1)
 	go func() { running <- p.complete("a", 100, true) }()
-	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Begun == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Begun == 1 }, testTimeout, time.Millisecond)
 	a.Leave()
 	r := p.complete("b", tokens, true)
 	require.Equal(t, "not-run", r.verdict())
 	require.Contains(t, r.body, verdict.CodeLeaving)
 	require.Zero(t, e.Executions().ByRequest["b"].Begun)
 	require.NoError(t, a.Drained(context.Background()))
-	whole(t, "a", 100, <-running)
+	requireWholeStream(t, "a", 100, <-running)
 }
 
-func TestRestartedAgentRefusesWhatWasMeantForItsForerunner(t *testing.T) {
-	p := startPath(t, nil)
+func TestRestartedAgentRefusesRequestsForItsPreviousIncarnation(t *testing.T) {
+	p := startHarness(t, nil)
 	e := standin.NewEngine(standin.EngineConfig{})
-	p.upstream("u1", e, func(c *agent.Config) { c.Identity.Incarnation++ })
-	notRunNowhere(t, p.complete("a", tokens, true), verdict.CodeNoUpstream, e)
+	p.addUpstream("u1", e, func(c *agent.Config) { c.Identity.Incarnation++ })
+	requireNotRun(t, p.complete("a", tokens, true), verdict.CodeNoUpstream, e)
 }
 
-func TestFullQueueRefuses(t *testing.T) {
-	p := startPath(t, nil)
+func TestFullQueueRefusesRequests(t *testing.T) {
+	p := startHarness(t, nil)
 	e := standin.NewEngine(standin.EngineConfig{})
 	e.Fail(standin.Failure{Mode: standin.Hang, Times: 1})
-	p.upstream("u1", e, func(c *agent.Config) { c.Capacity, c.QueueLength = 1, -1 })
+	p.addUpstream("u1", e, func(c *agent.Config) { c.Capacity, c.QueueLength = 1, -1 })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _, _ = http.DefaultTransport.RoundTrip(p.completion(ctx, "a", 1, true)) }()
-	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Begun == 1 }, patience, time.Millisecond)
+	go func() { _, _ = http.DefaultTransport.RoundTrip(p.newCompletion(ctx, "a", 1, true)) }()
+	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Begun == 1 }, testTimeout, time.Millisecond)
 	r := p.complete("b", tokens, true)
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.Equal(t, "not-run", r.verdict())
@@ -349,32 +349,32 @@
 	require.Zero(t, e.Executions().ByRequest["b"].Begun)
 }
 
-func TestDrainCutsNoStream(t *testing.T) {
-	p := startPath(t, nil)
+func TestDrainWaitsForStreams(t *testing.T) {
+	p := startHarness(t, nil)
 	e := standin.NewEngine(standin.EngineConfig{Step: time.Millisecond})
-	p.upstream("u1", e, nil)
-	running := make(chan reply, 1)
+	p.addUpstream("u1", e, nil)
+	running := make(chan response, 1)
 	go func() { running <- p.complete("a", 100, true) }()
-	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Begun == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Begun == 1 }, testTimeout, time.Millisecond)
 	drained := make(chan error, 1)
 	go func() { drained <- p.server.Drain(context.Background()) }()
 	ready := func() int {
 		return p.do(p.newRequest(context.Background(), http.MethodGet, entry.ReadyPath, "")).status
 	}
-	require.Eventually(t, func() bool { return ready() == http.StatusServiceUnavailable }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return ready() == http.StatusServiceUnavailable }, testTimeout, time.Millisecond)
 	r := p.complete("b", tokens, true)
 	require.Equal(t, "not-run", r.verdict())
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.Zero(t, e.Executions().ByRequest["b"].Begun)
 	require.NoError(t, <-drained)
 	require.Equal(t, 1, e.Executions().ByRequest["a"].Finished, "Drain waits for the stream")
-	whole(t, "a", 100, <-running)
+	requireWholeStream(t, "a", 100, <-running)
 }
 
-func TestRefusalsBeforeAnyUpstream(t *testing.T) {
-	p := startPath(t, func(c *entry.Config) { c.MaxBody = 1000 })
+func TestInvalidRequestsAreRefusedBeforeDispatch(t *testing.T) {
+	p := startHarness(t, func(c *entry.Config) { c.MaxBody = 1000 })
 	e := standin.NewEngine(standin.EngineConfig{})
-	p.upstream("u1", e, nil)
+	p.addUpstream("u1", e, nil)
 	cases := map[string]struct {
 		body   string
 		token  string
@@ -400,10 +400,10 @@
 	}
 }
 
-func TestNonIdempotentCalls(t *testing.T) {
-	p := startPath(t, nil)
+func TestNonIdempotentCallsRunAtMostOnce(t *testing.T) {
+	p := startHarness(t, nil)
 	s := standin.NewService(0)
-	a, _ := p.upstream("u1", s, nil)
+	a, _ := p.addUpstream("u1", s, nil)
 
 	r := p.book("", "ana")
 	require.Equal(t, http.StatusBadRequest, r.status)
@@ -422,17 +422,17 @@
 	require.Equal(t, http.StatusUnprocessableEntity, r.status)
 	require.Equal(t, "not-run", r.verdict())
 
-	p.claims.refuse = verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no quorum").WithRetryAfter(2 * time.Second)
+	p.claims.claimErr = verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no quorum").WithRetryAfter(2 * time.Second)
 	r = p.book("k2", "ana")
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.Equal(t, "may-have-run", r.verdict(), "an earlier sending of the key may have run")
 	require.Contains(t, r.body, "ask again with the SAME key")
 	require.Equal(t, "2", r.header.Get("Retry-After"))
-	p.claims.refuse = errors.New("lost on the way")
+	p.claims.claimErr = errors.New("lost on the way")
 	r = p.book("k2", "ana")
 	require.Equal(t, "may-have-run", r.verdict())
 	require.Contains(t, r.body, "this sending did not run")
-	p.claims.refuse = nil
+	p.claims.claimErr = nil
 	require.Empty(t, s.Executions().ByKey["k2"], "it was not dispatched")
 
 	s.Fail(standin.Failure{Mode: standin.Refuse, Times: 1})
@@ -451,7 +451,7 @@
 
 	a.Leave()
 	require.Equal(t, "not-run", p.book("k4", "ana").verdict())
-	p.upstream("u2", s, nil)
+	p.addUpstream("u2", s, nil)
 	p.router.mu.Lock()
 	p.router.upstreams = p.router.upstreams[1:]
 	p.router.mu.Unlock()
@@ -463,15 +463,15 @@
 }
 
 func TestCallInProgressIsNotStartedAgain(t *testing.T) {
-	p := startPath(t, nil)
+	p := startHarness(t, nil)
 	s := standin.NewService(0)
 	started, release := make(chan struct{}, 8), make(chan struct{})
-	a, pool := p.upstream("u1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	a, pool := p.addUpstream("u1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		started <- struct{}{}
 		<-release
 		s.ServeHTTP(w, r)
 	}), nil)
-	first := make(chan reply, 1)
+	first := make(chan response, 1)
 	go func() { first <- p.book("k", "ana") }()
 	<-started
 	r := p.book("k", "ana")
@@ -482,7 +482,7 @@
 	}
 	require.Equal(t, "may-have-run", (<-first).verdict())
 	require.Equal(t, "may-have-run", p.book("k", "ana").verdict())
-	require.Eventually(t, func() bool { return len(pool.Sessions()) == 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(pool.Sessions()) == 0 }, testTimeout, time.Millisecond)
 	close(release)
 	require.NoError(t, a.Drained(context.Background()))
 	require.Equal(t, standin.Executions{Begun: 1, Finished: 1}, s.Executions().ByKey["k"])
@@ -492,16 +492,16 @@
 // A call whose entry host can't hear its end is recorded by the agent, so that a
 // resend gets the answer. Without recordUnheard this fails: the resend is told that
 // the call may have run.
-func TestAgentRecordsWhatNobodyHears(t *testing.T) {
-	p := startPath(t, nil)
+func TestAgentRecordsOutcomeAfterLostSession(t *testing.T) {
+	p := startHarness(t, nil)
 	s := standin.NewService(0)
 	started, release := make(chan struct{}, 8), make(chan struct{})
-	p.upstream("u1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	p.addUpstream("u1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		started <- struct{}{}
 		<-release
 		s.ServeHTTP(w, r)
 	}), func(c *agent.Config) { c.Recorder = p.claims })
-	first := make(chan reply, 1)
+	first := make(chan response, 1)
 	go func() { first <- p.book("k", "ana") }()
 	<-started
 	for _, open := range p.pool.Sessions() {
@@ -509,11 +509,11 @@
 	}
 	require.Equal(t, "may-have-run", (<-first).verdict())
 	close(release)
-	var again reply
+	var again response
 	require.Eventually(t, func() bool {
 		again = p.book("k", "ana")
 		return again.verdict() == "ran"
-	}, patience, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	require.Equal(t, http.StatusCreated, again.status)
 	require.Equal(t, "true", again.header.Get(entry.ReplayedHeader))
 	require.Contains(t, again.body, "ana")
@@ -522,10 +522,10 @@
 
 // The library sends a request again where a kept connection closes under it; a call
 // that may not repeat goes out on a connection of its own.
-func TestLibraryDoesNotRepeatACall(t *testing.T) {
-	p := startPath(t, nil)
+func TestHTTPClientDoesNotRepeatNonIdempotentCalls(t *testing.T) {
+	p := startHarness(t, nil)
 	var calls atomic.Int32
-	p.upstream("u1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	p.addUpstream("u1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			return
 		}
@@ -539,10 +539,10 @@
 	require.Equal(t, int32(1), calls.Load())
 }
 
-func TestUrgentWorkGoesFirstAndAbandonedWorkNever(t *testing.T) {
-	p := startPath(t, nil)
+func TestQueueIsOrderedByUrgencyAndSkipsCancelledRequests(t *testing.T) {
+	p := startHarness(t, nil)
 	began, release := make(chan string, 8), make(chan struct{})
-	a, _ := p.upstream("u1", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	a, _ := p.addUpstream("u1", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		began <- r.Header.Get(entry.RequestIDHeader)
 		<-release
 	}), func(c *agent.Config) { c.Capacity = 1 })
@@ -555,9 +555,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
 	for i, name := range []string{"first", "left", "u=6", "u=5"} {
-		r := p.completion(context.Background(), name, 1, false)
+		r := p.newCompletion(context.Background(), name, 1, false)
 		if name == "left" {
-			r = p.completion(ctx, name, 1, false)
+			r = p.newCompletion(ctx, name, 1, false)
 		}
 		r.Header.Set(entry.PriorityHeader, name)
 		g.Go(func() error {
@@ -567,13 +567,13 @@
 			}
 			return err
 		})
-		require.Eventually(t, queued(uint32(i)), patience, time.Millisecond)
+		require.Eventually(t, queued(uint32(i)), testTimeout, time.Millisecond)
 		if i == 0 {
 			require.Equal(t, "first", <-began)
 		}
 	}
 	cancel()
-	require.Eventually(t, queued(2), patience, time.Millisecond)
+	require.Eventually(t, queued(2), testTimeout, time.Millisecond)
 	close(release)
 	require.NoError(t, g.Wait())
 	require.Equal(t, "u=5", <-began)
@@ -582,10 +582,10 @@
 }
 
 // No spelling of a path leads a call past the plan that forbids its repetition.
-func TestPathHasOneSpelling(t *testing.T) {
-	p := startPath(t, nil)
+func TestNonCanonicalPathsAreRefused(t *testing.T) {
+	p := startHarness(t, nil)
 	s := standin.NewService(0)
-	p.upstream("u1", s, nil)
+	p.addUpstream("u1", s, nil)
 	for _, target := range []string{"/slots/book", "/slots/%62ook", "/slots/book?x=1", "/x/../slots/book", "/x/%2e%2e/slots/book", "//slots/book", "/slots%2Fbook"} {
 		r := p.do(p.newRequest(context.Background(), http.MethodPost, target, `{}`))
 		require.Equal(t, http.StatusBadRequest, r.status, target)
@@ -600,10 +600,10 @@
 }
 
 // A second dispatch of a claim or an attempt is not run, and never called not run.
-func TestAgentTakesAClaimOnce(t *testing.T) {
-	p := startPath(t, nil)
+func TestAgentRunsAClaimOnce(t *testing.T) {
+	p := startHarness(t, nil)
 	s := standin.NewService(0)
-	p.upstream("u1", s, nil)
+	p.addUpstream("u1", s, nil)
 	got := make(chan wire.Message, 16)
 	pool := peer.NewPool(peer.Config{Hello: wire.Hello{Host: "x"}, Secret: secret, Handler: peer.HandlerFunc(
 		func(_ *peer.Session, _ uint64, m wire.Message) { got <- m })})
@@ -633,7 +633,7 @@
 // Whatever fails, what is called not run was never begun, a key is begun at most
 // once, and an answer that ends well is the right one.
 func TestVerdictsAgreeWithExecutions(t *testing.T) {
-	p := startPath(t, func(c *entry.Config) { c.MaxAttempts = 2 })
+	p := startHarness(t, func(c *entry.Config) { c.MaxAttempts = 2 })
 	engine, service := standin.NewEngine(standin.EngineConfig{}), standin.NewService(0)
 	gone := func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/slots") {
@@ -642,9 +642,9 @@
 		}
 		engine.ServeHTTP(w, r)
 	}
-	_, one := p.upstream("u1", http.HandlerFunc(gone), func(c *agent.Config) { c.Capacity, c.QueueLength = 2, 1 })
-	p.upstream("u2", http.HandlerFunc(gone), func(c *agent.Config) { c.Capacity, c.QueueLength = 2, 1 })
-	_, _ = p.upstream("u3", http.HandlerFunc(gone), func(c *agent.Config) { c.URL = "http://127.0.0.1:1" })
+	_, one := p.addUpstream("u1", http.HandlerFunc(gone), func(c *agent.Config) { c.Capacity, c.QueueLength = 2, 1 })
+	p.addUpstream("u2", http.HandlerFunc(gone), func(c *agent.Config) { c.Capacity, c.QueueLength = 2, 1 })
+	_, _ = p.addUpstream("u3", http.HandlerFunc(gone), func(c *agent.Config) { c.URL = "http://127.0.0.1:1" })
 	all := append([]wire.Upstream{}, p.router.upstreams...)
 	modes := []standin.Mode{"", standin.Die, standin.Truncate, standin.Refuse}
 	round := 0
@@ -665,7 +665,7 @@
 				if r.verdict() == "not-run" && engine.Executions().ByRequest[name].Begun > 0 {
 					return errors.Errorf("%s was called not run", name)
 				}
-				if r.status == http.StatusOK && r.err == nil && i%2 == 0 && r.body != stream(name, 5) {
+				if r.status == http.StatusOK && r.err == nil && i%2 == 0 && r.body != expectedStream(name, 5) {
 					return errors.Errorf("%s got %q", name, r.body)
 				}
 				return nil
--- a/internal/entry/pure_test.go
+++ b/internal/entry/pure_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestRetriesAreAShareOfRequests(t *testing.T) {
+func TestRetriesStayWithinTheRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewRetryBudget(0.2)
 		requests, retries := 0, 0
@@ -23,11 +23,11 @@
 				retries++
 			}
 		}
-		require.LessOrEqual(t, float64(retries), retryReserve+0.2*float64(requests)+1e-6)
+		require.LessOrEqual(t, float64(retries), maxRetryTokens+0.2*float64(requests)+1e-6)
 	})
 }
 
-func TestEqualHashesMeanEqualPrefixes(t *testing.T) {
+func TestPrefixHashesCoverAllEarlierBlocks(t *testing.T) {
 	a := make([]byte, 3*PrefixBlockBytes+10)
 	b := append([]byte{}, a...)
 	b[PrefixBlockBytes] = 1
@@ -39,14 +39,14 @@
 	require.Len(t, PrefixHashes(make([]byte, 100*PrefixBlockBytes)), MaxPrefixes)
 }
 
-func TestUrgency(t *testing.T) {
+func TestParseUrgency(t *testing.T) {
 	for header, want := range map[string]uint8{"u=1": 1, "i, u=7": 7, "u=8": defaultUrgency, "u=": defaultUrgency, "": defaultUrgency} {
 		got, _ := parseUrgency(header)
 		require.Equal(t, want, got, header)
 	}
 }
 
-func TestConnectionsAreBounded(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	srv := NewHTTPServer(http.NotFoundHandler(), HTTPLimits{MaxConns: 1})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -112,9 +112,9 @@
 		method: r.Method,
 		path:   r.URL.Path,
 		query:  r.URL.RawQuery,
-		header: requestFields(r.Header),
+		header: forwardedFields(r.Header),
 	}
-	if !isPlain(q.method, q.path) {
+	if !isCanonical(q.method, q.path) {
 		return q, notRun(verdict.CodeBadRequest, "method or path is not in plain form")
 	}
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -130,9 +130,9 @@
 	return q, nil
 }
 
-// isPlain accepts methods in upper case, and paths that no upstream can take for
+// isCanonical accepts methods in upper case, and paths that no upstream can take for
 // another one.
-func isPlain(method, path string) bool {
+func isCanonical(method, path string) bool {
 	if strings.ToUpper(method) != method || !strings.HasPrefix(path, "/") || strings.Contains(path, "\\") {
 		return false
 	}
@@ -205,18 +205,18 @@
 	return [32]byte(h.Sum(nil))
 }
 
-// dropped are header fields that belong to one connection, or to this host.
-var dropped = map[string]bool{
+// droppedFields are header fields that belong to one connection, or to this host.
+var droppedFields = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Authorization": true, "Content-Length": true, "Host": true, "Expect": true,
 	RequestIDHeader: true, verdict.Header: true, ReplayedHeader: true, resumeHeader: true,
 }
 
-func requestFields(h http.Header) []wire.Field {
+func forwardedFields(h http.Header) []wire.Field {
 	var out []wire.Field
 	for name, values := range h {
-		if dropped[name] {
+		if droppedFields[name] {
 			continue
 		}
 		for _, v := range values {
@@ -226,9 +226,9 @@
 	return out
 }
 
-func setFields(h http.Header, fields []wire.Field) {
+func addFields(h http.Header, fields []wire.Field) {
 	for _, f := range fields {
-		if !dropped[http.CanonicalHeaderKey(f.Name)] {
+		if !droppedFields[http.CanonicalHeaderKey(f.Name)] {
 			h.Add(f.Name, f.Value)
 		}
 	}
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestUnknownErrorsMayHaveRun(t *testing.T) {
+func TestFromErrorOfUnknownErrorMayHaveRun(t *testing.T) {
 	require.Equal(t, MayHaveRun, FromError(errors.New("broken pipe")).Verdict)
 	wrapped := errors.Wrap(New(NotRun, CodeLeaving, "agent is leaving"), "dispatch")
 	require.Equal(t, NotRun, FromError(wrapped).Verdict)
 }
 
-func TestParseReadsWhatStringWrites(t *testing.T) {
+func TestParseInvertsString(t *testing.T) {
 	for v := range names {
 		got, err := Parse(v.String())
 		require.NoError(t, err)
