--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -1,4 +1,5 @@
-// Package auth tells operators by their bearer tokens and says what they may do.
+// Package auth identifies operators by their bearer tokens and decides which documents they may
+// read and write.
 package auth
 
 import (
@@ -13,17 +14,17 @@
 // Hash is the SHA-256 of a bearer token; tokens themselves are never stored.
 type Hash = inifile.SHA256
 
-// HashToken returns the digest that settings and documents hold for a token.
+// HashToken returns the digest by which settings and documents refer to a token.
 func HashToken(token string) Hash { return sha256.Sum256([]byte(token)) }
 
-// Identity is an operator that showed a valid token.
+// Identity is an authenticated operator and its permissions.
 type Identity struct {
 	Name string
 	// Admin permits cluster operations and reading every document.
 	Admin bool
-	// Documents are the operator's own.
+	// Documents are the names of the documents that the operator may read and write.
 	Documents []string
-	// AllDocuments makes every document the operator's own.
+	// AllDocuments permits reading and writing every document.
 	AllDocuments bool
 }
 
@@ -35,7 +36,7 @@
 // MayRead reports whether the operator may read the document.
 func (i Identity) MayRead(document string) bool { return i.Admin || i.MayWrite(document) }
 
-// Table finds identities by token. It is read-only and safe for concurrent use.
+// Table maps tokens to identities. It is read-only and safe for concurrent use.
 type Table struct{ rows []row }
 
 type row struct {
@@ -43,7 +44,7 @@
 	identity Identity
 }
 
-// NewTable takes the operators from settings.
+// NewTable returns a Table of the operators in the settings.
 func NewTable(operators []settings.Operator) *Table {
 	t := &Table{}
 	for _, op := range operators {
@@ -57,8 +58,8 @@
 	return t
 }
 
-// Find returns the identity of a token. It compares with every row, so that its
-// timing tells nothing of the tokens. An empty token has no identity.
+// Find returns the identity of a token. It compares the token with every row in constant time,
+// so that the time it takes reveals nothing about the tokens. An empty token has no identity.
 func (t *Table) Find(token string) (Identity, bool) {
 	if token == "" {
 		return Identity{}, false
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -15,23 +15,24 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// activeAttempt is an attempt that waits for messages from one session.
+// activeAttempt is an attempt whose response is still arriving. Its messages are accepted from
+// one session only.
 type activeAttempt struct {
 	session  *peer.Session
 	receiver *answer.Receiver
 }
 
-// activeAttempts finds live attempts by their id.
+// activeAttempts maps attempt ids to the attempts whose responses are still arriving.
 type activeAttempts struct {
 	// mu guards byID.
 	mu   sync.Mutex
 	byID map[wire.AttemptID]*activeAttempt
 }
 
-func (a *activeAttempts) add(id wire.AttemptID, l *activeAttempt) {
+func (a *activeAttempts) add(id wire.AttemptID, active *activeAttempt) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.byID[id] = l
+	a.byID[id] = active
 }
 
 func (a *activeAttempts) remove(id wire.AttemptID) {
@@ -40,19 +41,21 @@
 	delete(a.byID, id)
 }
 
+// find returns the receiver of an attempt, or nil if the attempt is unknown or was dispatched on
+// another session.
 func (a *activeAttempts) find(id wire.AttemptID, s *peer.Session) *answer.Receiver {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	l := a.byID[id]
-	if l == nil || l.session != s {
+	active := a.byID[id]
+	if active == nil || active.session != s {
 		return nil
 	}
-	return l.receiver
+	return active.receiver
 }
 
-// HandlePeer takes Head, Frame, End and Refused from agents; it reports whether m
-// was one of them. It never blocks. A message of an attempt that this host does not
-// wait for, or from another session than the attempt's, is dropped and counted.
+// HandlePeer handles the messages that carry responses from agents: Head, Frame, End and
+// Refused. It reports whether m was one of them. It never blocks. It drops and counts a message
+// for an unknown attempt, or from a session other than the one the attempt was dispatched on.
 func (s *Server) HandlePeer(session *peer.Session, m wire.Message) bool {
 	var id wire.AttemptID
 	switch m := m.(type) {
@@ -74,15 +77,18 @@
 	return true
 }
 
-// attempt is one try to run a call at one upstream.
+// attempt is one dispatch of a call to one upstream.
 type attempt struct {
-	c          *call
-	id         wire.AttemptID
-	upstream   wire.Upstream
-	began      time.Time
-	firstByte  time.Duration
-	bytes      uint64
-	status     int
+	c        *call
+	id       wire.AttemptID
+	upstream wire.Upstream
+	// began is when the dispatch was sent, firstByte the time from then to the first body byte.
+	began     time.Time
+	firstByte time.Duration
+	// bytes counts the body bytes received.
+	bytes  uint64
+	status int
+	// uncredited counts the bytes that were consumed since the last Credit message.
 	uncredited uint64
 }
 
@@ -92,6 +98,7 @@
 	return a
 }
 
+// outcome returns what the router is told about the attempt, which ended with err.
 func (a *attempt) outcome(err error) Outcome {
 	o := Outcome{Verdict: verdictOfStatus(a.status), FirstByte: a.firstByte, Bytes: a.bytes}
 	o.OK = err == nil && o.Verdict == verdict.Ran
@@ -105,8 +112,8 @@
 	return o
 }
 
-// run dispatches the call and writes the answer to out. Where it returns an error,
-// the upstream is told that nobody waits any more.
+// run dispatches the call and writes the response to out. If it fails after the dispatch, it
+// cancels the attempt at the upstream.
 func (a *attempt) run(ctx context.Context, out *output) error {
 	s := a.c.s
 	session, err := a.session(ctx)
@@ -136,6 +143,7 @@
 	return session, nil
 }
 
+// notSentError is the error of an attempt whose dispatch did not leave this host.
 func (a *attempt) notSentError(cause error) error {
 	return &verdict.Error{
 		Verdict:    verdict.NotRun,
@@ -146,6 +154,7 @@
 	}
 }
 
+// dispatch sends the call to the agent. The response is to start at the given offset of the body.
 func (a *attempt) dispatch(ctx context.Context, session *peer.Session, offset uint64) error {
 	d := a.newDispatch(ctx, offset)
 	ctx, cancel := context.WithTimeout(ctx, DefaultSendTimeout)
@@ -188,6 +197,7 @@
 	return uint64(max(0, time.Until(deadline).Milliseconds()))
 }
 
+// receive writes the response to out as it arrives. It returns nil after the last byte.
 func (a *attempt) receive(ctx context.Context, session *peer.Session, r *answer.Receiver, out *output) error {
 	head, err := a.head(ctx, session, r)
 	if err != nil {
@@ -213,6 +223,7 @@
 	}
 }
 
+// head waits for the response header.
 func (a *attempt) head(ctx context.Context, session *peer.Session, r *answer.Receiver) (*wire.Head, error) {
 	if limit := a.c.s.cfg.FirstByteTimeout; limit > 0 && a.c.plan.Idempotent {
 		var cancel context.CancelFunc
@@ -230,8 +241,9 @@
 	a.bytes += uint64(len(data))
 }
 
-// sendCredit lets the agent send on. It says so once for a quarter of the window.
-// Where the session is lost, the next read of the answer tells.
+// sendCredit lets the agent send n more bytes. To save messages, it sends one Credit for each
+// quarter of the window. It ignores an error: if the session is lost, the next read of the
+// response fails.
 func (a *attempt) sendCredit(ctx context.Context, session *peer.Session, n int) {
 	a.uncredited += uint64(n)
 	if a.uncredited < a.c.s.cfg.Window/4 {
@@ -242,8 +254,8 @@
 	_ = session.Send(ctx, credit)
 }
 
-// cancel does not wait; where it does not arrive, the agent's own time limit ends
-// the work.
+// cancel tells the agent to stop the attempt. It does not wait; if the message is lost, the agent
+// stops at the timeout of the dispatch.
 func (a *attempt) cancel(session *peer.Session) {
 	_ = session.Post(&wire.Cancel{Attempt: a.id})
 }
--- a/internal/entry/bytebudget.go
+++ b/internal/entry/bytebudget.go
@@ -6,13 +6,14 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// byteBudget bounds the bytes that all requests of a Server hold.
+// byteBudget bounds the memory that all requests of a Server use for request and response bodies.
 type byteBudget struct {
-	// mu guards left.
+	// mu guards available.
 	mu        sync.Mutex
 	available int64
 }
 
+// acquire takes n bytes from the budget, or returns false if fewer are available.
 func (b *byteBudget) acquire(n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -29,33 +30,36 @@
 	b.available += n
 }
 
-// bodyCopies is how often a body is held: as it was read, in the parsed prompt, and
-// encoded on its way to the agent.
+// bodyCopies is how many copies of a request body are in memory at once: as read, in the parsed
+// prompt, and encoded for the agent.
 const bodyCopies = 3
 
-// byteReservation is the part of the budget that one call holds. It is used by one goroutine.
+// byteReservation is the part of a byteBudget that one call has acquired. It is not safe for
+// concurrent use.
 type byteReservation struct {
 	budget *byteBudget
 	bytes  int64
 }
 
-// grow takes n more bytes, or none.
-func (h *byteReservation) grow(n int64) bool {
-	if !h.budget.acquire(n) {
+// grow reserves n more bytes. If they are not available, it reserves nothing and returns false.
+func (r *byteReservation) grow(n int64) bool {
+	if !r.budget.acquire(n) {
 		return false
 	}
-	h.bytes += n
+	r.bytes += n
 	return true
 }
 
-func (h *byteReservation) release() {
-	h.budget.free(h.bytes)
-	h.bytes = 0
+// release returns all reserved bytes to the budget.
+func (r *byteReservation) release() {
+	r.budget.free(r.bytes)
+	r.bytes = 0
 }
 
-// reserveMemory takes what the call can hold before its answer grows: its body, the window
-// of its answer and, where the answer must be whole before it begins, all of that. A
-// body of unknown length counts as the largest one.
+// reserveMemory reserves what the call needs before its body is read: the copies of its body and
+// the flow control window of its response. A non-idempotent call also reserves the largest
+// response, which is buffered until it is complete. A body of unknown length counts as the
+// largest one.
 func (c *call) reserveMemory() error {
 	body := c.r.ContentLength
 	if body < 0 || body > c.s.cfg.MaxBody {
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -14,21 +14,21 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// call is one caller's request on its way through the Server.
+// call is the state of one request of a caller while the Server handles it.
 type call struct {
 	s    *Server
 	w    http.ResponseWriter
 	r    *http.Request
 	req  *request
 	plan Plan
-	// isResolved tells that plan is set, keyChecked that the claim of the call's key
-	// was looked at.
+	// isResolved is set once plan is valid. isClaimChecked is set once it is known whether an
+	// earlier request has claimed the call's idempotency key.
 	isResolved, isClaimChecked bool
-	// hasBodyReadBegun tells that reading the body has begun.
+	// hasBodyReadBegun is set once the server has started to read the request body.
 	hasBodyReadBegun bool
 	reservation      byteReservation
 	out              *output
-	// fingerprint is the same for the same request asked again.
+	// fingerprint identifies the request by its content; a repetition of it has the same one.
 	fingerprint quarantine.Fingerprint
 }
 
@@ -61,12 +61,12 @@
 	c.serveNonIdempotent(ctx)
 }
 
-// prepare reads the request and finds its plan. The body of a caller who is not
-// known is not read.
+// prepare reads the request and finds its plan. It refuses an unknown caller without reading the
+// body.
 func (c *call) prepare() error {
 	id := c.req.id
-	q, err := readHeader(c.r)
-	c.req = q
+	req, err := readHeader(c.r)
+	c.req = req
 	c.req.id = id
 	if err != nil {
 		return err
@@ -78,25 +78,25 @@
 		return err
 	}
 	c.hasBodyReadBegun = true
-	if err := q.readBody(c.w, c.r, c.s.cfg.MaxBody); err != nil {
+	if err := req.readBody(c.w, c.r, c.s.cfg.MaxBody); err != nil {
 		return err
 	}
 	if err := c.resolve(); err != nil {
 		return err
 	}
-	if !q.urgencySet || q.urgency < c.plan.Urgency {
-		q.urgency = c.plan.Urgency
+	if !req.urgencySet || req.urgency < c.plan.Urgency {
+		req.urgency = c.plan.Urgency
 	}
 	c.out = newOutput(c)
 	c.fingerprint = c.s.cfg.Fingerprints.Of(&quarantine.Request{
-		Workspace: c.plan.Workspace, Method: q.method, Target: q.target(), Body: q.body,
+		Workspace: c.plan.Workspace, Method: req.method, Target: req.target(), Body: req.body,
 	})
 	return nil
 }
 
-// resolveEarly does before the body is read what can be done without it: it finds
-// the plan of a plain service, and the caller of a completion, whose body names the
-// model.
+// resolveEarly checks what it can before the body is read. For a plain service it finds the plan.
+// The plan of a completion call depends on the model, which is named in the body, so here only
+// the caller's token is checked.
 func (c *call) resolveEarly() error {
 	if !c.req.isCompletion() {
 		return c.resolve()
@@ -108,6 +108,7 @@
 	return nil
 }
 
+// resolve finds the plan, unless it is known already.
 func (c *call) resolve() error {
 	if c.isResolved {
 		return nil
@@ -157,7 +158,7 @@
 // ProblemType is the media type of error bodies.
 const ProblemType = "application/problem+json"
 
-// fail writes the final error of a call whose answer has not begun.
+// fail sends an error response. It must not be called once a response has begun.
 func (c *call) fail(err error) {
 	e := verdict.FromError(err)
 	if e.RetryAfter == 0 && mayRetryLater(e) {
@@ -181,7 +182,8 @@
 		h.Set("Retry-After", strconv.Itoa(wholeSeconds(e.RetryAfter)))
 	}
 	if !c.hasBodyReadBegun && c.r.ContentLength != 0 && c.r.ProtoMajor == 1 {
-		// The library would read on before it answers, to keep the connection.
+		// Otherwise net/http reads the body before it sends the response, so that it can keep
+		// the connection open, and the response would wait for a body that may never arrive.
 		h.Set("Connection", "close")
 	}
 	h.Set("Content-Type", ProblemType)
@@ -190,6 +192,7 @@
 	_, _ = c.w.Write(body)
 }
 
+// writeHead sends the response header and counts the verdict.
 func (c *call) writeHead(status int, v verdict.Verdict) {
 	c.s.counters.byVerdict[v].Inc(1)
 	h := c.w.Header()
@@ -198,9 +201,10 @@
 	c.w.WriteHeader(status)
 }
 
+// wholeSeconds rounds d up, so that callers do not retry too early.
 func wholeSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
 
-// mayRetryLater tells whether asking again later may help.
+// mayRetryLater reports whether the same request may succeed later.
 func mayRetryLater(e *verdict.Error) bool {
 	switch e.Code {
 	case verdict.CodeOverloaded, verdict.CodeLimited, verdict.CodeNoUpstream, verdict.CodeNoQuorum,
@@ -232,6 +236,8 @@
 	verdict.CodeCancelled:      http.StatusServiceUnavailable,
 }
 
+// statusOf returns the HTTP status of an error. A failed upstream is 502 only if the request may
+// have run there; otherwise it is 503.
 func statusOf(e *verdict.Error) int {
 	status, ok := statusByCode[e.Code]
 	if !ok {
@@ -243,8 +249,8 @@
 	return status
 }
 
-// serveIdempotent tries upstreams until one has answered whole. It is the only
-// place that tries again.
+// serveIdempotent tries one upstream after another until one has sent a complete response. No
+// other function dispatches a call more than once.
 func (c *call) serveIdempotent(ctx context.Context) {
 	var tried []string
 	var last *verdict.Error
@@ -263,9 +269,9 @@
 	}
 }
 
-// errorToReport is what the caller is told after a further attempt failed: that no upstream
-// is left says less than the failure before, and a call of which any attempt may
-// have run may have run.
+// errorToReport chooses between the error of the attempts so far and that of the next one. If no
+// upstream was left to try (name is empty), the earlier error is more informative. If an earlier
+// attempt may have run, the whole call may have run, so a later NotRun must not replace it.
 func errorToReport(last, next *verdict.Error, name string) *verdict.Error {
 	if last == nil {
 		return next
@@ -276,7 +282,10 @@
 	return next
 }
 
-// shouldRetry decides whether an idempotent call is tried once more after err.
+// shouldRetry decides whether an idempotent call gets another attempt after one that failed with
+// err. A request that may have run is not sent to a second upstream if the first one crashed or
+// if crashes are suspected to be caused by it. Attempts that did not run take nothing from the
+// retry budget.
 func (c *call) shouldRetry(ctx context.Context, err error, name string, attempts int) bool {
 	if name == "" || ctx.Err() != nil || attempts >= c.s.cfg.MaxAttempts || !c.out.canContinue() {
 		return false
@@ -287,7 +296,8 @@
 	return verdict.FromError(err).Verdict == verdict.NotRun || c.s.mayRetry()
 }
 
-// tryUpstream makes one attempt. The name is empty where no upstream could be chosen.
+// tryUpstream makes one attempt and returns the name of the upstream, which is empty if none could
+// be chosen.
 func (c *call) tryUpstream(ctx context.Context, tried []string) (string, error) {
 	pick, err := c.pick(tried)
 	if err != nil {
@@ -304,6 +314,7 @@
 	return name, err
 }
 
+// pick chooses an upstream that is not among those tried, unless the request is in quarantine.
 func (c *call) pick(tried []string) (Pick, error) {
 	if err := c.checkQuarantine(); err != nil {
 		return Pick{}, err
@@ -316,8 +327,8 @@
 	})
 }
 
-// giveUp ends the call with err. An answer that has begun is cut off in a way that
-// the caller can tell from its end.
+// giveUp ends the call with err. If the response has begun, the connection or HTTP/2 stream is
+// aborted, so that the caller can tell that the response is incomplete.
 func (c *call) giveUp(err error) {
 	if errors.Is(c.r.Context().Err(), context.Canceled) {
 		c.s.counters.cancelled.Inc(1)
--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -10,8 +10,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// checkQuarantine returns why a request is sent to no upstream, nil if it is. This time it has not
-// run; it is not invited back.
+// checkQuarantine returns an error if the request is in quarantine and must not be sent to any
+// upstream. The error has no RetryAfter, since a retry would be refused too.
 func (c *call) checkQuarantine() error {
 	if c.s.cfg.Quarantine.Verdict(c.fingerprint) != quarantine.Held {
 		return nil
@@ -20,8 +20,9 @@
 	return notRun(verdict.CodeQuarantined, "upstreams ended while they ran this request")
 }
 
-// checkQuarantineEarly refuses a request that is held before it waits for admission. The key of a
-// non-idempotent one is looked at first: an earlier sending may have an answer.
+// checkQuarantineEarly refuses a quarantined idempotent request before it waits for admission. A
+// non-idempotent request is refused only after its claim was checked, since an earlier request
+// with the same key may have a recorded response.
 func (c *call) checkQuarantineEarly() error {
 	if !c.plan.Idempotent {
 		return nil
@@ -29,14 +30,16 @@
 	return c.checkQuarantine()
 }
 
-// hasUpstreamCrashed reports whether an attempt failed since its upstream ended under it. The call goes
-// to no other one then: it may be what ended it.
+// hasUpstreamCrashed reports whether an attempt failed because its upstream process ended while it
+// ran the request. The call is not sent to another upstream then, since the request may have
+// caused the crash.
 func hasUpstreamCrashed(err error) bool {
 	var ended *answer.UpstreamEndedError
 	return errors.As(err, &ended)
 }
 
-// reportToQuarantine tells the quarantine how an attempt ended.
+// reportToQuarantine reports a complete response or a crash of the upstream to the quarantine.
+// Other failures say nothing about the request.
 func (c *call) reportToQuarantine(a *attempt, err error) {
 	var ended *answer.UpstreamEndedError
 	switch {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,9 +1,11 @@
-// Package entry serves callers on an entry host: it authorizes, admits and routes
-// each request, runs it at an upstream by way of the upstream's agent, and hands the
-// whole answer back, or an error that says whether the request may have run.
+// Package entry is the reverse proxy of an entry host, which is a host that accepts requests from
+// callers. It authorizes, admits and routes each request, sends it to the agent process in front
+// of an upstream, and returns either the complete response or an error that says whether the
+// request may have run.
 //
-// An idempotent call may be tried again, within a budget. A non-idempotent one is
-// claimed first and dispatched once.
+// An idempotent call may be retried, within a retry budget. A non-idempotent call carries an
+// idempotency key. The key is first claimed in the replicated state of the control hosts, and
+// only the attempt that holds the claim is dispatched, once.
 package entry
 
 import (
@@ -25,87 +27,89 @@
 type ServiceKind uint8
 
 const (
-	// KindModel is a model pool that answers the completion API.
+	// KindModel is a pool of model engines behind the completion API.
 	KindModel ServiceKind = iota + 1
-	// KindPlain is a plain service under its own paths.
+	// KindPlain is any other HTTP service; it defines its own paths.
 	KindPlain
 )
 
-// Lookup is what a Catalog finds a Plan by.
+// Lookup holds the properties of a request that determine its Plan.
 type Lookup struct {
 	// TokenHash is the SHA-256 of the caller's bearer token.
 	TokenHash [32]byte
 	Method    string
-	// Path has no query.
+	// Path is the path without the query.
 	Path string
 	// Model is the model named in the body of a completion call.
 	Model string
 }
 
-// Plan is how one request is to be served.
+// Plan says how to serve one request.
 type Plan struct {
 	Workspace string
-	// Service is the name of the document that the plan comes from.
+	// Service is the name of the configuration document that the plan comes from.
 	Service string
 	Kind    ServiceKind
 	Pool    string
 	Version string
 	Model   string
-	// Idempotent calls may run more than once.
+	// Idempotent is set for calls that may run more than once.
 	Idempotent bool
-	// Resumable answers go on at an offset on another upstream.
+	// Resumable is set if another upstream can continue a broken response at an offset.
 	Resumable bool
-	// Deadline is how long the whole answer may take; zero means Config.MaxDeadline.
+	// Deadline is how long the complete response may take; zero means Config.MaxDeadline.
 	Deadline time.Duration
-	// Urgency (RFC 9218) is what a caller gets who names none, and the most urgent
-	// that a caller may name.
+	// Urgency (RFC 9218; lower is more urgent) is the default for requests without a priority,
+	// and the most urgent value that a caller may set.
 	Urgency uint8
 }
 
-// Catalog finds plans. Errors are *verdict.Error with CodeUnauthorized,
-// CodeForbidden or CodeNotFound.
+// Catalog finds the Plan of a request. Its errors are of type *verdict.Error with
+// CodeUnauthorized, CodeForbidden or CodeNotFound.
 type Catalog interface {
 	Resolve(l Lookup) (Plan, error)
 }
 
-// AdmitRequest describes a request that wants to be let in.
+// AdmitRequest describes a request to the admission control.
 type AdmitRequest struct {
 	Workspace string
 	Service   string
 	Pool      string
 	Urgency   uint8
-	// Cost is the expected work: prompt bytes and tokens asked for.
+	// Cost is the expected work: the body bytes plus the requested output tokens.
 	Cost     uint64
 	Deadline time.Duration
 }
 
-// Admission lets requests in or refuses them at once, with a *verdict.Error that
-// says NotRun and a RetryAfter. It may wait for a turn as long as ctx lasts.
-// release is called once when the request ends.
+// Admission limits the load from requests. Admit returns as soon as the request may proceed,
+// after waiting in a queue until ctx ends if need be. It refuses a request with a *verdict.Error
+// that has the verdict NotRun and a RetryAfter. The Server calls release once, when the request
+// ends.
 type Admission interface {
 	Admit(ctx context.Context, r AdmitRequest) (release func(), err error)
 }
 
-// PickRequest asks for an upstream.
+// PickRequest holds what a Router needs to choose an upstream.
 type PickRequest struct {
 	Pool    string
 	Version string
 	// Prefixes are the hashes of the prompt's prefixes, shortest first.
 	Prefixes []uint64
-	// Tried are the names of the upstreams that this request was sent to before.
+	// Tried are the names of the upstreams of earlier attempts of this request.
 	Tried []string
 }
 
-// Outcome is how an attempt went.
+// Outcome is the result of an attempt.
 type Outcome struct {
 	Verdict verdict.Verdict
-	// OK tells that the answer was whole and is not of the status class 5xx.
+	// OK is set if the response was complete and its status is below 500.
 	OK bool
-	// Code is why there is no whole answer; empty where the status says so.
+	// Code is why the attempt failed; empty if the response was complete, whatever its status.
 	Code verdict.Code
-	// FirstByte is the time from dispatch to the first body byte, zero if none came.
+	// FirstByte is the time from dispatch to the first body byte, zero if none arrived.
 	FirstByte time.Duration
-	Bytes     uint64
+	// Bytes is the number of body bytes received.
+	Bytes uint64
 }
 
 // Pick is an upstream chosen for one attempt.
@@ -115,29 +119,32 @@
 	Done func(Outcome)
 }
 
-// Router chooses upstreams. Its error is a *verdict.Error that says NotRun.
+// Router chooses upstreams. Its errors are of type *verdict.Error with the verdict NotRun.
 type Router interface {
 	Pick(r PickRequest) (Pick, error)
 }
 
-// Claims commits claims of non-idempotent calls. An error of Claim that is a
-// *verdict.Error with NotRun means that nothing is held by this attempt.
+// Claims commits claims of idempotency keys, so that at most one attempt runs the call of a key.
+// Claim asks for the key on behalf of one attempt; Finish ends the attempt's claim and records
+// its outcome. If Claim fails with a *verdict.Error with the verdict NotRun, the attempt certainly
+// holds no claim.
 type Claims interface {
 	Claim(ctx context.Context, r *wire.ClaimRequest) (*wire.ClaimReply, error)
 	Finish(ctx context.Context, r *wire.FinishRequest) error
 }
 
-// Quarantine knows the requests under which upstreams ended. quarantine.Keeper implements it.
+// Quarantine keeps track of requests that were running on upstreams when these crashed.
+// quarantine.Keeper implements it.
 type Quarantine interface {
 	Verdict(f quarantine.Fingerprint) quarantine.Verdict
-	// Ended tells that an upstream ended under a run, Answered that a request was answered
-	// whole, Refused that one was refused since it is held.
+	// The following methods report, in this order: a crash of an upstream during an attempt; a
+	// request with a complete response; a request refused because it is in quarantine.
 	Ended(r quarantine.Run)
 	Answered(f quarantine.Fingerprint)
 	Refused()
 }
 
-// noQuarantine holds nothing against any request.
+// noQuarantine suspects no request.
 type noQuarantine struct{}
 
 func (noQuarantine) Verdict(quarantine.Fingerprint) quarantine.Verdict { return quarantine.Free }
@@ -145,7 +152,8 @@
 func (noQuarantine) Answered(quarantine.Fingerprint)                   {}
 func (noQuarantine) Refused()                                          {}
 
-// Sessions gives sessions with agents. peer.Pool implements it.
+// Sessions returns the peer session with the agent at an address and connects if there is none.
+// peer.Pool implements it.
 type Sessions interface {
 	Get(ctx context.Context, address string) (*peer.Session, error)
 }
@@ -167,69 +175,72 @@
 	DefaultWriteTimeout  = 30 * time.Second
 )
 
-// Config is what a Server needs. Zero values mean the defaults.
+// Config holds the dependencies and limits of a Server. Zero limits mean the defaults.
 type Config struct {
 	Catalog   Catalog
 	Admission Admission
 	Router    Router
 	Claims    Claims
 	Sessions  Sessions
-	// Quarantine knows the requests under which upstreams ended, by Fingerprints.
+	// Quarantine refuses requests that crashed upstreams. Fingerprints identifies a request by
+	// its content. Without a Quarantine no request is refused for crashes.
 	Quarantine   Quarantine
 	Fingerprints quarantine.Hasher
 	Metrics      metrics.Registry
 
 	// MaxInFlight bounds the requests served at once.
 	MaxInFlight int
-	// MaxBuffered bounds the bytes of bodies and answers that all requests hold
-	// together. A request that does not fit is refused at once.
+	// MaxBuffered bounds the bytes of request and response bodies that all requests together
+	// keep in memory. A request that does not fit is refused at once.
 	MaxBuffered int64
 	// MaxBody bounds a request's body, in bytes.
 	MaxBody int64
-	// MaxResponse bounds the bytes of an answer that is held back until it is whole.
+	// MaxResponse bounds the body of a response that is buffered until it is complete, in bytes.
 	MaxResponse int
-	// MaxRecorded bounds the body of an answer that is recorded for resends, in bytes.
+	// MaxRecorded bounds the body of a response that is recorded under its idempotency key, to
+	// be replayed if the caller sends the request again, in bytes.
 	MaxRecorded int
-	// MaxDeadline bounds the time of one request.
+	// MaxDeadline bounds the time that one request may take.
 	MaxDeadline time.Duration
-	// Window is how many bytes an agent may be ahead of the caller.
+	// Window is the flow control window of a response: how many bytes its agent may send that
+	// the caller has not taken yet.
 	Window uint64
 	// MaxAttempts bounds the attempts of one idempotent request.
 	MaxAttempts int
-	// RetryAfter is what a caller is told to wait where nobody knows better.
+	// RetryAfter is the Retry-After time of errors that have no better estimate.
 	RetryAfter time.Duration
-	// RetryRatio is the share of recent requests that may be tried again after they
-	// may have run.
+	// RetryRatio limits retries of attempts that may have run, as a ratio of recent requests.
 	RetryRatio float64
-	// FirstByteTimeout, if set, gives an idempotent attempt up that has no answer by
-	// then, so that another upstream can be tried.
+	// FirstByteTimeout, if set, ends an idempotent attempt that has no response header by then,
+	// so that another upstream can be tried.
 	FirstByteTimeout time.Duration
-	// FinishTimeout is how long the answer of a non-idempotent call waits until its
-	// outcome is recorded.
+	// FinishTimeout is the longest time that the response of a non-idempotent call waits for
+	// its outcome to be recorded.
 	FinishTimeout time.Duration
-	// WriteTimeout ends the request of a caller that takes nothing for that long.
+	// WriteTimeout ends the request of a caller that reads nothing for that long.
 	WriteTimeout time.Duration
 }
 
-// Server serves callers. It is an http.Handler.
+// Server is the http.Handler for the requests of callers.
 type Server struct {
 	cfg            Config
 	counters       counters
 	activeAttempts activeAttempts
 	memory         byteBudget
-	// backgroundFinishes has room for the outcomes that are recorded beside their answers.
+	// backgroundFinishes is a semaphore for the outcomes that are recorded in the background.
 	backgroundFinishes chan struct{}
 
-	// mu guards budget, draining, ready and running.
+	// mu guards retryBudget, draining, notReady and running.
 	mu          sync.Mutex
 	retryBudget RetryBudget
 	draining    bool
 	notReady    bool
 	running     int
-	idle        chan struct{}
+	// idle receives a value when the last running request ends.
+	idle chan struct{}
 }
 
-// New returns a Server that is ready.
+// New returns a Server that reports that it is ready.
 func New(cfg Config) *Server {
 	cfg = cfg.withDefaults()
 	return &Server{
@@ -272,6 +283,7 @@
 	}
 }
 
+// counters are the metrics of a Server.
 type counters struct {
 	requests, retries, resumed, replayed, dropped, cancelled metrics.Counter
 	aborted, unrecorded, granted                             metrics.Counter
@@ -279,6 +291,7 @@
 	firstByte                                                metrics.Histogram
 }
 
+// histogramSampleSize is the number of values that a histogram keeps.
 const histogramSampleSize = 1028
 
 func newCounters(r metrics.Registry) counters {
@@ -300,7 +313,7 @@
 	return c
 }
 
-// ReadyPath tells the platform's balancer whether to send callers here.
+// ReadyPath is the path of the readiness check of the platform's load balancer.
 const ReadyPath = "/readyz"
 
 // ServeHTTP implements http.Handler.
@@ -331,6 +344,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
+// beginRequest counts a running request, or refuses it if the server drains or runs MaxInFlight
+// requests.
 func (s *Server) beginRequest() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -357,23 +372,25 @@
 	}
 }
 
+// mayRetry takes one retry from the budget, if there is one left.
 func (s *Server) mayRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.retryBudget.Withdraw()
 }
 
-// SetReady sets what ReadyPath says. A shutdown that sets it false some time before
-// Drain lets the platform's balancer move on first.
+// SetReady sets what ReadyPath reports. A shutdown should set it to false some time before it
+// calls Drain, so that the platform's load balancer first stops sending requests here.
 func (s *Server) SetReady(ready bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.notReady = !ready
 }
 
-// Drain refuses new requests with NotRun and waits until all running ones, streams
-// included, have ended. The error is that of ctx. It runs beside
-// http.Server.Shutdown: requests on kept connections still come in here.
+// Drain refuses new requests with the verdict NotRun and waits until all running requests,
+// streams included, have ended. If ctx ends first, Drain returns its error. Drain is needed in
+// addition to http.Server.Shutdown, since requests still arrive on connections that are kept
+// alive.
 func (s *Server) Drain(ctx context.Context) error {
 	s.mu.Lock()
 	s.draining = true
@@ -388,7 +405,7 @@
 		select {
 		case <-s.idle:
 		case <-ctx.Done():
-			return errors.Wrapf(ctx.Err(), "entry: %d requests still run", n)
+			return errors.Wrapf(ctx.Err(), "entry: %d requests are still running", n)
 		}
 	}
 }
--- a/internal/entry/finishes.go
+++ b/internal/entry/finishes.go
@@ -6,11 +6,12 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// maxBackgroundFinishes bounds the outcomes that are recorded beside their answers.
+// maxBackgroundFinishes bounds the outcomes that are being recorded in the background.
 const maxBackgroundFinishes = 1024
 
-// finishInBackground records an outcome beside the answer, in several tries. Beyond the
-// bound, and after the last try, the claim ends as unknown.
+// finishInBackground records the outcome of a claimed call without delaying the response, and
+// retries if recording fails. If too many outcomes are being recorded, or the last retry fails,
+// the outcome is dropped and the claim expires with an unknown outcome.
 func (s *Server) finishInBackground(f *wire.FinishRequest) {
 	select {
 	case s.backgroundFinishes <- struct{}{}:
@@ -18,17 +19,17 @@
 		s.counters.unrecorded.Inc(1)
 		return
 	}
-	held := byteReservation{budget: &s.memory}
-	if f.Answer != nil && !held.grow(int64(len(f.Answer.Body))) {
+	reservation := byteReservation{budget: &s.memory}
+	if f.Answer != nil && !reservation.grow(int64(len(f.Answer.Body))) {
 		f.Answer = nil
 	}
 	go func() {
 		defer func() { <-s.backgroundFinishes }()
-		defer held.release()
-		// The claim of an attempt that has not run may be on its way still, and would
-		// be held by nobody if it arrived after the finish.
-		isClaimUnclear := verdict.Verdict(f.Verdict) == verdict.NotRun
-		if !answer.Record(s.cfg.Claims, f, isClaimUnclear) {
+		defer reservation.release()
+		// The claim of an attempt that did not run may be committed only after this finish,
+		// and nothing else would release it. So the finish is sent again even if it succeeds.
+		mayClaimCommitLate := verdict.Verdict(f.Verdict) == verdict.NotRun
+		if !answer.Record(s.cfg.Claims, f, mayClaimCommitLate) {
 			s.counters.unrecorded.Inc(1)
 		}
 	}()
--- a/internal/entry/httpserver.go
+++ b/internal/entry/httpserver.go
@@ -19,17 +19,17 @@
 	DefaultIdleTimeout = 2 * time.Minute
 )
 
-// HTTPLimits are the bounds of the callers' listener. Zero values mean the defaults.
+// HTTPLimits are the limits of the listener for callers. Zero values mean the defaults.
 type HTTPLimits struct {
-	// MaxConns is how many connections are held at once; one more is closed at once.
+	// MaxConns is how many connections may be open; further ones are closed on arrival.
 	MaxConns int
 	// MaxHeader bounds a request's header, in bytes.
 	MaxHeader int
-	// IdleTimeout ends a connection without a request.
+	// IdleTimeout closes a connection that has no request for that long.
 	IdleTimeout time.Duration
 }
 
-// NewHTTPServer returns a server for callers within limits.
+// NewHTTPServer returns a server that passes the requests of callers to h.
 func NewHTTPServer(h http.Handler, limits HTTPLimits) *http.Server {
 	setDefault(&limits.MaxConns, DefaultMaxConns)
 	setDefault(&limits.MaxHeader, DefaultMaxHeader)
@@ -50,7 +50,7 @@
 	}
 }
 
-// connLimit counts open connections.
+// connLimit closes new connections while max others are open.
 type connLimit struct {
 	max  int64
 	open atomic.Int64
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -9,15 +9,16 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// serveNonIdempotent claims a non-idempotent call and dispatches it once.
+// serveNonIdempotent claims the idempotency key of a non-idempotent call and dispatches the call
+// once.
 //
-// The outcome is recorded before the caller gets the answer: callers resend just
-// when an answer breaks off on its way, and then find it. That costs one commit of
-// latency, at most Config.FinishTimeout. Where recording fails the caller gets the
-// answer all the same; a resend finds that the call may have run.
+// The outcome is recorded before the caller gets the response. Callers typically send a request
+// again when its response breaks off, and the repeated request must find the recorded response.
+// Recording adds the latency of one commit, at most Config.FinishTimeout. If it fails, the caller
+// gets the response all the same, and a repeated request is told that the call may have run.
 //
-// From the claim on, the call does not depend on the caller's connection: a call
-// that is cut in the middle helps nobody, and a resend finds the answer.
+// Once it asks for the claim, the call goes on even if the caller disconnects: stopping it halfway
+// helps nobody, and a repeated request finds the response.
 func (c *call) serveNonIdempotent(ctx context.Context) {
 	if c.req.key == "" {
 		c.fail(notRun(verdict.CodeBadRequest, "this call may not repeat: "+IdempotencyKeyHeader+" is missing"))
@@ -42,7 +43,8 @@
 	c.dispatchOnce(ctx, a)
 }
 
-// claim asks for the right to dispatch. Without it nothing of this request runs.
+// claim claims the idempotency key for an attempt. If it returns an error, nothing of this request
+// has run or will run.
 func (c *call) claim(ctx context.Context, a *attempt) (*wire.ClaimReply, error) {
 	reply, err := c.s.cfg.Claims.Claim(ctx, &wire.ClaimRequest{
 		Workspace: c.plan.Workspace,
@@ -56,7 +58,8 @@
 	}
 	e := *verdict.FromError(err)
 	if e.Verdict != verdict.NotRun {
-		// The claim may be held, now or once it arrives; this attempt will never use it.
+		// The claim may have been committed, or may still be. This attempt will not use it, so it
+		// is released.
 		c.finishInBackground(a, verdict.NotRun, nil)
 		e.Verdict = verdict.NotRun
 		e.Code = verdict.CodeNoQuorum
@@ -65,9 +68,9 @@
 	return nil, &e
 }
 
-// isClaimUnchecked tells that this call has a key that counts, whose claim was not looked
-// at. What is known of this sending then says nothing of the call: an earlier
-// sending may have run.
+// isClaimUnchecked reports whether the call has an idempotency key and it is not known whether an
+// earlier request has claimed it. That earlier request may have run, even if this one did not. A
+// key on an idempotent call has no effect.
 func (c *call) isClaimUnchecked() bool {
 	if c.isClaimChecked || c.r.Header.Get(IdempotencyKeyHeader) == "" {
 		return false
@@ -75,20 +78,20 @@
 	return !c.isResolved || !c.plan.Idempotent
 }
 
-// sameKeyAdvice is told to a caller whose key could not be checked.
+// sameKeyAdvice is added to errors of calls whose claim is unchecked.
 const sameKeyAdvice = "; this sending did not run, but an earlier one with this key may have: ask again with the SAME key"
 
-// withUncheckedClaim turns a passing refusal of a call whose key is open into one that may
-// have run: a caller that takes "not run" for the end of an earlier sending would
-// make the call again under a new key.
+// withUncheckedClaim changes the verdict of a temporary refusal to MayHaveRun. It is used for calls
+// whose claim is unchecked. A caller that has sent the request before would take NotRun for the
+// outcome of the earlier request too, and might repeat the call under a new key.
 func withUncheckedClaim(e *verdict.Error) *verdict.Error {
-	open := *e
-	open.Verdict = verdict.MayHaveRun
-	open.Text += sameKeyAdvice
-	return &open
+	changed := *e
+	changed.Verdict = verdict.MayHaveRun
+	changed.Text += sameKeyAdvice
+	return &changed
 }
 
-// respondToClaim answers a call that another attempt has claimed.
+// respondToClaim sends the response to a call whose claim was not granted.
 func (c *call) respondToClaim(reply *wire.ClaimReply) {
 	switch reply.State {
 	case wire.ClaimInProgress:
@@ -104,6 +107,8 @@
 	}
 }
 
+// replay sends the recorded response of an earlier request with the same key. The answer is nil
+// if it was too large to be recorded.
 func (c *call) replay(answer *wire.Answer) {
 	if answer == nil {
 		c.fail(verdict.New(verdict.Ran, verdict.CodeConflict, "the call of this key has run; its answer was not kept"))
@@ -122,6 +127,7 @@
 	}
 }
 
+// dispatchOnce runs a claimed call at one upstream and records the outcome.
 func (c *call) dispatchOnce(ctx context.Context, a *attempt) {
 	pick, err := c.pick(nil)
 	if err != nil {
@@ -143,15 +149,15 @@
 	}
 }
 
-// failClaimed records that a claimed call has failed and tells the caller. NotRun frees
-// the key; the caller asks again.
+// failClaimed records the outcome of a claimed call that failed and sends the error. The outcome
+// NotRun releases the key, so that the caller can retry with it.
 func (c *call) failClaimed(a *attempt, err error) {
 	c.finish(a, verdict.FromError(err).Verdict, nil)
 	c.fail(err)
 }
 
-// finish records the outcome before the caller gets the answer. Where that fails it
-// is tried again beside the answer; until then the call counts as in progress.
+// finish records the outcome of a claimed call before the caller gets the response. If that fails,
+// recording is retried in the background; until it succeeds, the call counts as in progress.
 func (c *call) finish(a *attempt, v verdict.Verdict, answer *wire.Answer) {
 	f := c.finishRequest(a, v, answer)
 	ctx, cancel := context.WithTimeout(context.Background(), c.s.cfg.FinishTimeout)
@@ -161,7 +167,7 @@
 	}
 }
 
-// finishInBackground records the outcome beside the answer.
+// finishInBackground records the outcome of a claimed call without delaying the response.
 func (c *call) finishInBackground(a *attempt, v verdict.Verdict, answer *wire.Answer) {
 	c.s.finishInBackground(c.finishRequest(a, v, answer))
 }
--- a/internal/entry/output.go
+++ b/internal/entry/output.go
@@ -12,22 +12,24 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// errTooLarge tells that an answer is larger than what may be held back.
+// errTooLarge means that a response that must be buffered completely exceeds the buffer limit.
 var errTooLarge = verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "answer is too large to be held until it is whole")
 
-// output is the answer on its way to the caller. It holds the answer back while it
-// may, so that a broken attempt leaves no trace.
+// output writes the response to the caller. It buffers the response as far as it can, so that the
+// caller sees nothing of an attempt that breaks off.
 type output struct {
 	c *call
-	// bufferLimit is how many bytes are held back until the answer is whole; a stream has none.
+	// bufferLimit is how many body bytes may be buffered before the response begins. It is zero
+	// for streams.
 	bufferLimit int
-	// mustBeWhole tells that nothing is ever written before the answer is whole.
+	// mustBeWhole is set if the response must not begin before it is complete.
 	mustBeWhole bool
 
 	head     *wire.Head
 	buffered []byte
+	// hasBegun is set once the response header was written to the caller.
 	hasBegun bool
-	// isCallerGone tells that the caller takes no more.
+	// isCallerGone is set once writing to the caller has failed.
 	isCallerGone bool
 	// delivered counts the body bytes written to the caller.
 	delivered uint64
@@ -41,16 +43,16 @@
 	return o
 }
 
-// canContinue tells whether another attempt can make the answer whole.
+// canContinue reports whether another attempt could complete the response.
 func (o *output) canContinue() bool {
 	return !o.isCallerGone && (!o.hasBegun || o.c.plan.Resumable)
 }
 
-// offset is where the next attempt has to begin.
+// offset is the body offset at which the next attempt has to start.
 func (o *output) offset() uint64 { return o.delivered }
 
-// acceptHead takes the head of an attempt. After a resumed start the head has to be the
-// same kind of answer.
+// acceptHead starts the response of an attempt and discards what was buffered of an earlier one.
+// If the response to the caller has begun, the status of the resumed one must be the same.
 func (o *output) acceptHead(h *wire.Head) error {
 	if o.hasBegun && h.Status != o.head.Status {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "resumed answer has another status")
@@ -62,7 +64,7 @@
 	return nil
 }
 
-// write adds a piece of the body.
+// write buffers a part of the body, or writes it to the caller if no more may be buffered.
 func (o *output) write(data []byte) error {
 	if !o.hasBegun && len(o.buffered)+len(data) <= o.bufferLimit && o.mayBuffer(len(data)) {
 		o.buffered = append(o.buffered, data...)
@@ -78,8 +80,8 @@
 	return o.deliver(data)
 }
 
-// mayBuffer tells whether n more bytes may be held back. An answer that has to be
-// whole has its share from the start.
+// mayBuffer reports whether the memory budget allows buffering n more bytes. For a response that
+// must be complete before it begins, the memory was reserved before the body was read.
 func (o *output) mayBuffer(n int) bool {
 	return o.mustBeWhole || o.c.reservation.grow(int64(n))
 }
@@ -88,16 +90,17 @@
 	if len(o.buffered) == 0 {
 		return nil
 	}
-	held := o.buffered
+	data := o.buffered
 	o.buffered = nil
-	return o.deliver(held)
+	return o.deliver(data)
 }
 
-// errTruncated tells that an answer ended in good form, but before its own end.
+// errTruncated means that a response ended without a transport error, but its JSON is incomplete.
 var errTruncated = verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "answer is not a whole JSON text")
 
-// isTruncated tells whether a held answer to a completion call lacks its end: it is
-// empty, or is called JSON and is not. The end of a stream is looked at by the agent.
+// isTruncated reports whether a buffered response to a completion call is incomplete, which means
+// that it is empty or that its media type is JSON and it does not parse. The end of a stream is
+// checked by the agent.
 func (o *output) isTruncated() bool {
 	if o.hasBegun || !o.c.req.isCompletion() || o.head.Status != http.StatusOK {
 		return false
@@ -111,8 +114,8 @@
 	return isJSON && !json.Valid(o.buffered)
 }
 
-// finish writes the rest of an answer that came to its end. Its error is errCutShort,
-// with nothing written, or that the caller has gone.
+// finish writes the rest of a response after its last byte has arrived. It returns errTruncated,
+// without having written anything, or the error of writing to the caller.
 func (o *output) finish() error {
 	if o.isTruncated() {
 		return errTruncated
@@ -128,10 +131,12 @@
 	return o.flushBuffered()
 }
 
+// bodyAllowed reports whether HTTP allows a body in the response.
 func bodyAllowed(method string, status int) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
+// beginResponse writes the response header, once.
 func (o *output) beginResponse() {
 	if o.hasBegun {
 		return
@@ -141,8 +146,8 @@
 	o.c.writeHead(o.head.Status, verdictOfStatus(o.head.Status))
 }
 
-// verdictOfStatus is the verdict that goes with an upstream's own answer. How far a request
-// ran whose upstream says that it failed itself is not known.
+// verdictOfStatus is the verdict on a request to which the upstream responded with the status. With
+// a status of 5xx it is unknown how far the upstream ran the request.
 func verdictOfStatus(status int) verdict.Verdict {
 	if status >= http.StatusInternalServerError {
 		return verdict.MayHaveRun
@@ -150,8 +155,8 @@
 	return verdict.Ran
 }
 
-// deliver gives data to the caller at once. A caller that takes nothing for
-// Config.WriteTimeout is given up.
+// deliver writes data to the caller and flushes it. It fails if the caller does not read for
+// Config.WriteTimeout.
 func (o *output) deliver(data []byte) error {
 	rc := http.NewResponseController(o.c.w)
 	_ = rc.SetWriteDeadline(time.Now().Add(o.c.s.cfg.WriteTimeout))
@@ -167,7 +172,8 @@
 	return nil
 }
 
-// recordedAnswer is what is recorded of a whole answer; the body is left out over limit bytes.
+// recordedAnswer returns a complete response in the form in which it is recorded under its
+// idempotency key, or nil if the body is larger than limit bytes.
 func (o *output) recordedAnswer(limit int) *wire.Answer {
 	if len(o.buffered) > limit {
 		return nil
--- a/internal/entry/prefix.go
+++ b/internal/entry/prefix.go
@@ -6,15 +6,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixBlockBytes is the length of the prompt blocks that prefixes are made of, in bytes.
+// PrefixBlockBytes is the length of a block. Prompt prefixes are compared in whole blocks.
 const PrefixBlockBytes = 256
 
-// MaxPrefixes bounds the prefixes of one prompt.
+// MaxPrefixes bounds the number of prefixes that are hashed of one prompt.
 const MaxPrefixes = 64
 
-// PrefixHashes returns the hashes of the prompt's prefixes that are whole blocks,
-// shortest first. Each is the xxHash64 of the hash before it and its last block, so
-// that equal hashes mean equal prefixes.
+// PrefixHashes returns the hashes of the prompt's prefixes of one block, two blocks and so on,
+// shortest first. Each is the xxHash64 of the previous hash and the prefix's last block, so it
+// depends on all blocks up to there: equal hashes mean equal prefixes.
 func PrefixHashes(prompt []byte) []uint64 {
 	n := min(len(prompt)/PrefixBlockBytes, MaxPrefixes)
 	out := make([]uint64, 0, n)
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -17,42 +17,46 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// Header names of the callers' interface.
+// Header names, paths and limits of the API for callers.
 const (
 	RequestIDHeader      = "X-Request-Id"
 	IdempotencyKeyHeader = "Idempotency-Key"
 	PriorityHeader       = "Priority"
 	ReplayedHeader       = "Idempotency-Replayed"
-	// resumeHeader is between agent and engine only.
+	// resumeHeader is used between agent and engine only, so it is removed in both directions.
 	resumeHeader      = "Resume-Offset"
 	completionsPath   = "/v1/completions"
 	chatPath          = "/v1/chat/completions"
 	maxRequestIDBytes = 64
 	maxKeyBytes       = 255
-	defaultUrgency    = 3
-	leastUrgent       = 7
-	bodyTimeout       = 30 * time.Second
+	// defaultUrgency and leastUrgent are the default and the largest urgency of RFC 9218.
+	defaultUrgency = 3
+	leastUrgent    = 7
+	// bodyTimeout is how long reading a request body may take.
+	bodyTimeout = 30 * time.Second
 )
 
-// request is a caller's request as it was read.
+// request is a parsed request of a caller.
 type request struct {
 	id     string
 	method string
-	// path is decoded and has no dot segments; the upstream gets it in one encoding,
-	// so that it can't read another path than the plan was found for.
-	path    string
-	query   string
-	token   [32]byte
+	// path is decoded and has no dot segments. It is encoded anew for the upstream, so that the
+	// upstream can't interpret it as a path other than the one that the plan was found for.
+	path  string
+	query string
+	// token is the SHA-256 of the bearer token.
+	token [32]byte
+	// key is the idempotency key, empty if there is none.
 	key     string
 	urgency uint8
-	// urgencySet tells that the caller named an urgency.
+	// urgencySet is set if the caller specified an urgency.
 	urgencySet bool
 	header     []wire.Field
 	body       []byte
 	completion completion
 }
 
-// completion is what of a completion call matters for routing.
+// completion holds the fields of a completion call that matter for routing.
 type completion struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt"`
@@ -66,7 +70,7 @@
 	Content string `json:"content"`
 }
 
-// text is the prompt as the prefixes are taken of it.
+// text returns the prompt in the form that is hashed for prefix-aware routing.
 func (c *completion) text() []byte {
 	if len(c.Messages) == 0 {
 		return []byte(c.Prompt)
@@ -81,7 +85,7 @@
 	return []byte(b.String())
 }
 
-// requestID takes the caller's id if it is well-formed and makes one if not.
+// requestID returns the caller's request id, or a random one if it is missing or malformed.
 func requestID(r *http.Request) string {
 	if id := r.Header.Get(RequestIDHeader); isWellFormed(id, maxRequestIDBytes) {
 		return id
@@ -91,7 +95,8 @@
 	return hex.EncodeToString(b[:])
 }
 
-// isWellFormed accepts 1 to limit visible ASCII characters without quotes or separators.
+// isWellFormed accepts 1 to limit visible ASCII characters except double quotes, commas, semicolons
+// and backslashes.
 func isWellFormed(s string, limit int) bool {
 	if s == "" || len(s) > limit {
 		return false
@@ -105,33 +110,34 @@
 	return true
 }
 
-// readHeader reads what a request says outside of its body.
+// readHeader parses a request except for its body. The request is not nil even if there is an
+// error.
 func readHeader(r *http.Request) (*request, error) {
-	q := &request{
+	req := &request{
 		id:     requestID(r),
 		method: r.Method,
 		path:   r.URL.Path,
 		query:  r.URL.RawQuery,
 		header: forwardedFields(r.Header),
 	}
-	if !isCanonical(q.method, q.path) {
-		return q, notRun(verdict.CodeBadRequest, "method or path is not in plain form")
+	if !isCanonical(req.method, req.path) {
+		return req, notRun(verdict.CodeBadRequest, "method or path is not in plain form")
 	}
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
-		return q, notRun(verdict.CodeUnauthorized, "bearer token is missing")
+		return req, notRun(verdict.CodeUnauthorized, "bearer token is missing")
 	}
-	q.token = sha256.Sum256([]byte(token))
-	q.key = strings.Trim(r.Header.Get(IdempotencyKeyHeader), `"`)
-	if q.key != "" && !isWellFormed(q.key, maxKeyBytes) {
-		return q, notRun(verdict.CodeBadRequest, "idempotency key is malformed")
+	req.token = sha256.Sum256([]byte(token))
+	req.key = strings.Trim(r.Header.Get(IdempotencyKeyHeader), `"`)
+	if req.key != "" && !isWellFormed(req.key, maxKeyBytes) {
+		return req, notRun(verdict.CodeBadRequest, "idempotency key is malformed")
 	}
-	q.urgency, q.urgencySet = parseUrgency(r.Header.Get(PriorityHeader))
-	return q, nil
+	req.urgency, req.urgencySet = parseUrgency(r.Header.Get(PriorityHeader))
+	return req, nil
 }
 
-// isCanonical accepts methods in upper case, and paths that no upstream can take for
-// another one.
+// isCanonical accepts methods in upper case, and paths that an upstream can't normalize to a
+// different path.
 func isCanonical(method, path string) bool {
 	if strings.ToUpper(method) != method || !strings.HasPrefix(path, "/") || strings.Contains(path, "\\") {
 		return false
@@ -147,10 +153,11 @@
 	return true
 }
 
-// parseUrgency reads the urgency of RFC 9218; what it can't read is not set.
+// parseUrgency parses the urgency in a Priority header of RFC 9218. If there is no valid one, it
+// returns the default and false.
 func parseUrgency(s string) (uint8, bool) {
-	for part := range strings.SplitSeq(s, ",") {
-		value, ok := strings.CutPrefix(strings.TrimSpace(part), "u=")
+	for parameter := range strings.SplitSeq(s, ",") {
+		value, ok := strings.CutPrefix(strings.TrimSpace(parameter), "u=")
 		if ok && len(value) == 1 && value[0] >= '0' && value[0] <= '0'+leastUrgent {
 			return value[0] - '0', true
 		}
@@ -158,8 +165,8 @@
 	return defaultUrgency, false
 }
 
-// readBody reads the body, up to limit bytes, and the completion call in it.
-func (q *request) readBody(w http.ResponseWriter, r *http.Request, limit int64) error {
+// readBody reads the body, up to limit bytes, and parses it if the request is a completion call.
+func (req *request) readBody(w http.ResponseWriter, r *http.Request, limit int64) error {
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
@@ -171,41 +178,44 @@
 	if err != nil {
 		return notRun(verdict.CodeBadRequest, "body can't be read")
 	}
-	q.body = body
-	if !q.isCompletion() {
+	req.body = body
+	if !req.isCompletion() {
 		return nil
 	}
-	if err := json.Unmarshal(body, &q.completion); err != nil {
+	if err := json.Unmarshal(body, &req.completion); err != nil {
 		return notRun(verdict.CodeBadRequest, "body is not a completion call: "+err.Error())
 	}
-	if q.completion.Model == "" {
+	if req.completion.Model == "" {
 		return notRun(verdict.CodeBadRequest, "model is missing")
 	}
 	return nil
 }
 
-func (q *request) isCompletion() bool {
-	return q.method == http.MethodPost && (q.path == completionsPath || q.path == chatPath)
+// isCompletion reports whether the request is a call of the completion API.
+func (req *request) isCompletion() bool {
+	return req.method == http.MethodPost && (req.path == completionsPath || req.path == chatPath)
 }
 
-// target is the path with the query.
-func (q *request) target() string {
-	u := url.URL{Path: q.path, RawQuery: q.query}
+// target returns the encoded path with the query.
+func (req *request) target() string {
+	u := url.URL{Path: req.path, RawQuery: req.query}
 	return u.RequestURI()
 }
 
-// digest identifies what the caller asked for, for claims.
-func (q *request) digest() [32]byte {
+// digest returns the SHA-256 of method, target and body. A claim keeps it, to detect that a key is
+// reused for a different request.
+func (req *request) digest() [32]byte {
 	h := sha256.New()
-	for _, part := range []string{q.method, q.target()} {
+	for _, part := range []string{req.method, req.target()} {
 		h.Write([]byte(part))
 		h.Write([]byte{0})
 	}
-	h.Write(q.body)
+	h.Write(req.body)
 	return [32]byte(h.Sum(nil))
 }
 
-// droppedFields are header fields that belong to one connection, or to this host.
+// droppedFields are the header fields that are not forwarded in either direction. They concern a
+// single connection, are meant for the entry host, or are set by entry host and agent.
 var droppedFields = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
@@ -213,6 +223,7 @@
 	RequestIDHeader: true, verdict.Header: true, ReplayedHeader: true, resumeHeader: true,
 }
 
+// forwardedFields returns the header fields that are sent on to the upstream.
 func forwardedFields(h http.Header) []wire.Field {
 	var out []wire.Field
 	for name, values := range h {
@@ -226,6 +237,7 @@
 	return out
 }
 
+// addFields adds the fields of an upstream's response to h, except for droppedFields.
 func addFields(h http.Header, fields []wire.Field) {
 	for _, f := range fields {
 		if !droppedFields[http.CanonicalHeaderKey(f.Name)] {
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,4 +1,5 @@
-// Package verdict states whether a request may have run at an upstream.
+// Package verdict defines the errors of request handling. Each says whether the request may have
+// run at an upstream, so that a caller knows whether it is safe to send the request again.
 package verdict
 
 import (
@@ -10,12 +11,12 @@
 // Header is the response header that carries the verdict to the caller.
 const Header = "Sassafraspost-Verdict"
 
-// Verdict is what the system knows about the execution of a request.
+// Verdict says what is known about the execution of a request.
 type Verdict uint8
 
 const (
-	// MayHaveRun means that the request may have reached an upstream. It is the
-	// zero value: what is not known counts as possibly run.
+	// MayHaveRun means that the request may have reached an upstream. It is the zero value, so
+	// that a request whose execution is unknown counts as possibly run.
 	MayHaveRun Verdict = iota
 	// NotRun means that no upstream has run or ever will run the request.
 	NotRun
@@ -25,10 +26,10 @@
 
 var names = map[Verdict]string{MayHaveRun: "may-have-run", NotRun: "not-run", Ran: "ran"}
 
-// String returns the form used in headers and logs.
+// String returns the text used in headers and logs.
 func (v Verdict) String() string { return names[v] }
 
-// Parse reads the form that String writes.
+// Parse is the inverse of String.
 func Parse(s string) (Verdict, error) {
 	for v, name := range names {
 		if name == s {
@@ -38,10 +39,10 @@
 	return MayHaveRun, errors.Errorf("unknown verdict %q", s)
 }
 
-// Code names the reason of a failure for callers and metrics.
+// Code is a machine-readable failure reason, for callers and metrics.
 type Code string
 
-// The reasons that a request can fail with.
+// The failure reasons of a request.
 const (
 	CodeBadRequest     Code = "bad-request"
 	CodeUnauthorized   Code = "unauthorized"
@@ -63,13 +64,13 @@
 	CodeInternal       Code = "internal"
 )
 
-// Error is a failure together with what it says about execution.
+// Error is a failure and the verdict on the execution of the failed request.
 type Error struct {
 	Verdict Verdict
 	Code    Code
 	Text    string
-	// RetryAfter is how long the caller should wait before it asks again; zero
-	// where asking again does not help.
+	// RetryAfter is how long the caller should wait before it sends the request again; zero
+	// means that a retry does not help.
 	RetryAfter time.Duration
 	Cause      error
 }
@@ -79,7 +80,8 @@
 	return &Error{Verdict: v, Code: code, Text: text}
 }
 
-// Error returns the text for logs.
+// Error returns code, verdict and text, and the text of the cause if there is one. It is meant
+// for logs.
 func (e *Error) Error() string {
 	s := string(e.Code) + " (" + e.Verdict.String() + "): " + e.Text
 	if e.Cause != nil {
@@ -91,14 +93,15 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// WithRetryAfter returns a copy of e with a RetryAfter.
+// WithRetryAfter returns a copy of e whose RetryAfter is d.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// FromError returns the Error in the chain of err. An error of another type may have run.
+// FromError returns the Error in the chain of err. If there is none, it returns one with the
+// verdict MayHaveRun, since an unknown failure proves nothing about execution.
 func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
