--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -15,10 +15,10 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// BenchmarkAddedLatency compares a call by way of entry host and agent with a
-// direct call to the same stand-in, one after the other, in one run.
+// BenchmarkAddedLatency alternates calls through entry host and agent with direct calls to the
+// same stand-in engine, so that both are measured under the same conditions.
 func BenchmarkAddedLatency(b *testing.B) {
-	p := startHarness(b, nil)
+	p := startTestProxy(b, nil)
 	e := standin.NewEngine(standin.EngineConfig{})
 	p.addUpstream("u1", e, nil)
 	direct := httptest.NewServer(e)
@@ -43,10 +43,10 @@
 	}
 }
 
-// BenchmarkThroughput runs many callers at once. Callers, entry host, agent and
-// stand-in share the process; bytes and time count for all of them.
+// BenchmarkThroughput runs many callers at once. Callers, entry host, agent and stand-in engine
+// share one process, so the measured time and allocations include all of them.
 func BenchmarkThroughput(b *testing.B) {
-	p := startHarness(b, nil)
+	p := startTestProxy(b, nil)
 	p.addUpstream("u1", standin.NewEngine(standin.EngineConfig{}), nil)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	body := p.completionBody("prompt", 8, false)
--- a/internal/entry/budget_test.go
+++ b/internal/entry/budget_test.go
@@ -18,19 +18,19 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// The bytes of all requests together are bounded; what does not fit is refused at
-// once and fits again when others have ended. Without reserve in prepare this
-// fails: the second booking runs.
+// A request that exceeds the memory budget of all requests must be refused at once, and accepted
+// again once other requests have ended. Without reserveMemory in prepare the second booking runs
+// at the same time as the first.
 func TestBytesOfAllRequestsAreBounded(t *testing.T) {
 	const answerBytes = 64 << 10
-	p := startHarness(t, func(c *entry.Config) {
+	p := startTestProxy(t, func(c *entry.Config) {
 		c.MaxResponse, c.Window = answerBytes, 1<<10
 		c.MaxBuffered = answerBytes + 8<<10
 	})
 	s := standin.NewService(0)
 	started, release := make(chan struct{}, 8), make(chan struct{})
-	end := sync.OnceFunc(func() { close(release) })
-	defer end()
+	unblock := sync.OnceFunc(func() { close(release) })
+	defer unblock()
 	p.addUpstream("u1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		started <- struct{}{}
 		<-release
@@ -43,13 +43,13 @@
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.Equal(t, "1", r.header.Get("Retry-After"))
 	require.Contains(t, r.body, "too many bytes")
-	end()
+	unblock()
 	require.Equal(t, "ran", (<-first).verdict())
 	require.Eventually(t, func() bool { return p.book("k2", "ana").verdict() == "ran" }, testTimeout, time.Millisecond)
 	require.Equal(t, 1, s.Executions().ByKey["k2"].Begun)
 }
 
-// tokenCatalog knows one token.
+// tokenCatalog accepts a single bearer token.
 type tokenCatalog struct{ testCatalog }
 
 func (c tokenCatalog) Resolve(l entry.Lookup) (entry.Plan, error) {
@@ -59,7 +59,8 @@
 	return c.testCatalog.Resolve(l)
 }
 
-// blockedBody is a body that never comes; reading it fails the test's time limit.
+// blockedBody is a request body that never arrives. Read blocks until the context of the request
+// times out.
 type blockedBody struct{ ctx context.Context }
 
 func (u blockedBody) Read([]byte) (int, error) {
@@ -67,10 +68,10 @@
 	return 0, io.ErrUnexpectedEOF
 }
 
-// An unknown caller is refused before any byte of its body. Without resolveEarly
-// this fails: the answer does not come as long as the body does not.
+// An unknown caller must be refused before its body arrives. Without resolveEarly the response
+// waits for the body.
 func TestUnknownCallerIsRefusedBeforeItsBodyIsRead(t *testing.T) {
-	p := startHarness(t, func(c *entry.Config) { c.Catalog = tokenCatalog{} })
+	p := startTestProxy(t, func(c *entry.Config) { c.Catalog = tokenCatalog{} })
 	for _, target := range []string{"/v1/completions", "/slots/book"} {
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		r, err := http.NewRequestWithContext(ctx, http.MethodPost, p.url+target, blockedBody{ctx})
@@ -85,10 +86,11 @@
 	}
 }
 
-// lossyClaims loses the reply of each claim that it grants, and the first finishes.
+// lossyClaims commits claims but can lose their replies, and loses the first calls of Finish.
 type lossyClaims struct {
 	*testClaims
-	loseReply      bool
+	loseReply bool
+	// finishesToLose is how many further calls of Finish fail without an effect.
 	finishesToLose int
 }
 
@@ -111,12 +113,11 @@
 	return c.testClaims.Finish(ctx, r)
 }
 
-// A claim whose reply was lost is given back also where the leader is gone for a
-// while, so that the key can be used. Without the tries of keepFinishing this
-// fails: the key stays in progress.
+// A claim whose reply was lost must be released even if there is no leader for a while, so that
+// the key can be used again. If finishInBackground did not retry, the key would stay in progress.
 func TestClaimWithLostReplyIsReleased(t *testing.T) {
 	claims := &lossyClaims{testClaims: &testClaims{byKey: make(map[string]*testClaim)}, loseReply: true, finishesToLose: 1}
-	p := startHarness(t, func(c *entry.Config) { c.Claims = claims })
+	p := startTestProxy(t, func(c *entry.Config) { c.Claims = claims })
 	s := standin.NewService(0)
 	p.addUpstream("u1", s, nil)
 	r := p.book("k", "ana")
@@ -127,7 +128,8 @@
 	require.Equal(t, 1, s.Executions().ByKey["k"].Begun)
 }
 
-// delayedClaims commits a claim only after the first finish of its attempt.
+// delayedClaims commits the first claim only after the first Finish of its attempt, as happens
+// if the claim is delayed on the network.
 type delayedClaims struct {
 	*testClaims
 	delayedClaim *wire.ClaimRequest
@@ -161,11 +163,11 @@
 	return nil
 }
 
-// A claim that is committed after its finish is given back too. Without isClaimUnclear
-// in keepFinishing this fails: the key stays in progress.
+// A claim that is committed after its Finish must be released too. Without mayClaimCommitLate in
+// finishInBackground, Finish is not sent again and the key stays in progress.
 func TestClaimCommittedAfterItsFinishIsReleased(t *testing.T) {
 	claims := &delayedClaims{testClaims: &testClaims{byKey: make(map[string]*testClaim)}}
-	p := startHarness(t, func(c *entry.Config) { c.Claims = claims })
+	p := startTestProxy(t, func(c *entry.Config) { c.Claims = claims })
 	s := standin.NewService(0)
 	p.addUpstream("u1", s, nil)
 	require.Contains(t, p.book("k", "ana").body, "SAME key")
@@ -173,16 +175,16 @@
 		claims.mu.Lock()
 		defer claims.mu.Unlock()
 		return claims.isCommitted
-	}, testTimeout, time.Millisecond, "the late claim")
+	}, testTimeout, time.Millisecond, "the delayed claim is committed")
 	require.Eventually(t, func() bool { return p.book("k", "ana").verdict() == "ran" }, testTimeout, 10*time.Millisecond)
 	require.Equal(t, 1, s.Executions().ByKey["k"].Begun)
 }
 
-// An outcome that could not be recorded at first is recorded beside the answer.
-// Without finishLater in finish this fails: a resend finds the call in progress.
+// An outcome that could not be recorded at first must be recorded in the background. Without
+// finishInBackground in finish, a repeated request is told that the call is in progress.
 func TestFailedFinishIsRetriedInBackground(t *testing.T) {
 	claims := &lossyClaims{testClaims: &testClaims{byKey: make(map[string]*testClaim)}, finishesToLose: 2}
-	p := startHarness(t, func(c *entry.Config) { c.Claims = claims })
+	p := startTestProxy(t, func(c *entry.Config) { c.Claims = claims })
 	s := standin.NewService(0)
 	p.addUpstream("u1", s, nil)
 	first := p.book("k", "ana")
@@ -194,18 +196,18 @@
 	require.Equal(t, 1, s.Executions().ByKey["k"].Begun)
 }
 
-// rejectingAdmission refuses everything.
-type rejectingAdmission struct{}
+// refuseAll is an Admission that refuses every request.
+type refuseAll struct{}
 
-func (rejectingAdmission) Admit(context.Context, entry.AdmitRequest) (func(), error) {
+func (refuseAll) Admit(context.Context, entry.AdmitRequest) (func(), error) {
 	return nil, verdict.New(verdict.NotRun, verdict.CodeLimited, "limit").WithRetryAfter(time.Second)
 }
 
-// A refusal before the claim is looked at says nothing of a key's earlier sendings;
-// without a key, and on calls that may repeat, "not run" stays. Without isKeyOpen
-// this fails: the booking is told not-run.
+// A booking that is refused before its claim is checked must not get the verdict not-run, since an
+// earlier request with the same key may have run. An idempotent call keeps not-run. Without
+// isClaimUnchecked the booking gets not-run.
 func TestRefusalBeforeTheClaimCheckIsNotCalledNotRun(t *testing.T) {
-	p := startHarness(t, func(c *entry.Config) { c.Admission = rejectingAdmission{} })
+	p := startTestProxy(t, func(c *entry.Config) { c.Admission = refuseAll{} })
 	r := p.book("k", "ana")
 	require.Equal(t, http.StatusTooManyRequests, r.status)
 	require.Equal(t, "may-have-run", r.verdict())
--- a/internal/entry/ended_test.go
+++ b/internal/entry/ended_test.go
@@ -19,113 +19,116 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// crashHarness is an entry host before engines that a prompt may end.
-type crashHarness struct {
-	*harness
+// crashTestProxy is an entry host with a quarantine and with engines that some prompts crash.
+type crashTestProxy struct {
+	*testProxy
 	keeper *quarantine.Keeper
-	// clockOffset is by how much the quarantine's clock is ahead.
+	// clockOffset is how far the quarantine's clock is ahead of the real one.
 	clockOffset atomic.Int64
-	// crashes counts the engines' ends.
+	// crashes counts the crashes of all engines.
 	crashes atomic.Int64
 }
 
-func startCrashHarness(t *testing.T, names ...string) *crashHarness {
-	m := &crashHarness{}
+func startCrashTestProxy(t *testing.T, names ...string) *crashTestProxy {
+	p := &crashTestProxy{}
 	began := time.Now()
-	m.keeper = quarantine.NewKeeper(quarantine.Config{
-		Limits: quarantine.DefaultLimits, Now: func() time.Duration { return time.Since(began) + time.Duration(m.clockOffset.Load()) },
+	p.keeper = quarantine.NewKeeper(quarantine.Config{
+		Limits: quarantine.DefaultLimits, Now: func() time.Duration { return time.Since(began) + time.Duration(p.clockOffset.Load()) },
 		Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 	})
-	m.harness = startHarness(t, func(c *entry.Config) { c.Quarantine = m.keeper })
+	p.testProxy = startTestProxy(t, func(c *entry.Config) { c.Quarantine = p.keeper })
 	for _, name := range names {
-		m.addCrashingUpstream(name)
+		p.addCrashingUpstream(name)
 	}
-	return m
+	return p
 }
 
-// addCrashingUpstream adds an engine, and a service of bookings beside it, that end under a poison.
-func (m *crashHarness) addCrashingUpstream(name string) {
+// addCrashingUpstream adds an upstream that stops listening, as after a crash, when it runs the
+// prompt standin.Poison or any booking.
+func (p *crashTestProxy) addCrashingUpstream(name string) {
 	var srv *httptest.Server
-	end := func() {
-		m.crashes.Add(1)
+	crash := func() {
+		p.crashes.Add(1)
 		_ = srv.Listener.Close()
 	}
 	mux := http.NewServeMux()
-	mux.Handle("/", standin.NewEngine(standin.EngineConfig{End: end}))
+	mux.Handle("/", standin.NewEngine(standin.EngineConfig{End: crash}))
 	mux.HandleFunc("/slots/book", func(http.ResponseWriter, *http.Request) {
-		end()
+		crash()
 		panic(http.ErrAbortHandler)
 	})
 	srv = httptest.NewServer(mux)
-	m.t.Cleanup(srv.Close)
+	p.t.Cleanup(srv.Close)
 	base, err := url.Parse(srv.URL)
-	require.NoError(m.t, err)
-	m.addUpstream(name, http.NotFoundHandler(), func(c *agent.Config) { c.URL = base.String() })
+	require.NoError(p.t, err)
+	p.addUpstream(name, http.NotFoundHandler(), func(c *agent.Config) { c.URL = base.String() })
 }
 
-// A request under which its upstream ended goes to no other one in the same asking; asked
-// again it is held, here and wherever this host is heard.
+// A request whose upstream crashed must not be retried on another upstream. After it has crashed
+// two upstreams, it must be refused with not-run and without a Retry-After, while other requests
+// are served.
 func TestRequestThatCrashesUpstreamsIsQuarantined(t *testing.T) {
 	for _, isStream := range []bool{false, true} {
-		m := startCrashHarness(t, "u1", "u2", "u3")
+		p := startCrashTestProxy(t, "u1", "u2", "u3")
 		for n := range 2 {
-			r := m.complete(standin.Poison, tokens, isStream)
+			r := p.complete(standin.Poison, tokens, isStream)
 			require.Equal(t, http.StatusBadGateway, r.status)
 			require.Equal(t, "may-have-run", r.verdict())
-			require.EqualValues(t, n+1, m.crashes.Load(), "one upstream an asking")
-			m.clockOffset.Add(int64(10 * time.Second))
+			require.EqualValues(t, n+1, p.crashes.Load(), "each request reaches one upstream only")
+			p.clockOffset.Add(int64(10 * time.Second))
 		}
 		for range 3 {
-			r := m.complete(standin.Poison, tokens, isStream)
+			r := p.complete(standin.Poison, tokens, isStream)
 			require.Equal(t, http.StatusServiceUnavailable, r.status)
 			require.Equal(t, "not-run", r.verdict())
 			require.Empty(t, r.header.Get("Retry-After"))
 			require.Contains(t, r.body, string(verdict.CodeQuarantined))
 		}
-		require.EqualValues(t, 2, m.crashes.Load())
-		requireWholeStream(t, "innocent", tokens, m.complete("innocent", tokens, true))
-		list := m.keeper.List()
+		require.EqualValues(t, 2, p.crashes.Load())
+		requireWholeStream(t, "innocent", tokens, p.complete("innocent", tokens, true))
+		list := p.keeper.List()
 		require.Len(t, list, 1)
 		require.Equal(t, standin.Poison, list[0].Ends[0].Request, "the id that its caller gave it")
 		require.Equal(t, "velotrak", list[0].Workspace)
 	}
 }
 
-// A call that may not repeat and is held gives its claim back: it has not run, and its key is
-// free. What an earlier key has run is not told otherwise.
+// A non-idempotent call that is refused because it is in quarantine did not run, so its claim must
+// be released. A repeated request with a key that was dispatched before must still get
+// may-have-run.
 func TestQuarantinedCallReleasesItsClaim(t *testing.T) {
-	m := startCrashHarness(t, "u1", "u2")
+	p := startCrashTestProxy(t, "u1", "u2")
 	for _, key := range []string{"k1", "k2"} {
-		r := m.book(key, "rider")
+		r := p.book(key, "rider")
 		require.Equal(t, http.StatusBadGateway, r.status)
 		require.Equal(t, "may-have-run", r.verdict())
-		m.router.mu.Lock()
-		m.router.upstreams = m.router.upstreams[1:]
-		m.router.mu.Unlock()
-		m.clockOffset.Add(int64(10 * time.Second))
+		p.router.mu.Lock()
+		p.router.upstreams = p.router.upstreams[1:]
+		p.router.mu.Unlock()
+		p.clockOffset.Add(int64(10 * time.Second))
 	}
-	r := m.book("k3", "rider")
+	r := p.book("k3", "rider")
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.Equal(t, "not-run", r.verdict())
 	require.Contains(t, r.body, string(verdict.CodeQuarantined))
-	m.claims.mu.Lock()
-	require.NotContains(t, m.claims.byKey, "k3")
-	m.claims.mu.Unlock()
-	r = m.book("k1", "rider")
+	p.claims.mu.Lock()
+	require.NotContains(t, p.claims.byKey, "k3")
+	p.claims.mu.Unlock()
+	r = p.book("k1", "rider")
 	require.Equal(t, http.StatusConflict, r.status)
 	require.Equal(t, "may-have-run", r.verdict())
-	require.EqualValues(t, 2, m.crashes.Load())
+	require.EqualValues(t, 2, p.crashes.Load())
 }
 
-// An answer that breaks off is no end of its upstream: the call is tried again, and nobody is
-// suspected.
+// If a response breaks off but the upstream still runs, the call must be retried and the request
+// must not be suspected.
 func TestBrokenResponseIsNotACrash(t *testing.T) {
-	m := startCrashHarness(t)
+	p := startCrashTestProxy(t)
 	engines := []*standin.Engine{standin.NewEngine(standin.EngineConfig{}), standin.NewEngine(standin.EngineConfig{})}
-	m.addUpstream("u1", engines[0], nil)
-	m.addUpstream("u2", engines[1], nil)
+	p.addUpstream("u1", engines[0], nil)
+	p.addUpstream("u2", engines[1], nil)
 	engines[0].Fail(standin.Failure{Mode: standin.Die, After: 2, Times: 1})
-	r := m.complete("prompt", tokens, false)
+	r := p.complete("prompt", tokens, false)
 	require.Equal(t, http.StatusOK, r.status)
-	require.Empty(t, m.keeper.List())
+	require.Empty(t, p.keeper.List())
 }
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -25,11 +25,12 @@
 
 const (
 	testTimeout = 15 * time.Second
+	// secret is the shared secret of the peer sessions.
 	secret      = "a secret of the processes"
 	incarnation = 7
 )
 
-// testCatalog plans all calls as idempotent but for bookings.
+// testCatalog plans all calls as idempotent except bookings.
 type testCatalog struct{ resumable bool }
 
 func (c testCatalog) Resolve(l entry.Lookup) (entry.Plan, error) {
@@ -41,24 +42,25 @@
 	return p, nil
 }
 
-type unlimitedAdmission struct{}
+// admitAll is an Admission that admits every request at once.
+type admitAll struct{}
 
-func (unlimitedAdmission) Admit(context.Context, entry.AdmitRequest) (func(), error) {
+func (admitAll) Admit(context.Context, entry.AdmitRequest) (func(), error) {
 	return func() {}, nil
 }
 
-// testRouter picks the first upstream that was not tried.
+// testRouter picks the first upstream that was not tried, and keeps the outcomes of attempts.
 type testRouter struct {
 	mu        sync.Mutex
 	upstreams []wire.Upstream
 	outcomes  []entry.Outcome
 }
 
-func (r *testRouter) Pick(q entry.PickRequest) (entry.Pick, error) {
+func (r *testRouter) Pick(req entry.PickRequest) (entry.Pick, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, u := range r.upstreams {
-		if !contains(q.Tried, u.Name) {
+		if !contains(req.Tried, u.Name) {
 			return entry.Pick{Upstream: u, Done: r.done}, nil
 		}
 	}
@@ -86,12 +88,13 @@
 	return false
 }
 
-// testClaims follows the rules of the replicated claims in one process.
+// testClaims behaves like the replicated claims of the control hosts, in memory.
 type testClaims struct {
-	mu       sync.Mutex
-	byKey    map[string]*testClaim
+	mu    sync.Mutex
+	byKey map[string]*testClaim
+	// claimErr, if set, is the error of Claim.
 	claimErr error
-	// loseFinish makes Finish fail.
+	// loseFinish makes Finish fail without an effect.
 	loseFinish bool
 }
 
@@ -108,37 +111,38 @@
 	if c.claimErr != nil {
 		return nil, c.claimErr
 	}
-	held := c.byKey[r.Key]
+	claim := c.byKey[r.Key]
 	switch {
-	case held == nil:
+	case claim == nil:
 		c.byKey[r.Key] = &testClaim{digest: r.Digest, attempt: r.Attempt, state: wire.ClaimInProgress}
 		return &wire.ClaimReply{State: wire.ClaimGranted}, nil
-	case held.digest != r.Digest:
+	case claim.digest != r.Digest:
 		return &wire.ClaimReply{State: wire.ClaimKeyReused}, nil
 	}
-	return &wire.ClaimReply{State: held.state, Answer: held.answer}, nil
+	return &wire.ClaimReply{State: claim.state, Answer: claim.answer}, nil
 }
 
 func (c *testClaims) Finish(_ context.Context, r *wire.FinishRequest) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held := c.byKey[r.Key]
-	if c.loseFinish || held == nil || held.attempt != r.Attempt {
+	claim := c.byKey[r.Key]
+	if c.loseFinish || claim == nil || claim.attempt != r.Attempt {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, "lost")
 	}
 	switch verdict.Verdict(r.Verdict) {
 	case verdict.NotRun:
 		delete(c.byKey, r.Key)
 	case verdict.Ran:
-		held.state, held.answer = wire.ClaimFinished, r.Answer
+		claim.state, claim.answer = wire.ClaimFinished, r.Answer
 	default:
-		held.state = wire.ClaimUnknown
+		claim.state = wire.ClaimUnknown
 	}
 	return nil
 }
 
-// harness is an entry host with real sessions to agents, in one process.
-type harness struct {
+// testProxy is an entry host with real HTTP callers and real peer sessions with agents, all in one
+// process.
+type testProxy struct {
 	t       testing.TB
 	url     string
 	pool    *peer.Pool
@@ -148,8 +152,8 @@
 	metrics metrics.Registry
 }
 
-func startHarness(t testing.TB, change func(*entry.Config)) *harness {
-	p := &harness{
+func startTestProxy(t testing.TB, change func(*entry.Config)) *testProxy {
+	p := &testProxy{
 		t:       t,
 		router:  &testRouter{},
 		claims:  &testClaims{byKey: make(map[string]*testClaim)},
@@ -163,7 +167,7 @@
 	t.Cleanup(p.pool.Close)
 	cfg := entry.Config{
 		Catalog:     testCatalog{},
-		Admission:   unlimitedAdmission{},
+		Admission:   admitAll{},
 		Router:      p.router,
 		Claims:      p.claims,
 		Sessions:    p.pool,
@@ -180,8 +184,8 @@
 	return p
 }
 
-// addHost is an upstream host whose peer listener hands messages to h.
-func (p *harness) addHost(name string, h peer.Handler) *peer.Pool {
+// addHost adds an upstream whose host handles peer messages with h.
+func (p *testProxy) addHost(name string, h peer.Handler) *peer.Pool {
 	mux := http.NewServeMux()
 	srv := httptest.NewServer(mux)
 	p.t.Cleanup(srv.Close)
@@ -193,8 +197,8 @@
 	return pool
 }
 
-// addUpstream starts a real agent in front of h.
-func (p *harness) addUpstream(name string, h http.Handler, change func(*agent.Config)) (*agent.Agent, *peer.Pool) {
+// addUpstream adds an upstream with the HTTP handler h and a real agent in front of it.
+func (p *testProxy) addUpstream(name string, h http.Handler, change func(*agent.Config)) (*agent.Agent, *peer.Pool) {
 	srv := httptest.NewServer(h)
 	p.t.Cleanup(srv.Close)
 	cfg := agent.Config{
@@ -212,28 +216,30 @@
 	return a, pool
 }
 
-func (p *harness) counter(name string) int64 {
+func (p *testProxy) counter(name string) int64 {
 	return metrics.GetOrRegisterCounter(name, p.metrics).Count()
 }
 
+// response is a response as the caller received it.
 type response struct {
 	status int
 	header http.Header
 	body   string
-	// err is how reading the body ended, nil for a whole one.
+	// err is the error of reading the body, nil if the body is complete.
 	err error
 }
 
 func (r response) verdict() string { return r.header.Get(verdict.Header) }
 
-func (p *harness) newRequest(ctx context.Context, method, target, body string) *http.Request {
+func (p *testProxy) newRequest(ctx context.Context, method, target, body string) *http.Request {
 	r, err := http.NewRequestWithContext(ctx, method, p.url+target, strings.NewReader(body))
 	require.NoError(p.t, err)
 	r.Header.Set("Authorization", "Bearer token")
 	return r
 }
 
-func (p *harness) do(r *http.Request) response {
+// do sends a request and reads the response to its end.
+func (p *testProxy) do(r *http.Request) response {
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	require.NoError(p.t, err)
 	defer func() { _ = resp.Body.Close() }()
@@ -242,23 +248,25 @@
 	return response{resp.StatusCode, resp.Header, b.String(), err}
 }
 
-func (p *harness) complete(prompt string, tokens int, stream bool) response {
+// complete sends a completion call. The prompt is also its request id.
+func (p *testProxy) complete(prompt string, tokens int, stream bool) response {
 	return p.do(p.newCompletion(context.Background(), prompt, tokens, stream))
 }
 
-func (p *harness) completionBody(prompt string, tokens int, stream bool) []byte {
+func (p *testProxy) completionBody(prompt string, tokens int, stream bool) []byte {
 	body, err := json.Marshal(map[string]any{"model": "m", "prompt": prompt, "max_tokens": tokens, "stream": stream})
 	require.NoError(p.t, err)
 	return body
 }
 
-func (p *harness) newCompletion(ctx context.Context, prompt string, tokens int, stream bool) *http.Request {
+func (p *testProxy) newCompletion(ctx context.Context, prompt string, tokens int, stream bool) *http.Request {
 	r := p.newRequest(ctx, http.MethodPost, "/v1/completions", string(p.completionBody(prompt, tokens, stream)))
 	r.Header.Set(entry.RequestIDHeader, prompt)
 	return r
 }
 
-func (p *harness) book(key, rider string) response {
+// book sends a booking, which is the non-idempotent call of the stand-in service.
+func (p *testProxy) book(key, rider string) response {
 	r := p.newRequest(context.Background(), http.MethodPost, "/slots/book", `{"slot":"A1","rider":"`+rider+`"}`)
 	if key != "" {
 		r.Header.Set(entry.IdempotencyKeyHeader, key)
@@ -266,6 +274,7 @@
 	return p.do(r)
 }
 
+// expectedStream is the complete body of a streamed completion.
 func expectedStream(prompt string, tokens int) string {
 	return strings.Join(standin.Stream(prompt, tokens), "")
 }
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -24,10 +24,11 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
+// tokens is the usual length of completions in tests.
 const tokens = 30
 
 func TestConcurrentCallersGetTheirOwnResponses(t *testing.T) {
-	p := startHarness(t, nil)
+	p := startTestProxy(t, nil)
 	p.addUpstream("u1", standin.NewEngine(standin.EngineConfig{}), nil)
 	var g errgroup.Group
 	for i := range 40 {
@@ -47,7 +48,7 @@
 	require.NoError(t, g.Wait())
 }
 
-// fakeAgent is a fake agent: it gets a dispatch and sends what it likes.
+// fakeAgent handles each dispatch by sending any messages, also wrong ones.
 type fakeAgent func(s *peer.Session, d *wire.Dispatch)
 
 func (f fakeAgent) ServePeer(s *peer.Session, _ uint64, m wire.Message) {
@@ -64,17 +65,19 @@
 	return &wire.End{Attempt: id, Frames: frames, Bytes: uint64(len(body)), Digest: xxhash.Sum64String(body)}
 }
 
+// Whatever messages arrive, a response must be either complete and unaltered or visibly incomplete:
+// a buffered one becomes an error, and a stream is aborted.
 func TestForeignOrMissingFramesNeverAlterAResponse(t *testing.T) {
 	foreign := wire.AttemptID{9}
 	cases := []struct {
-		name  string
-		whole bool
-		send  func(id wire.AttemptID) []wire.Message
+		name       string
+		isComplete bool
+		send       func(id wire.AttemptID) []wire.Message
 	}{
 		{"in order", true, func(id wire.AttemptID) []wire.Message {
 			return []wire.Message{newFrame(id, 1, "ab"), newFrame(id, 2, "cd"), newEnd(id, 2, "abcd")}
 		}},
-		{"another attempt's between", true, func(id wire.AttemptID) []wire.Message {
+		{"frames of another attempt in between", true, func(id wire.AttemptID) []wire.Message {
 			return []wire.Message{newFrame(foreign, 1, "XX"), newFrame(id, 1, "ab"), newFrame(foreign, 2, "YY"),
 				newEnd(foreign, 2, "XXYY"), newFrame(id, 2, "cd"), newEnd(id, 2, "abcd")}
 		}},
@@ -96,29 +99,29 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := startHarness(t, func(c *entry.Config) { c.MaxAttempts = 1 })
+			p := startTestProxy(t, func(c *entry.Config) { c.MaxAttempts = 1 })
 			p.addHost("u1", fakeAgent(func(s *peer.Session, d *wire.Dispatch) {
 				_ = s.Post(&wire.Head{Attempt: d.Attempt, Status: http.StatusOK})
 				for _, m := range c.send(d.Attempt) {
 					_ = s.Post(m)
 				}
 			}))
-			streamed, held := p.complete("a", 1, true), p.complete("a", 1, false)
-			if c.whole {
+			streamed, buffered := p.complete("a", 1, true), p.complete("a", 1, false)
+			if c.isComplete {
 				require.NoError(t, streamed.err)
 				require.Equal(t, "abcd", streamed.body)
-				require.Equal(t, "abcd", held.body)
+				require.Equal(t, "abcd", buffered.body)
 				return
 			}
-			require.Error(t, streamed.err, "the caller can tell that %q is not whole", streamed.body)
-			require.Equal(t, http.StatusBadGateway, held.status)
-			require.Equal(t, "may-have-run", held.verdict())
+			require.Error(t, streamed.err, "the caller can tell that %q is incomplete", streamed.body)
+			require.Equal(t, http.StatusBadGateway, buffered.status)
+			require.Equal(t, "may-have-run", buffered.verdict())
 		})
 	}
 }
 
 func TestLostSessionFailsTheResponse(t *testing.T) {
-	p := startHarness(t, func(c *entry.Config) { c.MaxAttempts = 1 })
+	p := startTestProxy(t, func(c *entry.Config) { c.MaxAttempts = 1 })
 	p.addHost("u1", fakeAgent(func(s *peer.Session, d *wire.Dispatch) {
 		_ = s.Post(&wire.Head{Attempt: d.Attempt, Status: http.StatusOK})
 		_ = s.Post(newFrame(d.Attempt, 1, "ab"))
@@ -132,50 +135,51 @@
 	require.Equal(t, "may-have-run", r.verdict())
 }
 
-// Another host can't put its frames into an answer, even with the attempt's id.
+// Another host must not be able to add frames to a response, even if it knows the attempt id.
 func TestMessagesFromOtherSessionsAreDropped(t *testing.T) {
-	p := startHarness(t, nil)
-	dispatched := make(chan func(), 1)
+	p := startTestProxy(t, nil)
+	responds := make(chan func(), 1)
 	ids := make(chan wire.AttemptID, 1)
 	p.addHost("u1", fakeAgent(func(s *peer.Session, d *wire.Dispatch) {
-		dispatched <- func() {
+		responds <- func() {
 			_ = s.Post(&wire.Head{Attempt: d.Attempt, Status: http.StatusOK})
 			_ = s.Post(newFrame(d.Attempt, 1, "right"))
 			_ = s.Post(newEnd(d.Attempt, 1, "right"))
 		}
 		ids <- d.Attempt
 	}))
-	other := p.addHost("u2", fakeAgent(nil))
+	otherPool := p.addHost("u2", fakeAgent(nil))
 	_, err := p.pool.Get(context.Background(), p.router.upstreams[1].Address)
 	require.NoError(t, err)
-	// The other end takes the session in just after it has greeted.
-	require.Eventually(t, func() bool { return len(other.Sessions()) > 0 }, testTimeout, time.Millisecond)
+	// The handshake completes here before the other host has registered the session.
+	require.Eventually(t, func() bool { return len(otherPool.Sessions()) > 0 }, testTimeout, time.Millisecond)
 	got := make(chan response, 1)
 	go func() { got <- p.complete("a", 1, false) }()
 	id := <-ids
 	for _, m := range []wire.Message{&wire.Head{Attempt: id, Status: http.StatusOK}, newFrame(id, 1, "wrong"), newEnd(id, 1, "wrong")} {
-		require.NoError(t, other.Sessions()[0].Post(m))
+		require.NoError(t, otherPool.Sessions()[0].Post(m))
 	}
 	require.Eventually(t, func() bool { return p.counter("entry.messages.dropped") == 3 }, testTimeout, time.Millisecond)
-	(<-dispatched)()
+	(<-responds)()
 	require.Equal(t, "right", (<-got).body)
 }
 
-// The first attempt is given up, then both answer: only the second one's answer counts.
+// The first attempt times out and then responds anyway, just before the second one. Only the
+// second response must reach the caller.
 func TestLateResponseOfTimedOutAttemptIsDropped(t *testing.T) {
-	p := startHarness(t, func(c *entry.Config) { c.FirstByteTimeout = 50 * time.Millisecond })
-	first := make(chan func(body string), 1)
-	answer := func(s *peer.Session, d *wire.Dispatch) func(string) {
+	p := startTestProxy(t, func(c *entry.Config) { c.FirstByteTimeout = 50 * time.Millisecond })
+	firstAttempt := make(chan func(body string), 1)
+	respond := func(s *peer.Session, d *wire.Dispatch) func(string) {
 		return func(body string) {
 			_ = s.Post(&wire.Head{Attempt: d.Attempt, Status: http.StatusOK})
 			_ = s.Post(newFrame(d.Attempt, 1, body))
 			_ = s.Post(newEnd(d.Attempt, 1, body))
 		}
 	}
-	p.addHost("u1", fakeAgent(func(s *peer.Session, d *wire.Dispatch) { first <- answer(s, d) }))
+	p.addHost("u1", fakeAgent(func(s *peer.Session, d *wire.Dispatch) { firstAttempt <- respond(s, d) }))
 	p.addHost("u2", fakeAgent(func(s *peer.Session, d *wire.Dispatch) {
-		(<-first)("late")
-		answer(s, d)("right")
+		(<-firstAttempt)("late")
+		respond(s, d)("right")
 	}))
 	require.Equal(t, "right", p.complete("a", 1, false).body)
 	require.Eventually(t, func() bool { return p.counter("entry.messages.dropped") == 3 }, testTimeout, time.Millisecond)
@@ -184,23 +188,23 @@
 func TestBrokenStreamEndsWithAnError(t *testing.T) {
 	for _, mode := range []standin.Mode{standin.Die, standin.Truncate} {
 		t.Run(string(mode), func(t *testing.T) {
-			p := startHarness(t, nil)
+			p := startTestProxy(t, nil)
 			e := standin.NewEngine(standin.EngineConfig{})
 			p.addUpstream("u1", e, nil)
 			p.addUpstream("u2", standin.NewEngine(standin.EngineConfig{}), nil)
 			e.Fail(standin.Failure{Mode: mode, After: 5, Times: 1})
-			q := p.newCompletion(context.Background(), "a", tokens, true)
-			q.URL.RawQuery = "a=b"
-			r := p.do(q)
-			require.Error(t, r.err, "a stream that was cut ends as cut")
+			req := p.newCompletion(context.Background(), "a", tokens, true)
+			req.URL.RawQuery = "a=b"
+			r := p.do(req)
+			require.Error(t, r.err, "the caller can tell that the stream is incomplete")
 			require.True(t, strings.HasPrefix(expectedStream("a", tokens), r.body))
-			require.Zero(t, p.counter("entry.retries"), "bytes were delivered")
+			require.Zero(t, p.counter("entry.retries"), "not retried, since the stream is not resumable and bytes were delivered")
 		})
 	}
 }
 
 func TestBufferedResponseThatBreaksIsRetried(t *testing.T) {
-	p := startHarness(t, nil)
+	p := startTestProxy(t, nil)
 	e := standin.NewEngine(standin.EngineConfig{})
 	p.addUpstream("u1", e, nil)
 	p.addUpstream("u2", standin.NewEngine(standin.EngineConfig{}), nil)
@@ -211,9 +215,10 @@
 	require.Equal(t, int64(1), p.counter("entry.retries"))
 }
 
-// Without isCutShort this fails: the caller gets an empty answer with status 200.
+// A response that ends normally but with incomplete JSON must be retried or become an error.
+// Without isTruncated the caller gets an empty response with status 200.
 func TestTruncatedResponseIsRetried(t *testing.T) {
-	p := startHarness(t, nil)
+	p := startTestProxy(t, nil)
 	e := standin.NewEngine(standin.EngineConfig{})
 	p.addUpstream("u1", e, nil)
 	p.addUpstream("u2", e, nil)
@@ -228,7 +233,7 @@
 }
 
 func TestStreamIsResumed(t *testing.T) {
-	p := startHarness(t, func(c *entry.Config) { c.Catalog = testCatalog{resumable: true} })
+	p := startTestProxy(t, func(c *entry.Config) { c.Catalog = testCatalog{resumable: true} })
 	e := standin.NewEngine(standin.EngineConfig{})
 	p.addUpstream("u1", e, nil)
 	p.addUpstream("u2", standin.NewEngine(standin.EngineConfig{}), nil)
@@ -237,9 +242,10 @@
 	require.Equal(t, int64(1), p.counter("entry.resumed"))
 }
 
-// An engine that starts again from the beginning would repeat what was delivered.
+// The response of an engine that ignores the resume offset starts from the beginning. Appending it
+// would repeat what was delivered, so the stream must be aborted.
 func TestEngineThatIgnoresTheResumeOffsetIsNotUsed(t *testing.T) {
-	p := startHarness(t, func(c *entry.Config) { c.Catalog = testCatalog{resumable: true} })
+	p := startTestProxy(t, func(c *entry.Config) { c.Catalog = testCatalog{resumable: true} })
 	e := standin.NewEngine(standin.EngineConfig{})
 	p.addUpstream("u1", e, nil)
 	p.addUpstream("u2", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -253,14 +259,14 @@
 }
 
 func TestDisconnectedCallerCancelsTheEngine(t *testing.T) {
-	p := startHarness(t, nil)
+	p := startTestProxy(t, nil)
 	e := standin.NewEngine(standin.EngineConfig{Step: 5 * time.Millisecond})
 	a, _ := p.addUpstream("u1", e, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	resp, err := http.DefaultTransport.RoundTrip(p.newCompletion(ctx, "a", 20_000, true))
 	require.NoError(t, err)
 	_, err = bufio.NewReader(resp.Body).ReadString('\n')
-	require.NoError(t, err, "the stream runs")
+	require.NoError(t, err, "the stream has begun")
 	cancel()
 	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Cancelled == 1 }, testTimeout, time.Millisecond)
 	require.NoError(t, a.Drained(context.Background()))
@@ -269,7 +275,7 @@
 
 func TestSlowCallerDoesNotDelayOthers(t *testing.T) {
 	const size = 24 << 20
-	p := startHarness(t, func(c *entry.Config) { c.Window = 64 << 10 })
+	p := startTestProxy(t, func(c *entry.Config) { c.Window = 64 << 10 })
 	p.addUpstream("u1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n := 10
 		if r.Header.Get(entry.RequestIDHeader) == "slow" {
@@ -301,7 +307,7 @@
 
 func (*discardWriter) Write(b []byte) (int, error) { return len(b), nil }
 
-// requireNotRun requires the verdict not-run and that no engine has begun the request.
+// requireNotRun requires an error with the verdict not-run, and that the engine got no request.
 func requireNotRun(t *testing.T, r response, code verdict.Code, e *standin.Engine) {
 	t.Helper()
 	require.Equal(t, "not-run", r.verdict())
@@ -311,7 +317,7 @@
 }
 
 func TestLeavingAgentRefusesNewRequestsAndFinishesRunningOnes(t *testing.T) {
-	p := startHarness(t, nil)
+	p := startTestProxy(t, nil)
 	e := standin.NewEngine(standin.EngineConfig{Step: time.Millisecond})
 	a, _ := p.addUpstream("u1", e, nil)
 	running := make(chan response, 1)
@@ -327,14 +333,14 @@
 }
 
 func TestRestartedAgentRefusesRequestsForItsPreviousIncarnation(t *testing.T) {
-	p := startHarness(t, nil)
+	p := startTestProxy(t, nil)
 	e := standin.NewEngine(standin.EngineConfig{})
 	p.addUpstream("u1", e, func(c *agent.Config) { c.Identity.Incarnation++ })
 	requireNotRun(t, p.complete("a", tokens, true), verdict.CodeNoUpstream, e)
 }
 
 func TestFullQueueRefusesRequests(t *testing.T) {
-	p := startHarness(t, nil)
+	p := startTestProxy(t, nil)
 	e := standin.NewEngine(standin.EngineConfig{})
 	e.Fail(standin.Failure{Mode: standin.Hang, Times: 1})
 	p.addUpstream("u1", e, func(c *agent.Config) { c.Capacity, c.QueueLength = 1, -1 })
@@ -350,7 +356,7 @@
 }
 
 func TestDrainWaitsForStreams(t *testing.T) {
-	p := startHarness(t, nil)
+	p := startTestProxy(t, nil)
 	e := standin.NewEngine(standin.EngineConfig{Step: time.Millisecond})
 	p.addUpstream("u1", e, nil)
 	running := make(chan response, 1)
@@ -372,7 +378,7 @@
 }
 
 func TestInvalidRequestsAreRefusedBeforeDispatch(t *testing.T) {
-	p := startHarness(t, func(c *entry.Config) { c.MaxBody = 1000 })
+	p := startTestProxy(t, func(c *entry.Config) { c.MaxBody = 1000 })
 	e := standin.NewEngine(standin.EngineConfig{})
 	p.addUpstream("u1", e, nil)
 	cases := map[string]struct {
@@ -401,7 +407,7 @@
 }
 
 func TestNonIdempotentCallsRunAtMostOnce(t *testing.T) {
-	p := startHarness(t, nil)
+	p := startTestProxy(t, nil)
 	s := standin.NewService(0)
 	a, _ := p.addUpstream("u1", s, nil)
 
@@ -425,7 +431,7 @@
 	p.claims.claimErr = verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no quorum").WithRetryAfter(2 * time.Second)
 	r = p.book("k2", "ana")
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
-	require.Equal(t, "may-have-run", r.verdict(), "an earlier sending of the key may have run")
+	require.Equal(t, "may-have-run", r.verdict(), "an earlier request with this key may have run")
 	require.Contains(t, r.body, "ask again with the SAME key")
 	require.Equal(t, "2", r.header.Get("Retry-After"))
 	p.claims.claimErr = errors.New("lost on the way")
@@ -433,13 +439,13 @@
 	require.Equal(t, "may-have-run", r.verdict())
 	require.Contains(t, r.body, "this sending did not run")
 	p.claims.claimErr = nil
-	require.Empty(t, s.Executions().ByKey["k2"], "it was not dispatched")
+	require.Empty(t, s.Executions().ByKey["k2"], "without a claim the call is not dispatched")
 
 	s.Fail(standin.Failure{Mode: standin.Refuse, Times: 1})
 	r = p.book("k5", "ana")
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
-	require.Equal(t, "may-have-run", r.verdict(), "the service does not say how far it ran")
-	require.Equal(t, r.body, p.book("k5", "ana").body, "a resend finds that answer")
+	require.Equal(t, "may-have-run", r.verdict(), "a status of 5xx does not say how far the call ran")
+	require.Equal(t, r.body, p.book("k5", "ana").body, "a repeated request gets the recorded response")
 
 	s.Fail(standin.Failure{Mode: standin.Die, Times: 1})
 	r = p.book("k3", "ana")
@@ -455,15 +461,15 @@
 	p.router.mu.Lock()
 	p.router.upstreams = p.router.upstreams[1:]
 	p.router.mu.Unlock()
-	require.Equal(t, "ran", p.book("k4", "ana").verdict(), "not-run has freed the key")
+	require.Equal(t, "ran", p.book("k4", "ana").verdict(), "the outcome not-run has released the key")
 
 	want := map[string]standin.Executions{"k1": {Begun: 1, Finished: 1}, "k3": {Begun: 1, Finished: 1}, "k4": {Begun: 1, Finished: 1}}
-	require.Len(t, s.Executions().ByKey, 3, "k5 was refused")
+	require.Len(t, s.Executions().ByKey, 3, "k1, k3 and k4; the service refused k5")
 	require.Equal(t, want, s.Executions().ByKey)
 }
 
 func TestCallInProgressIsNotStartedAgain(t *testing.T) {
-	p := startHarness(t, nil)
+	p := startTestProxy(t, nil)
 	s := standin.NewService(0)
 	started, release := make(chan struct{}, 8), make(chan struct{})
 	a, pool := p.addUpstream("u1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -486,14 +492,14 @@
 	close(release)
 	require.NoError(t, a.Drained(context.Background()))
 	require.Equal(t, standin.Executions{Begun: 1, Finished: 1}, s.Executions().ByKey["k"])
-	require.Zero(t, p.counter("agent.refused"), "a call that may not repeat is not cut by a lost session")
+	require.Zero(t, p.counter("agent.refused"), "a lost session does not cancel a non-idempotent call")
 }
 
-// A call whose entry host can't hear its end is recorded by the agent, so that a
-// resend gets the answer. Without recordUnheard this fails: the resend is told that
-// the call may have run.
+// If the session with the entry host is lost while a non-idempotent call runs, the agent must
+// record the outcome, so that a repeated request gets the response. Otherwise the repeated request
+// is told that the call may have run.
 func TestAgentRecordsOutcomeAfterLostSession(t *testing.T) {
-	p := startHarness(t, nil)
+	p := startTestProxy(t, nil)
 	s := standin.NewService(0)
 	started, release := make(chan struct{}, 8), make(chan struct{})
 	p.addUpstream("u1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -520,10 +526,10 @@
 	require.Equal(t, 1, s.Executions().ByKey["k"].Begun)
 }
 
-// The library sends a request again where a kept connection closes under it; a call
-// that may not repeat goes out on a connection of its own.
+// The HTTP client of the standard library sends a request again if a kept-alive connection closes
+// before the response. A non-idempotent call must therefore use a new connection.
 func TestHTTPClientDoesNotRepeatNonIdempotentCalls(t *testing.T) {
-	p := startHarness(t, nil)
+	p := startTestProxy(t, nil)
 	var calls atomic.Int32
 	p.addUpstream("u1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
@@ -540,7 +546,7 @@
 }
 
 func TestQueueIsOrderedByUrgencyAndSkipsCancelledRequests(t *testing.T) {
-	p := startHarness(t, nil)
+	p := startTestProxy(t, nil)
 	began, release := make(chan string, 8), make(chan struct{})
 	a, _ := p.addUpstream("u1", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		began <- r.Header.Get(entry.RequestIDHeader)
@@ -554,6 +560,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
+	// The caller of "left" disconnects while the request is queued.
 	for i, name := range []string{"first", "left", "u=6", "u=5"} {
 		r := p.newCompletion(context.Background(), name, 1, false)
 		if name == "left" {
@@ -581,9 +588,10 @@
 	require.Empty(t, began)
 }
 
-// No spelling of a path leads a call past the plan that forbids its repetition.
-func TestNonCanonicalPathsAreRefused(t *testing.T) {
-	p := startHarness(t, nil)
+// However its path is spelled, a booking without an idempotency key must be refused. A spelling
+// that another plan is found for would let the booking run more than once.
+func TestPathSpellingsCannotBypassTheIdempotencyKey(t *testing.T) {
+	p := startTestProxy(t, nil)
 	s := standin.NewService(0)
 	p.addUpstream("u1", s, nil)
 	for _, target := range []string{"/slots/book", "/slots/%62ook", "/slots/book?x=1", "/x/../slots/book", "/x/%2e%2e/slots/book", "//slots/book", "/slots%2Fbook"} {
@@ -599,9 +607,10 @@
 	require.Equal(t, 1, s.Executions().ByKey["k"].Finished)
 }
 
-// A second dispatch of a claim or an attempt is not run, and never called not run.
+// The agent must not run a second dispatch of the same attempt or claim. It must not call the
+// second one not-run either, since the first one did run.
 func TestAgentRunsAClaimOnce(t *testing.T) {
-	p := startHarness(t, nil)
+	p := startTestProxy(t, nil)
 	s := standin.NewService(0)
 	p.addUpstream("u1", s, nil)
 	got := make(chan wire.Message, 16)
@@ -620,7 +629,7 @@
 	for _, m := range []*wire.Dispatch{&d, &d, &second} {
 		require.NoError(t, session.Post(m))
 	}
-	for range 4 { // Refused of the second; Head, Frame and End of the first, once each
+	for range 4 { // Refused for the second attempt; Head, Frame and End for the first, once each
 		if r, ok := (<-got).(*wire.Refused); ok {
 			require.Equal(t, second.Attempt, r.Attempt)
 			require.Equal(t, verdict.MayHaveRun, verdict.Verdict(r.Verdict))
@@ -630,33 +639,34 @@
 	require.Equal(t, int64(1), p.counter("agent.repeated"))
 }
 
-// Whatever fails, what is called not run was never begun, a key is begun at most
-// once, and an answer that ends well is the right one.
+// Under random failures and lost sessions, a request with the verdict not-run must not have
+// started, the call of a key must have started at most once, and a stream that ends without an
+// error must be complete and correct.
 func TestVerdictsAgreeWithExecutions(t *testing.T) {
-	p := startHarness(t, func(c *entry.Config) { c.MaxAttempts = 2 })
+	p := startTestProxy(t, func(c *entry.Config) { c.MaxAttempts = 2 })
 	engine, service := standin.NewEngine(standin.EngineConfig{}), standin.NewService(0)
-	gone := func(w http.ResponseWriter, r *http.Request) {
+	handler := func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/slots") {
 			service.ServeHTTP(w, r)
 			return
 		}
 		engine.ServeHTTP(w, r)
 	}
-	_, one := p.addUpstream("u1", http.HandlerFunc(gone), func(c *agent.Config) { c.Capacity, c.QueueLength = 2, 1 })
-	p.addUpstream("u2", http.HandlerFunc(gone), func(c *agent.Config) { c.Capacity, c.QueueLength = 2, 1 })
-	_, _ = p.addUpstream("u3", http.HandlerFunc(gone), func(c *agent.Config) { c.URL = "http://127.0.0.1:1" })
-	all := append([]wire.Upstream{}, p.router.upstreams...)
+	_, poolOfFirst := p.addUpstream("u1", http.HandlerFunc(handler), func(c *agent.Config) { c.Capacity, c.QueueLength = 2, 1 })
+	p.addUpstream("u2", http.HandlerFunc(handler), func(c *agent.Config) { c.Capacity, c.QueueLength = 2, 1 })
+	_, _ = p.addUpstream("u3", http.HandlerFunc(handler), func(c *agent.Config) { c.URL = "http://127.0.0.1:1" })
+	allUpstreams := append([]wire.Upstream{}, p.router.upstreams...)
 	modes := []standin.Mode{"", standin.Die, standin.Truncate, standin.Refuse}
 	round := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		round++
 		p.router.mu.Lock()
-		p.router.upstreams = rapid.Permutation(all).Draw(rt, "upstreams")
+		p.router.upstreams = rapid.Permutation(allUpstreams).Draw(rt, "upstreams")
 		p.router.mu.Unlock()
 		f := standin.Failure{Mode: rapid.SampledFrom(modes).Draw(rt, "mode"), After: rapid.IntRange(0, 4).Draw(rt, "after"), Times: 2}
 		engine.Fail(f)
 		service.Fail(f)
-		cut := rapid.IntRange(0, 3).Draw(rt, "cut") == 0
+		closeSessions := rapid.IntRange(0, 3).Draw(rt, "cut") == 0
 		var g errgroup.Group
 		for i := range 6 {
 			name := fmt.Sprintf("r%d-%d", round, i)
@@ -672,10 +682,10 @@
 			})
 			g.Go(func() error {
 				key := name[:len(name)-1] + fmt.Sprint(i/2)
-				q := p.newRequest(context.Background(), http.MethodPost, "/slots/book", `{}`)
-				q.Header.Set(entry.IdempotencyKeyHeader, key)
-				q.Header.Set(entry.RequestIDHeader, name)
-				r := p.do(q)
+				req := p.newRequest(context.Background(), http.MethodPost, "/slots/book", `{}`)
+				req.Header.Set(entry.IdempotencyKeyHeader, key)
+				req.Header.Set(entry.RequestIDHeader, name)
+				r := p.do(req)
 				counts := service.Executions()
 				if counts.ByKey[key].Begun > 1 {
 					return errors.Errorf("%s was run %d times", key, counts.ByKey[key].Begun)
@@ -686,8 +696,8 @@
 				return nil
 			})
 		}
-		if cut {
-			for _, s := range one.Sessions() {
+		if closeSessions {
+			for _, s := range poolOfFirst.Sessions() {
 				s.Close()
 			}
 		}
--- a/internal/entry/pure_test.go
+++ b/internal/entry/pure_test.go
@@ -11,6 +11,7 @@
 	"pgregory.net/rapid"
 )
 
+// In any order of requests and retries, the retries must not exceed the ratio plus one full bucket.
 func TestRetriesStayWithinTheRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewRetryBudget(0.2)
@@ -35,7 +36,7 @@
 	require.Len(t, ha, 3)
 	require.Equal(t, ha[0], hb[0])
 	require.NotEqual(t, ha[1], hb[1])
-	require.NotEqual(t, ha[2], hb[2], "equal blocks after different ones")
+	require.NotEqual(t, ha[2], hb[2], "the third blocks are equal, but not the blocks before them")
 	require.Len(t, PrefixHashes(make([]byte, 100*PrefixBlockBytes)), MaxPrefixes)
 }
 
@@ -46,6 +47,7 @@
 	}
 }
 
+// A connection beyond the limit must be closed, and a closed connection must make room for another.
 func TestConnectionLimit(t *testing.T) {
 	srv := NewHTTPServer(http.NotFoundHandler(), HTTPLimits{MaxConns: 1})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
