--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -23,7 +23,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// ServiceKind tells model pools and plain services apart.
+// ServiceKind distinguishes model pools from plain services.
 type ServiceKind uint8
 
 const (
@@ -81,10 +81,9 @@
 	Deadline time.Duration
 }
 
-// Admission limits the load from requests. Admit returns as soon as the request may proceed,
-// after waiting in a queue until ctx ends if need be. It refuses a request with a *verdict.Error
-// that has the verdict NotRun and a RetryAfter. The Server calls release once, when the request
-// ends.
+// Admission limits the load from requests. Admit may queue a request, at most until ctx ends, and
+// returns once the request may proceed. It refuses a request with a *verdict.Error that has the
+// verdict NotRun and a RetryAfter. The Server calls release once, when the request ends.
 type Admission interface {
 	Admit(ctx context.Context, r AdmitRequest) (release func(), err error)
 }
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -70,7 +70,8 @@
 
 // isClaimUnchecked reports whether the call has an idempotency key and it is not known whether an
 // earlier request has claimed it. That earlier request may have run, even if this one did not. A
-// key on an idempotent call has no effect.
+// key on an idempotent call has no effect, but as long as the plan is unknown, the call may be
+// non-idempotent.
 func (c *call) isClaimUnchecked() bool {
 	if c.isClaimChecked || c.r.Header.Get(IdempotencyKeyHeader) == "" {
 		return false
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -215,8 +215,9 @@
 	require.Equal(t, int64(1), p.counter("entry.retries"))
 }
 
-// A response that ends normally but with incomplete JSON must be retried or become an error.
-// Without isTruncated the caller gets an empty response with status 200.
+// A response that ends normally but is empty or incomplete JSON must be retried, and become an
+// error if no attempt is left. Without isTruncated the caller gets an empty response with status
+// 200.
 func TestTruncatedResponseIsRetried(t *testing.T) {
 	p := startTestProxy(t, nil)
 	e := standin.NewEngine(standin.EngineConfig{})
