--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -74,7 +74,7 @@
 	isQueued := func() bool { c.Update(); return reg.Get("admission.queued").(metrics.Gauge).Value() == 1 }
 	require.Eventually(t, isQueued, testTimeout, time.Millisecond)
 	cancel()
-	require.Equal(t, verdict.NotRun, verdict.Of(<-refusal).Verdict)
+	require.Equal(t, verdict.NotRun, verdict.FromError(<-refusal).Verdict)
 	c.Update()
 	require.Zero(t, reg.Get("admission.queued").(metrics.Gauge).Value())
 	release()
@@ -91,16 +91,16 @@
 	r := newRequest("b")
 	r.Deadline = 50 * time.Millisecond
 	_, err = c.Admit(context.Background(), r)
-	require.Equal(t, verdict.NotRun, verdict.Of(err).Verdict)
-	require.Equal(t, verdict.CodeOverloaded, verdict.Of(err).Code)
+	require.Equal(t, verdict.NotRun, verdict.FromError(err).Verdict)
+	require.Equal(t, verdict.CodeOverloaded, verdict.FromError(err).Code)
 	require.EqualValues(t, 1, reg.Get("admission.refused.queued").(metrics.Counter).Count())
 }
 
 func TestRequestIsRefusedAtOnceWithoutUpstreams(t *testing.T) {
 	c, _ := newTestController(0, 10)
 	_, err := c.Admit(context.Background(), newRequest("a"))
-	require.Equal(t, verdict.CodeNoUpstream, verdict.Of(err).Code)
-	require.Equal(t, verdict.NotRun, verdict.Of(err).Verdict)
+	require.Equal(t, verdict.CodeNoUpstream, verdict.FromError(err).Code)
+	require.Equal(t, verdict.NotRun, verdict.FromError(err).Verdict)
 }
 
 func TestLimitedWorkspaceIsRefusedAndRefunded(t *testing.T) {
@@ -110,12 +110,12 @@
 	releaseOther, err := c.Admit(context.Background(), newRequest("b"))
 	require.NoError(t, err)
 	_, err = c.Admit(context.Background(), r)
-	require.Equal(t, verdict.CodeOverloaded, verdict.Of(err).Code, "the queue is full")
+	require.Equal(t, verdict.CodeOverloaded, verdict.FromError(err).Code, "the queue is full")
 	releaseOther()
 	release, err := c.Admit(context.Background(), r)
 	require.NoError(t, err, "what the queue refused does not count against the limit")
 	_, err = c.Admit(context.Background(), r)
-	require.Equal(t, verdict.CodeLimited, verdict.Of(err).Code)
+	require.Equal(t, verdict.CodeLimited, verdict.FromError(err).Code)
 	release()
 	require.Empty(t, c.Demands(), "one host has the whole limit without asking")
 }
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -219,5 +219,5 @@
 
 // limitError returns a refusal that asks the caller to retry after wait, plus jitter.
 func limitError(text string, wait time.Duration, jitter float64) *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.CodeLimited, text).After(addJitter(max(wait, time.Millisecond), jitter))
+	return verdict.New(verdict.NotRun, verdict.CodeLimited, text).WithRetryAfter(addJitter(max(wait, time.Millisecond), jitter))
 }
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -265,7 +265,7 @@
 		after = defaultRetryAfter
 	}
 	t.state = stateRefused
-	t.err = verdict.New(verdict.NotRun, code, text).After(addJitter(after, t.Jitter))
+	t.err = verdict.New(verdict.NotRun, code, text).WithRetryAfter(addJitter(after, t.Jitter))
 	return t
 }
 
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -72,7 +72,7 @@
 			require.True(t, bytes.Equal(want, got), "complete response %x, want %x", got, want)
 			return
 		}
-		require.Equal(t, verdict.MayHaveRun, verdict.Of(err).Verdict)
+		require.Equal(t, verdict.MayHaveRun, verdict.FromError(err).Verdict)
 		require.True(t, bytes.HasPrefix(want, got), "%x is not a prefix of %x", got, want)
 	})
 }
@@ -106,7 +106,7 @@
 			_ = r.Add(m)
 		}
 		_, err := readReceived(r)
-		require.Equal(t, verdict.CodeUpstreamFailed, verdict.Of(err).Code)
+		require.Equal(t, verdict.CodeUpstreamFailed, verdict.FromError(err).Code)
 	}
 }
 
@@ -135,8 +135,8 @@
 func TestRefusalAfterHeadMayHaveRun(t *testing.T) {
 	refused := &wire.Refused{Attempt: ownAttempt, Verdict: uint8(verdict.NotRun), Code: string(verdict.CodeLeaving)}
 	r := New(ownAttempt, 3)
-	require.Equal(t, verdict.NotRun, verdict.Of(r.Add(refused)).Verdict)
+	require.Equal(t, verdict.NotRun, verdict.FromError(r.Add(refused)).Verdict)
 	r = New(ownAttempt, 3)
 	require.NoError(t, r.Add(&wire.Head{Attempt: ownAttempt}))
-	require.Equal(t, verdict.MayHaveRun, verdict.Of(r.Add(refused)).Verdict)
+	require.Equal(t, verdict.MayHaveRun, verdict.FromError(r.Add(refused)).Verdict)
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -113,7 +113,7 @@
 func TestResponseToAnotherRequestIsAnError(t *testing.T) {
 	address := serveUpstream(t, func(c net.Conn, _ *http.Request, _ int) { writeResponse(c, "stranger", "not yours") })
 	_, err := send(t, newTestClient(), address, "mine")
-	require.Equal(t, verdict.MayHaveRun, verdict.Of(err).Verdict)
+	require.Equal(t, verdict.MayHaveRun, verdict.FromError(err).Verdict)
 }
 
 func TestErrorVerdicts(t *testing.T) {
@@ -125,7 +125,7 @@
 	require.True(t, errors.As(err, &refused))
 	require.False(t, refused.Misdirected)
 	require.Equal(t, "i7", refused.FaultyUpstream)
-	require.Equal(t, verdict.NotRun, verdict.Of(err).Verdict)
+	require.Equal(t, verdict.NotRun, verdict.FromError(err).Verdict)
 
 	misdirected := serveUpstream(t, func(c net.Conn, r *http.Request, _ int) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 421 Other\r\nX-A: %s\r\nContent-Length: 0\r\n\r\n", r.Header.Get("X-A"))
@@ -136,14 +136,14 @@
 
 	closing := serveUpstream(t, func(c net.Conn, _ *http.Request, _ int) { _ = c.Close() })
 	_, err = send(t, newTestClient(), closing, "a")
-	require.Equal(t, verdict.MayHaveRun, verdict.Of(err).Verdict, "the request was sent")
+	require.Equal(t, verdict.MayHaveRun, verdict.FromError(err).Verdict, "the request was sent")
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	unused := l.Addr().String()
 	require.NoError(t, l.Close())
 	_, err = send(t, newTestClient(), unused, "a")
-	require.Equal(t, verdict.NotRun, verdict.Of(err).Verdict)
+	require.Equal(t, verdict.NotRun, verdict.FromError(err).Verdict)
 }
 
 // Guards against the reuse of a connection that its upstream closed while it was idle. A
@@ -191,7 +191,7 @@
 		return c.pool.open[address] == 1
 	}, 20*time.Second, time.Millisecond)
 	_, err := c.Send(ctx, target, &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}})
-	require.Equal(t, verdict.NotRun, verdict.Of(err).Verdict)
+	require.Equal(t, verdict.NotRun, verdict.FromError(err).Verdict)
 }
 
 func TestCancellationClosesConnection(t *testing.T) {
@@ -203,7 +203,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(10*time.Millisecond, cancel)
 	_, err := newTestClient().Send(ctx, Target{Address: address}, &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}})
-	require.Equal(t, verdict.CodeCancelled, verdict.Of(err).Code)
+	require.Equal(t, verdict.CodeCancelled, verdict.FromError(err).Code)
 	<-closed
 }
 
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -15,44 +15,47 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// live is an attempt that waits for messages from one session.
-type live struct {
+// activeAttempt is an attempt whose response is still arriving. Its messages are accepted from
+// one session only.
+type activeAttempt struct {
 	session  *peer.Session
 	receiver *answer.Receiver
 }
 
-// attempts finds live attempts by their id.
-type attempts struct {
+// activeAttempts maps attempt ids to the attempts whose responses are still arriving.
+type activeAttempts struct {
 	// mu guards byID.
 	mu   sync.Mutex
-	byID map[wire.AttemptID]*live
+	byID map[wire.AttemptID]*activeAttempt
 }
 
-func (a *attempts) add(id wire.AttemptID, l *live) {
+func (a *activeAttempts) add(id wire.AttemptID, active *activeAttempt) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.byID[id] = l
+	a.byID[id] = active
 }
 
-func (a *attempts) remove(id wire.AttemptID) {
+func (a *activeAttempts) remove(id wire.AttemptID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.byID, id)
 }
 
-func (a *attempts) find(id wire.AttemptID, s *peer.Session) *answer.Receiver {
+// find returns the receiver of an attempt, or nil if the attempt is unknown or was dispatched on
+// another session.
+func (a *activeAttempts) find(id wire.AttemptID, s *peer.Session) *answer.Receiver {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	l := a.byID[id]
-	if l == nil || l.session != s {
+	active := a.byID[id]
+	if active == nil || active.session != s {
 		return nil
 	}
-	return l.receiver
+	return active.receiver
 }
 
-// HandlePeer takes Head, Frame, End and Refused from agents; it reports whether m
-// was one of them. It never blocks. A message of an attempt that this host does not
-// wait for, or from another session than the attempt's, is dropped and counted.
+// HandlePeer handles the messages that carry responses from agents: Head, Frame, End and
+// Refused. It reports whether m was one of them. It never blocks. It drops and counts a message
+// for an unknown attempt, or from a session other than the one the attempt was dispatched on.
 func (s *Server) HandlePeer(session *peer.Session, m wire.Message) bool {
 	var id wire.AttemptID
 	switch m := m.(type) {
@@ -67,22 +70,25 @@
 	default:
 		return false
 	}
-	r := s.attempts.find(id, session)
+	r := s.activeAttempts.find(id, session)
 	if r == nil || errors.Is(r.Add(m), answer.ErrDuplicate) {
 		s.counters.dropped.Inc(1)
 	}
 	return true
 }
 
-// attempt is one try to run a call at one upstream.
+// attempt is one dispatch of a call to one upstream.
 type attempt struct {
-	c          *call
-	id         wire.AttemptID
-	upstream   wire.Upstream
-	began      time.Time
-	firstByte  time.Duration
-	bytes      uint64
-	status     int
+	c        *call
+	id       wire.AttemptID
+	upstream wire.Upstream
+	// began is when the dispatch was sent, firstByte the time from then to the first body byte.
+	began     time.Time
+	firstByte time.Duration
+	// bytes counts the body bytes received.
+	bytes  uint64
+	status int
+	// uncredited counts the bytes that were consumed since the last Credit message.
 	uncredited uint64
 }
 
@@ -92,12 +98,13 @@
 	return a
 }
 
+// outcome returns what the router is told about the attempt, which ended with err.
 func (a *attempt) outcome(err error) Outcome {
-	o := Outcome{Verdict: answered(a.status), FirstByte: a.firstByte, Bytes: a.bytes}
+	o := Outcome{Verdict: verdictOfStatus(a.status), FirstByte: a.firstByte, Bytes: a.bytes}
 	o.OK = err == nil && o.Verdict == verdict.Ran
 	if err != nil {
-		o.Verdict = verdict.Of(err).Verdict
-		o.Code = verdict.Of(err).Code
+		o.Verdict = verdict.FromError(err).Verdict
+		o.Code = verdict.FromError(err).Code
 	}
 	if err != nil && a.c.r.Context().Err() != nil {
 		o.Code = verdict.CodeCancelled
@@ -105,8 +112,8 @@
 	return o
 }
 
-// run dispatches the call and writes the answer to out. Where it returns an error,
-// the upstream is told that nobody waits any more.
+// run dispatches the call and writes the response to out. If it fails after the dispatch, it
+// cancels the attempt at the upstream.
 func (a *attempt) run(ctx context.Context, out *output) error {
 	s := a.c.s
 	session, err := a.session(ctx)
@@ -116,8 +123,8 @@
 	session.Hold()
 	defer session.Release()
 	receiver := answer.New(a.id, s.cfg.Window)
-	s.attempts.add(a.id, &live{session: session, receiver: receiver})
-	defer s.attempts.remove(a.id)
+	s.activeAttempts.add(a.id, &activeAttempt{session: session, receiver: receiver})
+	defer s.activeAttempts.remove(a.id)
 	if err := a.dispatch(ctx, session, out.offset()); err != nil {
 		return err
 	}
@@ -131,12 +138,13 @@
 func (a *attempt) session(ctx context.Context) (*peer.Session, error) {
 	session, err := a.c.s.cfg.Sessions.Get(ctx, a.upstream.Address)
 	if err != nil {
-		return nil, a.unsent(err)
+		return nil, a.notSentError(err)
 	}
 	return session, nil
 }
 
-func (a *attempt) unsent(cause error) error {
+// notSentError is the error of an attempt whose dispatch did not leave this host.
+func (a *attempt) notSentError(cause error) error {
 	return &verdict.Error{
 		Verdict:    verdict.NotRun,
 		Code:       verdict.CodeNoUpstream,
@@ -146,13 +154,14 @@
 	}
 }
 
+// dispatch sends the call to the agent. The response is to start at the given offset of the body.
 func (a *attempt) dispatch(ctx context.Context, session *peer.Session, offset uint64) error {
-	d := a.message(ctx, offset)
+	d := a.newDispatch(ctx, offset)
 	ctx, cancel := context.WithTimeout(ctx, DefaultSendTimeout)
 	defer cancel()
 	a.began = time.Now()
 	if err := session.Send(ctx, d); err != nil {
-		return a.unsent(err)
+		return a.notSentError(err)
 	}
 	if offset > 0 {
 		a.c.s.counters.resumed.Inc(1)
@@ -160,25 +169,25 @@
 	return nil
 }
 
-func (a *attempt) message(ctx context.Context, offset uint64) *wire.Dispatch {
+func (a *attempt) newDispatch(ctx context.Context, offset uint64) *wire.Dispatch {
 	c := a.c
 	d := &wire.Dispatch{
 		Attempt:     a.id,
-		RequestID:   c.q.id,
+		RequestID:   c.req.id,
 		Workspace:   c.plan.Workspace,
 		Upstream:    a.upstream.Name,
 		Incarnation: a.upstream.Incarnation,
-		Method:      c.q.method,
-		Path:        c.q.target(),
-		Header:      c.q.header,
-		Body:        c.q.body,
+		Method:      c.req.method,
+		Path:        c.req.target(),
+		Header:      c.req.header,
+		Body:        c.req.body,
 		TimeoutMS:   millisecondsLeft(ctx),
-		Urgency:     c.q.urgency,
+		Urgency:     c.req.urgency,
 		Window:      c.s.cfg.Window,
 		Offset:      offset,
 	}
 	if !c.plan.Idempotent {
-		d.Claim = &wire.Claim{Workspace: c.plan.Workspace, Key: c.q.key}
+		d.Claim = &wire.Claim{Workspace: c.plan.Workspace, Key: c.req.key}
 	}
 	return d
 }
@@ -188,13 +197,14 @@
 	return uint64(max(0, time.Until(deadline).Milliseconds()))
 }
 
+// receive writes the response to out as it arrives. It returns nil after the last byte.
 func (a *attempt) receive(ctx context.Context, session *peer.Session, r *answer.Receiver, out *output) error {
 	head, err := a.head(ctx, session, r)
 	if err != nil {
 		return err
 	}
 	a.status = head.Status
-	if err := out.start(head); err != nil {
+	if err := out.acceptHead(head); err != nil {
 		return err
 	}
 	for {
@@ -205,14 +215,15 @@
 		if err != nil {
 			return err
 		}
-		a.count(data)
+		a.countBytes(data)
 		if err := out.write(data); err != nil {
 			return err
 		}
-		a.giveCredit(ctx, session, len(data))
+		a.sendCredit(ctx, session, len(data))
 	}
 }
 
+// head waits for the response header.
 func (a *attempt) head(ctx context.Context, session *peer.Session, r *answer.Receiver) (*wire.Head, error) {
 	if limit := a.c.s.cfg.FirstByteTimeout; limit > 0 && a.c.plan.Idempotent {
 		var cancel context.CancelFunc
@@ -222,7 +233,7 @@
 	return r.Head(ctx, session.Done())
 }
 
-func (a *attempt) count(data []byte) {
+func (a *attempt) countBytes(data []byte) {
 	if a.bytes == 0 {
 		a.firstByte = time.Since(a.began)
 		a.c.s.counters.firstByte.Update(a.firstByte.Microseconds())
@@ -230,9 +241,10 @@
 	a.bytes += uint64(len(data))
 }
 
-// giveCredit lets the agent send on. It says so once for a quarter of the window.
-// Where the session is lost, the next read of the answer tells.
-func (a *attempt) giveCredit(ctx context.Context, session *peer.Session, n int) {
+// sendCredit lets the agent send n more bytes. To save messages, it sends one Credit for each
+// quarter of the window. It ignores an error: if the session is lost, the next read of the
+// response fails.
+func (a *attempt) sendCredit(ctx context.Context, session *peer.Session, n int) {
 	a.uncredited += uint64(n)
 	if a.uncredited < a.c.s.cfg.Window/4 {
 		return
@@ -242,8 +254,8 @@
 	_ = session.Send(ctx, credit)
 }
 
-// cancel does not wait; where it does not arrive, the agent's own time limit ends
-// the work.
+// cancel tells the agent to stop the attempt. It does not wait; if the message is lost, the agent
+// stops at the timeout of the dispatch.
 func (a *attempt) cancel(session *peer.Session) {
 	_ = session.Post(&wire.Cancel{Attempt: a.id})
 }
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -14,35 +14,35 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// call is one caller's request on its way through the Server.
+// call is the state of one request of a caller while the Server handles it.
 type call struct {
 	s    *Server
 	w    http.ResponseWriter
 	r    *http.Request
-	q    *request
+	req  *request
 	plan Plan
-	// isResolved tells that plan is set, keyChecked that the claim of the call's key
-	// was looked at.
-	isResolved, keyChecked bool
-	// isBodyTaken tells that reading the body has begun.
-	isBodyTaken bool
-	held        share
-	out         *output
-	// fingerprint is the same for the same request asked again.
+	// isResolved is set once plan is valid. isClaimChecked is set once it is known whether an
+	// earlier request has claimed the call's idempotency key.
+	isResolved, isClaimChecked bool
+	// hasBodyReadBegun is set once the server has started to read the request body.
+	hasBodyReadBegun bool
+	reservation      byteReservation
+	out              *output
+	// fingerprint identifies the request by its content; a repetition of it has the same one.
 	fingerprint quarantine.Fingerprint
 }
 
 func newCall(s *Server, w http.ResponseWriter, r *http.Request) *call {
-	return &call{s: s, w: w, r: r, q: &request{id: requestID(r)}, held: share{budget: &s.buffered}}
+	return &call{s: s, w: w, r: r, req: &request{id: requestID(r)}, reservation: byteReservation{budget: &s.memory}}
 }
 
 func (c *call) serve() {
-	defer c.held.release()
+	defer c.reservation.release()
 	if err := c.prepare(); err != nil {
 		c.fail(err)
 		return
 	}
-	if err := c.refuseEarly(); err != nil {
+	if err := c.checkQuarantineEarly(); err != nil {
 		c.fail(err)
 		return
 	}
@@ -58,56 +58,57 @@
 		c.serveIdempotent(ctx)
 		return
 	}
-	c.serveOnce(ctx)
+	c.serveNonIdempotent(ctx)
 }
 
-// prepare reads the request and finds its plan. The body of a caller who is not
-// known is not read.
+// prepare reads the request and finds its plan. It refuses an unknown caller without reading the
+// body.
 func (c *call) prepare() error {
-	id := c.q.id
-	q, err := readHeader(c.r)
-	c.q = q
-	c.q.id = id
+	id := c.req.id
+	req, err := readHeader(c.r)
+	c.req = req
+	c.req.id = id
 	if err != nil {
 		return err
 	}
 	if err := c.resolveEarly(); err != nil {
 		return err
 	}
-	if err := c.reserve(); err != nil {
+	if err := c.reserveMemory(); err != nil {
 		return err
 	}
-	c.isBodyTaken = true
-	if err := q.readBody(c.w, c.r, c.s.cfg.MaxBody); err != nil {
+	c.hasBodyReadBegun = true
+	if err := req.readBody(c.w, c.r, c.s.cfg.MaxBody); err != nil {
 		return err
 	}
 	if err := c.resolve(); err != nil {
 		return err
 	}
-	if !q.urgencySet || q.urgency < c.plan.Urgency {
-		q.urgency = c.plan.Urgency
+	if !req.urgencySet || req.urgency < c.plan.Urgency {
+		req.urgency = c.plan.Urgency
 	}
 	c.out = newOutput(c)
 	c.fingerprint = c.s.cfg.Fingerprints.Of(&quarantine.Request{
-		Workspace: c.plan.Workspace, Method: q.method, Target: q.target(), Body: q.body,
+		Workspace: c.plan.Workspace, Method: req.method, Target: req.target(), Body: req.body,
 	})
 	return nil
 }
 
-// resolveEarly does before the body is read what can be done without it: it finds
-// the plan of a plain service, and the caller of a completion, whose body names the
-// model.
+// resolveEarly checks what it can before the body is read. For a plain service it finds the plan.
+// The plan of a completion call depends on the model, which is named in the body, so here only
+// the caller's token is checked.
 func (c *call) resolveEarly() error {
-	if !c.q.isCompletion() {
+	if !c.req.isCompletion() {
 		return c.resolve()
 	}
 	_, err := c.s.cfg.Catalog.Resolve(c.lookup())
-	if err != nil && verdict.Of(err).Code == verdict.CodeUnauthorized {
+	if err != nil && verdict.FromError(err).Code == verdict.CodeUnauthorized {
 		return err
 	}
 	return nil
 }
 
+// resolve finds the plan, unless it is known already.
 func (c *call) resolve() error {
 	if c.isResolved {
 		return nil
@@ -122,7 +123,7 @@
 }
 
 func (c *call) lookup() Lookup {
-	return Lookup{TokenHash: c.q.token, Method: c.q.method, Path: c.q.path, Model: c.q.completion.Model}
+	return Lookup{TokenHash: c.req.token, Method: c.req.method, Path: c.req.path, Model: c.req.completion.Model}
 }
 
 func (c *call) deadline() time.Duration {
@@ -137,8 +138,8 @@
 		Workspace: c.plan.Workspace,
 		Service:   c.plan.Service,
 		Pool:      c.plan.Pool,
-		Urgency:   c.q.urgency,
-		Cost:      uint64(len(c.q.body)) + c.q.completion.MaxTokens,
+		Urgency:   c.req.urgency,
+		Cost:      uint64(len(c.req.body)) + c.req.completion.MaxTokens,
 		Deadline:  c.deadline(),
 	}
 }
@@ -157,14 +158,14 @@
 // ProblemType is the media type of error bodies.
 const ProblemType = "application/problem+json"
 
-// fail writes the final error of a call whose answer has not begun.
+// fail sends an error response. It must not be called once a response has begun.
 func (c *call) fail(err error) {
-	e := verdict.Of(err)
-	if e.RetryAfter == 0 && retriable(e) {
-		e = e.After(c.s.cfg.RetryAfter)
+	e := verdict.FromError(err)
+	if e.RetryAfter == 0 && mayRetryLater(e) {
+		e = e.WithRetryAfter(c.s.cfg.RetryAfter)
 	}
-	if e.Verdict == verdict.NotRun && retriable(e) && c.isKeyOpen() {
-		e = withOpenKey(e)
+	if e.Verdict == verdict.NotRun && mayRetryLater(e) && c.isClaimUnchecked() {
+		e = withUncheckedClaim(e)
 	}
 	status := statusOf(e)
 	body, _ := json.Marshal(problem{
@@ -174,14 +175,15 @@
 		Detail:    e.Text,
 		Verdict:   e.Verdict.String(),
 		Code:      e.Code,
-		RequestID: c.q.id,
+		RequestID: c.req.id,
 	})
 	h := c.w.Header()
 	if e.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.Itoa(seconds(e.RetryAfter)))
+		h.Set("Retry-After", strconv.Itoa(wholeSeconds(e.RetryAfter)))
 	}
-	if !c.isBodyTaken && c.r.ContentLength != 0 && c.r.ProtoMajor == 1 {
-		// The library would read on before it answers, to keep the connection.
+	if !c.hasBodyReadBegun && c.r.ContentLength != 0 && c.r.ProtoMajor == 1 {
+		// Otherwise net/http reads the body before it sends the response, so that it can keep
+		// the connection open, and the response would wait for a body that may never arrive.
 		h.Set("Connection", "close")
 	}
 	h.Set("Content-Type", ProblemType)
@@ -190,18 +192,20 @@
 	_, _ = c.w.Write(body)
 }
 
+// writeHead sends the response header and counts the verdict.
 func (c *call) writeHead(status int, v verdict.Verdict) {
 	c.s.counters.byVerdict[v].Inc(1)
 	h := c.w.Header()
-	h.Set(RequestIDHeader, c.q.id)
+	h.Set(RequestIDHeader, c.req.id)
 	h.Set(verdict.Header, v.String())
 	c.w.WriteHeader(status)
 }
 
-func seconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
+// wholeSeconds rounds d up, so that callers do not retry too early.
+func wholeSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
 
-// retriable tells whether asking again later may help.
-func retriable(e *verdict.Error) bool {
+// mayRetryLater reports whether the same request may succeed later.
+func mayRetryLater(e *verdict.Error) bool {
 	switch e.Code {
 	case verdict.CodeOverloaded, verdict.CodeLimited, verdict.CodeNoUpstream, verdict.CodeNoQuorum,
 		verdict.CodeLeaving, verdict.CodeInProgress:
@@ -212,7 +216,7 @@
 	return false
 }
 
-var statuses = map[verdict.Code]int{
+var statusByCode = map[verdict.Code]int{
 	verdict.CodeBadRequest:     http.StatusBadRequest,
 	verdict.CodeUnauthorized:   http.StatusUnauthorized,
 	verdict.CodeForbidden:      http.StatusForbidden,
@@ -232,8 +236,10 @@
 	verdict.CodeCancelled:      http.StatusServiceUnavailable,
 }
 
+// statusOf returns the HTTP status of an error. A failed upstream is 502 only if the request may
+// have run there; otherwise it is 503.
 func statusOf(e *verdict.Error) int {
-	status, ok := statuses[e.Code]
+	status, ok := statusByCode[e.Code]
 	if !ok {
 		return http.StatusInternalServerError
 	}
@@ -243,19 +249,19 @@
 	return status
 }
 
-// serveIdempotent tries upstreams until one has answered whole. It is the only
-// place that tries again.
+// serveIdempotent tries one upstream after another until one has sent a complete response. No
+// other function dispatches a call more than once.
 func (c *call) serveIdempotent(ctx context.Context) {
 	var tried []string
 	var last *verdict.Error
 	for {
-		name, err := c.tryOne(ctx, tried)
+		name, err := c.tryUpstream(ctx, tried)
 		if err == nil {
 			return
 		}
-		last = worse(last, verdict.Of(err), name)
+		last = errorToReport(last, verdict.FromError(err), name)
 		tried = append(tried, name)
-		if !c.mayGoOn(ctx, err, name, len(tried)) {
+		if !c.shouldRetry(ctx, err, name, len(tried)) {
 			c.giveUp(last)
 			return
 		}
@@ -263,10 +269,10 @@
 	}
 }
 
-// worse is what the caller is told after a further attempt failed: that no upstream
-// is left says less than the failure before, and a call of which any attempt may
-// have run may have run.
-func worse(last, next *verdict.Error, name string) *verdict.Error {
+// errorToReport chooses between the error of the attempts so far and that of the next one. If no
+// upstream was left to try (name is empty), the earlier error is more informative. If an earlier
+// attempt may have run, the whole call may have run, so a later NotRun must not replace it.
+func errorToReport(last, next *verdict.Error, name string) *verdict.Error {
 	if last == nil {
 		return next
 	}
@@ -276,19 +282,23 @@
 	return next
 }
 
-// mayGoOn decides whether an idempotent call is tried once more after err.
-func (c *call) mayGoOn(ctx context.Context, err error, name string, attempts int) bool {
-	if name == "" || ctx.Err() != nil || attempts >= c.s.cfg.MaxAttempts || !c.out.canGoOn() {
+// shouldRetry decides whether an idempotent call gets another attempt after one that failed with
+// err. A request that may have run is not sent to a second upstream if the first one crashed or
+// if crashes are suspected to be caused by it. Attempts that did not run take nothing from the
+// retry budget.
+func (c *call) shouldRetry(ctx context.Context, err error, name string, attempts int) bool {
+	if name == "" || ctx.Err() != nil || attempts >= c.s.cfg.MaxAttempts || !c.out.canContinue() {
 		return false
 	}
-	if hasEnded(err) || c.s.cfg.Quarantine.Verdict(c.fingerprint) != quarantine.Free && verdict.Of(err).Verdict != verdict.NotRun {
+	if hasUpstreamCrashed(err) || c.s.cfg.Quarantine.Verdict(c.fingerprint) != quarantine.Free && verdict.FromError(err).Verdict != verdict.NotRun {
 		return false
 	}
-	return verdict.Of(err).Verdict == verdict.NotRun || c.s.mayRetry()
+	return verdict.FromError(err).Verdict == verdict.NotRun || c.s.mayRetry()
 }
 
-// tryOne makes one attempt. The name is empty where no upstream could be chosen.
-func (c *call) tryOne(ctx context.Context, tried []string) (string, error) {
+// tryUpstream makes one attempt and returns the name of the upstream, which is empty if none could
+// be chosen.
+func (c *call) tryUpstream(ctx context.Context, tried []string) (string, error) {
 	pick, err := c.pick(tried)
 	if err != nil {
 		return "", err
@@ -296,7 +306,7 @@
 	name := pick.Upstream.Name
 	a := newAttempt(c, pick.Upstream)
 	err = a.run(ctx, c.out)
-	c.note(a, err)
+	c.reportToQuarantine(a, err)
 	if err == nil {
 		err = c.out.finish()
 	}
@@ -304,25 +314,26 @@
 	return name, err
 }
 
+// pick chooses an upstream that is not among those tried, unless the request is in quarantine.
 func (c *call) pick(tried []string) (Pick, error) {
-	if err := c.heldBack(); err != nil {
+	if err := c.checkQuarantine(); err != nil {
 		return Pick{}, err
 	}
 	return c.s.cfg.Router.Pick(PickRequest{
 		Pool:     c.plan.Pool,
 		Version:  c.plan.Version,
-		Prefixes: PrefixHashes(c.q.completion.text()),
+		Prefixes: PrefixHashes(c.req.completion.text()),
 		Tried:    tried,
 	})
 }
 
-// giveUp ends the call with err. An answer that has begun is cut off in a way that
-// the caller can tell from its end.
+// giveUp ends the call with err. If the response has begun, the connection or HTTP/2 stream is
+// aborted, so that the caller can tell that the response is incomplete.
 func (c *call) giveUp(err error) {
 	if errors.Is(c.r.Context().Err(), context.Canceled) {
 		c.s.counters.cancelled.Inc(1)
 	}
-	if c.out.begun {
+	if c.out.hasBegun {
 		c.s.counters.aborted.Inc(1)
 		panic(http.ErrAbortHandler)
 	}
--- /dev/null
+++ b/internal/entry/quarantine_test.go
@@ -0,0 +1,134 @@
+package entry_test
+
+import (
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"net/url"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/rcrowley/go-metrics"
+	"github.com/stretchr/testify/require"
+
+	"github.com/sassafraspost/sassafraspost/internal/agent"
+	"github.com/sassafraspost/sassafraspost/internal/entry"
+	"github.com/sassafraspost/sassafraspost/internal/quarantine"
+	"github.com/sassafraspost/sassafraspost/internal/verdict"
+	"github.com/sassafraspost/sassafraspost/test/standin"
+)
+
+// crashTestProxy is an entry host with a quarantine and with engines that some prompts crash.
+type crashTestProxy struct {
+	*testProxy
+	keeper *quarantine.Keeper
+	// clockOffset is how far the quarantine's clock is ahead of the real one.
+	clockOffset atomic.Int64
+	// crashes counts the crashes of all engines.
+	crashes atomic.Int64
+}
+
+func startCrashTestProxy(t *testing.T, names ...string) *crashTestProxy {
+	p := &crashTestProxy{}
+	began := time.Now()
+	p.keeper = quarantine.NewKeeper(quarantine.Config{
+		Limits: quarantine.DefaultLimits, Now: func() time.Duration { return time.Since(began) + time.Duration(p.clockOffset.Load()) },
+		Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
+	})
+	p.testProxy = startTestProxy(t, func(c *entry.Config) { c.Quarantine = p.keeper })
+	for _, name := range names {
+		p.addCrashingUpstream(name)
+	}
+	return p
+}
+
+// addCrashingUpstream adds an upstream that stops listening, as after a crash, when it runs the
+// prompt standin.Poison or any booking.
+func (p *crashTestProxy) addCrashingUpstream(name string) {
+	var srv *httptest.Server
+	crash := func() {
+		p.crashes.Add(1)
+		_ = srv.Listener.Close()
+	}
+	mux := http.NewServeMux()
+	mux.Handle("/", standin.NewEngine(standin.EngineConfig{End: crash}))
+	mux.HandleFunc("/slots/book", func(http.ResponseWriter, *http.Request) {
+		crash()
+		panic(http.ErrAbortHandler)
+	})
+	srv = httptest.NewServer(mux)
+	p.t.Cleanup(srv.Close)
+	base, err := url.Parse(srv.URL)
+	require.NoError(p.t, err)
+	p.addUpstream(name, http.NotFoundHandler(), func(c *agent.Config) { c.URL = base.String() })
+}
+
+// A request whose upstream crashed must not be retried on another upstream. After it has crashed
+// two upstreams, it must be refused with not-run and without a Retry-After, while other requests
+// are served.
+func TestRequestThatCrashesUpstreamsIsQuarantined(t *testing.T) {
+	for _, isStream := range []bool{false, true} {
+		p := startCrashTestProxy(t, "u1", "u2", "u3")
+		for n := range 2 {
+			r := p.complete(standin.Poison, tokens, isStream)
+			require.Equal(t, http.StatusBadGateway, r.status)
+			require.Equal(t, "may-have-run", r.verdict())
+			require.EqualValues(t, n+1, p.crashes.Load(), "each request reaches one upstream only")
+			p.clockOffset.Add(int64(10 * time.Second))
+		}
+		for range 3 {
+			r := p.complete(standin.Poison, tokens, isStream)
+			require.Equal(t, http.StatusServiceUnavailable, r.status)
+			require.Equal(t, "not-run", r.verdict())
+			require.Empty(t, r.header.Get("Retry-After"))
+			require.Contains(t, r.body, string(verdict.CodeQuarantined))
+		}
+		require.EqualValues(t, 2, p.crashes.Load())
+		requireWholeStream(t, "innocent", tokens, p.complete("innocent", tokens, true))
+		list := p.keeper.List()
+		require.Len(t, list, 1)
+		require.Equal(t, standin.Poison, list[0].Crashes[0].Request, "the id that its caller gave it")
+		require.Equal(t, "velotrak", list[0].Workspace)
+	}
+}
+
+// A non-idempotent call that is refused because it is in quarantine did not run, so its claim must
+// be released. A repeated request with a key that was dispatched before must still get
+// may-have-run.
+func TestQuarantinedCallReleasesItsClaim(t *testing.T) {
+	p := startCrashTestProxy(t, "u1", "u2")
+	for _, key := range []string{"k1", "k2"} {
+		r := p.book(key, "rider")
+		require.Equal(t, http.StatusBadGateway, r.status)
+		require.Equal(t, "may-have-run", r.verdict())
+		p.router.mu.Lock()
+		p.router.upstreams = p.router.upstreams[1:]
+		p.router.mu.Unlock()
+		p.clockOffset.Add(int64(10 * time.Second))
+	}
+	r := p.book("k3", "rider")
+	require.Equal(t, http.StatusServiceUnavailable, r.status)
+	require.Equal(t, "not-run", r.verdict())
+	require.Contains(t, r.body, string(verdict.CodeQuarantined))
+	p.claims.mu.Lock()
+	require.NotContains(t, p.claims.byKey, "k3")
+	p.claims.mu.Unlock()
+	r = p.book("k1", "rider")
+	require.Equal(t, http.StatusConflict, r.status)
+	require.Equal(t, "may-have-run", r.verdict())
+	require.EqualValues(t, 2, p.crashes.Load())
+}
+
+// If a response breaks off but the upstream still runs, the call must be retried and the request
+// must not be suspected.
+func TestBrokenResponseIsNotACrash(t *testing.T) {
+	p := startCrashTestProxy(t)
+	engines := []*standin.Engine{standin.NewEngine(standin.EngineConfig{}), standin.NewEngine(standin.EngineConfig{})}
+	p.addUpstream("u1", engines[0], nil)
+	p.addUpstream("u2", engines[1], nil)
+	engines[0].Fail(standin.Failure{Mode: standin.Die, After: 2, Times: 1})
+	r := p.complete("prompt", tokens, false)
+	require.Equal(t, http.StatusOK, r.status)
+	require.Empty(t, p.keeper.List())
+}
--- a/internal/entry/pure_test.go
+++ b/internal/entry/unit_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-func TestRetriesAreAShareOfRequests(t *testing.T) {
+// In any order of requests and retries, the retries must not exceed the ratio plus one full bucket.
+func TestRetriesStayWithinTheRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewRetryBudget(0.2)
 		requests, retries := 0, 0
@@ -23,30 +24,31 @@
 				retries++
 			}
 		}
-		require.LessOrEqual(t, float64(retries), retryReserve+0.2*float64(requests)+1e-6)
+		require.LessOrEqual(t, float64(retries), maxRetryTokens+0.2*float64(requests)+1e-6)
 	})
 }
 
-func TestEqualHashesMeanEqualPrefixes(t *testing.T) {
-	a := make([]byte, 3*PrefixBlock+10)
+func TestPrefixHashesCoverAllEarlierBlocks(t *testing.T) {
+	a := make([]byte, 3*PrefixBlockBytes+10)
 	b := append([]byte{}, a...)
-	b[PrefixBlock] = 1
+	b[PrefixBlockBytes] = 1
 	ha, hb := PrefixHashes(a), PrefixHashes(b)
 	require.Len(t, ha, 3)
 	require.Equal(t, ha[0], hb[0])
 	require.NotEqual(t, ha[1], hb[1])
-	require.NotEqual(t, ha[2], hb[2], "equal blocks after different ones")
-	require.Len(t, PrefixHashes(make([]byte, 100*PrefixBlock)), MaxPrefixes)
+	require.NotEqual(t, ha[2], hb[2], "the third blocks are equal, but not the blocks before them")
+	require.Len(t, PrefixHashes(make([]byte, 100*PrefixBlockBytes)), MaxPrefixes)
 }
 
-func TestUrgency(t *testing.T) {
+func TestParseUrgency(t *testing.T) {
 	for header, want := range map[string]uint8{"u=1": 1, "i, u=7": 7, "u=8": defaultUrgency, "u=": defaultUrgency, "": defaultUrgency} {
 		got, _ := parseUrgency(header)
 		require.Equal(t, want, got, header)
 	}
 }
 
-func TestConnectionsAreBounded(t *testing.T) {
+// A connection beyond the limit must be closed, and a closed connection must make room for another.
+func TestConnectionLimit(t *testing.T) {
 	srv := NewHTTPServer(http.NotFoundHandler(), HTTPLimits{MaxConns: 1})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -162,7 +162,7 @@
 // mayHaveRun reports whether any attempt of the request so far may have run. The result is
 // kept, so that it stays true for later attempts.
 func (c *call) mayHaveRun() bool {
-	if c.attempts > 0 && verdict.Of(c.last).Verdict != verdict.NotRun {
+	if c.attempts > 0 && verdict.FromError(c.last).Verdict != verdict.NotRun {
 		c.hasPossiblyRun = true
 	}
 	return c.hasPossiblyRun
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -44,6 +44,6 @@
 }
 
 func (c *counters) recordFailedAttempt(err error) {
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	c.increment("attempts-failed." + string(e.Code) + "." + e.Verdict.String())
 }
--- a/internal/gateway/failure.go
+++ b/internal/gateway/failure.go
@@ -45,7 +45,7 @@
 
 // giveUp sends the final error after the last attempt.
 func (c *call) giveUp(ctx context.Context) {
-	e := verdict.Of(c.last)
+	e := verdict.FromError(c.last)
 	if c.mayHaveRun() && e.Verdict == verdict.NotRun {
 		e = verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "an attempt failed, and no other was possible")
 	}
@@ -57,14 +57,14 @@
 		e = verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, "no answer in time")
 	}
 	if e.Verdict == verdict.NotRun && e.RetryAfter == 0 && e.Code != verdict.CodeQuarantined {
-		e = e.After(refusedRetryAfter)
+		e = e.WithRetryAfter(refusedRetryAfter)
 	}
 	c.fail(e)
 }
 
 // fail sends an error response on behalf of this host.
 func (c *call) fail(err error) {
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	code := statusOf(e)
 	h := c.w.Header()
 	h.Set(verdict.Header, e.Verdict.String())
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -25,7 +25,7 @@
 // quarantine has more evidence by then. An upstream that has announced that it is draining is
 // not probed, because its end is expected.
 func (c *call) probeAfterFailure(ctx context.Context, reserved *reservation, err error) {
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	if e.Verdict == verdict.NotRun || e.Code != verdict.CodeUpstreamFailed || ctx.Err() != nil || c.g.isDraining(reserved) {
 		return
 	}
@@ -45,6 +45,6 @@
 	c.isFinal = true
 	if c.service.Engine != nil {
 		// The engine's group does not serve until the engine is back.
-		c.last = e.After(schedule.MaxRetryAfter(time.Until(c.deadline)))
+		c.last = e.WithRetryAfter(schedule.MaxRetryAfter(time.Until(c.deadline)))
 	}
 }
--- a/internal/gateway/slot.go
+++ b/internal/gateway/slot.go
@@ -27,7 +27,7 @@
 // verdict returns the error for an attempt that was cancelled because of its group. The request
 // may still run there.
 func (e *stalledError) verdict() error {
-	return verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, e.Error()).After(e.retryAfter)
+	return verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, e.Error()).WithRetryAfter(e.retryAfter)
 }
 
 // reserveSlot reserves a slot at an engine, and waits for one if none is free. Errors are
@@ -78,7 +78,7 @@
 }
 
 func overloadError(d schedule.Decision) error {
-	return verdict.New(verdict.NotRun, verdict.CodeOverloaded, d.Reason.String()).After(d.RetryAfter)
+	return verdict.New(verdict.NotRun, verdict.CodeOverloaded, d.Reason.String()).WithRetryAfter(d.RetryAfter)
 }
 
 // waitInQueue waits for the decision on a queued request.
