--- a/internal/catalog/follower.go
+++ b/internal/catalog/follower.go
@@ -34,11 +34,11 @@
 	Pool  *peer.Pool
 	// Control are the addresses of the control hosts, Mates those of the other
 	// entry hosts of the data centre.
-	Control []string
-	Mates   []string
-	Self    wire.HostInForce
-	Log     *slog.Logger
-	Metrics metrics.Registry
+	Control    []string
+	EntryPeers []string
+	Self       wire.HostInForce
+	Log        *slog.Logger
+	Metrics    metrics.Registry
 }
 
 // Follower keeps a Store up to date: from one control host that shows that it is
@@ -166,7 +166,7 @@
 }
 
 func (f *Follower) handleChanges(s *peer.Session, m *wire.Changes) {
-	if f.cfg.Store.Offer(m.Documents) {
+	if f.cfg.Store.Merge(m.Documents) {
 		f.tell(s)
 	}
 	if !m.Linearizable {
@@ -200,7 +200,7 @@
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, address := range f.cfg.Mates {
+	for _, address := range f.cfg.EntryPeers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -220,7 +220,7 @@
 		return
 	}
 	if c, ok := reply.(*wire.Changes); ok {
-		f.cfg.Store.Offer(c.Documents)
+		f.cfg.Store.Merge(c.Documents)
 	}
 }
 
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -63,9 +63,9 @@
 	return s
 }
 
-// Offer takes the documents that are newer than what the Store holds. It returns
+// Merge takes the documents that are newer than what the Store holds. It returns
 // whether anything changed.
-func (s *Store) Offer(docs []wire.Document) bool {
+func (s *Store) Merge(docs []wire.Document) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	isChanged := false
--- a/internal/catalog/store_test.go
+++ b/internal/catalog/store_test.go
@@ -34,7 +34,7 @@
 		for range rapid.IntRange(1, 30).Draw(t, "offers") {
 			name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")
 			revision := rapid.Uint64Range(1, 20).Draw(t, "revision")
-			s.Offer([]wire.Document{{Name: name, Revision: revision, Text: text(name, fmt.Sprint("v", revision), name)}})
+			s.Merge([]wire.Document{{Name: name, Revision: revision, Text: text(name, fmt.Sprint("v", revision), name)}})
 			highest[name] = max(highest[name], revision)
 			require.Equal(t, fmt.Sprint("v", highest[name]), s.Index().Document(name).Models[0].Version)
 		}
@@ -44,7 +44,7 @@
 
 func TestContestedTokenStaysWithOneDocumentThroughLaterRevisions(t *testing.T) {
 	s := newStore()
-	s.Offer([]wire.Document{
+	s.Merge([]wire.Document{
 		{Name: "late", Revision: 9, Text: text("late", "v1", "shared token")},
 		{Name: "early", Revision: 3, Text: text("early", "v1", "shared token")},
 	})
@@ -53,14 +53,14 @@
 		require.True(t, ok)
 		require.Equal(t, "early-w", b.Workspace.Name)
 		name := []string{"early", "late"}[revision%2]
-		s.Offer([]wire.Document{{Name: name, Revision: revision, Text: text(name, "v2", "shared token")}})
+		s.Merge([]wire.Document{{Name: name, Revision: revision, Text: text(name, "v2", "shared token")}})
 	}
 }
 
 func TestUnreadableDocumentHoldsBackWhatIsInForce(t *testing.T) {
 	s := newStore()
-	s.Offer([]wire.Document{{Name: "a", Revision: 2, Text: text("a", "v1", "x")}})
-	s.Offer([]wire.Document{
+	s.Merge([]wire.Document{{Name: "a", Revision: 2, Text: text("a", "v1", "x")}})
+	s.Merge([]wire.Document{
 		{Name: "a", Revision: 5, Text: []byte("[service]\nname = a\nfrom-the-future = 1\n")},
 		{Name: "b", Revision: 7, Text: text("b", "v1", "y")},
 	})
--- a/internal/control/book.go
+++ b/internal/control/book.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// Book holds the peer addresses of control hosts. It grows as hosts are heard of, so
+// AddressBook holds the peer addresses of control hosts. It grows as hosts are heard of, so
 // that hosts which replace others are found.
-type Book struct {
+type AddressBook struct {
 	// mu guards the fields below.
 	mu   sync.Mutex
 	list []string
@@ -15,13 +15,13 @@
 	grown chan struct{}
 }
 
-// NewBook returns a Book with these addresses.
-func NewBook(addresses ...string) *Book {
-	return &Book{list: slices.Clone(addresses), grown: make(chan struct{})}
+// NewAddressBook returns a Book with these addresses.
+func NewAddressBook(addresses ...string) *AddressBook {
+	return &AddressBook{list: slices.Clone(addresses), grown: make(chan struct{})}
 }
 
 // Add takes in addresses and reports whether one of them is new.
-func (b *Book) Add(addresses ...string) bool {
+func (b *AddressBook) Add(addresses ...string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	isNew := false
@@ -39,19 +39,19 @@
 }
 
 // List returns the addresses.
-func (b *Book) List() []string {
+func (b *AddressBook) List() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.list)
 }
 
-// Grown returns a channel that is closed when the next address comes. Call it before
+// Changed returns a channel that is closed when the next address comes. Call it before
 // List, so that none is missed.
-func (b *Book) Grown() <-chan struct{} {
+func (b *AddressBook) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.grown
 }
 
-// Book returns the addresses of the other control hosts that this host knows.
-func (h *Host) Book() *Book { return h.book }
+// AddressBook returns the addresses of the other control hosts that this host knows.
+func (h *Host) AddressBook() *AddressBook { return h.book }
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -41,7 +41,7 @@
 // Client asks the leader of the control hosts, wherever it is.
 type Client struct {
 	pool *peer.Pool
-	book *Book
+	book *AddressBook
 
 	// mu guards leader and next.
 	mu     sync.Mutex
@@ -51,11 +51,11 @@
 
 // NewClient returns a Client of the control hosts at these peer addresses.
 func NewClient(pool *peer.Pool, addresses []string) *Client {
-	return NewClientOf(pool, NewBook(addresses...))
+	return NewClientWithAddressBook(pool, NewAddressBook(addresses...))
 }
 
-// NewClientOf returns a Client of the control hosts in the book.
-func NewClientOf(pool *peer.Pool, book *Book) *Client {
+// NewClientWithAddressBook returns a Client of the control hosts in the book.
+func NewClientWithAddressBook(pool *peer.Pool, book *AddressBook) *Client {
 	return &Client{pool: pool, book: book}
 }
 
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -323,12 +323,12 @@
 	wg.Wait()
 }
 
-// Meet takes in a control host with which a session has begun, tells it what the quarantine
+// ControlHostConnected takes in a control host with which a session has begun, tells it what the quarantine
 // knows, and it and the others of each other. Settings name a few seeds only, which need not vote
 // and may be others than before: voters that knew none but those would elect nobody after a
 // common restart.
-func (h *Host) Meet(s *peer.Session) {
-	h.Learn(s.Remote().Address)
+func (h *Host) ControlHostConnected(s *peer.Session) {
+	h.AddControlHosts(s.Remote().Address)
 	_ = s.Post(&wire.Suspicions{All: h.fleet.quarantine.All()})
 	m := &wire.Hosts{Control: append(h.book.List(), h.cfg.Address)}
 	for _, other := range h.cfg.Transport.Sessions() {
@@ -337,8 +337,8 @@
 	}
 }
 
-// Learn adds control hosts that were heard of.
-func (h *Host) Learn(addresses ...string) {
+// AddControlHosts adds control hosts that were heard of.
+func (h *Host) AddControlHosts(addresses ...string) {
 	for _, a := range addresses {
 		if a != h.cfg.Address {
 			h.book.Add(a)
--- a/internal/control/found.go
+++ b/internal/control/found.go
@@ -17,11 +17,11 @@
 // disk it has. The others join by its first entry, which needs a majority of the
 // founders, so that of two proposals one wins.
 func (h *Host) found(ctx context.Context) {
-	for ctx.Err() == nil && len(h.cfg.Founders) > 0 {
+	for ctx.Err() == nil && len(h.cfg.InitialVoters) > 0 {
 		if len(h.replica.Status().Membership.Voters) > 0 {
 			return
 		}
-		if slices.Min(h.cfg.Founders) == h.cfg.Address {
+		if slices.Min(h.cfg.InitialVoters) == h.cfg.Address {
 			h.propose(ctx)
 		}
 		pause.For(ctx, foundInterval)
@@ -43,7 +43,7 @@
 // founders returns the replicas of the founders, and whether all are known.
 func (h *Host) founders() ([]consensus.ReplicaID, bool) {
 	voters := []consensus.ReplicaID{h.id}
-	for _, address := range h.cfg.Founders {
+	for _, address := range h.cfg.InitialVoters {
 		if address == h.cfg.Address {
 			continue
 		}
--- a/internal/control/herd_test.go
+++ b/internal/control/herd_test.go
@@ -120,11 +120,11 @@
 			Handler: peer.HandlerFunc(func(*peer.Session, uint64, wire.Message) {}),
 		})
 		t.Cleanup(pools[i].Close)
-		running.Go(func() { FollowDialled(ctx, pools[i], NewBook(seeds...)) })
+		running.Go(func() { KeepFollowerConnected(ctx, pools[i], NewAddressBook(seeds...)) })
 	}
 	for i, h := range control {
 		others := append(append([]string(nil), seeds[:i]...), seeds[i+1:]...)
-		running.Go(func() { KeepDialled(ctx, h.pool, NewBook(others...)) })
+		running.Go(func() { KeepConnected(ctx, h.pool, NewAddressBook(others...)) })
 	}
 	var quorum time.Duration
 	require.Eventually(t, func() bool {
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -49,22 +49,22 @@
 	Pool      *peer.Pool
 	// Peers are the peer addresses of the other control hosts.
 	Peers []string
-	// Founders are the peer addresses of the hosts that found the cluster together, this
+	// InitialVoters are the peer addresses of the hosts that found the cluster together, this
 	// one among them; empty where none is to be founded.
-	Founders []string
+	InitialVoters []string
 	// Voters is how many replicas vote where there are more control hosts; the others
 	// learn and take the place of a voter that falls silent. Zero lets all vote.
 	Voters int
 	// ElectionTicks is as in replica.Options.
 	ElectionTicks int
-	// HearingSpan is how lately a replica must have been heard to count as alive;
+	// ReplicaSilenceTimeout is how lately a replica must have been heard to count as alive;
 	// DefaultHearingSpan if zero.
-	HearingSpan time.Duration
+	ReplicaSilenceTimeout time.Duration
 	// Registry are the limits of the upstreams' announcements; zero values where
 	// upstreams announce themselves elsewhere.
 	Registry registry.Limits
-	// Recall keeps the list of upstreams over a restart; nil where it is not kept.
-	Recall *Recall
+	// RestartCache keeps the list of upstreams over a restart; nil where it is not kept.
+	RestartCache *RestartCache
 	// Address is this host's own peer address.
 	Address string
 	// Tick and SnapshotEntries are as in replica.Options.
@@ -90,7 +90,7 @@
 	commands *command.Service
 	queries  *query.Service
 	joins    joinGate
-	book     *Book
+	book     *AddressBook
 	fleet    *fleet
 }
 
@@ -105,8 +105,8 @@
 	if c.Tick <= 0 {
 		c.Tick = replica.DefaultTick
 	}
-	if c.HearingSpan <= 0 {
-		c.HearingSpan = DefaultHearingSpan
+	if c.ReplicaSilenceTimeout <= 0 {
+		c.ReplicaSilenceTimeout = DefaultReplicaSilenceTimeout
 	}
 	return c
 }
@@ -120,9 +120,9 @@
 		tables:  state.New(state.Options{}),
 		store:   catalog.NewStore(cfg.Log, cfg.Metrics),
 		reports: newReports(),
-		book:    NewBook(cfg.Peers...),
+		book:    NewAddressBook(cfg.Peers...),
 	}
-	h.client = NewClientOf(cfg.Pool, h.book)
+	h.client = NewClientWithAddressBook(cfg.Pool, h.book)
 	h.fleet = newFleet(h)
 	h.watchers = newWatchers(h.store)
 	var err error
@@ -153,7 +153,7 @@
 // Run does the host's background work until ctx ends. The error is what ended the
 // replica; the host must then stop.
 func (h *Host) Run(ctx context.Context) error {
-	go KeepDialled(ctx, h.cfg.Pool, h.book)
+	go KeepConnected(ctx, h.cfg.Pool, h.book)
 	go h.found(ctx)
 	go h.fleet.run(ctx)
 	go h.passDocuments(ctx)
@@ -194,7 +194,7 @@
 	for _, d := range h.tables.Changes(h.store.Revision()) {
 		docs = append(docs, wire.Document{Name: d.Name, Revision: d.Revision, Text: []byte(d.Text)})
 	}
-	h.store.Offer(docs)
+	h.store.Merge(docs)
 }
 
 // showCurrency tells watchers at intervals that this host holds all that was
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -20,10 +20,10 @@
 	joinInterval = 400 * time.Millisecond
 	// joinTimeout bounds one change of the membership, the catching up included.
 	joinTimeout = 5 * time.Minute
-	// DefaultHearingSpan is how lately a replica must have been heard to count as alive. It
+	// DefaultReplicaSilenceTimeout is how lately a replica must have been heard to count as alive. It
 	// also is how long the repair of a lost disk waits, and so bounds from below the
 	// time in which the loss of another disk counts double.
-	DefaultHearingSpan = 3 * time.Second
+	DefaultReplicaSilenceTimeout = 3 * time.Second
 )
 
 // joinGate lets one join run at a time.
@@ -165,7 +165,7 @@
 func (h *Host) isHeard(st consensus.Status, id consensus.ReplicaID) bool {
 	for _, p := range st.Peers {
 		if p.ID == id {
-			return time.Duration(p.TicksSinceContact)*h.cfg.Tick < h.cfg.HearingSpan
+			return time.Duration(p.TicksSinceContact)*h.cfg.Tick < h.cfg.ReplicaSilenceTimeout
 		}
 	}
 	return false
--- a/internal/control/recall.go
+++ b/internal/control/recall.go
@@ -16,13 +16,13 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// Recall keeps a control host's list of upstreams in a folder, so that a host that starts
+// RestartCache keeps a control host's list of upstreams in a folder, so that a host that starts
 // again knows them before they announce themselves: after a common restart callers would
 // wait for that, more than a second. What it holds may be old, so it is only a first guess;
 // upstreams that have gone refuse, are unreachable, or become silent. Beside it stands what
 // the quarantine knows: each request that is forgotten costs upstreams before it is known
 // again.
-type Recall struct {
+type RestartCache struct {
 	fs  journal.FS
 	dir string
 }
@@ -39,37 +39,37 @@
 	checksumBytes = 4
 )
 
-// NewRecall returns the list in a folder, which is made if there is none.
-func NewRecall(fs journal.FS, dir string) *Recall { return &Recall{fs: fs, dir: dir} }
+// NewRestartCache returns the list in a folder, which is made if there is none.
+func NewRestartCache(fs journal.FS, dir string) *RestartCache { return &RestartCache{fs: fs, dir: dir} }
 
 // errDamaged tells that a file is not what was written.
 var errDamaged = errors.New("the file is damaged")
 
-// Load returns the upstreams that were saved last.
-func (r *Recall) Load() ([]registry.Upstream, error) {
+// LoadUpstreams returns the upstreams that were saved last.
+func (r *RestartCache) LoadUpstreams() ([]registry.Upstream, error) {
 	var all wire.Upstreams
 	err := r.load(recallUpstreams, &all)
 	return all.All, errors.Wrap(err, "list of upstreams")
 }
 
-// Save replaces the upstreams that were saved. It returns once they have reached the disk.
-func (r *Recall) Save(all []registry.Upstream) error {
+// SaveUpstreams replaces the upstreams that were saved. It returns once they have reached the disk.
+func (r *RestartCache) SaveUpstreams(all []registry.Upstream) error {
 	return errors.Wrap(r.save(recallUpstreams, &wire.Upstreams{All: all}), "list of upstreams")
 }
 
 // LoadSuspicions returns what the quarantine knew when that was saved last.
-func (r *Recall) LoadSuspicions() ([]quarantine.Suspicion, error) {
+func (r *RestartCache) LoadSuspicions() ([]quarantine.Suspicion, error) {
 	var all wire.Suspicions
 	err := r.load(recallSuspicions, &all)
 	return all.All, errors.Wrap(err, "suspicions")
 }
 
 // SaveSuspicions replaces what was saved of the quarantine.
-func (r *Recall) SaveSuspicions(all []quarantine.Suspicion) error {
+func (r *RestartCache) SaveSuspicions(all []quarantine.Suspicion) error {
 	return errors.Wrap(r.save(recallSuspicions, &wire.Suspicions{All: all}), "suspicions")
 }
 
-func (r *Recall) load(name string, m wire.Message) error {
+func (r *RestartCache) load(name string, m wire.Message) error {
 	data, err := r.fs.ReadFile(filepath.Join(r.dir, name))
 	if err != nil {
 		return err
@@ -80,7 +80,7 @@
 	return wire.Unmarshal(data[checksumBytes:], m)
 }
 
-func (r *Recall) save(name string, m wire.Message) error {
+func (r *RestartCache) save(name string, m wire.Message) error {
 	body, err := wire.Marshal(m)
 	if err != nil {
 		return err
@@ -89,7 +89,7 @@
 	return r.write(name, append(data, body...))
 }
 
-func (r *Recall) write(name string, data []byte) error {
+func (r *RestartCache) write(name string, data []byte) error {
 	if err := r.fs.MkdirAll(r.dir); err != nil {
 		return err
 	}
@@ -117,10 +117,10 @@
 
 // restore takes in what was known before the start.
 func (f *fleet) restore() {
-	if f.h.cfg.Recall == nil {
+	if f.h.cfg.RestartCache == nil {
 		return
 	}
-	all, err := f.h.cfg.Recall.Load()
+	all, err := f.h.cfg.RestartCache.LoadUpstreams()
 	if err != nil {
 		f.h.cfg.Log.Info("upstreams of before the start are not known", "error", err.Error())
 		return
@@ -132,10 +132,10 @@
 // restoreSuspicions takes in what the quarantine knew before the start. The time in between
 // is not counted, so requests are held that much longer.
 func (f *fleet) restoreSuspicions() {
-	if f.h.cfg.Recall == nil {
+	if f.h.cfg.RestartCache == nil {
 		return
 	}
-	all, err := f.h.cfg.Recall.LoadSuspicions()
+	all, err := f.h.cfg.RestartCache.LoadSuspicions()
 	if err != nil {
 		f.h.cfg.Log.Info("suspicions of before the start are not known", "error", err.Error())
 		return
@@ -146,7 +146,7 @@
 
 // remember saves what is known whenever it has changed, until ctx ends.
 func (f *fleet) remember(ctx context.Context) {
-	if f.h.cfg.Recall == nil {
+	if f.h.cfg.RestartCache == nil {
 		return
 	}
 	for {
@@ -158,10 +158,10 @@
 		f.mu.Lock()
 		all := f.registry.All()
 		f.mu.Unlock()
-		if err := f.h.cfg.Recall.Save(all); err != nil {
+		if err := f.h.cfg.RestartCache.SaveUpstreams(all); err != nil {
 			f.h.cfg.Log.Warn("upstreams are not saved", "error", err.Error())
 		}
-		if err := f.h.cfg.Recall.SaveSuspicions(f.quarantine.All()); err != nil {
+		if err := f.h.cfg.RestartCache.SaveSuspicions(f.quarantine.All()); err != nil {
 			f.h.cfg.Log.Warn("suspicions are not saved", "error", err.Error())
 		}
 		pause.For(ctx, recallPause)
--- a/internal/control/recall_test.go
+++ b/internal/control/recall_test.go
@@ -13,13 +13,13 @@
 
 func TestRecallReturnsWhatWasSavedLast(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "list")
-	r := NewRecall(journal.OS{}, dir)
-	_, err := r.Load()
+	r := NewRestartCache(journal.OS{}, dir)
+	_, err := r.LoadUpstreams()
 	require.Error(t, err, "nothing was saved")
-	require.NoError(t, r.Save([]registry.Upstream{{ID: "a"}}))
+	require.NoError(t, r.SaveUpstreams([]registry.Upstream{{ID: "a"}}))
 	all := []registry.Upstream{{ID: "a", Service: "s", Address: "10.0.0.1:80", Sequence: 3, Born: 4}, {ID: "b", State: registry.Gone}}
-	require.NoError(t, r.Save(all))
-	got, err := NewRecall(journal.OS{}, dir).Load()
+	require.NoError(t, r.SaveUpstreams(all))
+	got, err := NewRestartCache(journal.OS{}, dir).LoadUpstreams()
 	require.NoError(t, err)
 	require.Equal(t, all, got)
 }
@@ -27,14 +27,14 @@
 // A list that is torn or damaged is no list.
 func TestDamagedRecallIsNotUsed(t *testing.T) {
 	dir := t.TempDir()
-	r := NewRecall(journal.OS{}, dir)
-	require.NoError(t, r.Save([]registry.Upstream{{ID: "a", Service: "s"}}))
+	r := NewRestartCache(journal.OS{}, dir)
+	require.NoError(t, r.SaveUpstreams([]registry.Upstream{{ID: "a", Service: "s"}}))
 	name := filepath.Join(dir, recallUpstreams)
 	whole, err := os.ReadFile(name)
 	require.NoError(t, err)
 	for _, data := range [][]byte{nil, whole[:3], whole[:len(whole)-1], append([]byte{whole[0] ^ 1}, whole[1:]...)} {
 		require.NoError(t, os.WriteFile(name, data, 0o600))
-		_, err := r.Load()
+		_, err := r.LoadUpstreams()
 		require.ErrorIs(t, err, errDamaged)
 	}
 }
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -26,7 +26,7 @@
 			h.handleConsensus(&wire.Consensus{To: m.To, Data: data})
 		}
 	case *wire.Hosts:
-		h.Learn(m.Control...)
+		h.AddControlHosts(m.Control...)
 	case *wire.Attach:
 		h.fleet.attach(s, m)
 	case *wire.Suspicions:
--- a/internal/control/suspicions_test.go
+++ b/internal/control/suspicions_test.go
@@ -61,7 +61,7 @@
 		OnUp: func(s *peer.Session) {
 			if control != nil && s.Remote().Replica != "" {
 				control.cfg.Transport.SessionUp(s)
-				control.Meet(s)
+				control.ControlHostConnected(s)
 			}
 		},
 	})
@@ -86,14 +86,14 @@
 }
 
 // newControl returns a control host without a replica, as far as the fleet needs one.
-func newControl(recall *Recall) func(*station) *Host {
+func newControl(recall *RestartCache) func(*station) *Host {
 	return func(st *station) *Host {
 		h := &Host{
 			cfg: Config{
-				Address: st.address, Transport: NewTransport(metrics.NewRegistry()), Pool: st.pool, Recall: recall,
+				Address: st.address, Transport: NewTransport(metrics.NewRegistry()), Pool: st.pool, RestartCache: recall,
 				Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 			},
-			book: NewBook(), tables: state.New(state.Options{}),
+			book: NewAddressBook(), tables: state.New(state.Options{}),
 		}
 		h.fleet = newFleet(h)
 		return h
@@ -164,7 +164,7 @@
 
 // After all processes have ended, control hosts know from their disks which requests are held.
 func TestSuspicionsOutliveAllProcesses(t *testing.T) {
-	recall := NewRecall(journal.OS{}, t.TempDir())
+	recall := NewRestartCache(journal.OS{}, t.TempDir())
 	before := newControl(recall)(&station{})
 	before.Quarantine().Merge([]quarantine.Suspicion{told("u1", time.Minute), told("u2", time.Second)})
 	require.NoError(t, recall.SaveSuspicions(before.Quarantine().All()))
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -124,15 +124,15 @@
 	return ""
 }
 
-// KeepDialled holds a session with each control host of the book until ctx ends, for a
+// KeepConnected holds a session with each control host of the book until ctx ends, for a
 // control host.
-func KeepDialled(ctx context.Context, pool *peer.Pool, book *Book) {
+func KeepConnected(ctx context.Context, pool *peer.Pool, book *AddressBook) {
 	keepDialled(ctx, book, func(address string) { keepSession(ctx, pool, address, among) })
 }
 
-// FollowDialled is KeepDialled for the other hosts, of which there are many. One that starts
+// KeepFollowerConnected is KeepDialled for the other hosts, of which there are many. One that starts
 // dials the control hosts in an order of its own, one after the other.
-func FollowDialled(ctx context.Context, pool *peer.Pool, book *Book) {
+func KeepFollowerConnected(ctx context.Context, pool *peer.Pool, book *AddressBook) {
 	first := book.List()
 	rand.Shuffle(len(first), func(i, j int) { first[i], first[j] = first[j], first[i] })
 	for _, address := range first {
@@ -141,12 +141,12 @@
 	keepDialled(ctx, book, func(address string) { keepSession(ctx, pool, address, following) })
 }
 
-func keepDialled(ctx context.Context, book *Book, keep func(address string)) {
+func keepDialled(ctx context.Context, book *AddressBook, keep func(address string)) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	dialled := make(map[string]bool)
 	for {
-		grown := book.Grown()
+		grown := book.Changed()
 		for _, address := range book.List() {
 			if dialled[address] {
 				continue
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -129,7 +129,7 @@
 		if err == nil {
 			_ = conn.Close()
 			r.agent.Ready()
-			r.announcer.Wake()
+			r.announcer.AnnounceNow()
 			return
 		}
 		select {
@@ -144,6 +144,6 @@
 // from the first moment, whether or not the announcement arrives.
 func (r *agentRole) drain(ctx context.Context) error {
 	r.agent.Leave()
-	r.announcer.Wake()
+	r.announcer.AnnounceNow()
 	return r.agent.Drained(ctx)
 }
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -56,7 +56,7 @@
 		Tick:            set.Tick,
 		SnapshotEntries: uint64(set.SnapshotEntries),
 		ClaimRetention:  set.ClaimRetention,
-		Recall:          control.NewRecall(journal.OS{}, set.DataFolder+recallSuffix),
+		RestartCache:    control.NewRestartCache(journal.OS{}, set.DataFolder+recallSuffix),
 		Log:             d.log,
 		Metrics:         d.metrics,
 	})
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -64,13 +64,13 @@
 		OnEvents:    router.ApplyCacheEvents,
 	})
 	r.follower = catalog.NewFollower(catalog.FollowerConfig{
-		Store:   store,
-		Pool:    d.pool,
-		Control: addresses(set.Control),
-		Mates:   mates,
-		Self:    wire.HostInForce{Host: d.set.Host.Name, DataCentre: d.set.Host.DataCentre, Role: "entry"},
-		Log:     d.log,
-		Metrics: d.metrics,
+		Store:      store,
+		Pool:       d.pool,
+		Control:    addresses(set.Control),
+		EntryPeers: mates,
+		Self:       wire.HostInForce{Host: d.set.Host.Name, DataCentre: d.set.Host.DataCentre, Role: "entry"},
+		Log:        d.log,
+		Metrics:    d.metrics,
 	})
 	r.admitter = d.newAdmitter(set, store, hosts, entries)
 	r.mates = mates
--- a/internal/daemon/resolver_test.go
+++ b/internal/daemon/resolver_test.go
@@ -48,7 +48,7 @@
 token-sha256 = %x
 `, sha256.Sum256([]byte("token")))
 	store := catalog.NewStore(slog.New(slog.DiscardHandler), metrics.NewRegistry())
-	require.True(t, store.Offer([]wire.Document{{Name: "entries", Revision: 3, Text: []byte(text)}}))
+	require.True(t, store.Merge([]wire.Document{{Name: "entries", Revision: 3, Text: []byte(text)}}))
 	return resolver{store}
 }
 
--- a/internal/directory/announcer.go
+++ b/internal/directory/announcer.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// Replicas is how many owners an agent announces to.
-	Replicas = 2
+	// OwnersPerUpstream is how many owners an agent announces to.
+	OwnersPerUpstream = 2
 	// avoidSpan is how long an agent passes over an owner that did not answer.
 	avoidSpan       = 5 * time.Second
 	announceTimeout = 700 * time.Millisecond
@@ -50,11 +50,11 @@
 	return &Announcer{cfg: cfg, now: make(chan struct{}, 1), avoid: make(map[string]time.Duration)}
 }
 
-// Heard reports whether an owner holds this start's record.
-func (a *Announcer) Heard() bool { return a.heard.Load() }
+// IsRegistered reports whether an owner holds this start's record.
+func (a *Announcer) IsRegistered() bool { return a.heard.Load() }
 
-// Wake announces at once, without waiting for the interval.
-func (a *Announcer) Wake() {
+// AnnounceNow announces at once, without waiting for the interval.
+func (a *Announcer) AnnounceNow() {
 	select {
 	case a.now <- struct{}{}:
 	default:
@@ -82,13 +82,13 @@
 	a.seq++
 	up.Seq = a.seq
 	owners := a.candidates(up.Name)
-	need := Replicas
+	need := OwnersPerUpstream
 	for len(owners) > 0 && need > 0 {
 		batch := owners[:min(need, len(owners))]
 		owners = owners[len(batch):]
-		need -= a.announceAll(ctx, batch, up, events, Replicas-need)
+		need -= a.announceAll(ctx, batch, up, events, OwnersPerUpstream-need)
 	}
-	if was := a.heard.Swap(need < Replicas); was != (need < Replicas) {
+	if was := a.heard.Swap(need < OwnersPerUpstream); was != (need < OwnersPerUpstream) {
 		a.cfg.Log.Info("directory contact changed", "heard", !was)
 	}
 }
@@ -150,7 +150,7 @@
 	ack, isAck := reply.(*wire.AnnounceAck)
 	if isAck && ack.Incarnation > m.Upstream.Incarnation {
 		a.cfg.Raise(ack.Incarnation)
-		a.Wake()
+		a.AnnounceNow()
 	}
 	return isAck
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -35,7 +35,7 @@
 }
 
 func TestOlderRecordNeverReplacesNewer(t *testing.T) {
-	tab := NewTable(DefaultSpans)
+	tab := NewTable(DefaultTimeouts)
 	require.True(t, tab.Announce(announce("w", 2, 5, wire.UpstreamLeaving), 0))
 	require.False(t, tab.Announce(announce("w", 2, 4, wire.UpstreamReady), 0))
 	require.False(t, tab.Announce(announce("w", 1, 9, wire.UpstreamReady), 0))
@@ -43,7 +43,7 @@
 }
 
 func TestSilentUpstreamIsSuspectedThenForgotten(t *testing.T) {
-	tab, view := NewTable(DefaultSpans), NewView()
+	tab, view := NewTable(DefaultTimeouts), NewView()
 	version := uint64(0)
 	step := func(now time.Duration) {
 		tab.Expire(now)
@@ -59,12 +59,12 @@
 	tab.Announce(announce("w", 1, 1, wire.UpstreamReady), 0)
 	step(0)
 	require.False(t, view.Entries()[0].Suspect)
-	step(DefaultSpans.Silent)
+	step(DefaultTimeouts.SilenceTimeout)
 	require.True(t, view.Entries()[0].Suspect)
-	tab.Announce(announce("w", 1, 2, wire.UpstreamReady), DefaultSpans.Silent)
-	step(DefaultSpans.Silent)
+	tab.Announce(announce("w", 1, 2, wire.UpstreamReady), DefaultTimeouts.SilenceTimeout)
+	step(DefaultTimeouts.SilenceTimeout)
 	require.False(t, view.Entries()[0].Suspect)
-	step(DefaultSpans.Silent + DefaultSpans.Forget)
+	step(DefaultTimeouts.SilenceTimeout + DefaultTimeouts.ForgetTimeout)
 	require.Empty(t, view.Entries())
 }
 
@@ -76,7 +76,7 @@
 	}
 	require.True(t, view.Apply("a", &wire.Delta{Version: 1, Silent: []string{"w"}}, 0))
 	require.False(t, view.Entries()[0].Suspect)
-	view.Lost("b", 0)
+	view.OwnerDisconnected("b", 0)
 	require.True(t, view.Entries()[0].Suspect)
 	view.Expire(ownerGrace)
 	require.Len(t, view.Entries(), 1)
@@ -87,7 +87,7 @@
 // fails: a missed record stays missing.
 func TestViewFollowsItsOwnerThroughLostDeltas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tab, view := NewTable(DefaultSpans), NewView()
+		tab, view := NewTable(DefaultTimeouts), NewView()
 		version, now := uint64(0), time.Duration(0)
 		full := func() {
 			d := tab.Full()
--- a/internal/directory/service.go
+++ b/internal/directory/service.go
@@ -36,7 +36,7 @@
 	// Incarnation identifies this start of the process.
 	Incarnation uint64
 	Pool        *peer.Pool
-	Spans       Spans
+	Timeouts    Timeouts
 	// Now returns the time since any fixed point, by a monotonic clock.
 	Now     func() time.Duration
 	Log     *slog.Logger
@@ -66,12 +66,12 @@
 
 // NewService returns a Service that Run starts.
 func NewService(cfg ServiceConfig) *Service {
-	if cfg.Spans == (Spans{}) {
-		cfg.Spans = DefaultSpans
+	if cfg.Timeouts == (Timeouts{}) {
+		cfg.Timeouts = DefaultTimeouts
 	}
 	d := &Service{
 		cfg:         cfg,
-		table:       NewTable(cfg.Spans),
+		table:       NewTable(cfg.Timeouts),
 		view:        NewView(),
 		subscribers: make(map[*peer.Session]bool),
 		sent:        metrics.GetOrRegisterCounter("directory.deltas.sent", cfg.Metrics),
@@ -299,7 +299,7 @@
 func (d *Service) lost(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.view.Lost(name, d.cfg.Now())
+	d.view.OwnerDisconnected(name, d.cfg.Now())
 	d.publish()
 	d.cfg.Log.Info("directory host lost", "host", name)
 }
--- a/internal/directory/service_test.go
+++ b/internal/directory/service_test.go
@@ -129,7 +129,7 @@
 	require.Eventually(t, allSee(rest, ready), testWait, 5*time.Millisecond, "the next owners take over")
 
 	state.Store(uint32(wire.UpstreamLeaving))
-	a.Wake()
+	a.AnnounceNow()
 	leaving := func(e Entry) bool { return e.Upstream.State == wire.UpstreamLeaving }
 	require.Eventually(t, allSee(rest, leaving), testWait, 5*time.Millisecond)
 }
--- a/internal/directory/table.go
+++ b/internal/directory/table.go
@@ -6,17 +6,17 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// Spans say when a silent upstream loses trust.
-type Spans struct {
-	// Silent is how long an owner waits for an announcement before it reports the
+// Timeouts say when a silent upstream loses trust.
+type Timeouts struct {
+	// SilenceTimeout is how long an owner waits for an announcement before it reports the
 	// upstream as silent.
-	Silent time.Duration
-	// Forget is how long an owner keeps the record of a silent upstream.
-	Forget time.Duration
+	SilenceTimeout time.Duration
+	// ForgetTimeout is how long an owner keeps the record of a silent upstream.
+	ForgetTimeout time.Duration
 }
 
-// DefaultSpans suit announcements once a second.
-var DefaultSpans = Spans{Silent: 3 * time.Second, Forget: 60 * time.Second}
+// DefaultTimeouts suit announcements once a second.
+var DefaultTimeouts = Timeouts{SilenceTimeout: 3 * time.Second, ForgetTimeout: 60 * time.Second}
 
 type record struct {
 	upstream wire.Upstream
@@ -26,7 +26,7 @@
 
 // Table is what an owner holds. It is not safe for concurrent use.
 type Table struct {
-	spans   Spans
+	spans   Timeouts
 	records map[string]*record
 	// pending collects what changed since the last Flush.
 	pending pending
@@ -53,7 +53,7 @@
 }
 
 // NewTable returns an empty Table.
-func NewTable(spans Spans) *Table {
+func NewTable(spans Timeouts) *Table {
 	return &Table{spans: spans, records: make(map[string]*record), pending: newPending()}
 }
 
@@ -102,12 +102,12 @@
 func (t *Table) Expire(now time.Duration) {
 	for name, r := range t.records {
 		quiet := now - r.heard
-		if quiet >= t.spans.Forget {
+		if quiet >= t.spans.ForgetTimeout {
 			delete(t.records, name)
 			t.pending.gone[name] = true
 			continue
 		}
-		if quiet >= t.spans.Silent && !r.silent {
+		if quiet >= t.spans.SilenceTimeout && !r.silent {
 			r.silent = true
 			t.pending.silent[name] = true
 			delete(t.pending.heard, name)
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -92,9 +92,9 @@
 	}
 }
 
-// Lost notes that the session with an owner ended. Its words fade after a grace,
+// OwnerDisconnected notes that the session with an owner ended. Its words fade after a grace,
 // within which the agents announce to the next owner.
-func (v *View) Lost(from string, now time.Duration) {
+func (v *View) OwnerDisconnected(from string, now time.Duration) {
 	if o := v.owners[from]; o != nil && o.connected {
 		o.connected = false
 		o.lostAt = now
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -53,7 +53,7 @@
 type controlRole struct {
 	n    *Node
 	host *control.Host
-	book *control.Book
+	book *control.AddressBook
 	api  *http.Server
 }
 
@@ -69,13 +69,13 @@
 	own := n.set.peerAddress(n.set.IP)
 	host, err := control.Open(control.Config{
 		Name: n.set.Host, Journal: j, Recovered: recovered, Transport: transport, Pool: n.pool,
-		Peers: without(n.set.seedPeers(), own), Address: own, Founders: n.founders(own),
-		Voters: n.set.voters(), HearingSpan: hearingSpan, ElectionTicks: electionTicks, SnapshotEntries: snapshotEntries,
+		Peers: without(n.set.seedPeers(), own), Address: own, InitialVoters: n.founders(own),
+		Voters: n.set.voters(), ReplicaSilenceTimeout: hearingSpan, ElectionTicks: electionTicks, SnapshotEntries: snapshotEntries,
 		Registry: registry.Limits{
 			SilenceTimeout: time.Duration(silentAnnounces * float64(n.set.AnnounceInterval)), ForgetTimeout: forgetAfter,
 		},
-		Recall: control.NewRecall(journal.OS{}, set.DataFolder+recallSuffix),
-		Log:    n.log, Metrics: n.metrics,
+		RestartCache: control.NewRestartCache(journal.OS{}, set.DataFolder+recallSuffix),
+		Log:          n.log, Metrics: n.metrics,
 	})
 	if err != nil {
 		return nil, err
@@ -83,7 +83,7 @@
 	n.up = func(s *peer.Session) {
 		transport.SessionUp(s)
 		if s.Remote().Replica != "" {
-			host.Meet(s)
+			host.ControlHostConnected(s)
 		}
 	}
 	n.handle = func(s *peer.Session, call uint64, m wire.Message) { host.HandlePeer(s, call, m) }
@@ -93,7 +93,7 @@
 	}
 	count := func(name string) { metrics.GetOrRegisterCounter("control-api."+name, n.metrics).Inc(1) }
 	api := serve(listener, n.platform.ControlAPI(host, set.Listen.String(), count))
-	return &controlRole{n: n, host: host, book: host.Book(), api: api}, nil
+	return &controlRole{n: n, host: host, book: host.AddressBook(), api: api}, nil
 }
 
 // founders returns who founds the cluster, nobody where there may be one already.
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -42,7 +42,7 @@
 type follower struct {
 	n    *Node
 	role string
-	book *control.Book
+	book *control.AddressBook
 	// merge takes upstreams, lose tells that a source is gone, hosts how many entry
 	// hosts there are, configure puts a configuration into force.
 	merge     func(source string, all []registry.Upstream)
@@ -73,7 +73,7 @@
 
 func newFollower(n *Node, role string) *follower {
 	f := &follower{
-		n: n, role: role, book: control.NewBook(n.set.seedPeers()...), started: time.Now(),
+		n: n, role: role, book: control.NewAddressBook(n.set.seedPeers()...), started: time.Now(),
 		views: make(map[*peer.Session]*engineload.Decoder),
 	}
 	n.up = f.up
@@ -84,14 +84,14 @@
 // run holds sessions with all control hosts until ctx ends.
 func (f *follower) run(ctx context.Context) {
 	go f.reload(ctx)
-	control.FollowDialled(ctx, f.n.pool, f.book)
+	control.KeepFollowerConnected(ctx, f.n.pool, f.book)
 }
 
 // reload takes in seeds that the settings name later.
 func (f *follower) reload(ctx context.Context) { watchSeeds(ctx, f.n, f.book) }
 
 // watchSeeds adds the seeds of the settings to the book, whenever they have changed.
-func watchSeeds(ctx context.Context, n *Node, book *control.Book) {
+func watchSeeds(ctx context.Context, n *Node, book *control.AddressBook) {
 	for ctx.Err() == nil {
 		pause.For(ctx, reloadInterval)
 		set, err := n.platform.Reload()
--- a/test/cmd/members/main.go
+++ b/test/cmd/members/main.go
@@ -99,7 +99,7 @@
 func change(entries, agents []*node) error {
 	leaving, silent := agents[0], agents[1]
 	leaving.state.Store(uint32(wire.UpstreamLeaving))
-	leaving.announcer.Wake()
+	leaving.announcer.AnnounceNow()
 	err := timeUntil("leaving agent", entries, leaving, func(e directory.Entry) bool {
 		return e.Upstream.State == wire.UpstreamLeaving
 	})
--- a/test/integration/shutdown_test.go
+++ b/test/integration/shutdown_test.go
@@ -81,7 +81,7 @@
 		hosts = append(hosts, directory.Host{Name: e.Peer, Address: e.Peer})
 	}
 	for i, h := range directory.Owners(hosts, agent.Name) {
-		if i < directory.Replicas {
+		if i < directory.OwnersPerUpstream {
 			owners = append(owners, byAddress[h.Address])
 			continue
 		}
