--- a/internal/catalog/follower.go
+++ b/internal/catalog/follower.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// currencySpan is how long a source may go without showing that it is current
+	// confirmTimeout is how long a source may go without showing that it is current
 	// before the follower looks for another one.
-	currencySpan = 5 * time.Second
-	retryDelay   = 300 * time.Millisecond
-	reportEvery  = 5 * time.Second
-	// askTimeout bounds the questions to the other hosts of the data centre.
-	askTimeout = 2 * time.Second
-	// loneStart is how long a host without any current control host waits at its
+	confirmTimeout = 5 * time.Second
+	retryDelay     = 300 * time.Millisecond
+	reportInterval = 5 * time.Second
+	// queryTimeout bounds the questions to the other hosts of the data centre.
+	queryTimeout = 2 * time.Second
+	// isolatedStartTimeout is how long a host without any current control host waits at its
 	// start before it serves by what the hosts of its data centre know.
-	loneStart = 5 * time.Second
+	isolatedStartTimeout = 5 * time.Second
 )
 
 // FollowerConfig is what a Follower needs.
@@ -45,16 +45,16 @@
 // current, and from the hosts of the data centre, which hold what control hosts
 // said even where none of these can be reached.
 type Follower struct {
-	cfg    FollowerConfig
-	synced atomic.Bool
-	ready  chan struct{}
-	once   sync.Once
+	cfg       FollowerConfig
+	isSynced  atomic.Bool
+	ready     chan struct{}
+	readyOnce sync.Once
 
 	// mu guards source and shown.
 	mu     sync.Mutex
 	source *peer.Session
-	// shown is when the source last showed that it is current.
-	shown time.Time
+	// confirmedAt is when the source last showed that it is current.
+	confirmedAt time.Time
 }
 
 // NewFollower returns a Follower that Run starts.
@@ -68,7 +68,7 @@
 func (f *Follower) Ready() <-chan struct{} { return f.ready }
 
 func (f *Follower) markReady() {
-	f.once.Do(func() {
+	f.readyOnce.Do(func() {
 		f.cfg.Log.Info("documents are up to date", "revision", f.cfg.Store.Revision())
 		close(f.ready)
 	})
@@ -77,7 +77,7 @@
 // Run follows until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, task := range []func(context.Context){f.followControl, f.askMates, f.report} {
+	for _, task := range []func(context.Context){f.followControl, f.queryEntryPeers, f.reportLoop} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -102,12 +102,12 @@
 			pause.For(ctx, retryDelay)
 			continue
 		}
-		f.stay(ctx, s)
+		f.watchSource(ctx, s)
 	}
 }
 
-// stay watches one control host until its session ends or it is no longer current.
-func (f *Follower) stay(ctx context.Context, s *peer.Session) {
+// watchSource watches one control host until its session ends or it is no longer current.
+func (f *Follower) watchSource(ctx context.Context, s *peer.Session) {
 	f.setSource(s)
 	defer f.setSource(nil)
 	if s.Post(&wire.Watch{Since: f.cfg.Store.Revision()}) != nil {
@@ -123,7 +123,7 @@
 		case <-s.Done():
 			return
 		case <-ticker.C:
-			if f.silence() > currencySpan {
+			if f.sinceConfirmed() > confirmTimeout {
 				f.cfg.Log.Warn("control host is not current", "host", s.Remote().Host)
 				return
 			}
@@ -135,20 +135,20 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.source = s
-	f.shown = time.Now()
+	f.confirmedAt = time.Now()
 }
 
-func (f *Follower) silence() time.Duration {
+func (f *Follower) sinceConfirmed() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Since(f.shown)
+	return time.Since(f.confirmedAt)
 }
 
 // IsCurrent reports whether a control host showed lately that it is current.
 func (f *Follower) IsCurrent() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.source != nil && f.synced.Load() && time.Since(f.shown) <= currencySpan
+	return f.source != nil && f.isSynced.Load() && time.Since(f.confirmedAt) <= confirmTimeout
 }
 
 // HandlePeer takes a message if it concerns documents.
@@ -167,28 +167,28 @@
 
 func (f *Follower) handleChanges(s *peer.Session, m *wire.Changes) {
 	if f.cfg.Store.Merge(m.Documents) {
-		f.tell(s)
+		f.sendReport(s)
 	}
 	if !m.Linearizable {
 		return
 	}
 	f.mu.Lock()
 	if f.source == s {
-		f.shown = time.Now()
-		f.synced.Store(true)
+		f.confirmedAt = time.Now()
+		f.isSynced.Store(true)
 	}
 	f.mu.Unlock()
 	f.markReady()
 }
 
-// askMates asks the other hosts of the data centre at the start, and again
+// queryEntryPeers asks the other hosts of the data centre at the start, and again
 // whenever no control host is current.
-func (f *Follower) askMates(ctx context.Context) {
+func (f *Follower) queryEntryPeers(ctx context.Context) {
 	started := time.Now()
 	for ctx.Err() == nil {
 		if !f.IsCurrent() {
-			f.askAll(ctx)
-			if time.Since(started) >= loneStart {
+			f.queryAll(ctx)
+			if time.Since(started) >= isolatedStartTimeout {
 				f.markReady()
 			}
 		}
@@ -196,21 +196,21 @@
 	}
 }
 
-func (f *Follower) askAll(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (f *Follower) queryAll(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for _, address := range f.cfg.EntryPeers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			f.ask(ctx, address)
+			f.query(ctx, address)
 		}()
 	}
 	wg.Wait()
 }
 
-func (f *Follower) ask(ctx context.Context, address string) {
+func (f *Follower) query(ctx context.Context, address string) {
 	s, err := f.cfg.Pool.Get(ctx, address)
 	if err != nil {
 		return
@@ -224,20 +224,20 @@
 	}
 }
 
-// report tells the source now and then what is in force here.
-func (f *Follower) report(ctx context.Context) {
+// reportLoop tells the source now and then what is in force here.
+func (f *Follower) reportLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.mu.Lock()
 		s := f.source
 		f.mu.Unlock()
 		if s != nil {
-			f.tell(s)
+			f.sendReport(s)
 		}
-		pause.For(ctx, reportEvery)
+		pause.For(ctx, reportInterval)
 	}
 }
 
-func (f *Follower) tell(s *peer.Session) {
+func (f *Follower) sendReport(s *peer.Session) {
 	self := f.cfg.Self
 	self.Revision = f.cfg.Store.InForce()
 	_ = s.Post(&wire.InForce{Hosts: []wire.HostInForce{self}})
--- a/internal/catalog/index.go
+++ b/internal/catalog/index.go
@@ -31,7 +31,7 @@
 // newIndex indexes documents, sorted by name. A submission that claims another
 // document's token or pool is refused; where two such raced past that check, the
 // first by name keeps it on every host, through all later revisions.
-func newIndex(docs []held, revision uint64) *Index {
+func newIndex(docs []stored, revision uint64) *Index {
 	x := &Index{
 		revision:  revision,
 		documents: make(map[string]*document.Document, len(docs)),
@@ -46,7 +46,7 @@
 	return x
 }
 
-func (x *Index) addTokens(d held) {
+func (x *Index) addTokens(d stored) {
 	for _, w := range d.parsed.Workspaces {
 		for _, t := range w.Tokens {
 			if _, taken := x.tokens[t]; !taken {
@@ -56,7 +56,7 @@
 	}
 }
 
-func (x *Index) addPools(d held) {
+func (x *Index) addPools(d stored) {
 	for _, m := range d.parsed.Models {
 		if _, taken := x.pools[m.Pool]; !taken {
 			x.pools[m.Pool] = PoolModel{Document: d.parsed, Model: m, Revision: d.Revision}
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -22,8 +22,8 @@
 // maxChangesBytes bounds the texts in one message.
 const maxChangesBytes = 4 << 20
 
-// held is one document with its parsed form.
-type held struct {
+// stored is one document with its parsed form.
+type stored struct {
 	wire.Document
 	parsed *document.Document
 }
@@ -38,7 +38,7 @@
 
 	// mu guards the fields below.
 	mu       sync.Mutex
-	held     map[string]held
+	stored   map[string]stored
 	revision uint64
 	// unreadable holds the revisions that this build could not read, by document.
 	unreadable map[string]uint64
@@ -54,7 +54,7 @@
 		refused: metrics.GetOrRegisterCounter("catalog.stale.refused", reg),
 		invalid: metrics.GetOrRegisterCounter("catalog.unreadable", reg),
 		inForce: metrics.GetOrRegisterGauge("catalog.revision", reg),
-		held:    make(map[string]held),
+		stored:  make(map[string]stored),
 		changed: make(chan struct{}),
 
 		unreadable: make(map[string]uint64),
@@ -70,7 +70,7 @@
 	defer s.mu.Unlock()
 	isChanged := false
 	for _, d := range docs {
-		isChanged = s.take(d) || isChanged
+		isChanged = s.apply(d) || isChanged
 	}
 	if isChanged {
 		s.publish()
@@ -78,9 +78,9 @@
 	return isChanged
 }
 
-// take holds one document. The caller holds mu.
-func (s *Store) take(d wire.Document) bool {
-	old, ok := s.held[d.Name]
+// apply holds one document. The caller holds mu.
+func (s *Store) apply(d wire.Document) bool {
+	old, ok := s.stored[d.Name]
 	if ok && d.Revision <= old.Revision {
 		if d.Revision < old.Revision {
 			s.refused.Inc(1)
@@ -96,7 +96,7 @@
 		s.log.Error("accepted document can't be read", "document", d.Name, "revision", d.Revision, "error", err)
 		return false
 	}
-	s.held[d.Name] = held{Document: d, parsed: parsed}
+	s.stored[d.Name] = stored{Document: d, parsed: parsed}
 	delete(s.unreadable, d.Name)
 	s.revision = max(s.revision, d.Revision)
 	s.log.Info("document in force", "document", d.Name, "revision", d.Revision)
@@ -111,14 +111,14 @@
 	s.changed = make(chan struct{})
 }
 
-func byName(a, b held) int { return strings.Compare(a.Name, b.Name) }
+func byName(a, b stored) int { return strings.Compare(a.Name, b.Name) }
 
-func byRevision(a, b held) int { return cmp.Compare(a.Revision, b.Revision) }
+func byRevision(a, b stored) int { return cmp.Compare(a.Revision, b.Revision) }
 
 // sorted returns the documents in an order. The caller holds mu.
-func (s *Store) sorted(order func(a, b held) int) []held {
-	out := make([]held, 0, len(s.held))
-	for _, h := range s.held {
+func (s *Store) sorted(order func(a, b stored) int) []stored {
+	out := make([]stored, 0, len(s.stored))
+	for _, h := range s.stored {
 		out = append(out, h)
 	}
 	slices.SortFunc(out, order)
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	// notHeardSpan is how long a host may be silent before status names it.
-	notHeardSpan = 15 * time.Second
-	clusterIDLen = 16
+	// notHeardTimeout is how long a host may be silent before status names it.
+	notHeardTimeout = 15 * time.Second
+	clusterIDBytes  = 16
 )
 
 // API serves the administration API on a control host: it implements
@@ -41,7 +41,7 @@
 // another one is refused here; where two such submissions race, catalog.Index
 // decides the same way on every host.
 func (a API) Submit(ctx context.Context, req adminapi.SubmitRequest) (adminapi.SubmitResult, error) {
-	if err := a.checkTogether(ctx, req); err != nil {
+	if err := a.checkOtherDocuments(ctx, req); err != nil {
 		return adminapi.SubmitResult{}, err
 	}
 	r, err := a.h.commands.Submit(ctx, state.SubmitDocument{
@@ -66,10 +66,10 @@
 	return adminapi.SubmitResult{Revision: r.Revision, Repeated: r.Repeated}, nil
 }
 
-// checkTogether refuses a text that clashes with other documents. A change that came
+// checkOtherDocuments refuses a text that clashes with other documents. A change that came
 // to an outcome before passes: its resend gets that outcome, whatever was accepted
 // since then.
-func (a API) checkTogether(ctx context.Context, req adminapi.SubmitRequest) error {
+func (a API) checkOtherDocuments(ctx context.Context, req adminapi.SubmitRequest) error {
 	all, err := a.h.queries.Documents(ctx)
 	if err != nil {
 		return err
@@ -97,7 +97,7 @@
 // settings answers and none knows a cluster: a host that lost its disk must not
 // begin a second one beside the first.
 func (a API) Init(ctx context.Context, req adminapi.InitRequest) (adminapi.Cluster, error) {
-	if err := a.noPeerKnowsACluster(ctx); err != nil {
+	if err := a.requireNoCluster(ctx); err != nil {
 		return adminapi.Cluster{}, err
 	}
 	h := a.h
@@ -122,19 +122,19 @@
 }
 
 func newClusterID() (string, error) {
-	var b [clusterIDLen]byte
+	var b [clusterIDBytes]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return "", errors.Wrap(err, "draw cluster id")
 	}
 	return hex.EncodeToString(b[:]), nil
 }
 
-func (a API) noPeerKnowsACluster(ctx context.Context) error {
+func (a API) requireNoCluster(ctx context.Context) error {
 	if a.h.tables.Cluster().ID != "" {
 		return verdict.New(verdict.NotRun, verdict.CodeConflict, "this host belongs to a cluster")
 	}
 	for _, address := range a.h.cfg.Peers {
-		answer, err := a.h.askStatus(ctx, address)
+		answer, err := a.h.queryStatus(ctx, address)
 		if err != nil {
 			e := verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "control host "+address+" does not answer; all must, before the first start")
 			e.Cause = err
@@ -152,12 +152,12 @@
 		if ctx.Err() != nil {
 			return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no leader yet").After(noLeaderRetryAfter)
 		}
-		pause.For(ctx, appliedPoll)
+		pause.For(ctx, pollInterval)
 	}
 	return nil
 }
 
-func (h *Host) askStatus(ctx context.Context, address string) (*wire.StatusAnswer, error) {
+func (h *Host) queryStatus(ctx context.Context, address string) (*wire.StatusAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	s, err := h.cfg.Pool.Get(ctx, address)
@@ -212,7 +212,7 @@
 	}
 	lists := [][]wire.HostInForce{a.h.reports.list(time.Now())}
 	for _, address := range a.h.cfg.Peers {
-		if answer, err := a.h.askStatus(ctx, address); err == nil {
+		if answer, err := a.h.queryStatus(ctx, address); err == nil {
 			lists = append(lists, answer.Hosts)
 		}
 	}
@@ -225,7 +225,7 @@
 	for name, h := range hosts {
 		c := centres[h.DataCentre]
 		switch {
-		case time.Duration(h.AgeMS)*time.Millisecond > notHeardSpan:
+		case time.Duration(h.AgeMS)*time.Millisecond > notHeardTimeout:
 			s.NotHeard = append(s.NotHeard, name)
 			c.NotHeard++
 		case h.Revision >= d.Revision:
@@ -262,7 +262,7 @@
 	}
 	var out adminapi.HistoryPage
 	for _, r := range page.Records {
-		out.Changes = append(out.Changes, change(r))
+		out.Changes = append(out.Changes, toChange(r))
 	}
 	if page.Next > 0 {
 		out.Next = strconv.FormatUint(page.Next, 10)
@@ -270,7 +270,7 @@
 	return out, nil
 }
 
-func change(r state.AuditRecord) adminapi.Change {
+func toChange(r state.AuditRecord) adminapi.Change {
 	c := adminapi.Change{
 		Index:   r.Index,
 		Time:    time.UnixMilli(r.At).UTC(),
--- a/internal/control/applied_test.go
+++ b/internal/control/applied_test.go
@@ -14,12 +14,12 @@
 	"github.com/sassafraspost/sassafraspost/internal/peer"
 )
 
-// patience bounds the wait for any condition; it only ends a test that has failed.
-const patience = 10 * time.Second
+// conditionTimeout bounds the wait for any condition; it only ends a test that has failed.
+const conditionTimeout = 10 * time.Second
 
-// openLone opens the only control host of a cluster on a data folder, without its
+// openSingleHost opens the only control host of a cluster on a data folder, without its
 // background work: no entry comes that the test does not ask for.
-func openLone(t *testing.T, dir string) (*Host, func()) {
+func openSingleHost(t *testing.T, dir string) (*Host, func()) {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
 	j, recovered, err := journal.Open(journal.Options{Dir: dir, Logger: log})
@@ -40,16 +40,16 @@
 // read at its index has to be answered without waiting for another entry.
 func TestReadAfterAnElectionNeedsNoOtherEntry(t *testing.T) {
 	dir := t.TempDir()
-	h, closeHost := openLone(t, dir)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	h, closeHost := openSingleHost(t, dir)
+	ctx, cancel := context.WithTimeout(context.Background(), conditionTimeout)
 	defer cancel()
 	require.NoError(t, h.replica.Bootstrap(ctx, consensus.Membership{Voters: []consensus.ReplicaID{h.id}}))
-	require.Eventually(t, h.replica.IsLeader, patience, time.Millisecond)
+	require.Eventually(t, h.replica.IsLeader, conditionTimeout, time.Millisecond)
 	closeHost()
 
-	h, closeHost = openLone(t, dir)
+	h, closeHost = openSingleHost(t, dir)
 	defer closeHost()
-	require.Eventually(t, h.replica.IsLeader, patience, time.Millisecond)
+	require.Eventually(t, h.replica.IsLeader, conditionTimeout, time.Millisecond)
 	index, err := h.replica.Read(ctx)
 	require.NoError(t, err)
 	require.NoError(t, h.awaitApplied(ctx, index))
--- a/internal/control/book.go
+++ b/internal/control/book.go
@@ -54,4 +54,4 @@
 }
 
 // AddressBook returns the addresses of the other control hosts that this host knows.
-func (h *Host) AddressBook() *AddressBook { return h.book }
+func (h *Host) AddressBook() *AddressBook { return h.addressBook }
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -20,33 +20,33 @@
 	// attemptTimeout bounds the wait for one control host, so that a frozen one is
 	// passed over.
 	attemptTimeout = 800 * time.Millisecond
-	clientDelay    = 25 * time.Millisecond
-	// handOver is how long a client looks for a leader before it gives up.
-	handOver = 300 * time.Millisecond
+	retryDelay     = 25 * time.Millisecond
+	// leaderSearchTime is how long a client looks for a leader before it gives up.
+	leaderSearchTime = 300 * time.Millisecond
 	// noLeaderRetryAfter is what a refused caller is told to wait: an election's time.
 	noLeaderRetryAfter = 2 * time.Second
 )
 
-// resend tells whether a message may go out again after it may have been taken.
-type resend bool
+// resendPolicy tells whether a message may go out again after it may have been taken.
+type resendPolicy bool
 
 const (
 	// mayResend is for messages that have one effect however often they are taken.
-	mayResend resend = true
+	mayResend resendPolicy = true
 	// sendOnce is for claims: one that is granted twice could be given back by the
 	// host that took it first, while the attempt runs by the second grant.
-	sendOnce resend = false
+	sendOnce resendPolicy = false
 )
 
 // Client asks the leader of the control hosts, wherever it is.
 type Client struct {
-	pool *peer.Pool
-	book *AddressBook
+	pool        *peer.Pool
+	addressBook *AddressBook
 
 	// mu guards leader and next.
-	mu     sync.Mutex
-	leader string
-	next   int
+	mu        sync.Mutex
+	leader    string
+	nextIndex int
 }
 
 // NewClient returns a Client of the control hosts at these peer addresses.
@@ -56,7 +56,7 @@
 
 // NewClientWithAddressBook returns a Client of the control hosts in the book.
 func NewClientWithAddressBook(pool *peer.Pool, book *AddressBook) *Client {
-	return &Client{pool: pool, book: book}
+	return &Client{pool: pool, addressBook: book}
 }
 
 // Claim asks for the right to dispatch a non-idempotent call.
@@ -96,7 +96,7 @@
 	return ask[*wire.Proposed](ctx, c, m, mayResend)
 }
 
-func ask[R wire.Message](ctx context.Context, c *Client, m wire.Message, again resend) (R, error) {
+func ask[R wire.Message](ctx context.Context, c *Client, m wire.Message, again resendPolicy) (R, error) {
 	var none R
 	reply, err := c.call(ctx, m, again)
 	if err != nil {
@@ -113,11 +113,11 @@
 // than that it does not lead. It gives up once every host was asked and handOver has
 // passed without a leader: long enough for a leadership that is handed over, too
 // short for an election, whose length the caller is told to come back after.
-func (c *Client) call(ctx context.Context, m wire.Message, again resend) (wire.Message, error) {
-	known := len(c.book.List())
+func (c *Client) call(ctx context.Context, m wire.Message, again resendPolicy) (wire.Message, error) {
+	known := len(c.addressBook.List())
 	if known == 0 {
 		// A lone control host that does not lead has nobody to ask.
-		return nil, unreachable(false, nil)
+		return nil, noLeaderError(false, nil)
 	}
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
@@ -126,40 +126,40 @@
 	var last error
 	for leaderless := 0; ctx.Err() == nil; {
 		address := c.target()
-		reply, sent, err := c.callOne(ctx, address, m)
+		reply, sent, err := c.callHost(ctx, address, m)
 		if err == nil {
 			return reply, nil
 		}
 		last = err
 		failure, isFailure := reply.(*wire.Failure)
 		switch {
-		case isFailure && c.isConfigured(failure.Leader) && failure.Leader != address:
+		case isFailure && c.isKnown(failure.Leader) && failure.Leader != address:
 			c.setLeader(failure.Leader)
-		case isFailure && !isElsewhere(err):
+		case isFailure && !shouldAskAnotherHost(err):
 			return nil, err
 		default:
 			leaderless++
 			maySent = maySent || (sent && !isFailure)
-			c.forget(address)
+			c.skipHost(address)
 		}
 		if maySent && again == sendOnce {
 			break
 		}
-		if leaderless >= known && time.Since(started) > handOver {
+		if leaderless >= known && time.Since(started) > leaderSearchTime {
 			break
 		}
-		pause.For(ctx, clientDelay)
+		pause.For(ctx, retryDelay)
 	}
-	return nil, unreachable(maySent, last)
+	return nil, noLeaderError(maySent, last)
 }
 
-// isElsewhere reports whether a host refused since it does not lead or is leaving.
-func isElsewhere(err error) bool {
+// shouldAskAnotherHost reports whether a host refused since it does not lead or is leaving.
+func shouldAskAnotherHost(err error) bool {
 	e := verdict.Of(err)
 	return e.Verdict == verdict.NotRun && (e.Code == verdict.CodeNoQuorum || e.Code == verdict.CodeLeaving)
 }
 
-func unreachable(maySent bool, cause error) error {
+func noLeaderError(maySent bool, cause error) error {
 	e := verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no leader among the control hosts")
 	if maySent {
 		e = verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, "control hosts did not answer")
@@ -168,7 +168,7 @@
 	return e.After(noLeaderRetryAfter)
 }
 
-func (c *Client) callOne(ctx context.Context, address string, m wire.Message) (wire.Message, bool, error) {
+func (c *Client) callHost(ctx context.Context, address string, m wire.Message) (wire.Message, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	s, err := c.pool.Get(ctx, address)
@@ -184,13 +184,13 @@
 	if c.leader != "" {
 		return c.leader
 	}
-	list := c.book.List()
-	return list[c.next%len(list)]
+	list := c.addressBook.List()
+	return list[c.nextIndex%len(list)]
 }
 
-// isConfigured reports whether a hint is an address of the book; others are not
+// isKnown reports whether a hint is an address of the book; others are not
 // followed.
-func (c *Client) isConfigured(address string) bool { return slices.Contains(c.book.List(), address) }
+func (c *Client) isKnown(address string) bool { return slices.Contains(c.addressBook.List(), address) }
 
 func (c *Client) setLeader(address string) {
 	c.mu.Lock()
@@ -198,12 +198,12 @@
 	c.leader = address
 }
 
-// forget goes on from a host that does not lead or answer.
-func (c *Client) forget(address string) {
+// skipHost goes on from a host that does not lead or answer.
+func (c *Client) skipHost(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leader == address || c.leader == "" {
 		c.leader = ""
-		c.next++
+		c.nextIndex++
 	}
 }
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// settleTime is how long after its start a control host tells leaving upstreams to
+	// attachPeriod is how long after its start a control host tells leaving upstreams to
 	// announce themselves elsewhere: until then hosts may not be attached to it again
 	// which have to know. It covers a dial that fails once (peer.Config.DialTimeout) and the
 	// pause after it.
-	settleTime = 1500 * time.Millisecond
-	// spreadTimeout is how long a leaving upstream's acknowledgement waits for the
+	attachPeriod = 1500 * time.Millisecond
+	// notifyTimeout is how long a leaving upstream's acknowledgement waits for the
 	// attached hosts. Upstreams give an acknowledgement a second.
-	spreadTimeout = 600 * time.Millisecond
-	// quietLimit is how long an attached host may have been silent to be waited for.
+	notifyTimeout = 600 * time.Millisecond
+	// quietTimeout is how long an attached host may have been silent to be waited for.
 	// Attached hosts probe their sessions several times in that span.
-	quietLimit = 2 * time.Second
+	quietTimeout = 2 * time.Second
 	// loadInterval is how often the loads of engines are passed on: well below the time
 	// in which a request at an engine ends.
 	loadInterval = 100 * time.Millisecond
-	// fleetTick is how often silence is judged.
-	fleetTick = time.Second
+	// tickInterval is how often silence is judged.
+	tickInterval = time.Second
 )
 
 // Entry hosts attach as roleEntry, or as roleCallers where they want Suspicions only.
@@ -42,9 +42,9 @@
 type fleet struct {
 	h       *Host
 	started time.Time
-	// changed tells that the list of upstreams, or what the quarantine knows, has changed
+	// saveRequested tells that the list of upstreams, or what the quarantine knows, has changed
 	// since it was saved.
-	changed chan struct{}
+	saveRequested chan struct{}
 	// quarantine is what is known of requests under which upstreams ended. It has its own
 	// lock, under which it calls nobody.
 	quarantine *quarantine.Keeper
@@ -57,26 +57,26 @@
 	attached map[*peer.Session]string
 	// engines are those whose loads come; newcomers are entry hosts that lack the records of
 	// them.
-	engines   engineload.Table
-	newcomers map[*peer.Session]bool
-	// isPassing is set while a timer runs that passes loads on.
-	isPassing bool
-	// list is the whole list of upstreams, encoded for those that attach; nil when it has
+	engines      engineload.Table
+	needAllLoads map[*peer.Session]bool
+	// isLoadTimerSet is set while a timer runs that passes loads on.
+	isLoadTimerSet bool
+	// upstreamList is the whole list of upstreams, encoded for those that attach; nil when it has
 	// changed.
-	list *peer.Prepared
-	// news are the suspicions that wait to be passed on.
-	news []quarantine.Suspicion
+	upstreamList *peer.Prepared
+	// pendingSuspicions are the suspicions that wait to be passed on.
+	pendingSuspicions []quarantine.Suspicion
 }
 
 func newFleet(h *Host) *fleet {
 	f := &fleet{
-		h: h, started: time.Now(), changed: make(chan struct{}, 1), registry: registry.New(h.cfg.Registry),
-		attached: make(map[*peer.Session]string), newcomers: make(map[*peer.Session]bool),
+		h: h, started: time.Now(), saveRequested: make(chan struct{}, 1), registry: registry.New(h.cfg.Registry),
+		attached: make(map[*peer.Session]string), needAllLoads: make(map[*peer.Session]bool),
 	}
 	f.quarantine = quarantine.NewKeeper(quarantine.Config{
-		Limits: quarantine.DefaultLimits, Now: f.now, Tell: f.passSuspicions, Relays: true, Log: h.cfg.Log, Metrics: h.cfg.Metrics,
+		Limits: quarantine.DefaultLimits, Now: f.now, Tell: f.queueSuspicions, Relays: true, Log: h.cfg.Log, Metrics: h.cfg.Metrics,
 	})
-	f.restore()
+	f.restoreUpstreams()
 	f.restoreSuspicions()
 	return f
 }
@@ -93,22 +93,22 @@
 	if m.Role == roleCallers {
 		return
 	}
-	if f.list == nil {
-		f.list, _ = peer.Prepare(&wire.Upstreams{All: f.registry.All()})
+	if f.upstreamList == nil {
+		f.upstreamList, _ = peer.Prepare(&wire.Upstreams{All: f.registry.All()})
 	}
-	_ = s.PostPrepared(f.list)
+	_ = s.PostPrepared(f.upstreamList)
 	_ = s.Post(&wire.ConfigurationNotice{Number: f.h.tables.Configuration().Number})
 	// The others hear of the new number with the next tick: told at once of each host that
 	// comes, hosts that start together would be told as often as there are hosts, each.
-	_ = s.Post(f.hosts())
+	_ = s.Post(f.hostsMessage())
 	if m.Role == roleEntry {
-		f.newcomers[s] = true
-		f.passSoon()
+		f.needAllLoads[s] = true
+		f.scheduleLoads()
 	}
 }
 
-// post sends a message to all attached hosts. The caller holds mu.
-func (f *fleet) post(m wire.Message) {
+// broadcast sends a message to all attached hosts. The caller holds mu.
+func (f *fleet) broadcast(m wire.Message) {
 	p, err := peer.Prepare(m)
 	if err != nil {
 		f.h.cfg.Log.Error("message can't be encoded", "kind", m.Kind(), "error", err.Error())
@@ -130,51 +130,51 @@
 	}
 }
 
-// hosts returns what is known of the system's hosts. The caller holds mu.
-func (f *fleet) hosts() *wire.Hosts {
-	m := &wire.Hosts{Control: append(f.h.book.List(), f.h.cfg.Address)}
+// hostsMessage returns what is known of the system's hosts. The caller holds mu.
+func (f *fleet) hostsMessage() *wire.Hosts {
+	m := &wire.Hosts{Control: append(f.h.addressBook.List(), f.h.cfg.Address)}
 	for s, role := range f.attached {
-		if role == roleEntry && s.Alive() && s.Quiet() < quietLimit {
+		if role == roleEntry && s.Alive() && s.Quiet() < quietTimeout {
 			m.Entries++
 		}
 	}
 	return m
 }
 
-// load takes in the load of an engine, to be passed on with others.
-func (f *fleet) load(s *peer.Session, m *wire.EngineLoad) {
+// updateLoad takes in the load of an engine, to be passed on with others.
+func (f *fleet) updateLoad(s *peer.Session, m *wire.EngineLoad) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.engines.Update(*m, s.Remote().Address, f.now())
-	f.passSoon()
+	f.scheduleLoads()
 }
 
-// passSoon passes loads on within loadInterval. The caller holds mu.
-func (f *fleet) passSoon() {
-	if !f.isPassing {
-		f.isPassing = true
-		time.AfterFunc(loadInterval, f.passLoads)
+// scheduleLoads passes loads on within loadInterval. The caller holds mu.
+func (f *fleet) scheduleLoads() {
+	if !f.isLoadTimerSet {
+		f.isLoadTimerSet = true
+		time.AfterFunc(loadInterval, f.sendLoads)
 	}
 }
 
-// passLoads tells the entry hosts what was heard of engines since the last time, and those
+// sendLoads tells the entry hosts what was heard of engines since the last time, and those
 // that have come since then all that is known.
-func (f *fleet) passLoads() {
+func (f *fleet) sendLoads() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.isPassing = false
+	f.isLoadTimerSet = false
 	next := f.prepareLoads(f.engines.Flush(f.now()))
 	var all *peer.Prepared
-	if len(f.newcomers) > 0 {
+	if len(f.needAllLoads) > 0 {
 		all = f.prepareLoads(f.engines.All(f.now()))
 	}
 	for s, role := range f.attached {
 		if role != roleEntry || !s.Alive() {
-			delete(f.newcomers, s)
+			delete(f.needAllLoads, s)
 			continue
 		}
 		m := next
-		if f.newcomers[s] {
+		if f.needAllLoads[s] {
 			m = all
 		}
 		if m == nil {
@@ -182,9 +182,9 @@
 		}
 		// Who misses a message may lack a record, and gets all of them the next time.
 		if s.PostPrepared(m) != nil {
-			f.newcomers[s] = true
+			f.needAllLoads[s] = true
 		} else {
-			delete(f.newcomers, s)
+			delete(f.needAllLoads, s)
 		}
 	}
 }
@@ -220,8 +220,8 @@
 
 // run keeps the attached hosts up to date until ctx ends.
 func (f *fleet) run(ctx context.Context) {
-	go f.remember(ctx)
-	tick := time.NewTicker(fleetTick)
+	go f.saveLoop(ctx)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	var told uint64
 	hosts := 0
@@ -229,7 +229,7 @@
 		changed := f.h.tables.ConfigurationChanged()
 		if number := f.h.tables.Configuration().Number; number != told {
 			told = number
-			f.notify(number)
+			f.notifyConfiguration(number)
 		}
 		select {
 		case <-ctx.Done():
@@ -241,10 +241,10 @@
 	}
 }
 
-func (f *fleet) notify(number uint64) {
+func (f *fleet) notifyConfiguration(number uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.post(&wire.ConfigurationNotice{Number: number})
+	f.broadcast(&wire.ConfigurationNotice{Number: number})
 }
 
 // tick judges silence, and tells of the hosts where their number has changed.
@@ -253,20 +253,20 @@
 	defer f.mu.Unlock()
 	f.quarantine.Sweep()
 	if all := f.registry.Tick(f.now()); len(all) > 0 {
-		f.list = nil
-		f.post(&wire.Upstreams{All: all})
+		f.upstreamList = nil
+		f.broadcast(&wire.Upstreams{All: all})
 		for _, u := range all {
 			f.h.cfg.Log.Info("upstream is silent", "upstream", u.ID, "address", u.Address, "sequence", u.Sequence)
 		}
 	}
-	hosts := len(f.h.book.List())
+	hosts := len(f.h.addressBook.List())
 	for s := range f.attached {
-		if s.Alive() && s.Quiet() < quietLimit {
+		if s.Alive() && s.Quiet() < quietTimeout {
 			hosts++
 		}
 	}
 	if hosts != before {
-		f.post(f.hosts())
+		f.broadcast(f.hostsMessage())
 	}
 	return hosts
 }
@@ -277,7 +277,7 @@
 func (h *Host) Announce(ctx context.Context, u registry.Upstream) error {
 	f := h.fleet
 	isLeaving := u.State != registry.Ready
-	if isLeaving && f.now() < settleTime {
+	if isLeaving && f.now() < attachPeriod {
 		return verdict.New(verdict.NotRun, verdict.CodeLeaving, "this control host has just started")
 	}
 	f.mu.Lock()
@@ -286,13 +286,13 @@
 		f.mu.Unlock()
 		return nil
 	}
-	f.list = nil
-	f.note()
+	f.upstreamList = nil
+	f.requestSave()
 	h.cfg.Log.Info("upstream announced", "upstream", known.ID, "service", known.Service,
 		"address", known.Address, "state", known.State, "sequence", known.Sequence)
 	m := &wire.Upstreams{All: []registry.Upstream{known}}
 	if !isLeaving {
-		f.post(m)
+		f.broadcast(m)
 		f.mu.Unlock()
 		return nil
 	}
@@ -302,19 +302,19 @@
 		case role == roleCallers:
 		case role != roleEntry:
 			_ = s.Post(m)
-		case s.Alive() && s.Quiet() < quietLimit:
+		case s.Alive() && s.Quiet() < quietTimeout:
 			told = append(told, s)
 		}
 	}
 	f.mu.Unlock()
-	spread(ctx, told, m)
+	callAll(ctx, told, m)
 	return nil
 }
 
-// spread calls all sessions and waits for their answers, but no longer than
+// callAll calls all sessions and waits for their answers, but no longer than
 // spreadTimeout: a host that does not answer by then is not in touch.
-func spread(ctx context.Context, sessions []*peer.Session, m wire.Message) {
-	ctx, cancel := context.WithTimeout(ctx, spreadTimeout)
+func callAll(ctx context.Context, sessions []*peer.Session, m wire.Message) {
+	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for _, s := range sessions {
@@ -330,7 +330,7 @@
 func (h *Host) ControlHostConnected(s *peer.Session) {
 	h.AddControlHosts(s.Remote().Address)
 	_ = s.Post(&wire.Suspicions{All: h.fleet.quarantine.All()})
-	m := &wire.Hosts{Control: append(h.book.List(), h.cfg.Address)}
+	m := &wire.Hosts{Control: append(h.addressBook.List(), h.cfg.Address)}
 	for _, other := range h.cfg.Transport.Sessions() {
 		// What a full queue refuses comes with the next session.
 		_ = other.Post(m)
@@ -341,7 +341,7 @@
 func (h *Host) AddControlHosts(addresses ...string) {
 	for _, a := range addresses {
 		if a != h.cfg.Address {
-			h.book.Add(a)
+			h.addressBook.Add(a)
 		}
 	}
 }
--- a/internal/control/forward.go
+++ b/internal/control/forward.go
@@ -31,9 +31,9 @@
 	return decodeResult(reply.Result)
 }
 
-// result is the form in which the result of a forwarded command travels. One field
+// forwardedResult is the form in which the result of a forwarded command travels. One field
 // is set.
-type result struct {
+type forwardedResult struct {
 	Submit        *state.SubmitResult        `cbor:"1,keyasint,omitempty"`
 	Repeated      bool                       `cbor:"2,keyasint,omitempty"`
 	Init          *state.InitResult          `cbor:"3,keyasint,omitempty"`
@@ -45,7 +45,7 @@
 // encodeResult refuses the results that have no forwarded form: claims are sent to
 // the leader by the hosts that need them.
 func encodeResult(value any) ([]byte, error) {
-	var r result
+	var r forwardedResult
 	switch v := value.(type) {
 	case state.SubmitResult:
 		r.Submit, r.Repeated = &v, v.Repeated
@@ -64,7 +64,7 @@
 }
 
 func decodeResult(data []byte) (any, error) {
-	var r result
+	var r forwardedResult
 	if err := wire.Unmarshal(data, &r); err != nil {
 		return nil, errors.Wrap(err, "control: result of a forwarded command")
 	}
--- a/internal/control/found.go
+++ b/internal/control/found.go
@@ -9,28 +9,28 @@
 	"github.com/sassafraspost/sassafraspost/internal/pause"
 )
 
-// foundInterval is how often a founder looks whether all the others are there.
-const foundInterval = 50 * time.Millisecond
+// bootstrapInterval is how often a founder looks whether all the others are there.
+const bootstrapInterval = 50 * time.Millisecond
 
-// found takes part in founding the cluster, until there is one. The founder with the
+// bootstrap takes part in founding the cluster, until there is one. The founder with the
 // lowest address proposes all founders as voters as soon as each of them has said which
 // disk it has. The others join by its first entry, which needs a majority of the
 // founders, so that of two proposals one wins.
-func (h *Host) found(ctx context.Context) {
+func (h *Host) bootstrap(ctx context.Context) {
 	for ctx.Err() == nil && len(h.cfg.InitialVoters) > 0 {
 		if len(h.replica.Status().Membership.Voters) > 0 {
 			return
 		}
 		if slices.Min(h.cfg.InitialVoters) == h.cfg.Address {
-			h.propose(ctx)
+			h.tryBootstrap(ctx)
 		}
-		pause.For(ctx, foundInterval)
+		pause.For(ctx, bootstrapInterval)
 	}
 }
 
-// propose starts the cluster if all founders are known by now.
-func (h *Host) propose(ctx context.Context) {
-	voters, isWhole := h.founders()
+// tryBootstrap starts the cluster if all founders are known by now.
+func (h *Host) tryBootstrap(ctx context.Context) {
+	voters, isWhole := h.initialVoters()
 	if !isWhole {
 		return
 	}
@@ -40,8 +40,8 @@
 	}
 }
 
-// founders returns the replicas of the founders, and whether all are known.
-func (h *Host) founders() ([]consensus.ReplicaID, bool) {
+// initialVoters returns the replicas of the founders, and whether all are known.
+func (h *Host) initialVoters() ([]consensus.ReplicaID, bool) {
 	voters := []consensus.ReplicaID{h.id}
 	for _, address := range h.cfg.InitialVoters {
 		if address == h.cfg.Address {
--- a/internal/control/herd_test.go
+++ b/internal/control/herd_test.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// herdHosts start at once and dial herdControl control hosts.
-	herdHosts, herdControl = 279, 5
-	// greetCost is how long the one processor of a control host works on a greeting, whether
+	// followerHosts start at once and dial herdControl control hosts.
+	followerHosts, controlHosts = 279, 5
+	// greetingCost is how long the one processor of a control host works on a greeting, whether
 	// or not the dialler still waits for it: 279 of them are more than half a second.
-	greetCost = 2500 * time.Microsecond
-	// darkAfter is what a host gives a connection to be accepted.
-	darkAfter = 400 * time.Millisecond
-	// herdLimit is generous: it ends a test that hangs.
-	herdLimit = 60 * time.Second
+	greetingCost = 2500 * time.Microsecond
+	// dialTimeout is what a host gives a connection to be accepted.
+	dialTimeout = 400 * time.Millisecond
+	// connectTimeout is generous: it ends a test that hangs.
+	connectTimeout = 60 * time.Second
 )
 
 // slowHost is a control host with a slow processor.
@@ -34,10 +34,10 @@
 	pool    *peer.Pool
 	address string
 	metrics metrics.Registry
-	// mu is the processor. open and most count connections in work, under count.
-	mu         sync.Mutex
-	count      sync.Mutex
-	open, most int
+	// processor is the processor. open and most count connections in work, under count.
+	processor     sync.Mutex
+	countMu       sync.Mutex
+	open, maxOpen int
 }
 
 func startSlowHost(t *testing.T, n int) *slowHost {
@@ -48,30 +48,30 @@
 	h.address = strings.TrimPrefix(srv.URL, "http://")
 	h.pool = peer.NewPool(peer.Config{
 		Hello:  wire.Hello{Host: fmt.Sprint("c", n), Address: h.address, Replica: fmt.Sprint("c", n, "/1")},
-		Secret: "s", Metrics: h.metrics, DialTimeout: darkAfter,
+		Secret: "s", Metrics: h.metrics, DialTimeout: dialTimeout,
 		Handler:        peer.HandlerFunc(func(*peer.Session, uint64, wire.Message) {}),
-		BeforeGreeting: h.work,
+		BeforeGreeting: h.greet,
 	})
 	t.Cleanup(h.pool.Close)
 	server := peer.NewServer(h.pool)
 	mux.HandleFunc(peer.Path, func(w http.ResponseWriter, r *http.Request) {
-		h.enter(1)
-		defer h.enter(-1)
+		h.addOpen(1)
+		defer h.addOpen(-1)
 		server.ServeHTTP(w, r)
 	})
 	return h
 }
 
-// highest returns the most connections that were in work at once.
-func (h *slowHost) highest() int {
-	h.count.Lock()
-	defer h.count.Unlock()
-	return h.most
+// maxConnections returns the most connections that were in work at once.
+func (h *slowHost) maxConnections() int {
+	h.countMu.Lock()
+	defer h.countMu.Unlock()
+	return h.maxOpen
 }
 
-// mostDials is how often a host may dial another one in that time if each dial waits twice as
+// maxDials is how often a host may dial another one in that time if each dial waits twice as
 // long as the one before: once, unless the machine that runs this is slow.
-func mostDials(during time.Duration) int {
+func maxDials(during time.Duration) int {
 	const first, most = time.Second, 4 * time.Second
 	n, waited, limit := 1, first, first
 	for waited < during {
@@ -82,25 +82,25 @@
 	return n
 }
 
-// work keeps the host's one processor busy for as long as a greeting costs. It models that
+// greet keeps the host's one processor busy for as long as a greeting costs. It models that
 // time and waits for nothing.
-func (h *slowHost) work() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	time.Sleep(greetCost)
+func (h *slowHost) greet() {
+	h.processor.Lock()
+	defer h.processor.Unlock()
+	time.Sleep(greetingCost)
 }
 
-func (h *slowHost) enter(n int) {
-	h.count.Lock()
-	defer h.count.Unlock()
+func (h *slowHost) addOpen(n int) {
+	h.countMu.Lock()
+	defer h.countMu.Unlock()
 	h.open += n
-	h.most = max(h.most, h.open)
+	h.maxOpen = max(h.maxOpen, h.open)
 }
 
 // Guards against a herd of dials after a common start: nobody dials again while a greeting is
 // under way, and control hosts don't wait behind the others for one another.
 func TestHostsThatStartTogetherDialOnceAndControlHostsGoFirst(t *testing.T) {
-	control := make([]*slowHost, herdControl)
+	control := make([]*slowHost, controlHosts)
 	var seeds []string
 	for i := range control {
 		control[i] = startSlowHost(t, i)
@@ -111,12 +111,12 @@
 	t.Cleanup(running.Wait)
 	t.Cleanup(cancel)
 	began := time.Now()
-	pools := make([]*peer.Pool, herdHosts)
-	registries := make([]metrics.Registry, herdHosts)
+	pools := make([]*peer.Pool, followerHosts)
+	registries := make([]metrics.Registry, followerHosts)
 	for i := range pools {
 		registries[i] = metrics.NewRegistry()
 		pools[i] = peer.NewPool(peer.Config{
-			Hello: wire.Hello{Host: fmt.Sprint("h", i)}, Secret: "s", Metrics: registries[i], DialTimeout: darkAfter,
+			Hello: wire.Hello{Host: fmt.Sprint("h", i)}, Secret: "s", Metrics: registries[i], DialTimeout: dialTimeout,
 			Handler: peer.HandlerFunc(func(*peer.Session, uint64, wire.Message) {}),
 		})
 		t.Cleanup(pools[i].Close)
@@ -137,25 +137,25 @@
 		}
 		quorum = time.Since(began)
 		return true
-	}, herdLimit, 2*time.Millisecond)
+	}, connectTimeout, 2*time.Millisecond)
 	require.Eventually(t, func() bool {
 		for _, p := range pools {
-			if len(p.Sessions()) < herdControl {
+			if len(p.Sessions()) < controlHosts {
 				return false
 			}
 		}
 		return true
-	}, herdLimit, 5*time.Millisecond)
+	}, connectTimeout, 5*time.Millisecond)
 	all := time.Since(began)
 	dials, most := int64(0), 0
 	for _, reg := range registries {
 		dials += metrics.GetOrRegisterCounter("peer.dials.begun", reg).Count()
 	}
 	for _, h := range control {
-		most = max(most, h.highest())
+		most = max(most, h.maxConnections())
 	}
 	t.Logf("control hosts know each other after %v, all hosts after %v, %d dials, %d connections at once", quorum, all, dials, most)
 	require.Less(t, quorum, all/2, "control hosts wait behind the others")
-	require.LessOrEqual(t, dials, int64(float64(herdHosts*herdControl)*(0.1+float64(mostDials(all)))))
-	require.LessOrEqual(t, most, 2*herdHosts)
+	require.LessOrEqual(t, dials, int64(float64(followerHosts*controlHosts)*(0.1+float64(maxDials(all)))))
+	require.LessOrEqual(t, most, 2*followerHosts)
 }
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -79,19 +79,19 @@
 
 // Host is one control host.
 type Host struct {
-	cfg      Config
-	id       consensus.ReplicaID
-	replica  *replica.Replica
-	tables   *state.Machine
-	store    *catalog.Store
-	watchers *watchers
-	reports  *reports
-	client   *Client
-	commands *command.Service
-	queries  *query.Service
-	joins    joinGate
-	book     *AddressBook
-	fleet    *fleet
+	cfg         Config
+	id          consensus.ReplicaID
+	replica     *replica.Replica
+	tables      *state.Machine
+	store       *catalog.Store
+	watchers    *watchers
+	reports     *reports
+	client      *Client
+	commands    *command.Service
+	queries     *query.Service
+	joins       joinGate
+	addressBook *AddressBook
+	fleet       *fleet
 }
 
 // ID names the replica of a host by the disk that its journal found.
@@ -115,14 +115,14 @@
 func Open(cfg Config) (*Host, error) {
 	cfg = cfg.withDefaults()
 	h := &Host{
-		cfg:     cfg,
-		id:      ID(cfg.Name, cfg.Recovered),
-		tables:  state.New(state.Options{}),
-		store:   catalog.NewStore(cfg.Log, cfg.Metrics),
-		reports: newReports(),
-		book:    NewAddressBook(cfg.Peers...),
+		cfg:         cfg,
+		id:          ID(cfg.Name, cfg.Recovered),
+		tables:      state.New(state.Options{}),
+		store:       catalog.NewStore(cfg.Log, cfg.Metrics),
+		reports:     newReports(),
+		addressBook: NewAddressBook(cfg.Peers...),
 	}
-	h.client = NewClientWithAddressBook(cfg.Pool, h.book)
+	h.client = NewClientWithAddressBook(cfg.Pool, h.addressBook)
 	h.fleet = newFleet(h)
 	h.watchers = newWatchers(h.store)
 	var err error
@@ -131,7 +131,7 @@
 		Storage:         cfg.Journal,
 		StateMachine:    h.tables,
 		Transport:       cfg.Transport,
-		PersistedState:  restored(cfg.Recovered),
+		PersistedState:  persistedState(cfg.Recovered),
 		Tick:            cfg.Tick,
 		ElectionTicks:   cfg.ElectionTicks,
 		SnapshotEntries: cfg.SnapshotEntries,
@@ -146,20 +146,20 @@
 	return h, nil
 }
 
-func restored(r journal.Recovered) consensus.PersistedState {
+func persistedState(r journal.Recovered) consensus.PersistedState {
 	return consensus.PersistedState{HardState: r.HardState, Snapshot: r.Snapshot, Entries: r.Entries}
 }
 
 // Run does the host's background work until ctx ends. The error is what ended the
 // replica; the host must then stop.
 func (h *Host) Run(ctx context.Context) error {
-	go KeepConnected(ctx, h.cfg.Pool, h.book)
-	go h.found(ctx)
+	go KeepConnected(ctx, h.cfg.Pool, h.addressBook)
+	go h.bootstrap(ctx)
 	go h.fleet.run(ctx)
-	go h.passDocuments(ctx)
-	go h.showCurrency(ctx)
+	go h.publishDocuments(ctx)
+	go h.confirmPeriodically(ctx)
 	go h.advanceAge(ctx)
-	go h.keepJoined(ctx)
+	go h.requestMembership(ctx)
 	select {
 	case <-ctx.Done():
 		return nil
@@ -174,12 +174,12 @@
 	return h.replica.Close(ctx)
 }
 
-// passDocuments keeps the catalog at what the tables hold, and the watchers with it.
-func (h *Host) passDocuments(ctx context.Context) {
+// publishDocuments keeps the catalog at what the tables hold, and the watchers with it.
+func (h *Host) publishDocuments(ctx context.Context) {
 	for {
 		changed := h.tables.Changed()
 		h.syncStore()
-		h.watchers.send(false)
+		h.watchers.sendAll(false)
 		select {
 		case <-ctx.Done():
 			return
@@ -197,27 +197,27 @@
 	h.store.Merge(docs)
 }
 
-// showCurrency tells watchers at intervals that this host holds all that was
+// confirmPeriodically tells watchers at intervals that this host holds all that was
 // accepted, as a quorum confirmed. One that is cut off falls silent on this, and
 // its watchers go elsewhere.
-func (h *Host) showCurrency(ctx context.Context) {
+func (h *Host) confirmPeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
-		if h.watchers.any() {
-			h.confirmCurrency(ctx)
+		if h.watchers.hasWatchers() {
+			h.confirmUpToDate(ctx)
 		}
-		pause.For(ctx, currencyInterval)
+		pause.For(ctx, confirmInterval)
 	}
 }
 
-// confirmCurrency asks a quorum and tells the watchers.
-func (h *Host) confirmCurrency(ctx context.Context) {
+// confirmUpToDate asks a quorum and tells the watchers.
+func (h *Host) confirmUpToDate(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, serveTimeout)
 	defer cancel()
 	if _, err := (reader{h}).Read(ctx); err != nil {
 		return
 	}
 	h.syncStore()
-	h.watchers.send(true)
+	h.watchers.sendAll(true)
 }
 
 // advanceAge moves the age of the tables on by the leader's own monotonic clock.
@@ -261,8 +261,8 @@
 func (h *Host) readAtLeader(ctx context.Context) (uint64, error) {
 	began := time.Now()
 	leader, isKnown := h.replica.Leader()
-	for !isKnown && ctx.Err() == nil && time.Since(began) < handOver {
-		pause.For(ctx, clientDelay)
+	for !isKnown && ctx.Err() == nil && time.Since(began) < leaderSearchTime {
+		pause.For(ctx, retryDelay)
 		leader, isKnown = h.replica.Leader()
 	}
 	if leader == h.id {
@@ -270,27 +270,27 @@
 	}
 	s := h.cfg.Transport.session(leader)
 	if s == nil {
-		return 0, unreachable(false, nil)
+		return 0, noLeaderError(false, nil)
 	}
 	reply, _, err := s.Call(ctx, &wire.ReadQuery{})
 	if err != nil {
-		return 0, unreachable(false, err)
+		return 0, noLeaderError(false, err)
 	}
 	answer, ok := reply.(*wire.ReadAnswer)
 	if !ok {
-		return 0, unreachable(false, errors.Errorf("reply of kind %d", reply.Kind()))
+		return 0, noLeaderError(false, errors.Errorf("reply of kind %d", reply.Kind()))
 	}
 	return answer.Index, nil
 }
 
-const appliedPoll = 5 * time.Millisecond
+const pollInterval = 5 * time.Millisecond
 
 func (h *Host) awaitApplied(ctx context.Context, index uint64) error {
 	for h.replica.AppliedIndex() < index {
 		if ctx.Err() != nil {
 			return verdict.New(verdict.NotRun, verdict.CodeDeadline, "this control host is behind")
 		}
-		pause.For(ctx, appliedPoll)
+		pause.For(ctx, pollInterval)
 	}
 	return nil
 }
--- a/internal/control/inforce.go
+++ b/internal/control/inforce.go
@@ -7,8 +7,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// forgetHost is how long a host that was not heard stays in the reports.
-const forgetHost = 24 * time.Hour
+// reportRetention is how long a host that was not heard stays in the reports.
+const reportRetention = 24 * time.Hour
 
 // reports holds what hosts said about the revisions in force on them.
 type reports struct {
@@ -39,7 +39,7 @@
 	var out []wire.HostInForce
 	for name, rep := range r.byHost {
 		age := now.Sub(rep.at)
-		if age > forgetHost {
+		if age > reportRetention {
 			delete(r.byHost, name)
 			continue
 		}
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -32,7 +32,7 @@
 	busy bool
 }
 
-func (g *joinGate) enter() bool {
+func (g *joinGate) tryAcquire() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.busy {
@@ -42,17 +42,17 @@
 	return true
 }
 
-func (g *joinGate) leave() {
+func (g *joinGate) release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.busy = false
 }
 
-// keepJoined asks to be let in for as long as this replica has no vote: after the
+// requestMembership asks to be let in for as long as this replica has no vote: after the
 // first start, and after the disk was lost. A replica with another disk than before
 // is a stranger to the others until a committed change lets it in, so that what it
 // has forgotten can't be outvoted by it.
-func (h *Host) keepJoined(ctx context.Context) {
+func (h *Host) requestMembership(ctx context.Context) {
 	voter := metrics.GetOrRegisterGauge("control.voter", h.cfg.Metrics)
 	for ctx.Err() == nil {
 		pause.For(ctx, joinInterval)
@@ -83,31 +83,31 @@
 
 // handleJoin begins to let a replica in. The answer does not wait until it is.
 func (h *Host) handleJoin(s *peer.Session, m *wire.Join) (wire.Message, error) {
-	if err := h.mustLead(); err != nil {
+	if err := h.requireLeader(); err != nil {
 		return nil, err
 	}
 	id := consensus.ReplicaID(m.Replica)
 	if s.Remote().Host != m.Host || hostOf(id) != m.Host {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeForbidden, "a host may join for itself only")
 	}
-	if !h.joins.enter() {
+	if !h.joins.tryAcquire() {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeInProgress, "another replica is joining").After(joinInterval)
 	}
 	go func() {
-		defer h.joins.leave()
+		defer h.joins.release()
 		ctx, cancel := context.WithTimeout(context.Background(), joinTimeout)
 		defer cancel()
-		if err := h.letIn(ctx, id); err != nil {
+		if err := h.addVoter(ctx, id); err != nil {
 			h.cfg.Log.Warn("replica could not join", "replica", id, "error", err)
 		}
 	}()
 	return &wire.Ack{}, nil
 }
 
-// letIn makes a voter of a replica. Where its host was a member with another disk,
+// addVoter makes a voter of a replica. Where its host was a member with another disk,
 // the new replica takes the place of the old one; learners that the host left
 // behind are removed.
-func (h *Host) letIn(ctx context.Context, id consensus.ReplicaID) error {
+func (h *Host) addVoter(ctx context.Context, id consensus.ReplicaID) error {
 	st := h.replica.Status()
 	if st.Membership.IsVoter(id) {
 		return nil
@@ -121,7 +121,7 @@
 		}
 	}
 	if old, ok := h.predecessor(st, id); ok {
-		if h.isHeard(st, old) {
+		if h.hasRecentContact(st, old) {
 			return verdict.New(verdict.NotRun, verdict.CodeConflict, "replica "+string(old)+" of the same host is alive")
 		}
 		return h.replica.ReplaceVoter(ctx, old, id)
@@ -130,19 +130,19 @@
 		return err
 	}
 	if h.cfg.Voters > 0 && len(st.Membership.Voters) >= h.cfg.Voters {
-		return h.succeed(ctx, id)
+		return h.replaceSilentVoter(ctx, id)
 	}
 	return h.replica.PromoteLearner(ctx, id)
 }
 
-// succeed gives a learner the place of a voter that has fallen silent. Where none has,
+// replaceSilentVoter gives a learner the place of a voter that has fallen silent. Where none has,
 // it goes on learning. Nothing is done while a second voter is silent too: the
 // cluster has no margin then for a change that goes wrong half way.
-func (h *Host) succeed(ctx context.Context, id consensus.ReplicaID) error {
+func (h *Host) replaceSilentVoter(ctx context.Context, id consensus.ReplicaID) error {
 	var silent []consensus.ReplicaID
 	st := h.replica.Status()
 	for _, v := range st.Membership.Voters {
-		if v != h.id && !h.isHeard(st, v) {
+		if v != h.id && !h.hasRecentContact(st, v) {
 			silent = append(silent, v)
 		}
 	}
@@ -162,7 +162,7 @@
 	return st.Membership.Voters[i], true
 }
 
-func (h *Host) isHeard(st consensus.Status, id consensus.ReplicaID) bool {
+func (h *Host) hasRecentContact(st consensus.Status, id consensus.ReplicaID) bool {
 	for _, p := range st.Peers {
 		if p.ID == id {
 			return time.Duration(p.TicksSinceContact)*h.cfg.Tick < h.cfg.ReplicaSilenceTimeout
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -13,6 +13,6 @@
 func TestSilentReplicaIsNotHeardWithDefaults(t *testing.T) {
 	h := &Host{cfg: Config{}.withDefaults()}
 	st := consensus.Status{Peers: []consensus.PeerStatus{{ID: "a/old", TicksSinceContact: 1000}, {ID: "b/new", TicksSinceContact: 1}}}
-	require.False(t, h.isHeard(st, "a/old"))
-	require.True(t, h.isHeard(st, "b/new"))
+	require.False(t, h.hasRecentContact(st, "a/old"))
+	require.True(t, h.hasRecentContact(st, "b/new"))
 }
--- a/internal/control/parts_test.go
+++ b/internal/control/parts_test.go
@@ -25,7 +25,7 @@
 	b := peer.NewPool(peer.Config{
 		Hello: wire.Hello{Host: "b", Replica: "b/1"}, Secret: secret,
 		Handler: peer.HandlerFunc(func(s *peer.Session, _ uint64, m wire.Message) {
-			if data, ok := receiver.join(consensus.ReplicaID(s.Remote().Replica), m.(*wire.ConsensusPart)); ok {
+			if data, ok := receiver.reassemble(consensus.ReplicaID(s.Remote().Replica), m.(*wire.ConsensusPart)); ok {
 				whole <- data
 			}
 		}),
@@ -45,7 +45,7 @@
 	_, err := a.Get(t.Context(), strings.TrimPrefix(srv.URL, "http://"))
 	require.NoError(t, err)
 
-	snapshot := &consensus.Snapshot{Data: bytes.Repeat([]byte("0123456789"), (wire.MaxMessageBytes+partBytes)/10)}
+	snapshot := &consensus.Snapshot{Data: bytes.Repeat([]byte("0123456789"), (wire.MaxMessageBytes+chunkBytes)/10)}
 	sender.Send("b/1", consensus.Message{Type: consensus.MessageSnapshot, From: "a/1", To: "b/1", Snapshot: snapshot})
 	select {
 	case data := <-whole:
@@ -60,7 +60,7 @@
 func TestPieceOutOfPlaceEndsTheMessage(t *testing.T) {
 	receiver := NewTransport(metrics.NewRegistry())
 	piece := func(message uint64, index uint32) ([]byte, bool) {
-		return receiver.join("a/1", &wire.ConsensusPart{Message: message, Index: index, Count: 3, Data: []byte{byte(index)}})
+		return receiver.reassemble("a/1", &wire.ConsensusPart{Message: message, Index: index, Count: 3, Data: []byte{byte(index)}})
 	}
 	for _, order := range [][]uint32{{0, 2}, {1, 2}, {0, 1, 1, 2}} {
 		for _, index := range order {
--- a/internal/control/recall.go
+++ b/internal/control/recall.go
@@ -28,13 +28,13 @@
 }
 
 const (
-	recallUpstreams  = "upstreams"
-	recallSuspicions = "suspicions"
-	// recallTemp is added to the name of a file that is being written.
-	recallTemp = ".new"
-	// recallPause is the least time between two writes, so that a hundred announcements at
+	upstreamsFile  = "upstreams"
+	suspicionsFile = "suspicions"
+	// tempSuffix is added to the name of a file that is being written.
+	tempSuffix = ".new"
+	// saveInterval is the least time between two writes, so that a hundred announcements at
 	// a start cost a few syncs.
-	recallPause = 500 * time.Millisecond
+	saveInterval = 500 * time.Millisecond
 	// checksumBytes is the length of the checksum before the data.
 	checksumBytes = 4
 )
@@ -48,25 +48,25 @@
 // LoadUpstreams returns the upstreams that were saved last.
 func (r *RestartCache) LoadUpstreams() ([]registry.Upstream, error) {
 	var all wire.Upstreams
-	err := r.load(recallUpstreams, &all)
+	err := r.load(upstreamsFile, &all)
 	return all.All, errors.Wrap(err, "list of upstreams")
 }
 
 // SaveUpstreams replaces the upstreams that were saved. It returns once they have reached the disk.
 func (r *RestartCache) SaveUpstreams(all []registry.Upstream) error {
-	return errors.Wrap(r.save(recallUpstreams, &wire.Upstreams{All: all}), "list of upstreams")
+	return errors.Wrap(r.save(upstreamsFile, &wire.Upstreams{All: all}), "list of upstreams")
 }
 
 // LoadSuspicions returns what the quarantine knew when that was saved last.
 func (r *RestartCache) LoadSuspicions() ([]quarantine.Suspicion, error) {
 	var all wire.Suspicions
-	err := r.load(recallSuspicions, &all)
+	err := r.load(suspicionsFile, &all)
 	return all.All, errors.Wrap(err, "suspicions")
 }
 
 // SaveSuspicions replaces what was saved of the quarantine.
 func (r *RestartCache) SaveSuspicions(all []quarantine.Suspicion) error {
-	return errors.Wrap(r.save(recallSuspicions, &wire.Suspicions{All: all}), "suspicions")
+	return errors.Wrap(r.save(suspicionsFile, &wire.Suspicions{All: all}), "suspicions")
 }
 
 func (r *RestartCache) load(name string, m wire.Message) error {
@@ -93,7 +93,7 @@
 	if err := r.fs.MkdirAll(r.dir); err != nil {
 		return err
 	}
-	temp := filepath.Join(r.dir, name+recallTemp)
+	temp := filepath.Join(r.dir, name+tempSuffix)
 	f, err := r.fs.Create(temp)
 	if err != nil {
 		return err
@@ -115,8 +115,8 @@
 	return r.fs.SyncDir(r.dir)
 }
 
-// restore takes in what was known before the start.
-func (f *fleet) restore() {
+// restoreUpstreams takes in what was known before the start.
+func (f *fleet) restoreUpstreams() {
 	if f.h.cfg.RestartCache == nil {
 		return
 	}
@@ -144,8 +144,8 @@
 	f.h.cfg.Log.Info("suspicions of before the start are known", "suspicions", len(all))
 }
 
-// remember saves what is known whenever it has changed, until ctx ends.
-func (f *fleet) remember(ctx context.Context) {
+// saveLoop saves what is known whenever it has changed, until ctx ends.
+func (f *fleet) saveLoop(ctx context.Context) {
 	if f.h.cfg.RestartCache == nil {
 		return
 	}
@@ -153,7 +153,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.changed:
+		case <-f.saveRequested:
 		}
 		f.mu.Lock()
 		all := f.registry.All()
@@ -164,14 +164,14 @@
 		if err := f.h.cfg.RestartCache.SaveSuspicions(f.quarantine.All()); err != nil {
 			f.h.cfg.Log.Warn("suspicions are not saved", "error", err.Error())
 		}
-		pause.For(ctx, recallPause)
+		pause.For(ctx, saveInterval)
 	}
 }
 
-// note tells that what is known has changed.
-func (f *fleet) note() {
+// requestSave tells that what is known has changed.
+func (f *fleet) requestSave() {
 	select {
-	case f.changed <- struct{}{}:
+	case f.saveRequested <- struct{}{}:
 	default:
 	}
 }
--- a/internal/control/recall_test.go
+++ b/internal/control/recall_test.go
@@ -29,7 +29,7 @@
 	dir := t.TempDir()
 	r := NewRestartCache(journal.OS{}, dir)
 	require.NoError(t, r.SaveUpstreams([]registry.Upstream{{ID: "a", Service: "s"}}))
-	name := filepath.Join(dir, recallUpstreams)
+	name := filepath.Join(dir, upstreamsFile)
 	whole, err := os.ReadFile(name)
 	require.NoError(t, err)
 	for _, data := range [][]byte{nil, whole[:3], whole[:len(whole)-1], append([]byte{whole[0] ^ 1}, whole[1:]...)} {
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -22,7 +22,7 @@
 	case *wire.Consensus:
 		h.handleConsensus(m)
 	case *wire.ConsensusPart:
-		if data, isWhole := h.cfg.Transport.join(consensus.ReplicaID(s.Remote().Replica), m); isWhole {
+		if data, isWhole := h.cfg.Transport.reassemble(consensus.ReplicaID(s.Remote().Replica), m); isWhole {
 			h.handleConsensus(&wire.Consensus{To: m.To, Data: data})
 		}
 	case *wire.Hosts:
@@ -32,50 +32,50 @@
 	case *wire.Suspicions:
 		h.fleet.quarantine.Merge(m.All)
 	case *wire.EngineLoad:
-		h.fleet.load(s, m)
+		h.fleet.updateLoad(s, m)
 	case *wire.GroupQuery:
 		_ = s.Reply(call, h.fleet.members(m))
 	case *wire.ConfigurationQuery:
-		h.answer(s, call, func(ctx context.Context) (wire.Message, error) { return h.handleConfigurationQuery(ctx, m) })
+		h.replyAsync(s, call, func(ctx context.Context) (wire.Message, error) { return h.handleConfigurationQuery(ctx, m) })
 	case *wire.Watch:
 		h.watchers.add(s, m)
 	case *wire.InForce:
 		h.reports.add(m, time.Now())
 	case *wire.StatusQuery:
-		h.answer(s, call, func(context.Context) (wire.Message, error) { return h.statusAnswer(), nil })
+		h.replyAsync(s, call, func(context.Context) (wire.Message, error) { return h.statusAnswer(), nil })
 	case *wire.ReadQuery:
-		h.answer(s, call, h.handleRead)
+		h.replyAsync(s, call, h.handleRead)
 	case *wire.Propose:
-		h.answer(s, call, func(ctx context.Context) (wire.Message, error) { return h.handlePropose(ctx, m) })
+		h.replyAsync(s, call, func(ctx context.Context) (wire.Message, error) { return h.handlePropose(ctx, m) })
 	case *wire.ClaimRequest:
-		h.answer(s, call, func(ctx context.Context) (wire.Message, error) { return h.handleClaim(ctx, s, m) })
+		h.replyAsync(s, call, func(ctx context.Context) (wire.Message, error) { return h.handleClaim(ctx, s, m) })
 	case *wire.FinishRequest:
-		h.answer(s, call, func(ctx context.Context) (wire.Message, error) { return h.handleFinish(ctx, m) })
+		h.replyAsync(s, call, func(ctx context.Context) (wire.Message, error) { return h.handleFinish(ctx, m) })
 	case *wire.OrderQuery:
-		h.answer(s, call, func(ctx context.Context) (wire.Message, error) { return h.handleOrder(ctx, m) })
+		h.replyAsync(s, call, func(ctx context.Context) (wire.Message, error) { return h.handleOrder(ctx, m) })
 	case *wire.Join:
-		h.answer(s, call, func(context.Context) (wire.Message, error) { return h.handleJoin(s, m) })
+		h.replyAsync(s, call, func(context.Context) (wire.Message, error) { return h.handleJoin(s, m) })
 	default:
 		return false
 	}
 	return true
 }
 
-// answer serves a call beside the session's read loop.
-func (h *Host) answer(s *peer.Session, call uint64, serve func(context.Context) (wire.Message, error)) {
+// replyAsync serves a call beside the session's read loop.
+func (h *Host) replyAsync(s *peer.Session, call uint64, serve func(context.Context) (wire.Message, error)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), serveTimeout)
 		defer cancel()
 		reply, err := serve(ctx)
 		if err != nil {
-			reply = h.failure(err)
+			reply = h.failureReply(err)
 		}
 		_ = s.Reply(call, reply)
 	}()
 }
 
-// failure names the leader where the caller should ask it instead.
-func (h *Host) failure(err error) *wire.Failure {
+// failureReply names the leader where the caller should ask it instead.
+func (h *Host) failureReply(err error) *wire.Failure {
 	f := peer.NewFailure(err)
 	var notLeader *replica.NotLeaderError
 	if errors.As(err, &notLeader) && notLeader.Leader != "" {
@@ -114,9 +114,9 @@
 	return &wire.Proposed{Index: r.Index, Result: data}, nil
 }
 
-// mustLead refuses a claim where this host does not lead, before it is batched with
+// requireLeader refuses a claim where this host does not lead, before it is batched with
 // others: only the leader's own log may grant.
-func (h *Host) mustLead() error {
+func (h *Host) requireLeader() error {
 	if h.replica.IsLeader() {
 		return nil
 	}
@@ -131,7 +131,7 @@
 const claimSlackMS = uint64(ageInterval / time.Millisecond)
 
 func (h *Host) handleClaim(ctx context.Context, s *peer.Session, m *wire.ClaimRequest) (wire.Message, error) {
-	if err := h.mustLead(); err != nil {
+	if err := h.requireLeader(); err != nil {
 		return nil, err
 	}
 	r, err := h.commands.Claim(ctx, state.Claim{
@@ -178,7 +178,7 @@
 }
 
 func (h *Host) handleFinish(ctx context.Context, m *wire.FinishRequest) (wire.Message, error) {
-	if err := h.mustLead(); err != nil {
+	if err := h.requireLeader(); err != nil {
 		return nil, err
 	}
 	f := state.Finish{
--- a/internal/control/status_test.go
+++ b/internal/control/status_test.go
@@ -20,7 +20,7 @@
 		case i%3 == 1:
 			h.Revision = 4
 		case i == 0:
-			h.AgeMS = uint64(notHeardSpan.Milliseconds()) + 1
+			h.AgeMS = uint64(notHeardTimeout.Milliseconds()) + 1
 		}
 		hosts[h.Host] = h
 	}
--- a/internal/control/suspicions.go
+++ b/internal/control/suspicions.go
@@ -16,24 +16,24 @@
 // Quarantine is what this host knows of requests under which upstreams ended.
 func (h *Host) Quarantine() *quarantine.Keeper { return h.fleet.quarantine }
 
-// passSuspicions passes news on within suspicionDelay. Each control host passes on only what
+// queueSuspicions passes news on within suspicionDelay. Each control host passes on only what
 // it did not know, so that news come to an end.
-func (f *fleet) passSuspicions(news []quarantine.Suspicion) {
-	f.note()
+func (f *fleet) queueSuspicions(news []quarantine.Suspicion) {
+	f.requestSave()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.news) == 0 {
-		time.AfterFunc(suspicionDelay, f.flushSuspicions)
+	if len(f.pendingSuspicions) == 0 {
+		time.AfterFunc(suspicionDelay, f.sendSuspicions)
 	}
-	f.news = append(f.news, news...)
+	f.pendingSuspicions = append(f.pendingSuspicions, news...)
 }
 
-// flushSuspicions tells the attached entry hosts and the other control hosts.
-func (f *fleet) flushSuspicions() {
+// sendSuspicions tells the attached entry hosts and the other control hosts.
+func (f *fleet) sendSuspicions() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m, err := peer.Prepare(&wire.Suspicions{All: f.news})
-	f.news = nil
+	m, err := peer.Prepare(&wire.Suspicions{All: f.pendingSuspicions})
+	f.pendingSuspicions = nil
 	if err != nil {
 		f.h.cfg.Log.Error("suspicions can't be encoded", "error", err.Error())
 		return
--- a/internal/control/suspicions_test.go
+++ b/internal/control/suspicions_test.go
@@ -18,25 +18,25 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// told is what the tests' suspicions say.
-func told(upstream string, age time.Duration) quarantine.Suspicion {
+// newSuspicion is what the tests' suspicions say.
+func newSuspicion(upstream string, age time.Duration) quarantine.Suspicion {
 	return quarantine.Suspicion{
 		Fingerprint: quarantine.Fingerprint{1}, Workspace: "w", End: quarantine.End{Upstream: upstream}, Request: "r", AgeMS: age.Milliseconds(),
 	}
 }
 
-// station is a host with sessions: a control host, or an entry host.
-type station struct {
+// testHost is a host with sessions: a control host, or an entry host.
+type testHost struct {
 	pool    *peer.Pool
 	address string
 	keeper  *quarantine.Keeper
-	// heard gets the messages of an entry host.
-	heard chan wire.Message
+	// received gets the messages of an entry host.
+	received chan wire.Message
 }
 
-// startStation runs a host; host is nil for an entry host.
-func startStation(t *testing.T, name string, host func(*station) *Host) *station {
-	st := &station{heard: make(chan wire.Message, 100)}
+// startTestHost runs a host; host is nil for an entry host.
+func startTestHost(t *testing.T, name string, host func(*testHost) *Host) *testHost {
+	st := &testHost{received: make(chan wire.Message, 100)}
 	mux := http.NewServeMux()
 	srv := httptest.NewServer(mux)
 	t.Cleanup(srv.Close)
@@ -56,7 +56,7 @@
 			if all, ok := m.(*wire.Suspicions); ok {
 				st.keeper.Merge(all.All)
 			}
-			st.heard <- m
+			st.received <- m
 		}),
 		OnUp: func(s *peer.Session) {
 			if control != nil && s.Remote().Replica != "" {
@@ -85,15 +85,15 @@
 	return st
 }
 
-// newControl returns a control host without a replica, as far as the fleet needs one.
-func newControl(recall *RestartCache) func(*station) *Host {
-	return func(st *station) *Host {
+// newControlHost returns a control host without a replica, as far as the fleet needs one.
+func newControlHost(recall *RestartCache) func(*testHost) *Host {
+	return func(st *testHost) *Host {
 		h := &Host{
 			cfg: Config{
 				Address: st.address, Transport: NewTransport(metrics.NewRegistry()), Pool: st.pool, RestartCache: recall,
 				Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 			},
-			book: NewAddressBook(), tables: state.New(state.Options{}),
+			addressBook: NewAddressBook(), tables: state.New(state.Options{}),
 		}
 		h.fleet = newFleet(h)
 		return h
@@ -101,7 +101,7 @@
 }
 
 // attach lets an entry host ask a control host to be told.
-func (st *station) attach(t *testing.T, control *station) {
+func (st *testHost) attach(t *testing.T, control *testHost) {
 	t.Helper()
 	s, err := st.pool.Get(t.Context(), control.address)
 	require.NoError(t, err)
@@ -109,83 +109,83 @@
 	require.NoError(t, s.Post(&wire.Suspicions{All: st.keeper.All()}))
 }
 
-// holds reports whether a host holds the tests' request.
-func (st *station) holds() bool {
+// holdsRequest reports whether a host holds the tests' request.
+func (st *testHost) holdsRequest() bool {
 	return st.keeper.Verdict(quarantine.Fingerprint{1}) == quarantine.Held
 }
 
-// hearTime is generous: it ends a test that has failed.
-const hearTime = 60 * time.Second
+// propagationTimeout is generous: it ends a test that has failed.
+const propagationTimeout = 60 * time.Second
 
 // What one entry host has seen is known at all, by way of control hosts that some of them
 // alone can reach, and at one that comes later before anything else.
 func TestSuspicionsReachAllEntryHosts(t *testing.T) {
-	one, two := startStation(t, "c1", newControl(nil)), startStation(t, "c2", newControl(nil))
+	one, two := startTestHost(t, "c1", newControlHost(nil)), startTestHost(t, "c2", newControlHost(nil))
 	_, err := one.pool.Get(t.Context(), two.address)
 	require.NoError(t, err)
-	a, b := startStation(t, "e1", nil), startStation(t, "e2", nil)
+	a, b := startTestHost(t, "e1", nil), startTestHost(t, "e2", nil)
 	a.attach(t, one)
 	b.attach(t, two)
 	a.keeper.Ended(quarantine.Run{Fingerprint: quarantine.Fingerprint{1}, End: quarantine.End{Upstream: "u1"}})
-	require.Eventually(t, func() bool { return b.keeper.Verdict(quarantine.Fingerprint{1}) == quarantine.Suspect }, hearTime, time.Millisecond)
-	two.keeper.Merge([]quarantine.Suspicion{told("u0", time.Minute)})
-	for _, st := range []*station{a, b, one, two} {
-		require.Eventually(t, st.holds, hearTime, time.Millisecond)
+	require.Eventually(t, func() bool { return b.keeper.Verdict(quarantine.Fingerprint{1}) == quarantine.Suspect }, propagationTimeout, time.Millisecond)
+	two.keeper.Merge([]quarantine.Suspicion{newSuspicion("u0", time.Minute)})
+	for _, st := range []*testHost{a, b, one, two} {
+		require.Eventually(t, st.holdsRequest, propagationTimeout, time.Millisecond)
 	}
-	late := startStation(t, "e3", nil)
+	late := startTestHost(t, "e3", nil)
 	late.attach(t, two)
-	first := <-late.heard
+	first := <-late.received
 	require.IsType(t, &wire.Suspicions{}, first)
-	require.True(t, late.holds())
+	require.True(t, late.holdsRequest())
 	require.True(t, late.keeper.Release(quarantine.Fingerprint{1}))
-	for _, st := range []*station{a, b, one, two} {
-		require.Eventually(t, func() bool { return len(st.keeper.List()) == 0 }, hearTime, time.Millisecond)
+	for _, st := range []*testHost{a, b, one, two} {
+		require.Eventually(t, func() bool { return len(st.keeper.List()) == 0 }, propagationTimeout, time.Millisecond)
 	}
 }
 
 // What one side of a cut has found out meanwhile, the other knows once they meet.
 func TestSuspicionsOfBothSidesMeet(t *testing.T) {
-	one, two := startStation(t, "c1", newControl(nil)), startStation(t, "c2", newControl(nil))
-	a, b := startStation(t, "e1", nil), startStation(t, "e2", nil)
+	one, two := startTestHost(t, "c1", newControlHost(nil)), startTestHost(t, "c2", newControlHost(nil))
+	a, b := startTestHost(t, "e1", nil), startTestHost(t, "e2", nil)
 	a.attach(t, one)
 	b.attach(t, two)
-	one.keeper.Merge([]quarantine.Suspicion{told("u1", time.Minute)})
-	two.keeper.Merge([]quarantine.Suspicion{told("u2", time.Second)})
-	for _, st := range []*station{a, b} {
-		require.Eventually(t, func() bool { return len(st.keeper.List()) == 1 }, hearTime, time.Millisecond)
+	one.keeper.Merge([]quarantine.Suspicion{newSuspicion("u1", time.Minute)})
+	two.keeper.Merge([]quarantine.Suspicion{newSuspicion("u2", time.Second)})
+	for _, st := range []*testHost{a, b} {
+		require.Eventually(t, func() bool { return len(st.keeper.List()) == 1 }, propagationTimeout, time.Millisecond)
 	}
-	require.False(t, a.holds() || b.holds())
+	require.False(t, a.holdsRequest() || b.holdsRequest())
 	_, err := one.pool.Get(t.Context(), two.address)
 	require.NoError(t, err)
-	for _, st := range []*station{a, b, one, two} {
-		require.Eventually(t, st.holds, hearTime, time.Millisecond)
+	for _, st := range []*testHost{a, b, one, two} {
+		require.Eventually(t, st.holdsRequest, propagationTimeout, time.Millisecond)
 	}
 }
 
 // After all processes have ended, control hosts know from their disks which requests are held.
 func TestSuspicionsOutliveAllProcesses(t *testing.T) {
 	recall := NewRestartCache(journal.OS{}, t.TempDir())
-	before := newControl(recall)(&station{})
-	before.Quarantine().Merge([]quarantine.Suspicion{told("u1", time.Minute), told("u2", time.Second)})
+	before := newControlHost(recall)(&testHost{})
+	before.Quarantine().Merge([]quarantine.Suspicion{newSuspicion("u1", time.Minute), newSuspicion("u2", time.Second)})
 	require.NoError(t, recall.SaveSuspicions(before.Quarantine().All()))
-	after := newControl(recall)(&station{})
+	after := newControlHost(recall)(&testHost{})
 	require.Equal(t, quarantine.Held, after.Quarantine().Verdict(quarantine.Fingerprint{1}))
 }
 
 // Agents are told nothing of requests, and entry hosts that want suspicions alone nothing else.
 func TestOnlyEntryHostsHearSuspicions(t *testing.T) {
-	control := startStation(t, "c1", newControl(nil))
-	agent := startStation(t, "a1", nil)
+	control := startTestHost(t, "c1", newControlHost(nil))
+	agent := startTestHost(t, "a1", nil)
 	s, err := agent.pool.Get(t.Context(), control.address)
 	require.NoError(t, err)
 	require.NoError(t, s.Post(&wire.Attach{Role: "agent"}))
-	entry := startStation(t, "e1", nil)
+	entry := startTestHost(t, "e1", nil)
 	entry.attach(t, control)
-	require.IsType(t, &wire.Suspicions{}, <-entry.heard)
-	control.keeper.Merge([]quarantine.Suspicion{told("u1", 0)})
-	require.IsType(t, &wire.Suspicions{}, <-entry.heard)
+	require.IsType(t, &wire.Suspicions{}, <-entry.received)
+	control.keeper.Merge([]quarantine.Suspicion{newSuspicion("u1", 0)})
+	require.IsType(t, &wire.Suspicions{}, <-entry.received)
 	for {
-		m := <-agent.heard
+		m := <-agent.received
 		require.IsNotType(t, &wire.Suspicions{}, m)
 		if _, ok := m.(*wire.Hosts); ok {
 			break
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -14,23 +14,23 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// redial is how a host dials a control host anew: after a pause that is drawn from a span.
+// redialPolicy is how a host dials a control host anew: after a pause that is drawn from a span.
 // The span doubles from first to most with each dial that fails, so that hosts which were
 // all cut off or started at one moment do not come back at one moment.
-type redial struct {
-	first, most time.Duration
+type redialPolicy struct {
+	minSpan, maxSpan time.Duration
 }
 
 var (
-	// among is for control hosts, who are few and wait for each other to elect a leader.
-	among = redial{first: 50 * time.Millisecond, most: 200 * time.Millisecond}
-	// following is for all others.
-	following = redial{first: 100 * time.Millisecond, most: 800 * time.Millisecond}
+	// controlHostRedial is for control hosts, who are few and wait for each other to elect a leader.
+	controlHostRedial = redialPolicy{minSpan: 50 * time.Millisecond, maxSpan: 200 * time.Millisecond}
+	// followerRedial is for all others.
+	followerRedial = redialPolicy{minSpan: 100 * time.Millisecond, maxSpan: 800 * time.Millisecond}
 )
 
-// pause returns the next pause and span. Draw is in [0, 1).
-func (r redial) pause(span time.Duration, draw float64) (pause, next time.Duration) {
-	span = min(max(span, r.first), r.most)
+// nextDelay returns the next pause and span. Draw is in [0, 1).
+func (r redialPolicy) nextDelay(span time.Duration, draw float64) (pause, next time.Duration) {
+	span = min(max(span, r.minSpan), r.maxSpan)
 	return time.Duration(draw * float64(span)), 2 * span
 }
 
@@ -43,19 +43,19 @@
 	// mu guards the fields below.
 	mu       sync.Mutex
 	sessions map[consensus.ReplicaID]*peer.Session
-	// dividing holds the replicas to which a divided message is on its way.
-	dividing map[consensus.ReplicaID]bool
-	divided  uint64
-	parts    map[consensus.ReplicaID]*assembly
+	// sendingChunks holds the replicas to which a divided message is on its way.
+	sendingChunks map[consensus.ReplicaID]bool
+	lastMessage   uint64
+	assemblies    map[consensus.ReplicaID]*assembly
 }
 
 // NewTransport returns a Transport without sessions.
 func NewTransport(reg metrics.Registry) *Transport {
 	return &Transport{
-		dropped:  metrics.GetOrRegisterCounter("consensus.messages.dropped", reg),
-		sessions: make(map[consensus.ReplicaID]*peer.Session),
-		dividing: make(map[consensus.ReplicaID]bool),
-		parts:    make(map[consensus.ReplicaID]*assembly),
+		dropped:       metrics.GetOrRegisterCounter("consensus.messages.dropped", reg),
+		sessions:      make(map[consensus.ReplicaID]*peer.Session),
+		sendingChunks: make(map[consensus.ReplicaID]bool),
+		assemblies:    make(map[consensus.ReplicaID]*assembly),
 	}
 }
 
@@ -92,8 +92,8 @@
 		return
 	}
 	data, err := wire.Marshal(m)
-	if err == nil && len(data) > partBytes {
-		t.divide(s, to, data)
+	if err == nil && len(data) > chunkBytes {
+		t.sendChunked(s, to, data)
 		return
 	}
 	if err == nil {
@@ -127,7 +127,7 @@
 // KeepConnected holds a session with each control host of the book until ctx ends, for a
 // control host.
 func KeepConnected(ctx context.Context, pool *peer.Pool, book *AddressBook) {
-	keepDialled(ctx, book, func(address string) { keepSession(ctx, pool, address, among) })
+	keepConnected(ctx, book, func(address string) { keepSession(ctx, pool, address, controlHostRedial) })
 }
 
 // KeepFollowerConnected is KeepDialled for the other hosts, of which there are many. One that starts
@@ -138,10 +138,10 @@
 	for _, address := range first {
 		_, _ = pool.Get(ctx, address)
 	}
-	keepDialled(ctx, book, func(address string) { keepSession(ctx, pool, address, following) })
+	keepConnected(ctx, book, func(address string) { keepSession(ctx, pool, address, followerRedial) })
 }
 
-func keepDialled(ctx context.Context, book *AddressBook, keep func(address string)) {
+func keepConnected(ctx context.Context, book *AddressBook, keep func(address string)) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	dialled := make(map[string]bool)
@@ -163,7 +163,7 @@
 }
 
 // keepSession holds a session with the host at address until ctx ends.
-func keepSession(ctx context.Context, pool *peer.Pool, address string, again redial) {
+func keepSession(ctx context.Context, pool *peer.Pool, address string, again redialPolicy) {
 	var wait, span time.Duration
 	for ctx.Err() == nil {
 		if s, err := pool.Get(ctx, address); err == nil {
@@ -174,7 +174,7 @@
 			}
 			span = 0
 		}
-		wait, span = again.pause(span, rand.Float64())
+		wait, span = again.nextDelay(span, rand.Float64())
 		pause.For(ctx, wait)
 	}
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -9,8 +9,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// currencyInterval is how often watchers are told that this host is current.
-const currencyInterval = time.Second
+// confirmInterval is how often watchers are told that this host is current.
+const confirmInterval = time.Second
 
 // watchers passes documents on to the hosts that watch this one.
 type watchers struct {
@@ -19,48 +19,48 @@
 	// mu guards the fields below. Nothing is sent under it but by Session.Post,
 	// which does not wait.
 	mu sync.Mutex
-	// since holds the revision up to which each watcher has been sent everything.
-	since map[*peer.Session]uint64
+	// sentRevision holds the revision up to which each watcher has been sent everything.
+	sentRevision map[*peer.Session]uint64
 }
 
 func newWatchers(store *catalog.Store) *watchers {
-	return &watchers{store: store, since: make(map[*peer.Session]uint64)}
+	return &watchers{store: store, sentRevision: make(map[*peer.Session]uint64)}
 }
 
 func (w *watchers) add(s *peer.Session, m *wire.Watch) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.since[s] = m.Since
-	w.sendOne(s, false)
+	w.sentRevision[s] = m.Since
+	w.sendTo(s, false)
 }
 
-// any reports whether somebody watches.
-func (w *watchers) any() bool {
+// hasWatchers reports whether somebody watches.
+func (w *watchers) hasWatchers() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.since) > 0
+	return len(w.sentRevision) > 0
 }
 
-// send gives every watcher what it lacks. isCurrent tells that this host asked a
+// sendAll gives every watcher what it lacks. isCurrent tells that this host asked a
 // quorum since the last change that it knows.
-func (w *watchers) send(isCurrent bool) {
+func (w *watchers) sendAll(isCurrent bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for s := range w.since {
+	for s := range w.sentRevision {
 		if !s.Alive() {
-			delete(w.since, s)
+			delete(w.sentRevision, s)
 			continue
 		}
-		w.sendOne(s, isCurrent)
+		w.sendTo(s, isCurrent)
 	}
 }
 
-// sendOne posts the documents above the watcher's revision; the revision moves
+// sendTo posts the documents above the watcher's revision; the revision moves
 // only where the session took the message. The caller holds mu.
-func (w *watchers) sendOne(s *peer.Session, isCurrent bool) {
+func (w *watchers) sendTo(s *peer.Session, isCurrent bool) {
 	for isAll := false; !isAll; {
 		var c *wire.Changes
-		c, isAll = w.store.Since(w.since[s])
+		c, isAll = w.store.Since(w.sentRevision[s])
 		c.Linearizable = isCurrent && isAll
 		if len(c.Documents) == 0 && !c.Linearizable {
 			return
@@ -68,6 +68,6 @@
 		if s.Post(c) != nil {
 			return
 		}
-		w.since[s] = c.Revision
+		w.sentRevision[s] = c.Revision
 	}
 }
--- a/internal/directory/announcer.go
+++ b/internal/directory/announcer.go
@@ -14,8 +14,8 @@
 const (
 	// OwnersPerUpstream is how many owners an agent announces to.
 	OwnersPerUpstream = 2
-	// avoidSpan is how long an agent passes over an owner that did not answer.
-	avoidSpan       = 5 * time.Second
+	// avoidTime is how long an agent passes over an owner that did not answer.
+	avoidTime       = 5 * time.Second
 	announceTimeout = 700 * time.Millisecond
 )
 
@@ -37,26 +37,26 @@
 
 // Announcer tells the owners of an upstream about it.
 type Announcer struct {
-	cfg   AnnouncerConfig
-	now   chan struct{}
-	avoid map[string]time.Duration
-	seq   uint64
+	cfg        AnnouncerConfig
+	wake       chan struct{}
+	avoidUntil map[string]time.Duration
+	seq        uint64
 
-	heard atomic.Bool
+	isRegistered atomic.Bool
 }
 
 // NewAnnouncer returns an Announcer that Run starts.
 func NewAnnouncer(cfg AnnouncerConfig) *Announcer {
-	return &Announcer{cfg: cfg, now: make(chan struct{}, 1), avoid: make(map[string]time.Duration)}
+	return &Announcer{cfg: cfg, wake: make(chan struct{}, 1), avoidUntil: make(map[string]time.Duration)}
 }
 
 // IsRegistered reports whether an owner holds this start's record.
-func (a *Announcer) IsRegistered() bool { return a.heard.Load() }
+func (a *Announcer) IsRegistered() bool { return a.isRegistered.Load() }
 
 // AnnounceNow announces at once, without waiting for the interval.
 func (a *Announcer) AnnounceNow() {
 	select {
-	case a.now <- struct{}{}:
+	case a.wake <- struct{}{}:
 	default:
 	}
 }
@@ -66,18 +66,18 @@
 	ticker := time.NewTicker(a.cfg.Interval)
 	defer ticker.Stop()
 	for {
-		a.round(ctx)
+		a.announceToOwners(ctx)
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-a.now:
+		case <-a.wake:
 		}
 	}
 }
 
-// round announces to the first owners that answer.
-func (a *Announcer) round(ctx context.Context) {
+// announceToOwners announces to the first owners that answer.
+func (a *Announcer) announceToOwners(ctx context.Context) {
 	up, events := a.cfg.Record()
 	a.seq++
 	up.Seq = a.seq
@@ -88,7 +88,7 @@
 		owners = owners[len(batch):]
 		need -= a.announceAll(ctx, batch, up, events, OwnersPerUpstream-need)
 	}
-	if was := a.heard.Swap(need < OwnersPerUpstream); was != (need < OwnersPerUpstream) {
+	if was := a.isRegistered.Swap(need < OwnersPerUpstream); was != (need < OwnersPerUpstream) {
 		a.cfg.Log.Info("directory contact changed", "heard", !was)
 	}
 }
@@ -98,7 +98,7 @@
 	now := a.cfg.Now()
 	var good, bad []Host
 	for _, h := range Owners(a.cfg.Hosts, upstream) {
-		if until, ok := a.avoid[h.Name]; ok && now < until {
+		if until, ok := a.avoidUntil[h.Name]; ok && now < until {
 			bad = append(bad, h)
 			continue
 		}
@@ -128,10 +128,10 @@
 	for i, h := range hosts {
 		if ok[i] {
 			count++
-			delete(a.avoid, h.Name)
+			delete(a.avoidUntil, h.Name)
 			continue
 		}
-		a.avoid[h.Name] = a.cfg.Now() + avoidSpan
+		a.avoidUntil[h.Name] = a.cfg.Now() + avoidTime
 	}
 	return count
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -78,7 +78,7 @@
 	require.False(t, view.Entries()[0].Suspect)
 	view.OwnerDisconnected("b", 0)
 	require.True(t, view.Entries()[0].Suspect)
-	view.Expire(ownerGrace)
+	view.Expire(ownerRetention)
 	require.Len(t, view.Entries(), 1)
 }
 
--- a/internal/directory/service.go
+++ b/internal/directory/service.go
@@ -18,13 +18,13 @@
 	flushInterval  = 100 * time.Millisecond
 	noticeInterval = 10 * time.Second
 	retryDelay     = 500 * time.Millisecond
-	// dialGrace is how long a host waits for a session from the one whose turn it is
+	// incomingSessionWait is how long a host waits for a session from the one whose turn it is
 	// to dial, so that a pair does not end up with two.
-	dialGrace = time.Second
-	// leastLoadInterval and loadIntervalPerHost say how often an owner passes on load
+	incomingSessionWait = time.Second
+	// minLoadInterval and loadIntervalPerHost say how often an owner passes on load
 	// reports: the more hosts there are to tell, the less often, so that the cost a
 	// host stays the same.
-	leastLoadInterval   = time.Second
+	minLoadInterval     = time.Second
 	loadIntervalPerHost = 75 * time.Millisecond
 )
 
@@ -58,10 +58,10 @@
 	version     uint64
 	subscribers map[*peer.Session]bool
 
-	entries  atomic.Pointer[[]Entry]
-	sent     metrics.Counter
-	gaps     metrics.Counter
-	announce metrics.Counter
+	entries       atomic.Pointer[[]Entry]
+	sent          metrics.Counter
+	gaps          metrics.Counter
+	announcements metrics.Counter
 }
 
 // NewService returns a Service that Run starts.
@@ -70,13 +70,13 @@
 		cfg.Timeouts = DefaultTimeouts
 	}
 	d := &Service{
-		cfg:         cfg,
-		table:       NewTable(cfg.Timeouts),
-		view:        NewView(),
-		subscribers: make(map[*peer.Session]bool),
-		sent:        metrics.GetOrRegisterCounter("directory.deltas.sent", cfg.Metrics),
-		gaps:        metrics.GetOrRegisterCounter("directory.gaps", cfg.Metrics),
-		announce:    metrics.GetOrRegisterCounter("directory.announcements", cfg.Metrics),
+		cfg:           cfg,
+		table:         NewTable(cfg.Timeouts),
+		view:          NewView(),
+		subscribers:   make(map[*peer.Session]bool),
+		sent:          metrics.GetOrRegisterCounter("directory.deltas.sent", cfg.Metrics),
+		gaps:          metrics.GetOrRegisterCounter("directory.gaps", cfg.Metrics),
+		announcements: metrics.GetOrRegisterCounter("directory.announcements", cfg.Metrics),
 	}
 	d.entries.Store(&[]Entry{})
 	return d
@@ -95,7 +95,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			d.follow(ctx, h)
+			d.followOwner(ctx, h)
 		}()
 	}
 	d.flushLoop(ctx)
@@ -126,7 +126,7 @@
 }
 
 func (d *Service) loadInterval() time.Duration {
-	return max(leastLoadInterval, time.Duration(len(d.cfg.Hosts))*loadIntervalPerHost)
+	return max(minLoadInterval, time.Duration(len(d.cfg.Hosts))*loadIntervalPerHost)
 }
 
 func (d *Service) flush(now time.Duration, withLoads, withNotice bool) {
@@ -139,7 +139,7 @@
 		d.version++
 		delta.Incarnation, delta.Version = d.cfg.Incarnation, d.version
 		d.broadcast(delta)
-		d.applyOwn(delta, now)
+		d.applyLocal(delta, now)
 		isChanged = true
 	}
 	if withNotice {
@@ -150,17 +150,17 @@
 	}
 }
 
-// applyOwn merges what this host owns itself. The caller holds mu.
-func (d *Service) applyOwn(delta *wire.Delta, now time.Duration) {
+// applyLocal merges what this host owns itself. The caller holds mu.
+func (d *Service) applyLocal(delta *wire.Delta, now time.Duration) {
 	if !d.view.Apply(d.cfg.Self, delta, now) {
 		full := d.table.Full()
 		full.Incarnation, full.Version = d.cfg.Incarnation, d.version
 		d.view.Apply(d.cfg.Self, full, now)
 	}
-	d.passEvents(delta)
+	d.deliverEvents(delta)
 }
 
-func (d *Service) passEvents(delta *wire.Delta) {
+func (d *Service) deliverEvents(delta *wire.Delta) {
 	if d.cfg.OnEvents == nil {
 		return
 	}
@@ -201,7 +201,7 @@
 	case *wire.DigestNotice:
 		d.handleNotice(s, m)
 	case *wire.GroupQuery:
-		_ = s.Reply(call, d.group(m.Group))
+		_ = s.Reply(call, d.groupMembers(m.Group))
 	default:
 		return false
 	}
@@ -209,7 +209,7 @@
 }
 
 func (d *Service) handleAnnounce(s *peer.Session, call uint64, m *wire.Announce) {
-	d.announce.Inc(1)
+	d.announcements.Inc(1)
 	now := d.cfg.Now()
 	d.mu.Lock()
 	urgent := d.table.Announce(m, now)
@@ -231,8 +231,8 @@
 	}
 }
 
-// group returns the hosts of a group, suspect ones too: none may be left out.
-func (d *Service) group(name string) *wire.GroupAnswer {
+// groupMembers returns the hosts of a group, suspect ones too: none may be left out.
+func (d *Service) groupMembers(name string) *wire.GroupAnswer {
 	a := &wire.GroupAnswer{}
 	for _, e := range d.Entries() {
 		if u := e.Upstream; u.Group == name && u.Ranks > 0 {
@@ -249,7 +249,7 @@
 		d.resubscribe(s)
 		return
 	}
-	d.passEvents(m)
+	d.deliverEvents(m)
 	d.publish()
 }
 
@@ -266,10 +266,10 @@
 	_ = s.Post(&wire.Subscribe{})
 }
 
-// follow subscribes to one owner, again after each loss, until ctx ends.
-func (d *Service) follow(ctx context.Context, h Host) {
+// followOwner subscribes to one owner, again after each loss, until ctx ends.
+func (d *Service) followOwner(ctx context.Context, h Host) {
 	if d.cfg.Self > h.Name {
-		d.awaitDial(ctx, h)
+		d.awaitIncomingSession(ctx, h)
 	}
 	for ctx.Err() == nil {
 		s, err := d.cfg.Pool.Get(ctx, h.Address)
@@ -283,20 +283,20 @@
 		select {
 		case <-ctx.Done():
 		case <-s.Done():
-			d.lost(h.Name)
+			d.ownerDisconnected(h.Name)
 		}
 	}
 }
 
-// awaitDial waits for a session that the other host opens.
-func (d *Service) awaitDial(ctx context.Context, h Host) {
-	deadline := d.cfg.Now() + dialGrace
+// awaitIncomingSession waits for a session that the other host opens.
+func (d *Service) awaitIncomingSession(ctx context.Context, h Host) {
+	deadline := d.cfg.Now() + incomingSessionWait
 	for ctx.Err() == nil && d.cfg.Now() < deadline && d.cfg.Pool.Live(h.Address) == nil {
 		pause.For(ctx, flushInterval)
 	}
 }
 
-func (d *Service) lost(name string) {
+func (d *Service) ownerDisconnected(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.view.OwnerDisconnected(name, d.cfg.Now())
--- a/internal/directory/service_test.go
+++ b/internal/directory/service_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	testSecret = "a secret of the processes"
-	testWait   = 20 * time.Second
+	testSecret       = "a secret of the processes"
+	conditionTimeout = 20 * time.Second
 )
 
 var start = time.Now()
@@ -115,7 +115,7 @@
 	state.Store(uint32(wire.UpstreamReady))
 	a := startAnnouncer(t, hosts, "w", &state, 1)
 	ready := func(e Entry) bool { return e.Upstream.State == wire.UpstreamReady && !e.Suspect }
-	require.Eventually(t, allSee(entries, ready), testWait, 5*time.Millisecond)
+	require.Eventually(t, allSee(entries, ready), conditionTimeout, 5*time.Millisecond)
 
 	var rest []*entryHost
 	owners := Owners(hosts, "w")
@@ -126,12 +126,12 @@
 		}
 		rest = append(rest, entries[i])
 	}
-	require.Eventually(t, allSee(rest, ready), testWait, 5*time.Millisecond, "the next owners take over")
+	require.Eventually(t, allSee(rest, ready), conditionTimeout, 5*time.Millisecond, "the next owners take over")
 
 	state.Store(uint32(wire.UpstreamLeaving))
 	a.AnnounceNow()
 	leaving := func(e Entry) bool { return e.Upstream.State == wire.UpstreamLeaving }
-	require.Eventually(t, allSee(rest, leaving), testWait, 5*time.Millisecond)
+	require.Eventually(t, allSee(rest, leaving), conditionTimeout, 5*time.Millisecond)
 }
 
 func TestRestartedAgentTakesAHigherIncarnation(t *testing.T) {
@@ -139,11 +139,11 @@
 	var state atomic.Uint32
 	state.Store(uint32(wire.UpstreamLeaving))
 	startAnnouncer(t, hosts, "w", &state, 50)
-	require.Eventually(t, allSee(entries, func(e Entry) bool { return e.Upstream.Incarnation == 50 }), testWait, 5*time.Millisecond)
+	require.Eventually(t, allSee(entries, func(e Entry) bool { return e.Upstream.Incarnation == 50 }), conditionTimeout, 5*time.Millisecond)
 	var restarted atomic.Uint32
 	restarted.Store(uint32(wire.UpstreamReady))
 	startAnnouncer(t, hosts, "w", &restarted, 7) // its clock was set back
 	require.Eventually(t, allSee(entries, func(e Entry) bool {
 		return e.Upstream.Incarnation > 50 && e.Upstream.State == wire.UpstreamReady
-	}), testWait, 5*time.Millisecond)
+	}), conditionTimeout, 5*time.Millisecond)
 }
--- a/internal/directory/table.go
+++ b/internal/directory/table.go
@@ -33,22 +33,22 @@
 }
 
 type pending struct {
-	upserts map[string]bool
-	loads   map[string]bool
-	events  map[string][]wire.CacheEvent
-	silent  map[string]bool
-	heard   map[string]bool
-	gone    map[string]bool
+	upserts   map[string]bool
+	loads     map[string]bool
+	events    map[string][]wire.CacheEvent
+	silent    map[string]bool
+	heard     map[string]bool
+	forgotten map[string]bool
 }
 
 func newPending() pending {
 	return pending{
-		upserts: make(map[string]bool),
-		loads:   make(map[string]bool),
-		events:  make(map[string][]wire.CacheEvent),
-		silent:  make(map[string]bool),
-		heard:   make(map[string]bool),
-		gone:    make(map[string]bool),
+		upserts:   make(map[string]bool),
+		loads:     make(map[string]bool),
+		events:    make(map[string][]wire.CacheEvent),
+		silent:    make(map[string]bool),
+		heard:     make(map[string]bool),
+		forgotten: make(map[string]bool),
 	}
 }
 
@@ -78,7 +78,7 @@
 	if len(a.Events) > 0 {
 		t.pending.events[name] = append(t.pending.events[name], a.Events...)
 	}
-	if old == nil || !sameButLoad(old.upstream, a.Upstream) {
+	if old == nil || !equalExceptLoad(old.upstream, a.Upstream) {
 		t.pending.upserts[name] = true
 		return a.Upstream.State == wire.UpstreamLeaving
 	}
@@ -92,8 +92,8 @@
 	return false
 }
 
-// sameButLoad reports whether two records differ at most in load and sequence.
-func sameButLoad(a, b wire.Upstream) bool {
+// equalExceptLoad reports whether two records differ at most in load and sequence.
+func equalExceptLoad(a, b wire.Upstream) bool {
 	a.Seq, a.Load = b.Seq, b.Load
 	return a == b
 }
@@ -104,7 +104,7 @@
 		quiet := now - r.heard
 		if quiet >= t.spans.ForgetTimeout {
 			delete(t.records, name)
-			t.pending.gone[name] = true
+			t.pending.forgotten[name] = true
 			continue
 		}
 		if quiet >= t.spans.SilenceTimeout && !r.silent {
@@ -147,7 +147,7 @@
 			d.Upserts = append(d.Upserts, r.upstream)
 		}
 	}
-	for name := range t.pending.gone {
+	for name := range t.pending.forgotten {
 		if t.records[name] == nil {
 			d.Forgotten = append(d.Forgotten, name)
 		}
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -8,8 +8,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// ownerGrace is how long a View keeps the word of an owner that it lost.
-const ownerGrace = 10 * time.Second
+// ownerRetention is how long a View keeps the word of an owner that it lost.
+const ownerRetention = 10 * time.Second
 
 // Entry is one upstream as an entry host sees it.
 type Entry struct {
@@ -20,15 +20,15 @@
 	LoadAt time.Duration
 }
 
-// word is what one owner says of one upstream.
-type word struct {
+// ownerRecord is what one owner says of one upstream.
+type ownerRecord struct {
 	upstream wire.Upstream
 	silent   bool
 	loadAt   time.Duration
 }
 
 type owner struct {
-	words map[string]*word
+	records map[string]*ownerRecord
 	// incarnation and version place the owner's last delta.
 	incarnation uint64
 	version     uint64
@@ -49,7 +49,7 @@
 func (v *View) Apply(from string, d *wire.Delta, now time.Duration) bool {
 	o := v.owners[from]
 	if d.Full {
-		o = &owner{words: make(map[string]*word), incarnation: d.Incarnation}
+		o = &owner{records: make(map[string]*ownerRecord), incarnation: d.Incarnation}
 		v.owners[from] = o
 	} else if o == nil || o.incarnation != d.Incarnation || o.version+1 != d.Version {
 		return false
@@ -68,27 +68,27 @@
 
 func (o *owner) merge(d *wire.Delta, now time.Duration) {
 	for _, u := range d.Upserts {
-		o.words[u.Name] = &word{upstream: u, loadAt: now}
+		o.records[u.Name] = &ownerRecord{upstream: u, loadAt: now}
 	}
 	for _, l := range d.Loads {
-		if w := o.words[l.Name]; w != nil {
+		if w := o.records[l.Name]; w != nil {
 			w.upstream.Load = l.Load
 			w.loadAt = now
 			w.silent = false
 		}
 	}
 	for _, name := range d.Silent {
-		if w := o.words[name]; w != nil {
+		if w := o.records[name]; w != nil {
 			w.silent = true
 		}
 	}
 	for _, name := range d.Heard {
-		if w := o.words[name]; w != nil {
+		if w := o.records[name]; w != nil {
 			w.silent = false
 		}
 	}
 	for _, name := range d.Forgotten {
-		delete(o.words, name)
+		delete(o.records, name)
 	}
 }
 
@@ -105,7 +105,7 @@
 func (v *View) Expire(now time.Duration) bool {
 	before := len(v.owners)
 	for name, o := range v.owners {
-		if !o.connected && now-o.lostAt >= ownerGrace {
+		if !o.connected && now-o.lostAt >= ownerRetention {
 			delete(v.owners, name)
 		}
 	}
@@ -118,9 +118,9 @@
 	merged := make(map[string]*Entry)
 	heard := make(map[string]bool)
 	for _, o := range v.owners {
-		for name, w := range o.words {
+		for name, w := range o.records {
 			heard[name] = heard[name] || (o.connected && !w.silent)
-			mergeWord(merged, name, w)
+			mergeRecord(merged, name, w)
 		}
 	}
 	out := make([]Entry, 0, len(merged))
@@ -132,7 +132,7 @@
 	return out
 }
 
-func mergeWord(merged map[string]*Entry, name string, w *word) {
+func mergeRecord(merged map[string]*Entry, name string, w *ownerRecord) {
 	e := merged[name]
 	if e == nil {
 		merged[name] = &Entry{Upstream: w.upstream, LoadAt: w.loadAt}
