--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -25,21 +25,21 @@
 )
 
 const (
-	// notHeardTimeout is how long a host may be silent before status names it.
+	// notHeardTimeout is the age of the last report from which on the status of a document
+	// lists a host as not heard.
 	notHeardTimeout = 15 * time.Second
 	clusterIDBytes  = 16
 )
 
-// API serves the administration API on a control host: it implements
-// adminapi.Commands and adminapi.Queries.
+// API implements adminapi.Commands and adminapi.Queries on a control host.
 type API struct{ h *Host }
 
-// API returns the commands and queries of the host.
+// API returns the host's implementation of the administration API.
 func (h *Host) API() API { return API{h} }
 
-// Submit implements adminapi.Commands. What a document claims that belongs to
-// another one is refused here; where two such submissions race, catalog.Index
-// decides the same way on every host.
+// Submit implements adminapi.Commands. It rejects a document that uses a token or a pool
+// of another document. If two such submissions are accepted at the same time,
+// catalog.Index decides between them, in the same way on every host.
 func (a API) Submit(ctx context.Context, req adminapi.SubmitRequest) (adminapi.SubmitResult, error) {
 	if err := a.checkOtherDocuments(ctx, req); err != nil {
 		return adminapi.SubmitResult{}, err
@@ -66,9 +66,9 @@
 	return adminapi.SubmitResult{Revision: r.Revision, Repeated: r.Repeated}, nil
 }
 
-// checkOtherDocuments refuses a text that clashes with other documents. A change that came
-// to an outcome before passes: its resend gets that outcome, whatever was accepted
-// since then.
+// checkOtherDocuments rejects a text that conflicts with other documents. It accepts a
+// change whose outcome is already recorded: a resent change must get the recorded outcome,
+// whatever documents were accepted since.
 func (a API) checkOtherDocuments(ctx context.Context, req adminapi.SubmitRequest) error {
 	all, err := a.h.queries.Documents(ctx)
 	if err != nil {
@@ -93,9 +93,9 @@
 	return document.CheckTogether(append(docs, submitted))
 }
 
-// Init implements adminapi.Commands. It is refused unless every control host of the
-// settings answers and none knows a cluster: a host that lost its disk must not
-// begin a second one beside the first.
+// Init implements adminapi.Commands. It fails unless every control host in the settings
+// answers and none belongs to a cluster. Otherwise a host that lost its disk could start a
+// second cluster.
 func (a API) Init(ctx context.Context, req adminapi.InitRequest) (adminapi.Cluster, error) {
 	if err := a.requireNoCluster(ctx); err != nil {
 		return adminapi.Cluster{}, err
@@ -129,6 +129,8 @@
 	return hex.EncodeToString(b[:]), nil
 }
 
+// requireNoCluster returns an error if this host or one of its peers belongs to a cluster,
+// or if a peer does not answer.
 func (a API) requireNoCluster(ctx context.Context) error {
 	if a.h.tables.Cluster().ID != "" {
 		return verdict.New(verdict.NotRun, verdict.CodeConflict, "this host belongs to a cluster")
@@ -204,7 +206,8 @@
 	return out, nil
 }
 
-// Status implements adminapi.Queries. It gathers what all control hosts have heard.
+// Status implements adminapi.Queries. It merges the reports that all reachable control
+// hosts have received.
 func (a API) Status(ctx context.Context, name string) (adminapi.Status, error) {
 	d, err := a.h.queries.Document(ctx, name)
 	if err != nil {
@@ -219,6 +222,8 @@
 	return status(d, mergeReports(lists...)), nil
 }
 
+// status returns which hosts serve the current revision of a document, in total and by data
+// centre.
 func status(d state.Document, hosts map[string]wire.HostInForce) adminapi.Status {
 	s := adminapi.Status{Name: d.Name, Revision: d.Revision}
 	centres := make(map[string]adminapi.DataCentreStatus)
@@ -270,6 +275,7 @@
 	return out, nil
 }
 
+// toChange converts a record of the audit trail to its form in the API.
 func toChange(r state.AuditRecord) adminapi.Change {
 	c := adminapi.Change{
 		Index:   r.Index,
@@ -289,8 +295,8 @@
 	return c
 }
 
-// Cluster implements adminapi.Queries. It answers from what this host knows, also
-// without a quorum.
+// Cluster implements adminapi.Queries. It returns the local view of this host, which is
+// available without a quorum too.
 func (a API) Cluster(ctx context.Context) (adminapi.Cluster, error) {
 	st := a.h.replica.Status()
 	_, readErr := reader(a).Read(ctx)
@@ -310,12 +316,13 @@
 	return c, nil
 }
 
-// Quarantine implements adminapi.Queries.
+// Quarantine implements adminapi.Queries. It lists the requests that are suspected of
+// crashing upstreams.
 func (a API) Quarantine(context.Context) ([]quarantine.Entry, error) {
 	return a.h.Quarantine().List(), nil
 }
 
-// Release implements adminapi.Commands.
+// Release implements adminapi.Commands. It removes a request from quarantine.
 func (a API) Release(_ context.Context, req adminapi.ReleaseRequest) (bool, error) {
 	isReleased := a.h.Quarantine().Release(req.Fingerprint)
 	a.h.cfg.Log.Warn("request released by an operator", "fingerprint", req.Fingerprint.String(), "author", req.Author, "was_held", isReleased)
--- a/internal/control/applied_test.go
+++ b/internal/control/applied_test.go
@@ -14,11 +14,11 @@
 	"github.com/sassafraspost/sassafraspost/internal/peer"
 )
 
-// conditionTimeout bounds the wait for any condition; it only ends a test that has failed.
+// conditionTimeout bounds the wait for any condition. It is reached only in tests that fail.
 const conditionTimeout = 10 * time.Second
 
-// openSingleHost opens the only control host of a cluster on a data folder, without its
-// background work: no entry comes that the test does not ask for.
+// openSingleHost opens the only control host of a cluster on a data folder. Run is not called,
+// so the log gets no entries but those of the test and of elections.
 func openSingleHost(t *testing.T, dir string) (*Host, func()) {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -36,9 +36,9 @@
 	}
 }
 
-// After an election the newest entry is the leader's empty one, which changes no table. A
-// read at its index has to be answered without waiting for another entry.
-func TestReadAfterAnElectionNeedsNoOtherEntry(t *testing.T) {
+// The last log entry after an election is the leader's empty one, which does not change the
+// state machine. A read at its index must return without waiting for an entry that does.
+func TestReadAfterElectionNeedsNoFurtherEntry(t *testing.T) {
 	dir := t.TempDir()
 	h, closeHost := openSingleHost(t, dir)
 	ctx, cancel := context.WithTimeout(context.Background(), conditionTimeout)
--- a/internal/control/book.go
+++ b/internal/control/book.go
@@ -5,22 +5,22 @@
 	"sync"
 )
 
-// AddressBook holds the peer addresses of control hosts. It grows as hosts are heard of, so
-// that hosts which replace others are found.
+// AddressBook holds the peer addresses of control hosts. Addresses received from other hosts
+// are added to it, so that hosts that replace others are found.
 type AddressBook struct {
 	// mu guards the fields below.
 	mu   sync.Mutex
 	list []string
-	// grown is closed and replaced when an address comes.
+	// grown is closed and replaced when an address is added.
 	grown chan struct{}
 }
 
-// NewAddressBook returns a Book with these addresses.
+// NewAddressBook returns an AddressBook with these addresses.
 func NewAddressBook(addresses ...string) *AddressBook {
 	return &AddressBook{list: slices.Clone(addresses), grown: make(chan struct{})}
 }
 
-// Add takes in addresses and reports whether one of them is new.
+// Add adds addresses and reports whether any of them is new.
 func (b *AddressBook) Add(addresses ...string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -45,13 +45,13 @@
 	return slices.Clone(b.list)
 }
 
-// Changed returns a channel that is closed when the next address comes. Call it before
-// List, so that none is missed.
+// Changed returns a channel that is closed when the next address is added. Call it before
+// List, so that no address is missed.
 func (b *AddressBook) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.grown
 }
 
-// AddressBook returns the addresses of the other control hosts that this host knows.
+// AddressBook returns the addresses of the other control hosts.
 func (h *Host) AddressBook() *AddressBook { return h.addressBook }
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -15,35 +15,38 @@
 )
 
 const (
-	// clientTimeout bounds one question to the leader, elections included.
+	// clientTimeout bounds one call to the leader, including elections.
 	clientTimeout = 3 * time.Second
-	// attemptTimeout bounds the wait for one control host, so that a frozen one is
-	// passed over.
+	// attemptTimeout bounds the wait for one control host, so that a client goes on to the
+	// next one if a host hangs.
 	attemptTimeout = 800 * time.Millisecond
 	retryDelay     = 25 * time.Millisecond
-	// leaderSearchTime is how long a client looks for a leader before it gives up.
+	// leaderSearchTime is how long a client looks for a leader before it gives up. It covers a
+	// leadership transfer but not an election.
 	leaderSearchTime = 300 * time.Millisecond
-	// noLeaderRetryAfter is what a refused caller is told to wait: an election's time.
+	// noLeaderRetryAfter is the Retry-After of calls that failed for lack of a leader: the
+	// duration of an election.
 	noLeaderRetryAfter = 2 * time.Second
 )
 
-// resendPolicy tells whether a message may go out again after it may have been taken.
+// resendPolicy tells whether a message may be sent again after a host may have processed
+// it.
 type resendPolicy bool
 
 const (
-	// mayResend is for messages that have one effect however often they are taken.
+	// mayResend is for idempotent messages.
 	mayResend resendPolicy = true
-	// sendOnce is for claims: one that is granted twice could be given back by the
-	// host that took it first, while the attempt runs by the second grant.
+	// sendOnce is for claims. If a claim were granted twice, the host that received it
+	// first could give it back while the call already runs under the second grant.
 	sendOnce resendPolicy = false
 )
 
-// Client asks the leader of the control hosts, wherever it is.
+// Client finds the leader among the control hosts and sends calls to it.
 type Client struct {
 	pool        *peer.Pool
 	addressBook *AddressBook
 
-	// mu guards leader and next.
+	// mu guards leader and nextIndex.
 	mu        sync.Mutex
 	leader    string
 	nextIndex int
@@ -54,12 +57,12 @@
 	return NewClientWithAddressBook(pool, NewAddressBook(addresses...))
 }
 
-// NewClientWithAddressBook returns a Client of the control hosts in the book.
-func NewClientWithAddressBook(pool *peer.Pool, book *AddressBook) *Client {
-	return &Client{pool: pool, addressBook: book}
+// NewClientWithAddressBook returns a Client of the control hosts in the address book.
+func NewClientWithAddressBook(pool *peer.Pool, addressBook *AddressBook) *Client {
+	return &Client{pool: pool, addressBook: addressBook}
 }
 
-// Claim asks for the right to dispatch a non-idempotent call.
+// Claim requests the right to dispatch a non-idempotent call.
 func (c *Client) Claim(ctx context.Context, m *wire.ClaimRequest) (*wire.ClaimReply, error) {
 	return ask[*wire.ClaimReply](ctx, c, m, sendOnce)
 }
@@ -70,7 +73,7 @@
 	return err
 }
 
-// Ask pulls the order to an engine.
+// Ask returns the current order to an upstream: what its engine must serve.
 func (c *Client) Ask(ctx context.Context, m *wire.OrderQuery) (*wire.OrderAnswer, error) {
 	return ask[*wire.OrderAnswer](ctx, c, m, mayResend)
 }
@@ -81,7 +84,7 @@
 	return err
 }
 
-// Read asks for the log index that a linearizable read has to see.
+// Read returns the log index that must be applied before a linearizable read.
 func (c *Client) Read(ctx context.Context) (uint64, error) {
 	a, err := ask[*wire.ReadAnswer](ctx, c, &wire.ReadQuery{}, mayResend)
 	if err != nil {
@@ -90,41 +93,41 @@
 	return a.Index, nil
 }
 
-// Propose hands an encoded command to the leader. The command must have one effect
-// however often it is applied.
+// Propose sends an encoded command to the leader. The command must be idempotent.
 func (c *Client) Propose(ctx context.Context, m *wire.Propose) (*wire.Proposed, error) {
 	return ask[*wire.Proposed](ctx, c, m, mayResend)
 }
 
-func ask[R wire.Message](ctx context.Context, c *Client, m wire.Message, again resendPolicy) (R, error) {
-	var none R
-	reply, err := c.call(ctx, m, again)
+// ask sends m and returns the reply, which must be of type R.
+func ask[R wire.Message](ctx context.Context, c *Client, m wire.Message, policy resendPolicy) (R, error) {
+	var zero R
+	reply, err := c.call(ctx, m, policy)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	r, ok := reply.(R)
 	if !ok {
-		return none, errors.Errorf("control: reply of kind %d", reply.Kind())
+		return zero, errors.Errorf("control: reply of kind %d", reply.Kind())
 	}
 	return r, nil
 }
 
-// call tries the leader, then the others, until one answers with something else
-// than that it does not lead. It gives up once every host was asked and handOver has
-// passed without a leader: long enough for a leadership that is handed over, too
-// short for an election, whose length the caller is told to come back after.
-func (c *Client) call(ctx context.Context, m wire.Message, again resendPolicy) (wire.Message, error) {
+// call sends m to the leader, and to the other control hosts in turn until it finds the
+// leader. It gives up once every host was asked and leaderSearchTime has passed without a
+// leader. This time covers a leadership transfer but not an election; the error tells the
+// caller to retry after the duration of an election.
+func (c *Client) call(ctx context.Context, m wire.Message, policy resendPolicy) (wire.Message, error) {
 	known := len(c.addressBook.List())
 	if known == 0 {
-		// A lone control host that does not lead has nobody to ask.
+		// A single control host that does not lead has no other host to ask.
 		return nil, noLeaderError(false, nil)
 	}
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
 	started := time.Now()
-	maySent := false
+	mayHaveSent := false
 	var last error
-	for leaderless := 0; ctx.Err() == nil; {
+	for attemptsWithoutLeader := 0; ctx.Err() == nil; {
 		address := c.target()
 		reply, sent, err := c.callHost(ctx, address, m)
 		if err == nil {
@@ -138,36 +141,40 @@
 		case isFailure && !shouldAskAnotherHost(err):
 			return nil, err
 		default:
-			leaderless++
-			maySent = maySent || (sent && !isFailure)
+			attemptsWithoutLeader++
+			mayHaveSent = mayHaveSent || (sent && !isFailure)
 			c.skipHost(address)
 		}
-		if maySent && again == sendOnce {
+		if mayHaveSent && policy == sendOnce {
 			break
 		}
-		if leaderless >= known && time.Since(started) > leaderSearchTime {
+		if attemptsWithoutLeader >= known && time.Since(started) > leaderSearchTime {
 			break
 		}
 		pause.For(ctx, retryDelay)
 	}
-	return nil, noLeaderError(maySent, last)
+	return nil, noLeaderError(mayHaveSent, last)
 }
 
-// shouldAskAnotherHost reports whether a host refused since it does not lead or is leaving.
+// shouldAskAnotherHost reports whether a host rejected a call because it does not lead or
+// is shutting down.
 func shouldAskAnotherHost(err error) bool {
 	e := verdict.Of(err)
 	return e.Verdict == verdict.NotRun && (e.Code == verdict.CodeNoQuorum || e.Code == verdict.CodeLeaving)
 }
 
-func noLeaderError(maySent bool, cause error) error {
+// noLeaderError returns the error of a call that reached no leader. mayHaveSent tells
+// whether a host may have processed the message nevertheless.
+func noLeaderError(mayHaveSent bool, cause error) error {
 	e := verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no leader among the control hosts")
-	if maySent {
+	if mayHaveSent {
 		e = verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, "control hosts did not answer")
 	}
 	e.Cause = cause
 	return e.After(noLeaderRetryAfter)
 }
 
+// callHost calls one host. The second result tells whether the message may have been sent.
 func (c *Client) callHost(ctx context.Context, address string, m wire.Message) (wire.Message, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -178,6 +185,7 @@
 	return s.Call(ctx, m)
 }
 
+// target returns the address of the leader, or of the next host to try if none is known.
 func (c *Client) target() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,8 +196,8 @@
 	return list[c.nextIndex%len(list)]
 }
 
-// isKnown reports whether a hint is an address of the book; others are not
-// followed.
+// isKnown reports whether the address book contains a leader's address that a host
+// returned. Other addresses are ignored.
 func (c *Client) isKnown(address string) bool { return slices.Contains(c.addressBook.List(), address) }
 
 func (c *Client) setLeader(address string) {
@@ -198,7 +206,7 @@
 	c.leader = address
 }
 
-// skipHost goes on from a host that does not lead or answer.
+// skipHost chooses the next host to try, after a host that does not lead or answer.
 func (c *Client) skipHost(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -9,13 +9,13 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// PutConfiguration offers a configuration and returns the number in force once that is
-// committed. A number that is not higher changes nothing. Errors are *verdict.Error;
-// the change may have been made unless it says NotRun.
+// PutConfiguration proposes a configuration and returns the number of the current one after
+// the commit. A configuration whose number is not higher than the current one's is ignored.
+// Errors are *verdict.Error; unless the verdict is NotRun, the change may have been made.
 func (h *Host) PutConfiguration(ctx context.Context, number uint64, data []byte, author string) (uint64, error) {
-	if held := h.tables.Configuration().Number; number <= held {
-		// What the tables hold is committed, and numbers never fall.
-		return held, nil
+	if current := h.tables.Configuration().Number; number <= current {
+		// The state machine holds committed configurations only, and numbers never decrease.
+		return current, nil
 	}
 	command, err := state.Encode(state.PutConfiguration{
 		Number: number, Data: data, Author: author, At: time.Now().UnixMilli(),
@@ -34,8 +34,8 @@
 	return r.Number, nil
 }
 
-// Configuration returns the newest configuration that was accepted anywhere before the
-// call, as a quorum confirms. It has the number zero where there is none.
+// Configuration is a linearizable read of the current configuration. Its number is zero if
+// there is none.
 func (h *Host) Configuration(ctx context.Context) (state.Configuration, error) {
 	if _, err := (reader{h}).Read(ctx); err != nil {
 		return state.Configuration{}, err
@@ -44,16 +44,16 @@
 }
 
 func (h *Host) handleConfigurationQuery(ctx context.Context, m *wire.ConfigurationQuery) (wire.Message, error) {
-	held := h.tables.Configuration()
+	current := h.tables.Configuration()
 	if m.Linearizable {
 		var err error
-		if held, err = h.Configuration(ctx); err != nil {
+		if current, err = h.Configuration(ctx); err != nil {
 			return nil, err
 		}
 	}
-	answer := &wire.ConfigurationAnswer{Number: held.Number}
-	if held.Number > m.Above {
-		answer.Data = held.Data
+	answer := &wire.ConfigurationAnswer{Number: current.Number}
+	if current.Number > m.Above {
+		answer.Data = current.Data
 	}
 	return answer, nil
 }
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -14,57 +14,60 @@
 )
 
 const (
-	// attachPeriod is how long after its start a control host tells leaving upstreams to
-	// announce themselves elsewhere: until then hosts may not be attached to it again
-	// which have to know. It covers a dial that fails once (peer.Config.DialTimeout) and the
-	// pause after it.
+	// attachPeriod is the time after its start in which a control host tells upstreams that
+	// are shutting down to announce themselves to another control host: not all hosts that
+	// must be notified are attached yet. The period covers one failed dial
+	// (peer.Config.DialTimeout) and the delay after it.
 	attachPeriod = 1500 * time.Millisecond
-	// notifyTimeout is how long a leaving upstream's acknowledgement waits for the
-	// attached hosts. Upstreams give an acknowledgement a second.
+	// notifyTimeout bounds the wait for the attached hosts before the announcement of an
+	// upstream that shuts down is acknowledged. Upstreams wait one second for the
+	// acknowledgement.
 	notifyTimeout = 600 * time.Millisecond
-	// quietTimeout is how long an attached host may have been silent to be waited for.
-	// Attached hosts probe their sessions several times in that span.
+	// quietTimeout is the silence after which an attached host is not waited for any more.
+	// Attached hosts probe their sessions several times within this timeout.
 	quietTimeout = 2 * time.Second
-	// loadInterval is how often the loads of engines are passed on: well below the time
-	// in which a request at an engine ends.
+	// loadInterval is how often engine loads are forwarded to entry hosts: much more often
+	// than a request takes at an engine.
 	loadInterval = 100 * time.Millisecond
-	// tickInterval is how often silence is judged.
+	// tickInterval is how often the fleet checks for silent upstreams and hosts.
 	tickInterval = time.Second
 )
 
-// Entry hosts attach as roleEntry, or as roleCallers where they want Suspicions only.
+// Roles with which hosts attach. Entry hosts use roleEntry, or roleCallers if they want
+// suspicions only.
 const (
 	roleEntry   = "entry"
 	roleCallers = "callers"
 )
 
-// fleet is what a control host knows of upstreams, and the hosts that it tells.
+// fleet tracks the upstreams and forwards changes to the hosts that have attached to this
+// control host.
 type fleet struct {
 	h       *Host
 	started time.Time
-	// saveRequested tells that the list of upstreams, or what the quarantine knows, has changed
-	// since it was saved.
+	// saveRequested holds a value if the list of upstreams or the suspicions have changed
+	// since they were saved.
 	saveRequested chan struct{}
-	// quarantine is what is known of requests under which upstreams ended. It has its own
-	// lock, under which it calls nobody.
+	// quarantine keeps the suspicions: which requests ran on upstreams that crashed. It has
+	// its own lock, which it does not hold when it calls functions of the fleet.
 	quarantine *quarantine.Keeper
 
-	// mu guards the fields below. Under it messages are only queued, which does not
-	// wait.
+	// mu guards the fields below. While it is held, messages are only queued, which does not
+	// block.
 	mu       sync.Mutex
 	registry *registry.Registry
-	// attached holds the role of each host that wants to be told.
+	// attached holds the role of each host that has attached.
 	attached map[*peer.Session]string
-	// engines are those whose loads come; newcomers are entry hosts that lack the records of
-	// them.
+	// engines holds the loads of engines. needAllLoads are the entry hosts that lack some of
+	// their records.
 	engines      engineload.Table
 	needAllLoads map[*peer.Session]bool
-	// isLoadTimerSet is set while a timer runs that passes loads on.
+	// isLoadTimerSet tells that a timer runs that calls sendLoads.
 	isLoadTimerSet bool
-	// upstreamList is the whole list of upstreams, encoded for those that attach; nil when it has
-	// changed.
+	// upstreamList is the encoded list of all upstreams for hosts that attach; nil if the
+	// list has changed since it was encoded.
 	upstreamList *peer.Prepared
-	// pendingSuspicions are the suspicions that wait to be passed on.
+	// pendingSuspicions are the suspicions that sendSuspicions will send.
 	pendingSuspicions []quarantine.Suspicion
 }
 
@@ -81,13 +84,14 @@
 	return f
 }
 
-// attach begins to tell a host, with all that is known so far.
+// attach registers a host for changes and sends it the present state.
 func (f *fleet) attach(s *peer.Session, m *wire.Attach) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.attached[s] = m.Role
 	if m.Role == roleEntry || m.Role == roleCallers {
-		// Before the configuration, without which a host that has started does not serve.
+		// Sent before the configuration, so that a restarted host has the suspicions before it
+		// serves requests.
 		_ = s.Post(&wire.Suspicions{All: f.quarantine.All()})
 	}
 	if m.Role == roleCallers {
@@ -98,8 +102,8 @@
 	}
 	_ = s.PostPrepared(f.upstreamList)
 	_ = s.Post(&wire.ConfigurationNotice{Number: f.h.tables.Configuration().Number})
-	// The others hear of the new number with the next tick: told at once of each host that
-	// comes, hosts that start together would be told as often as there are hosts, each.
+	// The other hosts get the new number of hosts with the next tick. If they got it at
+	// once, n hosts that start together would cause n messages to each of them.
 	_ = s.Post(f.hostsMessage())
 	if m.Role == roleEntry {
 		f.needAllLoads[s] = true
@@ -107,7 +111,8 @@
 	}
 }
 
-// broadcast sends a message to all attached hosts. The caller holds mu.
+// broadcast sends a message to all attached hosts but those that want suspicions only.
+// The caller holds mu.
 func (f *fleet) broadcast(m wire.Message) {
 	p, err := peer.Prepare(m)
 	if err != nil {
@@ -122,15 +127,16 @@
 		if role == roleCallers {
 			continue
 		}
-		// What a full queue refuses is made up for when the session has ended and the
-		// host attaches anew.
+		// If the queue is full, the message is lost. The session is closed, so that the host
+		// reconnects and gets the whole state.
 		if s.PostPrepared(p) != nil {
 			s.Close()
 		}
 	}
 }
 
-// hostsMessage returns what is known of the system's hosts. The caller holds mu.
+// hostsMessage returns the addresses of the control hosts and the number of attached entry
+// hosts. The caller holds mu.
 func (f *fleet) hostsMessage() *wire.Hosts {
 	m := &wire.Hosts{Control: append(f.h.addressBook.List(), f.h.cfg.Address)}
 	for s, role := range f.attached {
@@ -141,7 +147,7 @@
 	return m
 }
 
-// updateLoad takes in the load of an engine, to be passed on with others.
+// updateLoad stores the load of an engine, which is forwarded with those of others.
 func (f *fleet) updateLoad(s *peer.Session, m *wire.EngineLoad) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,7 +155,8 @@
 	f.scheduleLoads()
 }
 
-// scheduleLoads passes loads on within loadInterval. The caller holds mu.
+// scheduleLoads makes sure that sendLoads is called within loadInterval. The caller holds
+// mu.
 func (f *fleet) scheduleLoads() {
 	if !f.isLoadTimerSet {
 		f.isLoadTimerSet = true
@@ -157,8 +164,8 @@
 	}
 }
 
-// sendLoads tells the entry hosts what was heard of engines since the last time, and those
-// that have come since then all that is known.
+// sendLoads sends the engine loads that changed since its last call to the entry hosts. Hosts
+// in needAllLoads get all loads.
 func (f *fleet) sendLoads() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -180,7 +187,7 @@
 		if m == nil {
 			continue
 		}
-		// Who misses a message may lack a record, and gets all of them the next time.
+		// A host whose queue is full has missed a record, and gets all of them the next time.
 		if s.PostPrepared(m) != nil {
 			f.needAllLoads[s] = true
 		} else {
@@ -189,7 +196,7 @@
 	}
 }
 
-// prepareLoads encodes loads once for all; nil where there are none.
+// prepareLoads encodes a message once for all receivers. It returns nil if m is nil.
 func (f *fleet) prepareLoads(m *wire.EngineLoads) *peer.Prepared {
 	if m == nil {
 		return nil
@@ -202,7 +209,7 @@
 	return p
 }
 
-// members answers who stands beside the ranks of a group, as their agents said lately.
+// members returns the hosts of the ranks of a group, as their agents reported recently.
 func (f *fleet) members(m *wire.GroupQuery) *wire.GroupAnswer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -218,17 +225,17 @@
 
 func (f *fleet) now() time.Duration { return time.Since(f.started) }
 
-// run keeps the attached hosts up to date until ctx ends.
+// run sends changes to the attached hosts until ctx ends.
 func (f *fleet) run(ctx context.Context) {
 	go f.saveLoop(ctx)
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	var told uint64
+	var lastNumber uint64
 	hosts := 0
 	for {
 		changed := f.h.tables.ConfigurationChanged()
-		if number := f.h.tables.Configuration().Number; number != told {
-			told = number
+		if number := f.h.tables.Configuration().Number; number != lastNumber {
+			lastNumber = number
 			f.notifyConfiguration(number)
 		}
 		select {
@@ -247,7 +254,8 @@
 	f.broadcast(&wire.ConfigurationNotice{Number: number})
 }
 
-// tick judges silence, and tells of the hosts where their number has changed.
+// tick notifies attached hosts of upstreams that became silent, and of the number of hosts
+// if it differs from before. It returns that number.
 func (f *fleet) tick(before int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -271,9 +279,10 @@
 	return hosts
 }
 
-// Announce takes an upstream's announcement. It returns once it may be acknowledged:
-// for one that leaves, when the hosts that serve callers have been told. The error is a
-// *verdict.Error; the upstream has to ask another control host then.
+// Announce handles an upstream's announcement and returns when it may be acknowledged. If
+// the upstream is shutting down, that is once the entry hosts have been notified. The error
+// is a *verdict.Error, after which the upstream must announce itself to another control
+// host.
 func (h *Host) Announce(ctx context.Context, u registry.Upstream) error {
 	f := h.fleet
 	isLeaving := u.State != registry.Ready
@@ -296,23 +305,23 @@
 		f.mu.Unlock()
 		return nil
 	}
-	var told []*peer.Session
+	var entries []*peer.Session
 	for s, role := range f.attached {
 		switch {
 		case role == roleCallers:
 		case role != roleEntry:
 			_ = s.Post(m)
 		case s.Alive() && s.Quiet() < quietTimeout:
-			told = append(told, s)
+			entries = append(entries, s)
 		}
 	}
 	f.mu.Unlock()
-	callAll(ctx, told, m)
+	callAll(ctx, entries, m)
 	return nil
 }
 
-// callAll calls all sessions and waits for their answers, but no longer than
-// spreadTimeout: a host that does not answer by then is not in touch.
+// callAll sends m to all sessions and waits for the replies. A host that does not reply
+// within notifyTimeout counts as disconnected.
 func callAll(ctx context.Context, sessions []*peer.Session, m wire.Message) {
 	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
@@ -323,21 +332,21 @@
 	wg.Wait()
 }
 
-// ControlHostConnected takes in a control host with which a session has begun, tells it what the quarantine
-// knows, and it and the others of each other. Settings name a few seeds only, which need not vote
-// and may be others than before: voters that knew none but those would elect nobody after a
-// common restart.
+// ControlHostConnected adds a control host with which a session has begun. It sends the
+// suspicions to it, and the addresses of all control hosts to all of them. The settings
+// contain only a few seeds, which can change and need not be voters. Voters that knew only
+// the seeds could not elect a leader after a restart of all hosts.
 func (h *Host) ControlHostConnected(s *peer.Session) {
 	h.AddControlHosts(s.Remote().Address)
 	_ = s.Post(&wire.Suspicions{All: h.fleet.quarantine.All()})
 	m := &wire.Hosts{Control: append(h.addressBook.List(), h.cfg.Address)}
 	for _, other := range h.cfg.Transport.Sessions() {
-		// What a full queue refuses comes with the next session.
+		// If the queue is full, the host gets the addresses with the next session.
 		_ = other.Post(m)
 	}
 }
 
-// AddControlHosts adds control hosts that were heard of.
+// AddControlHosts adds addresses of control hosts to the address book.
 func (h *Host) AddControlHosts(addresses ...string) {
 	for _, a := range addresses {
 		if a != h.cfg.Address {
--- a/internal/control/forward.go
+++ b/internal/control/forward.go
@@ -11,7 +11,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// forwarder proposes here where this host leads, and at the leader where not.
+// forwarder proposes commands to the local replica, and to the leader if this host does
+// not lead.
 type forwarder struct{ h *Host }
 
 // Propose implements command.Proposer.
@@ -31,8 +32,8 @@
 	return decodeResult(reply.Result)
 }
 
-// forwardedResult is the form in which the result of a forwarded command travels. One field
-// is set.
+// forwardedResult is the encoded form of the result of a forwarded command. One of the
+// pointers is set.
 type forwardedResult struct {
 	Submit        *state.SubmitResult        `cbor:"1,keyasint,omitempty"`
 	Repeated      bool                       `cbor:"2,keyasint,omitempty"`
@@ -42,8 +43,8 @@
 	Configuration *state.ConfigurationResult `cbor:"6,keyasint,omitempty"`
 }
 
-// encodeResult refuses the results that have no forwarded form: claims are sent to
-// the leader by the hosts that need them.
+// encodeResult encodes the result of a forwarded command. Results of claims can't be encoded,
+// because hosts send claims directly to the leader.
 func encodeResult(value any) ([]byte, error) {
 	var r forwardedResult
 	switch v := value.(type) {
--- a/internal/control/found.go
+++ b/internal/control/found.go
@@ -9,13 +9,14 @@
 	"github.com/sassafraspost/sassafraspost/internal/pause"
 )
 
-// bootstrapInterval is how often a founder looks whether all the others are there.
+// bootstrapInterval is how often a host checks whether all initial voters are connected.
 const bootstrapInterval = 50 * time.Millisecond
 
-// bootstrap takes part in founding the cluster, until there is one. The founder with the
-// lowest address proposes all founders as voters as soon as each of them has said which
-// disk it has. The others join by its first entry, which needs a majority of the
-// founders, so that of two proposals one wins.
+// bootstrap forms the cluster from the initial voters and returns once this replica knows
+// the voters. The host with the lowest address proposes the first membership as soon as it
+// knows the replica IDs of all initial voters. The others receive the membership with the
+// first log entry. This entry needs a majority of the initial voters, so only one of two
+// competing proposals can be committed.
 func (h *Host) bootstrap(ctx context.Context) {
 	for ctx.Err() == nil && len(h.cfg.InitialVoters) > 0 {
 		if len(h.replica.Status().Membership.Voters) > 0 {
@@ -28,19 +29,20 @@
 	}
 }
 
-// tryBootstrap starts the cluster if all founders are known by now.
+// tryBootstrap proposes the first membership if all initial voters are connected.
 func (h *Host) tryBootstrap(ctx context.Context) {
-	voters, isWhole := h.initialVoters()
-	if !isWhole {
+	voters, isComplete := h.initialVoters()
+	if !isComplete {
 		return
 	}
 	h.cfg.Log.Info("cluster is founded", "voters", voters)
 	if err := h.replica.Bootstrap(ctx, consensus.Membership{Voters: voters}); err != nil {
-		h.cfg.Log.Info("founding refused", "error", err)
+		h.cfg.Log.Info("cluster bootstrap failed", "error", err)
 	}
 }
 
-// initialVoters returns the replicas of the founders, and whether all are known.
+// initialVoters returns the replica IDs of the initial voters. The second result is false
+// if one of them is not connected.
 func (h *Host) initialVoters() ([]consensus.ReplicaID, bool) {
 	voters := []consensus.ReplicaID{h.id}
 	for _, address := range h.cfg.InitialVoters {
--- a/internal/control/herd_test.go
+++ b/internal/control/herd_test.go
@@ -18,23 +18,25 @@
 )
 
 const (
-	// followerHosts start at once and dial herdControl control hosts.
+	// followerHosts hosts start at the same time and dial controlHosts control hosts.
 	followerHosts, controlHosts = 279, 5
-	// greetingCost is how long the one processor of a control host works on a greeting, whether
-	// or not the dialler still waits for it: 279 of them are more than half a second.
+	// greetingCost is the processor time that a control host needs for a greeting, the
+	// handshake of a new session. It is spent even if the dialling host no longer waits.
+	// 279 greetings take more than half a second.
 	greetingCost = 2500 * time.Microsecond
-	// dialTimeout is what a host gives a connection to be accepted.
+	// dialTimeout is how long a dialling host waits for its connection to be accepted.
 	dialTimeout = 400 * time.Millisecond
-	// connectTimeout is generous: it ends a test that hangs.
+	// connectTimeout bounds the wait for all sessions. It is reached only in tests that fail.
 	connectTimeout = 60 * time.Second
 )
 
-// slowHost is a control host with a slow processor.
+// slowHost is a control host with one slow processor.
 type slowHost struct {
 	pool    *peer.Pool
 	address string
 	metrics metrics.Registry
-	// processor is the processor. open and most count connections in work, under count.
+	// processor is held while the processor is busy. open is the number of connections being
+	// accepted and maxOpen its maximum; both are guarded by countMu.
 	processor     sync.Mutex
 	countMu       sync.Mutex
 	open, maxOpen int
@@ -62,15 +64,16 @@
 	return h
 }
 
-// maxConnections returns the most connections that were in work at once.
+// maxConnections returns the maximum number of connections that were being accepted at the
+// same time.
 func (h *slowHost) maxConnections() int {
 	h.countMu.Lock()
 	defer h.countMu.Unlock()
 	return h.maxOpen
 }
 
-// maxDials is how often a host may dial another one in that time if each dial waits twice as
-// long as the one before: once, unless the machine that runs this is slow.
+// maxDials returns how often a host may dial another one within a duration if the timeout
+// doubles with each dial. The result is 1 unless the test runs on a slow host.
 func maxDials(during time.Duration) int {
 	const first, most = time.Second, 4 * time.Second
 	n, waited, limit := 1, first, first
@@ -82,14 +85,15 @@
 	return n
 }
 
-// greet keeps the host's one processor busy for as long as a greeting costs. It models that
-// time and waits for nothing.
+// greet keeps the host's processor busy for greetingCost. The sleep simulates processor time;
+// it does not wait for an event.
 func (h *slowHost) greet() {
 	h.processor.Lock()
 	defer h.processor.Unlock()
 	time.Sleep(greetingCost)
 }
 
+// addOpen adds n to the number of open connections.
 func (h *slowHost) addOpen(n int) {
 	h.countMu.Lock()
 	defer h.countMu.Unlock()
@@ -97,9 +101,10 @@
 	h.maxOpen = max(h.maxOpen, h.open)
 }
 
-// Guards against a herd of dials after a common start: nobody dials again while a greeting is
-// under way, and control hosts don't wait behind the others for one another.
-func TestHostsThatStartTogetherDialOnceAndControlHostsGoFirst(t *testing.T) {
+// Guards against a flood of dials when hundreds of hosts start at the same time. No host may
+// dial again while its greeting is in progress. The sessions between control hosts must not
+// be delayed by those of other hosts.
+func TestHostsStartingTogetherDialOnceAndControlHostsConnectFirst(t *testing.T) {
 	control := make([]*slowHost, controlHosts)
 	var seeds []string
 	for i := range control {
@@ -110,7 +115,7 @@
 	var running sync.WaitGroup
 	t.Cleanup(running.Wait)
 	t.Cleanup(cancel)
-	began := time.Now()
+	started := time.Now()
 	pools := make([]*peer.Pool, followerHosts)
 	registries := make([]metrics.Registry, followerHosts)
 	for i := range pools {
@@ -126,7 +131,7 @@
 		others := append(append([]string(nil), seeds[:i]...), seeds[i+1:]...)
 		running.Go(func() { KeepConnected(ctx, h.pool, NewAddressBook(others...)) })
 	}
-	var quorum time.Duration
+	var controlTime time.Duration
 	require.Eventually(t, func() bool {
 		for _, h := range control {
 			for _, address := range seeds {
@@ -135,7 +140,7 @@
 				}
 			}
 		}
-		quorum = time.Since(began)
+		controlTime = time.Since(started)
 		return true
 	}, connectTimeout, 2*time.Millisecond)
 	require.Eventually(t, func() bool {
@@ -146,7 +151,7 @@
 		}
 		return true
 	}, connectTimeout, 5*time.Millisecond)
-	all := time.Since(began)
+	totalTime := time.Since(started)
 	dials, most := int64(0), 0
 	for _, reg := range registries {
 		dials += metrics.GetOrRegisterCounter("peer.dials.begun", reg).Count()
@@ -154,8 +159,8 @@
 	for _, h := range control {
 		most = max(most, h.maxConnections())
 	}
-	t.Logf("control hosts know each other after %v, all hosts after %v, %d dials, %d connections at once", quorum, all, dials, most)
-	require.Less(t, quorum, all/2, "control hosts wait behind the others")
-	require.LessOrEqual(t, dials, int64(float64(followerHosts*controlHosts)*(0.1+float64(maxDials(all)))))
+	t.Logf("control hosts know each other after %v, all hosts after %v, %d dials, %d connections at once", controlTime, totalTime, dials, most)
+	require.Less(t, controlTime, totalTime/2, "control hosts wait behind the others")
+	require.LessOrEqual(t, dials, int64(float64(followerHosts*controlHosts)*(0.1+float64(maxDials(totalTime)))))
 	require.LessOrEqual(t, most, 2*followerHosts)
 }
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -1,9 +1,9 @@
-// Package control is the role of the hosts that hold the replicated state, and the
-// client by which the other roles reach them.
+// Package control implements the control hosts, which hold the replicated state, and the
+// client that other hosts use to reach them.
 //
-// A Host joins the replica of the log with the tables that it changes, serves
-// claims, orders and documents to the other roles, and keeps the membership of the
-// log in line with the hosts that exist.
+// A Host runs a replica of the log and the state machine to which the log is applied. It
+// serves claims, orders and documents to other hosts, and adds or replaces voters of the
+// log when control hosts are added or lose their disks.
 package control
 
 import (
@@ -28,50 +28,51 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// The tables are set aside quickly for a snapshot, and encoded beside the log.
+// The replica applies further entries while a snapshot of the state machine is encoded.
 var _ replica.SnapshotCapturer = (*state.Machine)(nil)
 
 const (
-	// ageInterval is how often the leader moves the age of the tables on.
+	// ageInterval is how often the leader advances the age of the state machine, the
+	// replicated clock by which claims expire.
 	ageInterval = 5 * time.Second
-	// serveTimeout bounds the work for one message of another host.
+	// serveTimeout bounds the time to answer one message of another host.
 	serveTimeout = 2 * time.Second
 )
 
-// Config is what a Host needs.
+// Config configures a Host.
 type Config struct {
 	// Name is the host's name.
 	Name string
-	// Journal and Recovered are the opened data folder.
+	// Journal is the open data folder, Recovered what it contained.
 	Journal   *journal.Journal
 	Recovered journal.Recovered
 	Transport *Transport
 	Pool      *peer.Pool
 	// Peers are the peer addresses of the other control hosts.
 	Peers []string
-	// InitialVoters are the peer addresses of the hosts that found the cluster together, this
-	// one among them; empty where none is to be founded.
+	// InitialVoters are the peer addresses of the hosts that bootstrap the cluster together,
+	// including this one; empty if this host must not bootstrap a cluster.
 	InitialVoters []string
-	// Voters is how many replicas vote where there are more control hosts; the others
-	// learn and take the place of a voter that falls silent. Zero lets all vote.
+	// Voters is the maximum number of voters. Further control hosts are learners, which
+	// replace a voter that becomes silent. Zero means that all control hosts vote.
 	Voters int
-	// ElectionTicks is as in replica.Options.
+	// ElectionTicks is passed to replica.Options.
 	ElectionTicks int
-	// ReplicaSilenceTimeout is how lately a replica must have been heard to count as alive;
-	// DefaultHearingSpan if zero.
+	// ReplicaSilenceTimeout is the time without contact after which a replica counts as
+	// dead; DefaultReplicaSilenceTimeout if zero.
 	ReplicaSilenceTimeout time.Duration
-	// Registry are the limits of the upstreams' announcements; zero values where
-	// upstreams announce themselves elsewhere.
+	// Registry are the timeouts of upstreams' announcements; zero if upstreams do not
+	// announce themselves to control hosts.
 	Registry registry.Limits
-	// RestartCache keeps the list of upstreams over a restart; nil where it is not kept.
+	// RestartCache saves the list of upstreams for a restart; nil if it is not saved.
 	RestartCache *RestartCache
-	// Address is this host's own peer address.
+	// Address is the peer address of this host.
 	Address string
-	// Tick and SnapshotEntries are as in replica.Options.
+	// Tick and SnapshotEntries are passed to replica.Options.
 	Tick            time.Duration
 	SnapshotEntries uint64
-	// ClaimRetention is how long claims are kept; the leader's is in force. Zero
-	// leaves it as it is.
+	// ClaimRetention is how long claims are kept. The current leader's value applies to
+	// all hosts; zero leaves the replicated value unchanged.
 	ClaimRetention time.Duration
 	Log            *slog.Logger
 	Metrics        metrics.Registry
@@ -94,13 +95,14 @@
 	fleet       *fleet
 }
 
-// ID names the replica of a host by the disk that its journal found.
+// ID returns the replica ID of a host. It contains the ID of the disk that holds the
+// journal, so that a host with a new disk is a new replica.
 func ID(host string, r journal.Recovered) consensus.ReplicaID {
 	return consensus.NewReplicaID(host, r.DiskID)
 }
 
-// withDefaults fills in what is zero. The tick must be the replica's own: silence is
-// counted in ticks.
+// withDefaults replaces zero values by defaults. Tick must have the value that the replica
+// uses, because the time since the last contact with a replica is counted in ticks.
 func (c Config) withDefaults() Config {
 	if c.Tick <= 0 {
 		c.Tick = replica.DefaultTick
@@ -111,7 +113,7 @@
 	return c
 }
 
-// Open starts the replica of a host. It serves nobody before HandlePeer is called.
+// Open starts the replica of a host. Other hosts are served through HandlePeer.
 func Open(cfg Config) (*Host, error) {
 	cfg = cfg.withDefaults()
 	h := &Host{
@@ -150,8 +152,8 @@
 	return consensus.PersistedState{HardState: r.HardState, Snapshot: r.Snapshot, Entries: r.Entries}
 }
 
-// Run does the host's background work until ctx ends. The error is what ended the
-// replica; the host must then stop.
+// Run does the host's background work until ctx ends. If the replica fails, Run returns
+// its error, and the host must stop.
 func (h *Host) Run(ctx context.Context) error {
 	go KeepConnected(ctx, h.cfg.Pool, h.addressBook)
 	go h.bootstrap(ctx)
@@ -168,13 +170,14 @@
 	}
 }
 
-// Close hands the leadership over and stops the replica.
+// Close transfers the leadership to another replica and stops this one.
 func (h *Host) Close(ctx context.Context) error {
 	h.commands.Close(ctx)
 	return h.replica.Close(ctx)
 }
 
-// publishDocuments keeps the catalog at what the tables hold, and the watchers with it.
+// publishDocuments copies new documents from the state machine to the catalog and sends
+// them to the watchers, until ctx ends.
 func (h *Host) publishDocuments(ctx context.Context) {
 	for {
 		changed := h.tables.Changed()
@@ -188,7 +191,7 @@
 	}
 }
 
-// syncStore brings the catalog up to the tables.
+// syncStore copies the documents that are new in the state machine to the catalog.
 func (h *Host) syncStore() {
 	var docs []wire.Document
 	for _, d := range h.tables.Changes(h.store.Revision()) {
@@ -197,9 +200,9 @@
 	h.store.Merge(docs)
 }
 
-// confirmPeriodically tells watchers at intervals that this host holds all that was
-// accepted, as a quorum confirmed. One that is cut off falls silent on this, and
-// its watchers go elsewhere.
+// confirmPeriodically tells the watchers at regular intervals that a quorum has confirmed
+// that this host has all accepted documents. A host without contact to a quorum sends no
+// confirmations, and its watchers change to another control host.
 func (h *Host) confirmPeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
 		if h.watchers.hasWatchers() {
@@ -209,7 +212,8 @@
 	}
 }
 
-// confirmUpToDate asks a quorum and tells the watchers.
+// confirmUpToDate confirms with a quorum that this host is up to date and tells the
+// watchers.
 func (h *Host) confirmUpToDate(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, serveTimeout)
 	defer cancel()
@@ -220,7 +224,8 @@
 	h.watchers.sendAll(true)
 }
 
-// advanceAge moves the age of the tables on by the leader's own monotonic clock.
+// advanceAge regularly advances the age of the state machine by the time that passed on
+// this host's monotonic clock, while this host leads.
 func (h *Host) advanceAge(ctx context.Context) {
 	last := time.Now()
 	for ctx.Err() == nil {
@@ -237,8 +242,8 @@
 	}
 }
 
-// reader is the barrier of linearizable reads on any control host: a follower asks
-// the leader for the index and waits until its own tables are there.
+// reader makes linearizable reads possible on any control host. A host that does not lead
+// asks the leader for a read index and waits until its own replica has applied it.
 type reader struct{ h *Host }
 
 // Read implements query.Reader.
@@ -255,13 +260,14 @@
 	return index, r.h.awaitApplied(ctx, index)
 }
 
-// readAtLeader asks the leader that this replica knows, on the session that carries its
-// log. While none is known it waits here, for the time of a hand-over: asking the other
-// hosts then would only keep them from electing one.
+// readAtLeader asks the leader for a read index, on the session that also carries the log.
+// If no leader is known it waits up to leaderSearchTime, enough for a leadership transfer.
+// It does not ask the other control hosts meanwhile, since that would only delay their
+// election.
 func (h *Host) readAtLeader(ctx context.Context) (uint64, error) {
-	began := time.Now()
+	started := time.Now()
 	leader, isKnown := h.replica.Leader()
-	for !isKnown && ctx.Err() == nil && time.Since(began) < leaderSearchTime {
+	for !isKnown && ctx.Err() == nil && time.Since(started) < leaderSearchTime {
 		pause.For(ctx, retryDelay)
 		leader, isKnown = h.replica.Leader()
 	}
@@ -283,8 +289,10 @@
 	return answer.Index, nil
 }
 
+// pollInterval is the delay between two checks of the state of the local replica.
 const pollInterval = 5 * time.Millisecond
 
+// awaitApplied waits until this replica has applied the log up to index.
 func (h *Host) awaitApplied(ctx context.Context, index uint64) error {
 	for h.replica.AppliedIndex() < index {
 		if ctx.Err() != nil {
--- a/internal/control/inforce.go
+++ b/internal/control/inforce.go
@@ -7,16 +7,17 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// reportRetention is how long a host that was not heard stays in the reports.
+// reportRetention is how long the last report of a host is kept.
 const reportRetention = 24 * time.Hour
 
-// reports holds what hosts said about the revisions in force on them.
+// reports holds the last report of each host about the document revision that it serves.
 type reports struct {
 	// mu guards byHost.
 	mu     sync.Mutex
 	byHost map[string]report
 }
 
+// report is a host's report with the time at which it was received.
 type report struct {
 	host wire.HostInForce
 	at   time.Time
@@ -32,7 +33,7 @@
 	}
 }
 
-// list returns the reports with their age.
+// list returns the reports with their age, and removes those past reportRetention.
 func (r *reports) list(now time.Time) []wire.HostInForce {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/control/lone_test.go
+++ b/internal/control/lone_test.go
@@ -8,8 +8,9 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// A lone control host has no other to ask; its questions have not run.
-func TestClientWithoutControlHosts(t *testing.T) {
+// The only control host of a system has no other hosts to ask. Its calls must fail as not
+// run, with a time after which to retry.
+func TestClientWithoutHostsFailsAsNotRun(t *testing.T) {
 	_, err := NewClient(nil, nil).Read(t.Context())
 	require.Equal(t, verdict.NotRun, verdict.Of(err).Verdict)
 	require.Equal(t, verdict.CodeNoQuorum, verdict.Of(err).Code)
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -17,16 +17,18 @@
 )
 
 const (
+	// joinInterval is how often a replica without a vote asks to be added.
 	joinInterval = 400 * time.Millisecond
-	// joinTimeout bounds one change of the membership, the catching up included.
+	// joinTimeout bounds one change of the membership, including the time in which the new
+	// replica catches up with the log.
 	joinTimeout = 5 * time.Minute
-	// DefaultReplicaSilenceTimeout is how lately a replica must have been heard to count as alive. It
-	// also is how long the repair of a lost disk waits, and so bounds from below the
-	// time in which the loss of another disk counts double.
+	// DefaultReplicaSilenceTimeout is the time without contact after which a replica counts
+	// as dead. The replica of a lost disk is not replaced earlier, so the loss of another
+	// disk within this time is a second simultaneous failure.
 	DefaultReplicaSilenceTimeout = 3 * time.Second
 )
 
-// joinGate lets one join run at a time.
+// joinGate allows one membership change at a time.
 type joinGate struct {
 	mu   sync.Mutex
 	busy bool
@@ -48,17 +50,17 @@
 	g.busy = false
 }
 
-// requestMembership asks to be let in for as long as this replica has no vote: after the
-// first start, and after the disk was lost. A replica with another disk than before
-// is a stranger to the others until a committed change lets it in, so that what it
-// has forgotten can't be outvoted by it.
+// requestMembership asks the leader to add this replica as long as it has no vote, as after
+// the host's first start or the loss of its disk. A host with a new disk is a new replica,
+// which has no vote until a membership change is committed. Otherwise the replica, which
+// lacks the entries that it acknowledged before, could vote to overwrite committed ones.
 func (h *Host) requestMembership(ctx context.Context) {
 	voter := metrics.GetOrRegisterGauge("control.voter", h.cfg.Metrics)
 	for ctx.Err() == nil {
 		pause.For(ctx, joinInterval)
-		needs := h.shouldJoin()
+		shouldJoin := h.shouldJoin()
 		voter.Update(int64(boolToInt(h.replica.Status().Membership.IsVoter(h.id))))
-		if !needs {
+		if !shouldJoin {
 			continue
 		}
 		askCtx, cancel := context.WithTimeout(ctx, clientTimeout)
@@ -74,14 +76,14 @@
 	return 0
 }
 
-// shouldJoin reports whether this replica lacks a vote, or hears no leader: one that was
-// replaced while it was cut off still believes that it votes.
+// shouldJoin reports whether this replica lacks a vote or has no leader. A replica that was
+// replaced while it was disconnected finds no leader but still believes that it is a voter.
 func (h *Host) shouldJoin() bool {
 	st := h.replica.Status()
 	return !st.Membership.IsVoter(h.id) || st.Leader == ""
 }
 
-// handleJoin begins to let a replica in. The answer does not wait until it is.
+// handleJoin starts to add a replica and replies before this is done.
 func (h *Host) handleJoin(s *peer.Session, m *wire.Join) (wire.Message, error) {
 	if err := h.requireLeader(); err != nil {
 		return nil, err
@@ -104,9 +106,9 @@
 	return &wire.Ack{}, nil
 }
 
-// addVoter makes a voter of a replica. Where its host was a member with another disk,
-// the new replica takes the place of the old one; learners that the host left
-// behind are removed.
+// addVoter makes a replica a voter. It replaces a voter that the same host had on another
+// disk, and removes learners that the same host had on other disks. If there are enough
+// voters already, the replica becomes a learner.
 func (h *Host) addVoter(ctx context.Context, id consensus.ReplicaID) error {
 	st := h.replica.Status()
 	if st.Membership.IsVoter(id) {
@@ -135,9 +137,9 @@
 	return h.replica.PromoteLearner(ctx, id)
 }
 
-// replaceSilentVoter gives a learner the place of a voter that has fallen silent. Where none has,
-// it goes on learning. Nothing is done while a second voter is silent too: the
-// cluster has no margin then for a change that goes wrong half way.
+// replaceSilentVoter replaces a silent voter by a learner. If no voter is silent, the
+// replica remains a learner. If two or more are silent, nothing is changed, because a
+// membership change that fails halfway could cost the cluster its quorum.
 func (h *Host) replaceSilentVoter(ctx context.Context, id consensus.ReplicaID) error {
 	var silent []consensus.ReplicaID
 	st := h.replica.Status()
@@ -153,7 +155,7 @@
 	return h.replica.ReplaceVoter(ctx, silent[0], id)
 }
 
-// predecessor returns the voter that the host of id was with another disk.
+// predecessor returns the voter that belongs to the same host as id.
 func (h *Host) predecessor(st consensus.Status, id consensus.ReplicaID) (consensus.ReplicaID, bool) {
 	i := slices.IndexFunc(st.Membership.Voters, func(v consensus.ReplicaID) bool { return hostOf(v) == hostOf(id) })
 	if i < 0 {
@@ -162,6 +164,8 @@
 	return st.Membership.Voters[i], true
 }
 
+// hasRecentContact reports whether the leader was in contact with a replica within
+// ReplicaSilenceTimeout.
 func (h *Host) hasRecentContact(st consensus.Status, id consensus.ReplicaID) bool {
 	for _, p := range st.Peers {
 		if p.ID == id {
@@ -171,6 +175,7 @@
 	return false
 }
 
+// hostOf returns the host's name, the part of a replica ID before the slash.
 func hostOf(id consensus.ReplicaID) string {
 	host, _, _ := strings.Cut(string(id), "/")
 	return host
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -8,9 +8,10 @@
 	"github.com/sassafraspost/sassafraspost/internal/consensus"
 )
 
-// A replica that has been silent for long must not count as heard where the settings
-// leave the tick open: the new disk of its host would never take its place.
-func TestSilentReplicaIsNotHeardWithDefaults(t *testing.T) {
+// The time since the last contact is counted in ticks. If Config.Tick stayed zero when the
+// settings don't set it, silent replicas would count as alive, and a host with a new disk
+// could never replace its old replica.
+func TestSilentReplicaHasNoRecentContactWithDefaultTick(t *testing.T) {
 	h := &Host{cfg: Config{}.withDefaults()}
 	st := consensus.Status{Peers: []consensus.PeerStatus{{ID: "a/old", TicksSinceContact: 1000}, {ID: "b/new", TicksSinceContact: 1}}}
 	require.False(t, h.hasRecentContact(st, "a/old"))
--- a/internal/control/parts.go
+++ b/internal/control/parts.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// chunkBytes is the longest piece of a message between replicas. Heartbeats go
-	// between the pieces.
+	// chunkBytes is the maximum size of a chunk of a consensus message. Heartbeats can be
+	// sent between two chunks.
 	chunkBytes = 1 << 20
-	// maxChunks bounds what one divided message may take at the receiver.
+	// maxChunks bounds the memory that a receiver uses for one chunked message.
 	maxChunks = 1 << 10
-	// chunkTimeout bounds the wait to send one piece.
+	// chunkTimeout bounds the time to send one chunk.
 	chunkTimeout = 10 * time.Second
 )
 
-// assembly is a divided message of which some pieces have come.
+// assembly is a chunked message of which some chunks have been received.
 type assembly struct {
 	message   uint64
 	nextIndex uint32
 	data      []byte
 }
 
-// sendChunked sends a long message, such as a snapshot, in pieces. While one is on its way
-// to a replica the next is dropped; consensus sends it again.
+// sendChunked sends a long message, such as a snapshot, in chunks. While a chunked message
+// is being sent to a replica, further ones to it are dropped; consensus sends them again.
 func (t *Transport) sendChunked(s *peer.Session, to consensus.ReplicaID, data []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,12 +48,12 @@
 	}()
 	count := (len(data) + chunkBytes - 1) / chunkBytes
 	for i := range count {
-		part := &wire.ConsensusPart{
+		chunk := &wire.ConsensusPart{
 			To: string(to), Message: message, Index: uint32(i), Count: uint32(count),
 			Data: data[i*chunkBytes : min(len(data), (i+1)*chunkBytes)],
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), chunkTimeout)
-		err := s.Send(ctx, part)
+		err := s.Send(ctx, chunk)
 		cancel()
 		if err != nil {
 			t.dropped.Inc(1)
@@ -62,8 +62,8 @@
 	}
 }
 
-// reassemble takes a piece and returns the whole message once the last one has come. A
-// piece that does not follow the one before ends the message.
+// reassemble adds a chunk to its message. It returns the whole message with the last chunk.
+// If a chunk is out of order, the message is dropped.
 func (t *Transport) reassemble(from consensus.ReplicaID, p *wire.ConsensusPart) ([]byte, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/control/parts_test.go
+++ b/internal/control/parts_test.go
@@ -16,17 +16,17 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// A snapshot longer than any message arrives whole. Without divide the session
-// refuses it.
-func TestLongMessageTravelsInPieces(t *testing.T) {
+// A snapshot that exceeds the maximum message size must arrive complete. Without chunks the
+// session would reject it.
+func TestLongMessageIsSentInChunks(t *testing.T) {
 	const secret = "a secret of the processes"
 	receiver := NewTransport(metrics.NewRegistry())
-	whole := make(chan []byte, 1)
+	reassembled := make(chan []byte, 1)
 	b := peer.NewPool(peer.Config{
 		Hello: wire.Hello{Host: "b", Replica: "b/1"}, Secret: secret,
 		Handler: peer.HandlerFunc(func(s *peer.Session, _ uint64, m wire.Message) {
 			if data, ok := receiver.reassemble(consensus.ReplicaID(s.Remote().Replica), m.(*wire.ConsensusPart)); ok {
-				whole <- data
+				reassembled <- data
 			}
 		}),
 	})
@@ -48,7 +48,7 @@
 	snapshot := &consensus.Snapshot{Data: bytes.Repeat([]byte("0123456789"), (wire.MaxMessageBytes+chunkBytes)/10)}
 	sender.Send("b/1", consensus.Message{Type: consensus.MessageSnapshot, From: "a/1", To: "b/1", Snapshot: snapshot})
 	select {
-	case data := <-whole:
+	case data := <-reassembled:
 		var m consensus.Message
 		require.NoError(t, wire.Unmarshal(data, &m))
 		require.True(t, bytes.Equal(snapshot.Data, m.Snapshot.Data))
@@ -57,20 +57,22 @@
 	}
 }
 
-func TestPieceOutOfPlaceEndsTheMessage(t *testing.T) {
+// A missing or repeated chunk must drop the message. Otherwise a corrupt message would reach
+// consensus.
+func TestChunkOutOfOrderDropsMessage(t *testing.T) {
 	receiver := NewTransport(metrics.NewRegistry())
-	piece := func(message uint64, index uint32) ([]byte, bool) {
+	addChunk := func(message uint64, index uint32) ([]byte, bool) {
 		return receiver.reassemble("a/1", &wire.ConsensusPart{Message: message, Index: index, Count: 3, Data: []byte{byte(index)}})
 	}
 	for _, order := range [][]uint32{{0, 2}, {1, 2}, {0, 1, 1, 2}} {
 		for _, index := range order {
-			_, isWhole := piece(1, index)
-			require.False(t, isWhole)
+			_, isComplete := addChunk(1, index)
+			require.False(t, isComplete)
 		}
 	}
-	_, _ = piece(2, 0)
-	_, _ = piece(2, 1)
-	data, isWhole := piece(2, 2)
-	require.True(t, isWhole)
+	_, _ = addChunk(2, 0)
+	_, _ = addChunk(2, 1)
+	data, isComplete := addChunk(2, 2)
+	require.True(t, isComplete)
 	require.Equal(t, []byte{0, 1, 2}, data)
 }
--- a/internal/control/recall.go
+++ b/internal/control/recall.go
@@ -16,12 +16,14 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// RestartCache keeps a control host's list of upstreams in a folder, so that a host that starts
-// again knows them before they announce themselves: after a common restart callers would
-// wait for that, more than a second. What it holds may be old, so it is only a first guess;
-// upstreams that have gone refuse, are unreachable, or become silent. Beside it stands what
-// the quarantine knows: each request that is forgotten costs upstreams before it is known
-// again.
+// RestartCache saves a control host's list of upstreams in a folder, so that the host knows
+// them after a restart before they announce themselves. Without it, callers would wait
+// more than a second for announcements after a restart of all hosts. The saved list can be
+// out of date: upstreams that no longer exist reject requests, are unreachable or become
+// silent.
+//
+// It also saves the suspicions of the quarantine. A harmful request that was forgotten would
+// crash further upstreams before it is suspected again.
 type RestartCache struct {
 	fs  journal.FS
 	dir string
@@ -30,41 +32,42 @@
 const (
 	upstreamsFile  = "upstreams"
 	suspicionsFile = "suspicions"
-	// tempSuffix is added to the name of a file that is being written.
+	// tempSuffix is appended to the name of a file while it is written.
 	tempSuffix = ".new"
-	// saveInterval is the least time between two writes, so that a hundred announcements at
-	// a start cost a few syncs.
+	// saveInterval is the minimum time between two writes, so that a hundred announcements
+	// after a start cause only a few syncs.
 	saveInterval = 500 * time.Millisecond
-	// checksumBytes is the length of the checksum before the data.
+	// checksumBytes is the length of the checksum that precedes the data in a file.
 	checksumBytes = 4
 )
 
-// NewRestartCache returns the list in a folder, which is made if there is none.
+// NewRestartCache returns a cache in a folder, which is created if it does not exist.
 func NewRestartCache(fs journal.FS, dir string) *RestartCache { return &RestartCache{fs: fs, dir: dir} }
 
-// errDamaged tells that a file is not what was written.
+// errDamaged is returned for a file that is too short or has a wrong checksum.
 var errDamaged = errors.New("the file is damaged")
 
-// LoadUpstreams returns the upstreams that were saved last.
+// LoadUpstreams returns the list of upstreams that was saved last.
 func (r *RestartCache) LoadUpstreams() ([]registry.Upstream, error) {
 	var all wire.Upstreams
 	err := r.load(upstreamsFile, &all)
 	return all.All, errors.Wrap(err, "list of upstreams")
 }
 
-// SaveUpstreams replaces the upstreams that were saved. It returns once they have reached the disk.
+// SaveUpstreams replaces the saved list of upstreams. It returns once the list is synced to
+// disk.
 func (r *RestartCache) SaveUpstreams(all []registry.Upstream) error {
 	return errors.Wrap(r.save(upstreamsFile, &wire.Upstreams{All: all}), "list of upstreams")
 }
 
-// LoadSuspicions returns what the quarantine knew when that was saved last.
+// LoadSuspicions returns the suspicions that were saved last.
 func (r *RestartCache) LoadSuspicions() ([]quarantine.Suspicion, error) {
 	var all wire.Suspicions
 	err := r.load(suspicionsFile, &all)
 	return all.All, errors.Wrap(err, "suspicions")
 }
 
-// SaveSuspicions replaces what was saved of the quarantine.
+// SaveSuspicions replaces the saved suspicions.
 func (r *RestartCache) SaveSuspicions(all []quarantine.Suspicion) error {
 	return errors.Wrap(r.save(suspicionsFile, &wire.Suspicions{All: all}), "suspicions")
 }
@@ -115,36 +118,36 @@
 	return r.fs.SyncDir(r.dir)
 }
 
-// restoreUpstreams takes in what was known before the start.
+// restoreUpstreams adds the saved upstreams to the registry.
 func (f *fleet) restoreUpstreams() {
 	if f.h.cfg.RestartCache == nil {
 		return
 	}
 	all, err := f.h.cfg.RestartCache.LoadUpstreams()
 	if err != nil {
-		f.h.cfg.Log.Info("upstreams of before the start are not known", "error", err.Error())
+		f.h.cfg.Log.Info("saved upstreams can't be loaded", "error", err.Error())
 		return
 	}
 	f.registry.Restore(all, f.now())
 	f.h.cfg.Log.Info("upstreams of before the start are known", "upstreams", len(all))
 }
 
-// restoreSuspicions takes in what the quarantine knew before the start. The time in between
-// is not counted, so requests are held that much longer.
+// restoreSuspicions adds the saved suspicions to the quarantine. The time since they were
+// saved does not count towards their age, so requests stay in quarantine that much longer.
 func (f *fleet) restoreSuspicions() {
 	if f.h.cfg.RestartCache == nil {
 		return
 	}
 	all, err := f.h.cfg.RestartCache.LoadSuspicions()
 	if err != nil {
-		f.h.cfg.Log.Info("suspicions of before the start are not known", "error", err.Error())
+		f.h.cfg.Log.Info("saved suspicions can't be loaded", "error", err.Error())
 		return
 	}
 	f.quarantine.Merge(all)
-	f.h.cfg.Log.Info("suspicions of before the start are known", "suspicions", len(all))
+	f.h.cfg.Log.Info("saved suspicions loaded", "suspicions", len(all))
 }
 
-// saveLoop saves what is known whenever it has changed, until ctx ends.
+// saveLoop saves the upstreams and suspicions whenever they have changed, until ctx ends.
 func (f *fleet) saveLoop(ctx context.Context) {
 	if f.h.cfg.RestartCache == nil {
 		return
@@ -159,16 +162,16 @@
 		all := f.registry.All()
 		f.mu.Unlock()
 		if err := f.h.cfg.RestartCache.SaveUpstreams(all); err != nil {
-			f.h.cfg.Log.Warn("upstreams are not saved", "error", err.Error())
+			f.h.cfg.Log.Warn("upstreams can't be saved", "error", err.Error())
 		}
 		if err := f.h.cfg.RestartCache.SaveSuspicions(f.quarantine.All()); err != nil {
-			f.h.cfg.Log.Warn("suspicions are not saved", "error", err.Error())
+			f.h.cfg.Log.Warn("suspicions can't be saved", "error", err.Error())
 		}
 		pause.For(ctx, saveInterval)
 	}
 }
 
-// requestSave tells that what is known has changed.
+// requestSave makes saveLoop save the upstreams and suspicions.
 func (f *fleet) requestSave() {
 	select {
 	case f.saveRequested <- struct{}{}:
--- a/internal/control/recall_test.go
+++ b/internal/control/recall_test.go
@@ -11,7 +11,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/registry"
 )
 
-func TestRecallReturnsWhatWasSavedLast(t *testing.T) {
+// A second save must replace the first list, and another process must be able to load it.
+func TestRestartCacheReturnsLastSavedList(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "list")
 	r := NewRestartCache(journal.OS{}, dir)
 	_, err := r.LoadUpstreams()
@@ -24,8 +25,8 @@
 	require.Equal(t, all, got)
 }
 
-// A list that is torn or damaged is no list.
-func TestDamagedRecallIsNotUsed(t *testing.T) {
+// A truncated or corrupted file must be rejected, since a crash can interrupt a write.
+func TestDamagedRestartCacheIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	r := NewRestartCache(journal.OS{}, dir)
 	require.NoError(t, r.SaveUpstreams([]registry.Upstream{{ID: "a", Service: "s"}}))
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -16,7 +16,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// HandlePeer takes a message if it concerns a control host.
+// HandlePeer handles a message from another host. It returns false if the message is not
+// for control hosts.
 func (h *Host) HandlePeer(s *peer.Session, call uint64, m wire.Message) bool {
 	switch m := m.(type) {
 	case *wire.Consensus:
@@ -61,7 +62,8 @@
 	return true
 }
 
-// replyAsync serves a call beside the session's read loop.
+// replyAsync handles a call on a new goroutine, since the session's read loop must not
+// block.
 func (h *Host) replyAsync(s *peer.Session, call uint64, serve func(context.Context) (wire.Message, error)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), serveTimeout)
@@ -74,7 +76,8 @@
 	}()
 }
 
-// failureReply names the leader where the caller should ask it instead.
+// failureReply encodes an error. If another host leads, the reply contains the address of
+// that host.
 func (h *Host) failureReply(err error) *wire.Failure {
 	f := peer.NewFailure(err)
 	var notLeader *replica.NotLeaderError
@@ -114,8 +117,8 @@
 	return &wire.Proposed{Index: r.Index, Result: data}, nil
 }
 
-// requireLeader refuses a claim where this host does not lead, before it is batched with
-// others: only the leader's own log may grant.
+// requireLeader returns an error if this host does not lead. A claim is rejected before it
+// is batched with others, since only the leader may grant claims.
 func (h *Host) requireLeader() error {
 	if h.replica.IsLeader() {
 		return nil
@@ -126,8 +129,9 @@
 	return e
 }
 
-// claimSlackMS makes up for the steps in which the tables' age moves on: without it a
-// claim made just before a step would count as unknown while its call still runs.
+// claimSlackMS is added to the deadline of claims because the age of the state machine
+// increases in steps of ageInterval. Without it, a claim made just before such a step would
+// get the state unknown while its call still runs.
 const claimSlackMS = uint64(ageInterval / time.Millisecond)
 
 func (h *Host) handleClaim(ctx context.Context, s *peer.Session, m *wire.ClaimRequest) (wire.Message, error) {
@@ -209,10 +213,10 @@
 	return ""
 }
 
-// handleOrder answers only after a quorum round that began after the question came
-// in: a host that is cut off can't answer, and what it answered before is too old. A
-// host that does not lead asks the leader for that round, so that an agent which
-// can't reach the leader has its orders all the same.
+// handleOrder returns the current order to an upstream after a linearizable read, so that
+// a host without contact to a quorum can't return an old order. A host that does not lead
+// gets the read index from the leader, so that agents need not reach the leader
+// themselves.
 func (h *Host) handleOrder(ctx context.Context, m *wire.OrderQuery) (wire.Message, error) {
 	if _, err := (reader{h}).Read(ctx); err != nil {
 		return nil, err
@@ -235,6 +239,8 @@
 	return answer, nil
 }
 
+// groupShape returns the configuration of a group of ranks, or nil if the document has no
+// group of that name.
 func groupShape(d *document.Document, name string) *wire.GroupShape {
 	g := d.Group(name)
 	if g == nil {
--- a/internal/control/status_test.go
+++ b/internal/control/status_test.go
@@ -11,8 +11,9 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// An operator of many hosts sees at once which data centre is behind.
-func TestStatusCountsByDataCentre(t *testing.T) {
+// The status must count hosts by data centre, so that an operator of hundreds of hosts sees
+// which data centre lacks the current revision.
+func TestStatusCountsHostsByDataCentre(t *testing.T) {
 	hosts := make(map[string]wire.HostInForce)
 	for i := range 300 {
 		h := wire.HostInForce{Host: fmt.Sprintf("entry-%d", i), DataCentre: fmt.Sprintf("centre-%d", i%3), Revision: 5}
--- a/internal/control/suspicions.go
+++ b/internal/control/suspicions.go
@@ -8,27 +8,29 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// suspicionDelay is for how long suspicions are gathered before they are passed on: all
-// entry hosts that had requests on an upstream tell of its end at once. It is short beside
-// the time in which an upstream is back.
+// suspicionDelay is how long suspicions are collected before they are sent to other hosts,
+// because all entry hosts with requests on an upstream report its crash at about the same
+// time. The delay is much shorter than the restart of an upstream.
 const suspicionDelay = 50 * time.Millisecond
 
-// Quarantine is what this host knows of requests under which upstreams ended.
+// Quarantine returns the keeper of suspicions: which requests ran on upstreams that
+// crashed.
 func (h *Host) Quarantine() *quarantine.Keeper { return h.fleet.quarantine }
 
-// queueSuspicions passes news on within suspicionDelay. Each control host passes on only what
-// it did not know, so that news come to an end.
-func (f *fleet) queueSuspicions(news []quarantine.Suspicion) {
+// queueSuspicions queues new suspicions, which are sent within suspicionDelay. A control host
+// forwards only suspicions that are new to it, so that they don't circulate forever.
+func (f *fleet) queueSuspicions(added []quarantine.Suspicion) {
 	f.requestSave()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.pendingSuspicions) == 0 {
 		time.AfterFunc(suspicionDelay, f.sendSuspicions)
 	}
-	f.pendingSuspicions = append(f.pendingSuspicions, news...)
+	f.pendingSuspicions = append(f.pendingSuspicions, added...)
 }
 
-// sendSuspicions tells the attached entry hosts and the other control hosts.
+// sendSuspicions sends the queued suspicions to the attached entry hosts and to the other
+// control hosts.
 func (f *fleet) sendSuspicions() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -39,13 +41,14 @@
 		return
 	}
 	for s, role := range f.attached {
-		// Whose queue is full attaches anew, and gets all of it then.
+		// If the queue is full, the session is closed. The host reconnects and gets all
+		// suspicions.
 		if (role == roleEntry || role == roleCallers) && s.Alive() && s.PostPrepared(m) != nil {
 			s.Close()
 		}
 	}
 	for _, s := range f.h.cfg.Transport.Sessions() {
-		// What a full queue refuses comes with the next session.
+		// If the queue is full, the host gets the suspicions with the next session.
 		_ = s.PostPrepared(m)
 	}
 }
--- a/internal/control/suspicions_test.go
+++ b/internal/control/suspicions_test.go
@@ -18,23 +18,24 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// newSuspicion is what the tests' suspicions say.
+// newSuspicion returns a suspicion against the one request that these tests use.
 func newSuspicion(upstream string, age time.Duration) quarantine.Suspicion {
 	return quarantine.Suspicion{
 		Fingerprint: quarantine.Fingerprint{1}, Workspace: "w", End: quarantine.End{Upstream: upstream}, Request: "r", AgeMS: age.Milliseconds(),
 	}
 }
 
-// testHost is a host with sessions: a control host, or an entry host.
+// testHost is a control host or an entry host with its sessions.
 type testHost struct {
 	pool    *peer.Pool
 	address string
 	keeper  *quarantine.Keeper
-	// received gets the messages of an entry host.
+	// received gets the messages that an entry host receives.
 	received chan wire.Message
 }
 
-// startTestHost runs a host; host is nil for an entry host.
+// startTestHost starts a host. The function host creates its control host; it is nil for an
+// entry host.
 func startTestHost(t *testing.T, name string, host func(*testHost) *Host) *testHost {
 	st := &testHost{received: make(chan wire.Message, 100)}
 	mux := http.NewServeMux()
@@ -70,13 +71,13 @@
 		control = host(st)
 		st.keeper = control.Quarantine()
 	} else {
-		began := time.Now()
+		started := time.Now()
 		st.keeper = quarantine.NewKeeper(quarantine.Config{
-			Limits: quarantine.DefaultLimits, Now: func() time.Duration { return time.Since(began) }, Log: slog.New(slog.DiscardHandler),
+			Limits: quarantine.DefaultLimits, Now: func() time.Duration { return time.Since(started) }, Log: slog.New(slog.DiscardHandler),
 			Metrics: metrics.NewRegistry(),
-			Tell: func(news []quarantine.Suspicion) {
+			Tell: func(added []quarantine.Suspicion) {
 				for _, s := range st.pool.Sessions() {
-					_ = s.Post(&wire.Suspicions{All: news})
+					_ = s.Post(&wire.Suspicions{All: added})
 				}
 			},
 		})
@@ -85,12 +86,12 @@
 	return st
 }
 
-// newControlHost returns a control host without a replica, as far as the fleet needs one.
-func newControlHost(recall *RestartCache) func(*testHost) *Host {
+// newControlHost returns a control host without a replica, which the tests don't need.
+func newControlHost(cache *RestartCache) func(*testHost) *Host {
 	return func(st *testHost) *Host {
 		h := &Host{
 			cfg: Config{
-				Address: st.address, Transport: NewTransport(metrics.NewRegistry()), Pool: st.pool, RestartCache: recall,
+				Address: st.address, Transport: NewTransport(metrics.NewRegistry()), Pool: st.pool, RestartCache: cache,
 				Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 			},
 			addressBook: NewAddressBook(), tables: state.New(state.Options{}),
@@ -100,7 +101,7 @@
 	}
 }
 
-// attach lets an entry host ask a control host to be told.
+// attach attaches an entry host to a control host and sends it its suspicions.
 func (st *testHost) attach(t *testing.T, control *testHost) {
 	t.Helper()
 	s, err := st.pool.Get(t.Context(), control.address)
@@ -109,16 +110,17 @@
 	require.NoError(t, s.Post(&wire.Suspicions{All: st.keeper.All()}))
 }
 
-// holdsRequest reports whether a host holds the tests' request.
+// holdsRequest reports whether the request is in quarantine on a host.
 func (st *testHost) holdsRequest() bool {
 	return st.keeper.Verdict(quarantine.Fingerprint{1}) == quarantine.Held
 }
 
-// propagationTimeout is generous: it ends a test that has failed.
+// propagationTimeout bounds the wait for messages. It is reached only in tests that fail.
 const propagationTimeout = 60 * time.Second
 
-// What one entry host has seen is known at all, by way of control hosts that some of them
-// alone can reach, and at one that comes later before anything else.
+// A suspicion of one entry host must reach all others, even if they are attached to
+// different control hosts. An entry host that attaches later must receive the suspicions
+// before any other message.
 func TestSuspicionsReachAllEntryHosts(t *testing.T) {
 	one, two := startTestHost(t, "c1", newControlHost(nil)), startTestHost(t, "c2", newControlHost(nil))
 	_, err := one.pool.Get(t.Context(), two.address)
@@ -143,8 +145,9 @@
 	}
 }
 
-// What one side of a cut has found out meanwhile, the other knows once they meet.
-func TestSuspicionsOfBothSidesMeet(t *testing.T) {
+// After a network partition, each side must learn the suspicions that the other side
+// collected meanwhile. Each side alone has too few of them to hold the request.
+func TestSuspicionsAreMergedAfterPartition(t *testing.T) {
 	one, two := startTestHost(t, "c1", newControlHost(nil)), startTestHost(t, "c2", newControlHost(nil))
 	a, b := startTestHost(t, "e1", nil), startTestHost(t, "e2", nil)
 	a.attach(t, one)
@@ -162,18 +165,20 @@
 	}
 }
 
-// After all processes have ended, control hosts know from their disks which requests are held.
-func TestSuspicionsOutliveAllProcesses(t *testing.T) {
-	recall := NewRestartCache(journal.OS{}, t.TempDir())
-	before := newControlHost(recall)(&testHost{})
+// Suspicions must survive a restart of all processes, by the copy on the control hosts'
+// disks.
+func TestSuspicionsSurviveRestartOfAllProcesses(t *testing.T) {
+	cache := NewRestartCache(journal.OS{}, t.TempDir())
+	before := newControlHost(cache)(&testHost{})
 	before.Quarantine().Merge([]quarantine.Suspicion{newSuspicion("u1", time.Minute), newSuspicion("u2", time.Second)})
-	require.NoError(t, recall.SaveSuspicions(before.Quarantine().All()))
-	after := newControlHost(recall)(&testHost{})
+	require.NoError(t, cache.SaveSuspicions(before.Quarantine().All()))
+	after := newControlHost(cache)(&testHost{})
 	require.Equal(t, quarantine.Held, after.Quarantine().Verdict(quarantine.Fingerprint{1}))
 }
 
-// Agents are told nothing of requests, and entry hosts that want suspicions alone nothing else.
-func TestOnlyEntryHostsHearSuspicions(t *testing.T) {
+// Agents must not receive suspicions, and entry hosts that attach for suspicions only must
+// receive nothing else.
+func TestOnlyEntryHostsReceiveSuspicions(t *testing.T) {
 	control := startTestHost(t, "c1", newControlHost(nil))
 	agent := startTestHost(t, "a1", nil)
 	s, err := agent.pool.Get(t.Context(), control.address)
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -14,39 +14,43 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// redialPolicy is how a host dials a control host anew: after a pause that is drawn from a span.
-// The span doubles from first to most with each dial that fails, so that hosts which were
-// all cut off or started at one moment do not come back at one moment.
+// redialPolicy is an exponential backoff with jitter for dialling control hosts. The delay
+// is random within a span that doubles from minSpan to maxSpan with each failed dial, so
+// that hosts which started or were disconnected together do not dial at the same time.
 type redialPolicy struct {
 	minSpan, maxSpan time.Duration
 }
 
 var (
-	// controlHostRedial is for control hosts, who are few and wait for each other to elect a leader.
+	// controlHostRedial is for control hosts, which are few and need sessions with each other
+	// to elect a leader.
 	controlHostRedial = redialPolicy{minSpan: 50 * time.Millisecond, maxSpan: 200 * time.Millisecond}
-	// followerRedial is for all others.
+	// followerRedial is for all other hosts.
 	followerRedial = redialPolicy{minSpan: 100 * time.Millisecond, maxSpan: 800 * time.Millisecond}
 )
 
-// nextDelay returns the next pause and span. Draw is in [0, 1).
-func (r redialPolicy) nextDelay(span time.Duration, draw float64) (pause, next time.Duration) {
+// nextDelay returns the next delay, and the span to be passed to the next call. random is
+// in [0, 1).
+func (r redialPolicy) nextDelay(span time.Duration, random float64) (delay, next time.Duration) {
 	span = min(max(span, r.minSpan), r.maxSpan)
-	return time.Duration(draw * float64(span)), 2 * span
+	return time.Duration(random * float64(span)), 2 * span
 }
 
-// Transport carries consensus messages over the sessions between control hosts. A
-// replica is found by what its host says of itself when a session begins: a host
-// whose disk is new is another replica, and gets no message meant for the old one.
+// Transport carries consensus messages over the sessions between control hosts. Each host
+// sends its replica ID when a session begins. The ID contains that of the disk, so a host
+// with a new disk gets no messages that are meant for its old replica.
 type Transport struct {
 	dropped metrics.Counter
 
 	// mu guards the fields below.
 	mu       sync.Mutex
 	sessions map[consensus.ReplicaID]*peer.Session
-	// sendingChunks holds the replicas to which a divided message is on its way.
+	// sendingChunks holds the replicas to which a chunked message is being sent.
 	sendingChunks map[consensus.ReplicaID]bool
-	lastMessage   uint64
-	assemblies    map[consensus.ReplicaID]*assembly
+	// lastMessage is the number of the last chunked message.
+	lastMessage uint64
+	// assemblies holds the incomplete message from each replica.
+	assemblies map[consensus.ReplicaID]*assembly
 }
 
 // NewTransport returns a Transport without sessions.
@@ -59,7 +63,7 @@
 	}
 }
 
-// SessionUp takes a session that has begun, if it is with a control host.
+// SessionUp registers a new session if it is with a control host.
 func (t *Transport) SessionUp(s *peer.Session) {
 	id := consensus.ReplicaID(s.Remote().Replica)
 	if id == "" {
@@ -83,8 +87,8 @@
 	return out
 }
 
-// Send implements replica.Transport. It never waits; what can't be queued is lost,
-// which consensus allows for.
+// Send implements replica.Transport. It never blocks. A message that can't be queued is
+// dropped, which consensus tolerates.
 func (t *Transport) Send(to consensus.ReplicaID, m consensus.Message) {
 	s := t.session(to)
 	if s == nil {
@@ -116,7 +120,8 @@
 	return s
 }
 
-// address returns where the host of a replica is reached, empty if not known.
+// address returns the peer address of a replica's host, or an empty string if there is no
+// session with it.
 func (t *Transport) address(id consensus.ReplicaID) string {
 	if s := t.session(id); s != nil {
 		return s.Remote().Address
@@ -124,47 +129,49 @@
 	return ""
 }
 
-// KeepConnected holds a session with each control host of the book until ctx ends, for a
-// control host.
-func KeepConnected(ctx context.Context, pool *peer.Pool, book *AddressBook) {
-	keepConnected(ctx, book, func(address string) { keepSession(ctx, pool, address, controlHostRedial) })
+// KeepConnected maintains sessions between a control host and all other control hosts in the
+// address book until ctx ends.
+func KeepConnected(ctx context.Context, pool *peer.Pool, addressBook *AddressBook) {
+	keepConnected(ctx, addressBook, func(address string) { keepSession(ctx, pool, address, controlHostRedial) })
 }
 
-// KeepFollowerConnected is KeepDialled for the other hosts, of which there are many. One that starts
-// dials the control hosts in an order of its own, one after the other.
-func KeepFollowerConnected(ctx context.Context, pool *peer.Pool, book *AddressBook) {
-	first := book.List()
-	rand.Shuffle(len(first), func(i, j int) { first[i], first[j] = first[j], first[i] })
-	for _, address := range first {
+// KeepFollowerConnected is KeepConnected for hosts that are not control hosts. Since there
+// are many, each first dials the known control hosts one after the other in random order.
+func KeepFollowerConnected(ctx context.Context, pool *peer.Pool, addressBook *AddressBook) {
+	shuffled := addressBook.List()
+	rand.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
+	for _, address := range shuffled {
 		_, _ = pool.Get(ctx, address)
 	}
-	keepConnected(ctx, book, func(address string) { keepSession(ctx, pool, address, followerRedial) })
+	keepConnected(ctx, addressBook, func(address string) { keepSession(ctx, pool, address, followerRedial) })
 }
 
-func keepConnected(ctx context.Context, book *AddressBook, keep func(address string)) {
+// keepConnected calls keep on a new goroutine for each address in the address book, and for
+// those that are added later.
+func keepConnected(ctx context.Context, addressBook *AddressBook, keep func(address string)) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	dialled := make(map[string]bool)
+	started := make(map[string]bool)
 	for {
-		grown := book.Changed()
-		for _, address := range book.List() {
-			if dialled[address] {
+		changed := addressBook.Changed()
+		for _, address := range addressBook.List() {
+			if started[address] {
 				continue
 			}
-			dialled[address] = true
+			started[address] = true
 			wg.Go(func() { keep(address) })
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-grown:
+		case <-changed:
 		}
 	}
 }
 
-// keepSession holds a session with the host at address until ctx ends.
-func keepSession(ctx context.Context, pool *peer.Pool, address string, again redialPolicy) {
-	var wait, span time.Duration
+// keepSession maintains a session with the host at address until ctx ends.
+func keepSession(ctx context.Context, pool *peer.Pool, address string, redial redialPolicy) {
+	var delay, span time.Duration
 	for ctx.Err() == nil {
 		if s, err := pool.Get(ctx, address); err == nil {
 			s.Hold()
@@ -174,7 +181,7 @@
 			}
 			span = 0
 		}
-		wait, span = again.nextDelay(span, rand.Float64())
-		pause.For(ctx, wait)
+		delay, span = redial.nextDelay(span, rand.Float64())
+		pause.For(ctx, delay)
 	}
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -9,17 +9,17 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// confirmInterval is how often watchers are told that this host is current.
+// confirmInterval is how often watchers are told that this host is up to date.
 const confirmInterval = time.Second
 
-// watchers passes documents on to the hosts that watch this one.
+// watchers sends documents to the hosts that have sent a wire.Watch.
 type watchers struct {
 	store *catalog.Store
 
-	// mu guards the fields below. Nothing is sent under it but by Session.Post,
-	// which does not wait.
+	// mu guards the fields below. While it is held, messages are sent only by Session.Post,
+	// which does not block.
 	mu sync.Mutex
-	// sentRevision holds the revision up to which each watcher has been sent everything.
+	// sentRevision holds the revision up to which all documents were sent to a watcher.
 	sentRevision map[*peer.Session]uint64
 }
 
@@ -34,15 +34,15 @@
 	w.sendTo(s, false)
 }
 
-// hasWatchers reports whether somebody watches.
+// hasWatchers reports whether any host watches.
 func (w *watchers) hasWatchers() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.sentRevision) > 0
 }
 
-// sendAll gives every watcher what it lacks. isCurrent tells that this host asked a
-// quorum since the last change that it knows.
+// sendAll sends every watcher the documents that it lacks. isCurrent tells that a quorum has
+// confirmed that this host is up to date.
 func (w *watchers) sendAll(isCurrent bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,13 +55,13 @@
 	}
 }
 
-// sendTo posts the documents above the watcher's revision; the revision moves
-// only where the session took the message. The caller holds mu.
+// sendTo sends one watcher the documents above its sentRevision, which increases only if
+// the message was queued. The caller holds mu.
 func (w *watchers) sendTo(s *peer.Session, isCurrent bool) {
-	for isAll := false; !isAll; {
+	for isComplete := false; !isComplete; {
 		var c *wire.Changes
-		c, isAll = w.store.Since(w.sentRevision[s])
-		c.Linearizable = isCurrent && isAll
+		c, isComplete = w.store.Since(w.sentRevision[s])
+		c.Linearizable = isCurrent && isComplete
 		if len(c.Documents) == 0 && !c.Linearizable {
 			return
 		}
