--- a/internal/catalog/follower.go
+++ b/internal/catalog/follower.go
@@ -16,55 +16,60 @@
 )
 
 const (
-	// confirmTimeout is how long a source may go without showing that it is current
-	// before the follower looks for another one.
+	// confirmTimeout is how long a control host may send no confirmation that it is up to
+	// date before the follower changes to another one.
 	confirmTimeout = 5 * time.Second
 	retryDelay     = 300 * time.Millisecond
 	reportInterval = 5 * time.Second
-	// queryTimeout bounds the questions to the other hosts of the data centre.
+	// queryTimeout bounds the queries to the other entry hosts of the data centre.
 	queryTimeout = 2 * time.Second
-	// isolatedStartTimeout is how long a host without any current control host waits at its
-	// start before it serves by what the hosts of its data centre know.
+	// isolatedStartTimeout is how long a host that finds no up-to-date control host waits
+	// after its start, before it serves by the documents that the entry hosts of its data
+	// centre have.
 	isolatedStartTimeout = 5 * time.Second
 )
 
-// FollowerConfig is what a Follower needs.
+// FollowerConfig configures a Follower.
 type FollowerConfig struct {
 	Store *Store
 	Pool  *peer.Pool
-	// Control are the addresses of the control hosts, Mates those of the other
-	// entry hosts of the data centre.
+	// Control are the addresses of the control hosts, EntryPeers those of the other entry
+	// hosts of the data centre.
 	Control    []string
 	EntryPeers []string
-	Self       wire.HostInForce
-	Log        *slog.Logger
-	Metrics    metrics.Registry
+	// Self describes this host in its reports to control hosts.
+	Self    wire.HostInForce
+	Log     *slog.Logger
+	Metrics metrics.Registry
 }
 
-// Follower keeps a Store up to date: from one control host that shows that it is
-// current, and from the hosts of the data centre, which hold what control hosts
-// said even where none of these can be reached.
+// Follower keeps a Store up to date. It gets documents from one control host that confirms
+// that it is up to date. If it finds no such control host, it gets those that the other entry
+// hosts of the data centre have.
 type Follower struct {
 	cfg       FollowerConfig
 	isSynced  atomic.Bool
 	ready     chan struct{}
 	readyOnce sync.Once
 
-	// mu guards source and shown.
-	mu     sync.Mutex
+	// mu guards source and confirmedAt.
+	mu sync.Mutex
+	// source is the session with the control host that is watched, nil if there is none.
 	source *peer.Session
-	// confirmedAt is when the source last showed that it is current.
+	// confirmedAt is when the source last confirmed that it is up to date, or when it was
+	// chosen.
 	confirmedAt time.Time
 }
 
-// NewFollower returns a Follower that Run starts.
+// NewFollower returns a Follower. Call Run to start it.
 func NewFollower(cfg FollowerConfig) *Follower {
 	return &Follower{cfg: cfg, ready: make(chan struct{})}
 }
 
-// Ready is closed once the Store holds no less than what any reachable host of
-// the data centre, or a current control host, holds. Before that the host must
-// not serve: after a restart it could go by an older document than before.
+// Ready returns a channel that is closed once the Store has all documents of an up-to-date
+// control host or, if there is none, of the reachable entry hosts of the data centre. The
+// host must not serve requests earlier, because after a restart it could serve by older
+// documents than before.
 func (f *Follower) Ready() <-chan struct{} { return f.ready }
 
 func (f *Follower) markReady() {
@@ -74,7 +79,7 @@
 	})
 }
 
-// Run follows until ctx ends.
+// Run keeps the Store up to date until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, task := range []func(context.Context){f.followControl, f.queryEntryPeers, f.reportLoop} {
@@ -87,8 +92,8 @@
 	wg.Wait()
 }
 
-// followControl stays with one control host as long as that one is current, and
-// goes on to the next where it is not.
+// followControl watches one control host as long as it is up to date, then the next one. It
+// begins with a random one.
 func (f *Follower) followControl(ctx context.Context) {
 	if len(f.cfg.Control) == 0 {
 		return
@@ -106,7 +111,8 @@
 	}
 }
 
-// watchSource watches one control host until its session ends or it is no longer current.
+// watchSource watches a control host until its session ends or its last confirmation is
+// older than confirmTimeout.
 func (f *Follower) watchSource(ctx context.Context, s *peer.Session) {
 	f.setSource(s)
 	defer f.setSource(nil)
@@ -138,20 +144,23 @@
 	f.confirmedAt = time.Now()
 }
 
+// sinceConfirmed returns the time since the last confirmation.
 func (f *Follower) sinceConfirmed() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Since(f.confirmedAt)
 }
 
-// IsCurrent reports whether a control host showed lately that it is current.
+// IsCurrent reports whether a control host confirmed within confirmTimeout that it is up to
+// date.
 func (f *Follower) IsCurrent() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.source != nil && f.isSynced.Load() && time.Since(f.confirmedAt) <= confirmTimeout
 }
 
-// HandlePeer takes a message if it concerns documents.
+// HandlePeer handles a message from another host. It returns false if the message does not
+// concern documents.
 func (f *Follower) HandlePeer(s *peer.Session, call uint64, m wire.Message) bool {
 	switch m := m.(type) {
 	case *wire.Changes:
@@ -181,8 +190,8 @@
 	f.markReady()
 }
 
-// queryEntryPeers asks the other hosts of the data centre at the start, and again
-// whenever no control host is current.
+// queryEntryPeers queries the other entry hosts of the data centre after the start, and as
+// long as no control host is up to date.
 func (f *Follower) queryEntryPeers(ctx context.Context) {
 	started := time.Now()
 	for ctx.Err() == nil {
@@ -196,6 +205,7 @@
 	}
 }
 
+// queryAll queries all entry peers in parallel.
 func (f *Follower) queryAll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -210,6 +220,7 @@
 	wg.Wait()
 }
 
+// query merges the documents of one entry host into the Store.
 func (f *Follower) query(ctx context.Context, address string) {
 	s, err := f.cfg.Pool.Get(ctx, address)
 	if err != nil {
@@ -224,7 +235,7 @@
 	}
 }
 
-// reportLoop tells the source now and then what is in force here.
+// reportLoop regularly reports the revision in force on this host to the source.
 func (f *Follower) reportLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.mu.Lock()
@@ -237,6 +248,7 @@
 	}
 }
 
+// sendReport sends the revision in force on this host.
 func (f *Follower) sendReport(s *peer.Session) {
 	self := f.cfg.Self
 	self.Revision = f.cfg.Store.InForce()
--- a/internal/catalog/index.go
+++ b/internal/catalog/index.go
@@ -6,13 +6,13 @@
 	"github.com/sassafraspost/sassafraspost/internal/document"
 )
 
-// Binding is a workspace of a document.
+// Binding is a workspace with the document that defines it.
 type Binding struct {
 	Document  *document.Document
 	Workspace *document.Workspace
 }
 
-// Index finds things in the documents in force. It is immutable.
+// Index is an immutable index of the documents in force, by name, token and pool.
 type Index struct {
 	revision  uint64
 	documents map[string]*document.Document
@@ -20,17 +20,18 @@
 	pools     map[string]PoolModel
 }
 
-// PoolModel is the model that a pool of upstreams serves.
+// PoolModel is the model that a pool of upstreams serves, with the document that defines it.
 type PoolModel struct {
 	Document *document.Document
 	Model    *document.Model
-	// Revision is that of the document.
+	// Revision is the revision of the document.
 	Revision uint64
 }
 
-// newIndex indexes documents, sorted by name. A submission that claims another
-// document's token or pool is refused; where two such raced past that check, the
-// first by name keeps it on every host, through all later revisions.
+// newIndex indexes documents, which must be sorted by name. Control hosts reject a document
+// that uses a token or a pool of another one, but two such documents can be accepted at the
+// same time. The first one by name then keeps the token or pool on every host, in all later
+// revisions.
 func newIndex(docs []stored, revision uint64) *Index {
 	x := &Index{
 		revision:  revision,
@@ -73,7 +74,7 @@
 // Documents returns how many documents are in force.
 func (x *Index) Documents() int { return len(x.documents) }
 
-// ByToken returns the workspace that the SHA-256 of a bearer token is bound to.
+// ByToken returns the workspace of a bearer token, which is given by its SHA-256 hash.
 func (x *Index) ByToken(hash [sha256.Size]byte) (Binding, bool) {
 	b, ok := x.tokens[hash]
 	return b, ok
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -1,8 +1,9 @@
-// Package catalog holds the service documents that are in force on a host.
+// Package catalog holds the service documents by which a host serves requests. These documents
+// are in force on the host.
 //
-// A document carries its revision, its place in the replicated log, everywhere. A
-// Store never takes a lower revision of a document than it has, so that an
-// accepted document does not revert, whoever offers an old one.
+// The revision of a document is its index in the replicated log, and is sent along with it. A
+// Store never replaces a document by a lower revision, so that a document does not revert if
+// another host sends an old one.
 package catalog
 
 import (
@@ -19,28 +20,28 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// maxChangesBytes bounds the texts in one message.
+// maxChangesBytes bounds the total size of the texts in one wire.Changes.
 const maxChangesBytes = 4 << 20
 
-// stored is one document with its parsed form.
+// stored is a document with its parsed form.
 type stored struct {
 	wire.Document
 	parsed *document.Document
 }
 
-// Store holds documents. Readers use Index, which takes no lock.
+// Store holds the documents. Index returns them without a lock.
 type Store struct {
 	log     *slog.Logger
 	refused metrics.Counter
 	invalid metrics.Counter
-	// inForce shows the highest revision in force.
+	// inForce is the metric of the highest revision in force.
 	inForce metrics.Gauge
 
 	// mu guards the fields below.
 	mu       sync.Mutex
 	stored   map[string]stored
 	revision uint64
-	// unreadable holds the revisions that this build could not read, by document.
+	// unreadable holds, by document name, the revision that this build could not parse.
 	unreadable map[string]uint64
 	changed    chan struct{}
 
@@ -63,8 +64,8 @@
 	return s
 }
 
-// Merge takes the documents that are newer than what the Store holds. It returns
-// whether anything changed.
+// Merge stores the documents whose revision is higher than the stored one. It reports whether
+// there were any.
 func (s *Store) Merge(docs []wire.Document) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +79,7 @@
 	return isChanged
 }
 
-// apply holds one document. The caller holds mu.
+// apply stores one document if its revision is higher. The caller holds mu.
 func (s *Store) apply(d wire.Document) bool {
 	old, ok := s.stored[d.Name]
 	if ok && d.Revision <= old.Revision {
@@ -89,8 +90,8 @@
 	}
 	parsed, err := document.Parse(d.Text)
 	if err != nil {
-		// Accepted by a newer build. What this build can't read it can't serve by:
-		// the last form that it could read stays, the revision is not reported.
+		// A newer build has accepted this document. The last revision that this build
+		// could parse remains in force, and InForce does not report the new one.
 		s.invalid.Inc(1)
 		s.unreadable[d.Name] = d.Revision
 		s.log.Error("accepted document can't be read", "document", d.Name, "revision", d.Revision, "error", err)
@@ -103,7 +104,7 @@
 	return true
 }
 
-// publish makes the documents readable and wakes who waits. The caller holds mu.
+// publish replaces the index and notifies those that wait for Changed. The caller holds mu.
 func (s *Store) publish() {
 	s.index.Store(newIndex(s.sorted(byName), s.revision))
 	s.inForce.Update(int64(s.revision))
@@ -115,7 +116,7 @@
 
 func byRevision(a, b stored) int { return cmp.Compare(a.Revision, b.Revision) }
 
-// sorted returns the documents in an order. The caller holds mu.
+// sorted returns the documents in the given order. The caller holds mu.
 func (s *Store) sorted(order func(a, b stored) int) []stored {
 	out := make([]stored, 0, len(s.stored))
 	for _, h := range s.stored {
@@ -128,11 +129,11 @@
 // Index returns the documents in force.
 func (s *Store) Index() *Index { return s.index.Load() }
 
-// Revision returns the highest revision in force.
+// Revision returns the highest revision of all documents in force.
 func (s *Store) Revision() uint64 { return s.Index().revision }
 
-// InForce returns the revision up to which every document is in force: one that
-// can't be read holds it back.
+// InForce returns the highest revision up to which all documents are in force. It is lower
+// than the revision of any document that could not be parsed.
 func (s *Store) InForce() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,8 +151,8 @@
 	return s.changed
 }
 
-// Since returns the documents above a revision, in rising order, as many as one
-// message should carry. isAll tells that none is left out.
+// Since returns the documents above a revision in ascending order, as many as fit into one
+// message. isAll is false if there are more.
 func (s *Store) Since(revision uint64) (c *wire.Changes, isAll bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/catalog/store_test.go
+++ b/internal/catalog/store_test.go
@@ -13,6 +13,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
+// text returns a document with one model, and one workspace that has the given token.
 func text(name, version, token string) []byte {
 	hash := sha256.Sum256([]byte(token))
 	return []byte(fmt.Sprintf(`[service]
@@ -26,7 +27,7 @@
 
 func newStore() *Store { return NewStore(slog.New(slog.DiscardHandler), metrics.NewRegistry()) }
 
-// Without the revision check in take this fails: a late offer brings back an old text.
+// Without the revision check in apply, a late message would bring back an old document.
 func TestDocumentNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore()
@@ -42,7 +43,9 @@
 	})
 }
 
-func TestContestedTokenStaysWithOneDocumentThroughLaterRevisions(t *testing.T) {
+// If two documents with the same token were accepted at the same time, later revisions must not
+// move the token to the other document.
+func TestSharedTokenStaysWithFirstDocumentInLaterRevisions(t *testing.T) {
 	s := newStore()
 	s.Merge([]wire.Document{
 		{Name: "late", Revision: 9, Text: text("late", "v1", "shared token")},
@@ -57,7 +60,9 @@
 	}
 }
 
-func TestUnreadableDocumentHoldsBackWhatIsInForce(t *testing.T) {
+// A document that this build can't parse must leave its last readable revision in force. The
+// reported revision must stay below it, so that operators see that the host is behind.
+func TestUnreadableDocumentLimitsRevisionInForce(t *testing.T) {
 	s := newStore()
 	s.Merge([]wire.Document{{Name: "a", Revision: 2, Text: text("a", "v1", "x")}})
 	s.Merge([]wire.Document{
--- a/internal/directory/announcer.go
+++ b/internal/directory/announcer.go
@@ -12,48 +12,52 @@
 )
 
 const (
-	// OwnersPerUpstream is how many owners an agent announces to.
+	// OwnersPerUpstream is how many owners hold the record of an upstream.
 	OwnersPerUpstream = 2
-	// avoidTime is how long an agent passes over an owner that did not answer.
-	avoidTime       = 5 * time.Second
+	// avoidTime is how long an owner that did not acknowledge is tried after all others.
+	avoidTime = 5 * time.Second
+	// announceTimeout bounds one announcement to one owner, including the dial.
 	announceTimeout = 700 * time.Millisecond
 )
 
-// AnnouncerConfig is what an Announcer needs.
+// AnnouncerConfig configures an Announcer.
 type AnnouncerConfig struct {
 	// Hosts are the entry hosts of the agent's data centre.
 	Hosts    []Host
 	Pool     *peer.Pool
 	Interval time.Duration
-	// Record returns the present record and the cache events not yet announced. Its
-	// Seq is set by the Announcer.
+	// Record returns the upstream's current record and the cache events that were not yet
+	// announced. The Announcer sets the record's Seq.
 	Record func() (wire.Upstream, []wire.CacheEvent)
-	// Raise tells the agent to take a start number above the one given, since an
-	// owner knows a later start of the same name.
+	// Raise makes the agent use an incarnation number above known, because an owner has a
+	// record with that higher number under the same name.
 	Raise func(known uint64)
-	Now   func() time.Duration
-	Log   *slog.Logger
+	// Now returns the time on a monotonic clock.
+	Now func() time.Duration
+	Log *slog.Logger
 }
 
-// Announcer tells the owners of an upstream about it.
+// Announcer announces one upstream to its owners.
 type Announcer struct {
-	cfg        AnnouncerConfig
-	wake       chan struct{}
+	cfg AnnouncerConfig
+	// wake makes Run announce before the interval has passed.
+	wake chan struct{}
+	// avoidUntil holds, by host name, until when an owner that failed is tried last.
 	avoidUntil map[string]time.Duration
 	seq        uint64
 
 	isRegistered atomic.Bool
 }
 
-// NewAnnouncer returns an Announcer that Run starts.
+// NewAnnouncer returns an Announcer. Call Run to start it.
 func NewAnnouncer(cfg AnnouncerConfig) *Announcer {
 	return &Announcer{cfg: cfg, wake: make(chan struct{}, 1), avoidUntil: make(map[string]time.Duration)}
 }
 
-// IsRegistered reports whether an owner holds this start's record.
+// IsRegistered reports whether an owner has acknowledged the last announcement.
 func (a *Announcer) IsRegistered() bool { return a.isRegistered.Load() }
 
-// AnnounceNow announces at once, without waiting for the interval.
+// AnnounceNow makes Run announce without waiting for the interval.
 func (a *Announcer) AnnounceNow() {
 	select {
 	case a.wake <- struct{}{}:
@@ -61,7 +65,7 @@
 	}
 }
 
-// Run announces until ctx ends.
+// Run announces the upstream at each interval until ctx ends.
 func (a *Announcer) Run(ctx context.Context) {
 	ticker := time.NewTicker(a.cfg.Interval)
 	defer ticker.Stop()
@@ -76,44 +80,46 @@
 	}
 }
 
-// announceToOwners announces to the first owners that answer.
+// announceToOwners announces to hosts in the order of candidates until OwnersPerUpstream of
+// them have acknowledged.
 func (a *Announcer) announceToOwners(ctx context.Context) {
 	up, events := a.cfg.Record()
 	a.seq++
 	up.Seq = a.seq
 	owners := a.candidates(up.Name)
-	need := OwnersPerUpstream
-	for len(owners) > 0 && need > 0 {
-		batch := owners[:min(need, len(owners))]
+	missing := OwnersPerUpstream
+	for len(owners) > 0 && missing > 0 {
+		batch := owners[:min(missing, len(owners))]
 		owners = owners[len(batch):]
-		need -= a.announceAll(ctx, batch, up, events, OwnersPerUpstream-need)
+		missing -= a.announceAll(ctx, batch, up, events, OwnersPerUpstream-missing)
 	}
-	if was := a.isRegistered.Swap(need < OwnersPerUpstream); was != (need < OwnersPerUpstream) {
-		a.cfg.Log.Info("directory contact changed", "heard", !was)
+	if wasRegistered := a.isRegistered.Swap(missing < OwnersPerUpstream); wasRegistered != (missing < OwnersPerUpstream) {
+		a.cfg.Log.Info("directory contact changed", "heard", !wasRegistered)
 	}
 }
 
-// candidates returns the owners in order; those that lately failed come last.
+// candidates returns the hosts ranked by Owners, but those that failed recently come last.
 func (a *Announcer) candidates(upstream string) []Host {
 	now := a.cfg.Now()
-	var good, bad []Host
+	var preferred, avoided []Host
 	for _, h := range Owners(a.cfg.Hosts, upstream) {
 		if until, ok := a.avoidUntil[h.Name]; ok && now < until {
-			bad = append(bad, h)
+			avoided = append(avoided, h)
 			continue
 		}
-		good = append(good, h)
+		preferred = append(preferred, h)
 	}
-	return append(good, bad...)
+	return append(preferred, avoided...)
 }
 
-// announceAll returns how many of the hosts took the record. taken is how many
-// owners hold it already; only the first passes on load reports.
-func (a *Announcer) announceAll(ctx context.Context, hosts []Host, up wire.Upstream, events []wire.CacheEvent, taken int) int {
+// announceAll announces to several hosts in parallel and returns how many acknowledged.
+// acknowledged is the number of hosts that acknowledged before. Only the first host gets
+// the cache events and forwards load reports; the record is marked as Standby for others.
+func (a *Announcer) announceAll(ctx context.Context, hosts []Host, up wire.Upstream, events []wire.CacheEvent, acknowledged int) int {
 	ok := make([]bool, len(hosts))
 	var wg sync.WaitGroup
 	for i, h := range hosts {
-		m := &wire.Announce{Upstream: up, Standby: taken+i > 0}
+		m := &wire.Announce{Upstream: up, Standby: acknowledged+i > 0}
 		if !m.Standby {
 			m.Events = events
 		}
@@ -136,6 +142,7 @@
 	return count
 }
 
+// announce sends an announcement to one host and reports whether it was acknowledged.
 func (a *Announcer) announce(ctx context.Context, h Host, m *wire.Announce) bool {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -15,7 +15,9 @@
 	return &wire.Announce{Upstream: wire.Upstream{Name: name, Incarnation: inc, Seq: seq, State: state}}
 }
 
-func TestOwnersMoveOnlyWhereAHostIsLost(t *testing.T) {
+// The loss of a host must change the owners only of upstreams that it owned. Otherwise all
+// agents would change owners at once.
+func TestOwnersChangeOnlyForUpstreamsOfLostHost(t *testing.T) {
 	var hosts []Host
 	for i := range 9 {
 		hosts = append(hosts, Host{Name: fmt.Sprintf("entry-%d", i)})
@@ -34,6 +36,8 @@
 	}
 }
 
+// Announcements can arrive out of order. An older one must not turn an upstream that is
+// shutting down back into a ready one.
 func TestOlderRecordNeverReplacesNewer(t *testing.T) {
 	tab := NewTable(DefaultTimeouts)
 	require.True(t, tab.Announce(announce("w", 2, 5, wire.UpstreamLeaving), 0))
@@ -42,6 +46,8 @@
 	require.Equal(t, wire.UpstreamLeaving, tab.Full().Upserts[0].State)
 }
 
+// An upstream without announcements must become suspect and later be removed. An announcement
+// in between must end the suspicion.
 func TestSilentUpstreamIsSuspectedThenForgotten(t *testing.T) {
 	tab, view := NewTable(DefaultTimeouts), NewView()
 	version := uint64(0)
@@ -68,7 +74,9 @@
 	require.Empty(t, view.Entries())
 }
 
-func TestUpstreamIsTrustedWhileOneOwnerHearsIt(t *testing.T) {
+// An upstream must not become suspect as long as one connected owner receives its
+// announcements.
+func TestUpstreamIsNotSuspectWhileOneOwnerHearsIt(t *testing.T) {
 	view := NewView()
 	up := wire.Upstream{Name: "w", Incarnation: 1, Seq: 1, State: wire.UpstreamReady}
 	for _, owner := range []string{"a", "b"} {
@@ -82,10 +90,10 @@
 	require.Len(t, view.Entries(), 1)
 }
 
-// A view that missed deltas notices it by the next delta or notice, and holds the
-// same as its owner after the full answer. Without the version check in Apply this
-// fails: a missed record stays missing.
-func TestViewFollowsItsOwnerThroughLostDeltas(t *testing.T) {
+// A view that missed deltas must notice it by the next delta or notice, and must equal the
+// owner's table after a full delta. Without the version check in Apply, a missed record would
+// be missing until it changes again.
+func TestViewMatchesOwnerDespiteLostDeltas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tab, view := NewTable(DefaultTimeouts), NewView()
 		version, now := uint64(0), time.Duration(0)
--- a/internal/directory/service.go
+++ b/internal/directory/service.go
@@ -15,46 +15,52 @@
 )
 
 const (
-	flushInterval  = 100 * time.Millisecond
+	// flushInterval is how often an owner sends changes to its subscribers.
+	flushInterval = 100 * time.Millisecond
+	// noticeInterval is how often an owner sends its version, so that subscribers notice
+	// that they missed changes.
 	noticeInterval = 10 * time.Second
 	retryDelay     = 500 * time.Millisecond
-	// incomingSessionWait is how long a host waits for a session from the one whose turn it is
-	// to dial, so that a pair does not end up with two.
+	// incomingSessionWait is how long a host waits for the session of a host whose name
+	// sorts before its own, before it dials that host itself. If both dialled, the two hosts
+	// could end up with two sessions.
 	incomingSessionWait = time.Second
-	// minLoadInterval and loadIntervalPerHost say how often an owner passes on load
-	// reports: the more hosts there are to tell, the less often, so that the cost a
-	// host stays the same.
+	// The interval at which an owner forwards load reports is minLoadInterval, or
+	// loadIntervalPerHost for each entry host if that is longer. It grows with the number of
+	// receivers, so that the cost for each host remains the same.
 	minLoadInterval     = time.Second
 	loadIntervalPerHost = 75 * time.Millisecond
 )
 
-// ServiceConfig is what a Service needs.
+// ServiceConfig configures a Service.
 type ServiceConfig struct {
-	// Self is the name of this entry host, Hosts all of its data centre, itself included.
+	// Self is the name of this entry host. Hosts are all entry hosts of its data centre,
+	// including this one.
 	Self  string
 	Hosts []Host
 	// Incarnation identifies this start of the process.
 	Incarnation uint64
 	Pool        *peer.Pool
 	Timeouts    Timeouts
-	// Now returns the time since any fixed point, by a monotonic clock.
+	// Now returns the time on a monotonic clock.
 	Now     func() time.Duration
 	Log     *slog.Logger
 	Metrics metrics.Registry
-	// OnEvents, if set, gets cache events as they come in.
+	// OnEvents, if set, is called with the cache events of an upstream as they arrive.
 	OnEvents func(upstream string, events []wire.CacheEvent)
 }
 
-// Service is the directory of one entry host: an owner for some upstreams and a
-// subscriber of all other owners. Lock order: mu alone; nothing is sent under it
-// but by Session.Post, which does not wait.
+// Service is the directory on one entry host. The host owns some upstreams and subscribes to
+// all other owners.
 type Service struct {
 	cfg ServiceConfig
 
-	// mu guards table, view, version and subscribers.
-	mu          sync.Mutex
-	table       *Table
-	view        *View
+	// mu guards table, view, version and subscribers. While it is held, messages are sent
+	// only by Session.Post, which does not block.
+	mu    sync.Mutex
+	table *Table
+	view  *View
+	// version is the number of the last delta that this host sent as an owner.
 	version     uint64
 	subscribers map[*peer.Session]bool
 
@@ -64,7 +70,7 @@
 	announcements metrics.Counter
 }
 
-// NewService returns a Service that Run starts.
+// NewService returns a Service. Call Run to start it.
 func NewService(cfg ServiceConfig) *Service {
 	if cfg.Timeouts == (Timeouts{}) {
 		cfg.Timeouts = DefaultTimeouts
@@ -82,10 +88,10 @@
 	return d
 }
 
-// Entries returns the upstreams known now. The slice is shared: read only.
+// Entries returns the known upstreams. The slice is shared; callers must not modify it.
 func (d *Service) Entries() []Entry { return *d.entries.Load() }
 
-// Run keeps the directory until ctx ends.
+// Run subscribes to the other hosts and sends the changes of this host until ctx ends.
 func (d *Service) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, h := range d.cfg.Hosts {
@@ -129,6 +135,8 @@
 	return max(minLoadInterval, time.Duration(len(d.cfg.Hosts))*loadIntervalPerHost)
 }
 
+// flush removes expired records and sends what has changed to the subscribers. withLoads
+// includes load reports, and withNotice sends the current version too.
 func (d *Service) flush(now time.Duration, withLoads, withNotice bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -150,7 +158,7 @@
 	}
 }
 
-// applyLocal merges what this host owns itself. The caller holds mu.
+// applyLocal applies a delta of this host's own table to its view. The caller holds mu.
 func (d *Service) applyLocal(delta *wire.Delta, now time.Duration) {
 	if !d.view.Apply(d.cfg.Self, delta, now) {
 		full := d.table.Full()
@@ -169,14 +177,14 @@
 	}
 }
 
-// publish makes the view readable without a lock. The caller holds mu.
+// publish updates the list that Entries returns without a lock. The caller holds mu.
 func (d *Service) publish() {
 	entries := d.view.Entries()
 	d.entries.Store(&entries)
 }
 
-// broadcast posts m to all subscribers; one whose queue is full notices the gap
-// by itself. The caller holds mu.
+// broadcast posts m to all subscribers. If the queue of a subscriber is full, the message
+// is lost, and the subscriber notices the gap by the next version. The caller holds mu.
 func (d *Service) broadcast(m wire.Message) {
 	for s := range d.subscribers {
 		if !s.Alive() {
@@ -189,7 +197,8 @@
 	}
 }
 
-// HandlePeer takes a message if it concerns the directory.
+// HandlePeer handles a message from another host. It returns false if the message is not
+// for the directory.
 func (d *Service) HandlePeer(s *peer.Session, call uint64, m wire.Message) bool {
 	switch m := m.(type) {
 	case *wire.Announce:
@@ -231,7 +240,8 @@
 	}
 }
 
-// groupMembers returns the hosts of a group, suspect ones too: none may be left out.
+// groupMembers returns the hosts of a group. It includes suspect ones, because the caller
+// needs all ranks of the group.
 func (d *Service) groupMembers(name string) *wire.GroupAnswer {
 	a := &wire.GroupAnswer{}
 	for _, e := range d.Entries() {
@@ -261,12 +271,14 @@
 	}
 }
 
+// resubscribe requests the full table of an owner, after a delta of it was missed.
 func (d *Service) resubscribe(s *peer.Session) {
 	d.gaps.Inc(1)
 	_ = s.Post(&wire.Subscribe{})
 }
 
-// followOwner subscribes to one owner, again after each loss, until ctx ends.
+// followOwner maintains a subscription to one owner until ctx ends. After the session is
+// lost, it subscribes again.
 func (d *Service) followOwner(ctx context.Context, h Host) {
 	if d.cfg.Self > h.Name {
 		d.awaitIncomingSession(ctx, h)
@@ -288,7 +300,7 @@
 	}
 }
 
-// awaitIncomingSession waits for a session that the other host opens.
+// awaitIncomingSession waits up to incomingSessionWait for the other host to dial.
 func (d *Service) awaitIncomingSession(ctx context.Context, h Host) {
 	deadline := d.cfg.Now() + incomingSessionWait
 	for ctx.Err() == nil && d.cfg.Now() < deadline && d.cfg.Pool.Live(h.Address) == nil {
--- a/internal/directory/service_test.go
+++ b/internal/directory/service_test.go
@@ -21,10 +21,12 @@
 	conditionTimeout = 20 * time.Second
 )
 
+// start is the origin of the clock that the tests use.
 var start = time.Now()
 
 func since() time.Duration { return time.Since(start) }
 
+// entryHost is an entry host with its directory, sessions and listener.
 type entryHost struct {
 	service *Service
 	pool    *peer.Pool
@@ -38,7 +40,7 @@
 	e.pool.Close()
 }
 
-// startEntries runs n entry hosts of one data centre on loopback.
+// startEntries starts n entry hosts of one data centre on the loopback interface.
 func startEntries(t *testing.T, n int) ([]*entryHost, []Host) {
 	t.Helper()
 	var hosts []Host
@@ -78,6 +80,8 @@
 	return e
 }
 
+// startAnnouncer starts the announcements of one upstream. state is the state that it
+// announces.
 func startAnnouncer(t *testing.T, hosts []Host, name string, state *atomic.Uint32, incarnation uint64) *Announcer {
 	t.Helper()
 	pool := peer.NewPool(peer.Config{Hello: wire.Hello{Host: name}, Secret: testSecret,
@@ -97,6 +101,7 @@
 	return a
 }
 
+// allSee returns a condition: each entry host knows exactly one upstream, and it satisfies ok.
 func allSee(entries []*entryHost, ok func(Entry) bool) func() bool {
 	return func() bool {
 		for _, e := range entries {
@@ -109,7 +114,9 @@
 	}
 }
 
-func TestAnnouncedUpstreamIsKnownEverywhereAndSurvivesItsOwners(t *testing.T) {
+// Every entry host must know an announced upstream. If its owners crash, the next hosts must
+// become owners before the upstream is removed. A shutdown must reach all remaining hosts.
+func TestUpstreamIsKnownToAllEntryHostsAfterItsOwnersCrash(t *testing.T) {
 	entries, hosts := startEntries(t, 4)
 	var state atomic.Uint32
 	state.Store(uint32(wire.UpstreamReady))
@@ -134,7 +141,9 @@
 	require.Eventually(t, allSee(rest, leaving), conditionTimeout, 5*time.Millisecond)
 }
 
-func TestRestartedAgentTakesAHigherIncarnation(t *testing.T) {
+// After a restart the clock of an agent may be behind, so that it chooses a lower incarnation
+// than before. It must use a higher one, or its records would be ignored as out of date.
+func TestRestartedAgentUsesHigherIncarnation(t *testing.T) {
 	entries, hosts := startEntries(t, 2)
 	var state atomic.Uint32
 	state.Store(uint32(wire.UpstreamLeaving))
@@ -142,7 +151,7 @@
 	require.Eventually(t, allSee(entries, func(e Entry) bool { return e.Upstream.Incarnation == 50 }), conditionTimeout, 5*time.Millisecond)
 	var restarted atomic.Uint32
 	restarted.Store(uint32(wire.UpstreamReady))
-	startAnnouncer(t, hosts, "w", &restarted, 7) // its clock was set back
+	startAnnouncer(t, hosts, "w", &restarted, 7) // lower than 50, as if its clock had been set back
 	require.Eventually(t, allSee(entries, func(e Entry) bool {
 		return e.Upstream.Incarnation > 50 && e.Upstream.State == wire.UpstreamReady
 	}), conditionTimeout, 5*time.Millisecond)
--- a/internal/directory/table.go
+++ b/internal/directory/table.go
@@ -6,36 +6,43 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// Timeouts say when a silent upstream loses trust.
+// Timeouts are the timeouts for upstreams that stop announcing themselves.
 type Timeouts struct {
-	// SilenceTimeout is how long an owner waits for an announcement before it reports the
+	// SilenceTimeout is the time without an announcement after which an owner reports the
 	// upstream as silent.
 	SilenceTimeout time.Duration
-	// ForgetTimeout is how long an owner keeps the record of a silent upstream.
+	// ForgetTimeout is the time without an announcement after which an owner removes the
+	// record.
 	ForgetTimeout time.Duration
 }
 
-// DefaultTimeouts suit announcements once a second.
+// DefaultTimeouts are suitable for one announcement per second.
 var DefaultTimeouts = Timeouts{SilenceTimeout: 3 * time.Second, ForgetTimeout: 60 * time.Second}
 
+// record is the record of one upstream.
 type record struct {
 	upstream wire.Upstream
-	heard    time.Duration
-	silent   bool
+	// heard is when the last announcement was received.
+	heard  time.Duration
+	silent bool
 }
 
-// Table is what an owner holds. It is not safe for concurrent use.
+// Table holds the records of the upstreams that this host owns. It is not safe for concurrent
+// use.
 type Table struct {
 	spans   Timeouts
 	records map[string]*record
-	// pending collects what changed since the last Flush.
+	// pending contains the changes since the last Flush.
 	pending pending
 }
 
+// pending contains changes by the name of the upstream.
 type pending struct {
-	upserts   map[string]bool
-	loads     map[string]bool
-	events    map[string][]wire.CacheEvent
+	// upserts are upstreams with a new or changed record, apart from the load alone.
+	upserts map[string]bool
+	loads   map[string]bool
+	events  map[string][]wire.CacheEvent
+	// silent and heard are upstreams that became silent, or announced themselves again.
 	silent    map[string]bool
 	heard     map[string]bool
 	forgotten map[string]bool
@@ -57,8 +64,8 @@
 	return &Table{spans: spans, records: make(map[string]*record), pending: newPending()}
 }
 
-// Newer reports whether a replaces b: a later start of the agent, or a later
-// record of the same start.
+// Newer reports whether record a replaces record b: it has a higher incarnation, or the same
+// incarnation and a higher sequence number.
 func Newer(a, b wire.Upstream) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -66,8 +73,8 @@
 	return a.Seq > b.Seq
 }
 
-// Announce takes an agent's record. It returns true where the record says
-// something that must not wait for the next Flush: that the upstream leaves.
+// Announce stores an agent's record unless it is out of date. It returns true if the change
+// must be flushed immediately, because the upstream is shutting down.
 func (t *Table) Announce(a *wire.Announce, now time.Duration) (urgent bool) {
 	name := a.Upstream.Name
 	old := t.records[name]
@@ -92,13 +99,13 @@
 	return false
 }
 
-// equalExceptLoad reports whether two records differ at most in load and sequence.
+// equalExceptLoad reports whether two records are equal apart from load and sequence number.
 func equalExceptLoad(a, b wire.Upstream) bool {
 	a.Seq, a.Load = b.Seq, b.Load
 	return a == b
 }
 
-// Expire marks upstreams silent and forgets them.
+// Expire marks upstreams as silent after SilenceTimeout and removes them after ForgetTimeout.
 func (t *Table) Expire(now time.Duration) {
 	for name, r := range t.records {
 		quiet := now - r.heard
@@ -115,7 +122,7 @@
 	}
 }
 
-// Incarnation returns the highest start known of the named upstream, or zero.
+// Incarnation returns the highest known incarnation of an upstream, or zero.
 func (t *Table) Incarnation(name string) uint64 {
 	if r := t.records[name]; r != nil {
 		return r.upstream.Incarnation
@@ -126,7 +133,7 @@
 // Len returns how many upstreams the table holds.
 func (t *Table) Len() int { return len(t.records) }
 
-// Full returns all that a new subscriber has to know.
+// Full returns the whole table for a new subscriber.
 func (t *Table) Full() *wire.Delta {
 	d := &wire.Delta{Full: true}
 	for name, r := range t.records {
@@ -138,8 +145,8 @@
 	return d
 }
 
-// Flush returns what changed since the last Flush, or nil. withLoads tells
-// whether load reports and cache events are due; they wait where not.
+// Flush returns the changes since the last Flush, or nil if there are none. Load reports and
+// cache events are returned only if withLoads is set; otherwise they remain pending.
 func (t *Table) Flush(withLoads bool) *wire.Delta {
 	d := &wire.Delta{}
 	for name := range t.pending.upserts {
@@ -154,13 +161,13 @@
 	}
 	d.Silent = names(t.pending.silent)
 	d.Heard = names(t.pending.heard)
-	rest := newPending()
+	remaining := newPending()
 	if withLoads {
 		t.flushLoads(d)
 	} else {
-		rest.loads, rest.events = t.pending.loads, t.pending.events
+		remaining.loads, remaining.events = t.pending.loads, t.pending.events
 	}
-	t.pending = rest
+	t.pending = remaining
 	if isEmpty(d) {
 		return nil
 	}
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -8,35 +8,36 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// ownerRetention is how long a View keeps the word of an owner that it lost.
+// ownerRetention is how long a View keeps the records of a disconnected owner.
 const ownerRetention = 10 * time.Second
 
-// Entry is one upstream as an entry host sees it.
+// Entry is an upstream in a View.
 type Entry struct {
 	Upstream wire.Upstream
-	// Suspect tells that no owner hears from the upstream at present.
+	// Suspect is set if no connected owner receives announcements of the upstream.
 	Suspect bool
-	// LoadAt is when the load report came in, on the clock of the View's caller.
+	// LoadAt is when the load report was received, on the clock of the View's caller.
 	LoadAt time.Duration
 }
 
-// ownerRecord is what one owner says of one upstream.
+// ownerRecord is the record that one owner has of one upstream.
 type ownerRecord struct {
 	upstream wire.Upstream
 	silent   bool
 	loadAt   time.Duration
 }
 
+// owner is the state of one owner in a View.
 type owner struct {
 	records map[string]*ownerRecord
-	// incarnation and version place the owner's last delta.
+	// incarnation and version are those of the owner's last delta.
 	incarnation uint64
 	version     uint64
 	connected   bool
 	lostAt      time.Duration
 }
 
-// View merges the words of all owners. It is not safe for concurrent use.
+// View merges the records of all owners. It is not safe for concurrent use.
 type View struct {
 	owners map[string]*owner
 }
@@ -44,8 +45,8 @@
 // NewView returns an empty View.
 func NewView() *View { return &View{owners: make(map[string]*owner)} }
 
-// Apply merges a delta of the named owner. It returns false where the delta does
-// not follow the last one: the caller subscribes anew.
+// Apply applies a delta of an owner. It returns false if a delta before this one is missing;
+// the caller must then subscribe to the owner again.
 func (v *View) Apply(from string, d *wire.Delta, now time.Duration) bool {
 	o := v.owners[from]
 	if d.Full {
@@ -60,7 +61,7 @@
 	return true
 }
 
-// IsCurrent reports whether the View holds the owner's state at the notice.
+// IsCurrent reports whether the View has all changes up to the version in the notice.
 func (v *View) IsCurrent(from string, n *wire.DigestNotice) bool {
 	o := v.owners[from]
 	return o != nil && o.incarnation == n.Incarnation && o.version == n.Version
@@ -71,20 +72,20 @@
 		o.records[u.Name] = &ownerRecord{upstream: u, loadAt: now}
 	}
 	for _, l := range d.Loads {
-		if w := o.records[l.Name]; w != nil {
-			w.upstream.Load = l.Load
-			w.loadAt = now
-			w.silent = false
+		if r := o.records[l.Name]; r != nil {
+			r.upstream.Load = l.Load
+			r.loadAt = now
+			r.silent = false
 		}
 	}
 	for _, name := range d.Silent {
-		if w := o.records[name]; w != nil {
-			w.silent = true
+		if r := o.records[name]; r != nil {
+			r.silent = true
 		}
 	}
 	for _, name := range d.Heard {
-		if w := o.records[name]; w != nil {
-			w.silent = false
+		if r := o.records[name]; r != nil {
+			r.silent = false
 		}
 	}
 	for _, name := range d.Forgotten {
@@ -92,8 +93,8 @@
 	}
 }
 
-// OwnerDisconnected notes that the session with an owner ended. Its words fade after a grace,
-// within which the agents announce to the next owner.
+// OwnerDisconnected marks an owner as disconnected. Its records are kept for ownerRetention,
+// so that agents have time to announce to the next owner.
 func (v *View) OwnerDisconnected(from string, now time.Duration) {
 	if o := v.owners[from]; o != nil && o.connected {
 		o.connected = false
@@ -101,7 +102,8 @@
 	}
 }
 
-// Expire drops the owners whose grace has ended and reports whether there were any.
+// Expire removes owners that have been disconnected for ownerRetention, and reports whether
+// there were any.
 func (v *View) Expire(now time.Duration) bool {
 	before := len(v.owners)
 	for name, o := range v.owners {
@@ -112,15 +114,15 @@
 	return len(v.owners) != before
 }
 
-// Entries returns all upstreams, sorted by name. For each, the newest record of
-// any owner counts; an upstream is suspect when no connected owner hears it.
+// Entries returns all upstreams sorted by name, each with the newest record of all owners and
+// the newest load report.
 func (v *View) Entries() []Entry {
 	merged := make(map[string]*Entry)
 	heard := make(map[string]bool)
 	for _, o := range v.owners {
-		for name, w := range o.records {
-			heard[name] = heard[name] || (o.connected && !w.silent)
-			mergeRecord(merged, name, w)
+		for name, r := range o.records {
+			heard[name] = heard[name] || (o.connected && !r.silent)
+			mergeRecord(merged, name, r)
 		}
 	}
 	out := make([]Entry, 0, len(merged))
@@ -132,18 +134,19 @@
 	return out
 }
 
-func mergeRecord(merged map[string]*Entry, name string, w *ownerRecord) {
+// mergeRecord adds the record of one owner to the merged entries.
+func mergeRecord(merged map[string]*Entry, name string, r *ownerRecord) {
 	e := merged[name]
 	if e == nil {
-		merged[name] = &Entry{Upstream: w.upstream, LoadAt: w.loadAt}
+		merged[name] = &Entry{Upstream: r.upstream, LoadAt: r.loadAt}
 		return
 	}
 	load, loadAt := e.Upstream.Load, e.LoadAt
-	if w.loadAt > loadAt {
-		load, loadAt = w.upstream.Load, w.loadAt
+	if r.loadAt > loadAt {
+		load, loadAt = r.upstream.Load, r.loadAt
 	}
-	if Newer(w.upstream, e.Upstream) {
-		e.Upstream = w.upstream
+	if Newer(r.upstream, e.Upstream) {
+		e.Upstream = r.upstream
 	}
 	e.Upstream.Load, e.LoadAt = load, loadAt
 }
