--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -26,15 +26,15 @@
 	// quietTimeout is the silence after which an attached host is not waited for any more.
 	// Attached hosts probe their sessions several times within this timeout.
 	quietTimeout = 2 * time.Second
-	// loadInterval is how often engine loads are forwarded to entry hosts: much more often
-	// than a request takes at an engine.
+	// loadInterval is how often engine loads are forwarded to entry hosts. It is much shorter
+	// than the time a request takes at an engine.
 	loadInterval = 100 * time.Millisecond
 	// tickInterval is how often the fleet checks for silent upstreams and hosts.
 	tickInterval = time.Second
 )
 
-// Roles with which hosts attach. Entry hosts use roleEntry, or roleCallers if they want
-// suspicions only.
+// Roles in wire.Attach. Entry hosts use roleEntry, or roleCallers if they want wire.Suspicions
+// messages only.
 const (
 	roleEntry   = "entry"
 	roleCallers = "callers"
@@ -45,8 +45,8 @@
 type fleet struct {
 	h       *Host
 	started time.Time
-	// saveRequested holds a value if the list of upstreams or the suspicions have changed
-	// since they were saved.
+	// saveRequested holds a value if the list of upstreams or the suspicions of the quarantine
+	// have changed since they were saved.
 	saveRequested chan struct{}
 	// quarantine keeps the suspicions: which requests ran on upstreams that crashed. It has
 	// its own lock, which it does not hold when it calls functions of the fleet.
@@ -58,8 +58,8 @@
 	registry *registry.Registry
 	// attached holds the role of each host that has attached.
 	attached map[*peer.Session]string
-	// engines holds the loads of engines. needAllLoads are the entry hosts that lack some of
-	// their records.
+	// engines holds the latest load of each engine. needAllLoads are the entry hosts that must
+	// get the loads of all engines with the next message.
 	engines      engineload.Table
 	needAllLoads map[*peer.Session]bool
 	// isLoadTimerSet tells that a timer runs that calls sendLoads.
@@ -111,7 +111,7 @@
 	}
 }
 
-// broadcast sends a message to all attached hosts but those that want suspicions only.
+// broadcast sends a message to all attached hosts except those with roleCallers.
 // The caller holds mu.
 func (f *fleet) broadcast(m wire.Message) {
 	p, err := peer.Prepare(m)
@@ -209,8 +209,8 @@
 	return p
 }
 
-// members returns the hosts of the ranks of a group, as their agents reported recently.
-func (f *fleet) members(m *wire.GroupQuery) *wire.GroupAnswer {
+// groupMembers returns the hosts of the ranks of a group, as their agents reported recently.
+func (f *fleet) groupMembers(m *wire.GroupQuery) *wire.GroupAnswer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	members := f.engines.Members(m.Group, m.Epoch, f.now())
--- a/internal/control/herd_test.go
+++ b/internal/control/herd_test.go
@@ -75,11 +75,11 @@
 // maxDials returns how often a host may dial another one within a duration if the timeout
 // doubles with each dial. The result is 1 unless the test runs on a slow host.
 func maxDials(during time.Duration) int {
-	const first, most = time.Second, 4 * time.Second
-	n, waited, limit := 1, first, first
+	const minTimeout, maxTimeout = time.Second, 4 * time.Second
+	n, waited, timeout := 1, minTimeout, minTimeout
 	for waited < during {
-		limit = min(2*limit, most)
-		waited += limit
+		timeout = min(2*timeout, maxTimeout)
+		waited += timeout
 		n++
 	}
 	return n
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -2,8 +2,8 @@
 // client that other hosts use to reach them.
 //
 // A Host runs a replica of the log and the state machine to which the log is applied. It
-// serves claims, orders and documents to other hosts, and adds or replaces voters of the
-// log when control hosts are added or lose their disks.
+// grants claims of non-idempotent calls, and serves documents and the orders for engines to
+// other hosts. It adds or replaces voters when control hosts are added or lose their disks.
 package control
 
 import (
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -107,8 +107,8 @@
 }
 
 // addVoter makes a replica a voter. It replaces a voter that the same host had on another
-// disk, and removes learners that the same host had on other disks. If there are enough
-// voters already, the replica becomes a learner.
+// disk, and removes learners that the same host had on other disks. If there are already
+// Config.Voters voters, the replica becomes a learner and replaces a voter that is silent.
 func (h *Host) addVoter(ctx context.Context, id consensus.ReplicaID) error {
 	st := h.replica.Status()
 	if st.Membership.IsVoter(id) {
@@ -164,8 +164,8 @@
 	return st.Membership.Voters[i], true
 }
 
-// hasRecentContact reports whether the leader was in contact with a replica within
-// ReplicaSilenceTimeout.
+// hasRecentContact reports whether this host, as the leader, received a message from a
+// replica within ReplicaSilenceTimeout.
 func (h *Host) hasRecentContact(st consensus.Status, id consensus.ReplicaID) bool {
 	for _, p := range st.Peers {
 		if p.ID == id {
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -35,7 +35,7 @@
 	case *wire.EngineLoad:
 		h.fleet.updateLoad(s, m)
 	case *wire.GroupQuery:
-		_ = s.Reply(call, h.fleet.members(m))
+		_ = s.Reply(call, h.fleet.groupMembers(m))
 	case *wire.ConfigurationQuery:
 		h.replyAsync(s, call, func(ctx context.Context) (wire.Message, error) { return h.handleConfigurationQuery(ctx, m) })
 	case *wire.Watch:
@@ -130,8 +130,8 @@
 }
 
 // claimSlackMS is added to the deadline of claims because the age of the state machine
-// increases in steps of ageInterval. Without it, a claim made just before such a step would
-// get the state unknown while its call still runs.
+// increases in steps of ageInterval. Without it, the outcome of a call that was claimed just
+// before such a step would count as unknown while the call still runs.
 const claimSlackMS = uint64(ageInterval / time.Millisecond)
 
 func (h *Host) handleClaim(ctx context.Context, s *peer.Session, m *wire.ClaimRequest) (wire.Message, error) {
--- a/internal/control/suspicions_test.go
+++ b/internal/control/suspicions_test.go
@@ -34,20 +34,20 @@
 	received chan wire.Message
 }
 
-// startTestHost starts a host. The function host creates its control host; it is nil for an
-// entry host.
-func startTestHost(t *testing.T, name string, host func(*testHost) *Host) *testHost {
-	st := &testHost{received: make(chan wire.Message, 100)}
+// startTestHost starts a control host, which newHost creates, or an entry host if newHost is
+// nil.
+func startTestHost(t *testing.T, name string, newHost func(*testHost) *Host) *testHost {
+	th := &testHost{received: make(chan wire.Message, 100)}
 	mux := http.NewServeMux()
 	srv := httptest.NewServer(mux)
 	t.Cleanup(srv.Close)
-	st.address = strings.TrimPrefix(srv.URL, "http://")
+	th.address = strings.TrimPrefix(srv.URL, "http://")
 	var control *Host
-	hello := wire.Hello{Host: name, Address: st.address}
-	if host != nil {
+	hello := wire.Hello{Host: name, Address: th.address}
+	if newHost != nil {
 		hello.Replica = name + "/1"
 	}
-	st.pool = peer.NewPool(peer.Config{
+	th.pool = peer.NewPool(peer.Config{
 		Hello: hello, Secret: "s", Metrics: metrics.NewRegistry(), DialTimeout: 10 * time.Second,
 		Handler: peer.HandlerFunc(func(s *peer.Session, call uint64, m wire.Message) {
 			if control != nil {
@@ -55,9 +55,9 @@
 				return
 			}
 			if all, ok := m.(*wire.Suspicions); ok {
-				st.keeper.Merge(all.All)
+				th.keeper.Merge(all.All)
 			}
-			st.received <- m
+			th.received <- m
 		}),
 		OnUp: func(s *peer.Session) {
 			if control != nil && s.Remote().Replica != "" {
@@ -66,32 +66,32 @@
 			}
 		},
 	})
-	t.Cleanup(st.pool.Close)
-	if host != nil {
-		control = host(st)
-		st.keeper = control.Quarantine()
+	t.Cleanup(th.pool.Close)
+	if newHost != nil {
+		control = newHost(th)
+		th.keeper = control.Quarantine()
 	} else {
 		started := time.Now()
-		st.keeper = quarantine.NewKeeper(quarantine.Config{
+		th.keeper = quarantine.NewKeeper(quarantine.Config{
 			Limits: quarantine.DefaultLimits, Now: func() time.Duration { return time.Since(started) }, Log: slog.New(slog.DiscardHandler),
 			Metrics: metrics.NewRegistry(),
 			Tell: func(added []quarantine.Suspicion) {
-				for _, s := range st.pool.Sessions() {
+				for _, s := range th.pool.Sessions() {
 					_ = s.Post(&wire.Suspicions{All: added})
 				}
 			},
 		})
 	}
-	mux.Handle(peer.Path, peer.NewServer(st.pool))
-	return st
+	mux.Handle(peer.Path, peer.NewServer(th.pool))
+	return th
 }
 
 // newControlHost returns a control host without a replica, which the tests don't need.
 func newControlHost(cache *RestartCache) func(*testHost) *Host {
-	return func(st *testHost) *Host {
+	return func(th *testHost) *Host {
 		h := &Host{
 			cfg: Config{
-				Address: st.address, Transport: NewTransport(metrics.NewRegistry()), Pool: st.pool, RestartCache: cache,
+				Address: th.address, Transport: NewTransport(metrics.NewRegistry()), Pool: th.pool, RestartCache: cache,
 				Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 			},
 			addressBook: NewAddressBook(), tables: state.New(state.Options{}),
@@ -102,25 +102,25 @@
 }
 
 // attach attaches an entry host to a control host and sends it its suspicions.
-func (st *testHost) attach(t *testing.T, control *testHost) {
+func (th *testHost) attach(t *testing.T, control *testHost) {
 	t.Helper()
-	s, err := st.pool.Get(t.Context(), control.address)
+	s, err := th.pool.Get(t.Context(), control.address)
 	require.NoError(t, err)
 	require.NoError(t, s.Post(&wire.Attach{Role: roleCallers}))
-	require.NoError(t, s.Post(&wire.Suspicions{All: st.keeper.All()}))
+	require.NoError(t, s.Post(&wire.Suspicions{All: th.keeper.All()}))
 }
 
 // holdsRequest reports whether the request is in quarantine on a host.
-func (st *testHost) holdsRequest() bool {
-	return st.keeper.Verdict(quarantine.Fingerprint{1}) == quarantine.Held
+func (th *testHost) holdsRequest() bool {
+	return th.keeper.Verdict(quarantine.Fingerprint{1}) == quarantine.Held
 }
 
 // propagationTimeout bounds the wait for messages. It is reached only in tests that fail.
 const propagationTimeout = 60 * time.Second
 
-// A suspicion of one entry host must reach all others, even if they are attached to
-// different control hosts. An entry host that attaches later must receive the suspicions
-// before any other message.
+// If an entry host suspects a request of crashing an upstream, the suspicion must reach all
+// other entry hosts, even if they are attached to different control hosts. An entry host that
+// attaches later must receive the suspicions before any other message.
 func TestSuspicionsReachAllEntryHosts(t *testing.T) {
 	one, two := startTestHost(t, "c1", newControlHost(nil)), startTestHost(t, "c2", newControlHost(nil))
 	_, err := one.pool.Get(t.Context(), two.address)
@@ -131,8 +131,8 @@
 	a.keeper.Ended(quarantine.Run{Fingerprint: quarantine.Fingerprint{1}, End: quarantine.End{Upstream: "u1"}})
 	require.Eventually(t, func() bool { return b.keeper.Verdict(quarantine.Fingerprint{1}) == quarantine.Suspect }, propagationTimeout, time.Millisecond)
 	two.keeper.Merge([]quarantine.Suspicion{newSuspicion("u0", time.Minute)})
-	for _, st := range []*testHost{a, b, one, two} {
-		require.Eventually(t, st.holdsRequest, propagationTimeout, time.Millisecond)
+	for _, th := range []*testHost{a, b, one, two} {
+		require.Eventually(t, th.holdsRequest, propagationTimeout, time.Millisecond)
 	}
 	late := startTestHost(t, "e3", nil)
 	late.attach(t, two)
@@ -140,8 +140,8 @@
 	require.IsType(t, &wire.Suspicions{}, first)
 	require.True(t, late.holdsRequest())
 	require.True(t, late.keeper.Release(quarantine.Fingerprint{1}))
-	for _, st := range []*testHost{a, b, one, two} {
-		require.Eventually(t, func() bool { return len(st.keeper.List()) == 0 }, propagationTimeout, time.Millisecond)
+	for _, th := range []*testHost{a, b, one, two} {
+		require.Eventually(t, func() bool { return len(th.keeper.List()) == 0 }, propagationTimeout, time.Millisecond)
 	}
 }
 
@@ -154,14 +154,14 @@
 	b.attach(t, two)
 	one.keeper.Merge([]quarantine.Suspicion{newSuspicion("u1", time.Minute)})
 	two.keeper.Merge([]quarantine.Suspicion{newSuspicion("u2", time.Second)})
-	for _, st := range []*testHost{a, b} {
-		require.Eventually(t, func() bool { return len(st.keeper.List()) == 1 }, propagationTimeout, time.Millisecond)
+	for _, th := range []*testHost{a, b} {
+		require.Eventually(t, func() bool { return len(th.keeper.List()) == 1 }, propagationTimeout, time.Millisecond)
 	}
 	require.False(t, a.holdsRequest() || b.holdsRequest())
 	_, err := one.pool.Get(t.Context(), two.address)
 	require.NoError(t, err)
-	for _, st := range []*testHost{a, b, one, two} {
-		require.Eventually(t, st.holdsRequest, propagationTimeout, time.Millisecond)
+	for _, th := range []*testHost{a, b, one, two} {
+		require.Eventually(t, th.holdsRequest, propagationTimeout, time.Millisecond)
 	}
 }
 
--- a/internal/directory/table.go
+++ b/internal/directory/table.go
@@ -30,19 +30,19 @@
 // Table holds the records of the upstreams that this host owns. It is not safe for concurrent
 // use.
 type Table struct {
-	spans   Timeouts
-	records map[string]*record
+	timeouts Timeouts
+	records  map[string]*record
 	// pending contains the changes since the last Flush.
 	pending pending
 }
 
 // pending contains changes by the name of the upstream.
 type pending struct {
-	// upserts are upstreams with a new or changed record, apart from the load alone.
+	// upserts are upstreams whose record is new or differs in more than its load.
 	upserts map[string]bool
 	loads   map[string]bool
 	events  map[string][]wire.CacheEvent
-	// silent and heard are upstreams that became silent, or announced themselves again.
+	// silent are upstreams that became silent, heard those that announced themselves again.
 	silent    map[string]bool
 	heard     map[string]bool
 	forgotten map[string]bool
@@ -60,8 +60,8 @@
 }
 
 // NewTable returns an empty Table.
-func NewTable(spans Timeouts) *Table {
-	return &Table{spans: spans, records: make(map[string]*record), pending: newPending()}
+func NewTable(timeouts Timeouts) *Table {
+	return &Table{timeouts: timeouts, records: make(map[string]*record), pending: newPending()}
 }
 
 // Newer reports whether record a replaces record b: it has a higher incarnation, or the same
@@ -109,12 +109,12 @@
 func (t *Table) Expire(now time.Duration) {
 	for name, r := range t.records {
 		quiet := now - r.heard
-		if quiet >= t.spans.ForgetTimeout {
+		if quiet >= t.timeouts.ForgetTimeout {
 			delete(t.records, name)
 			t.pending.forgotten[name] = true
 			continue
 		}
-		if quiet >= t.spans.SilenceTimeout && !r.silent {
+		if quiet >= t.timeouts.SilenceTimeout && !r.silent {
 			r.silent = true
 			t.pending.silent[name] = true
 			delete(t.pending.heard, name)
