--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -1,5 +1,5 @@
-// Package catalog holds the service documents by which a host serves requests. These documents
-// are in force on the host.
+// Package catalog holds the service documents that are in force on a host. They define the
+// models, workspaces and tokens for which the host serves requests.
 //
 // The revision of a document is its index in the replicated log, and is sent along with it. A
 // Store never replaces a document by a lower revision, so that a document does not revert if
--- a/internal/control/book.go
+++ b/internal/control/book.go
@@ -11,13 +11,13 @@
 	// mu guards the fields below.
 	mu   sync.Mutex
 	list []string
-	// grown is closed and replaced when an address is added.
-	grown chan struct{}
+	// changed is closed and replaced when an address is added.
+	changed chan struct{}
 }
 
 // NewAddressBook returns an AddressBook with these addresses.
 func NewAddressBook(addresses ...string) *AddressBook {
-	return &AddressBook{list: slices.Clone(addresses), grown: make(chan struct{})}
+	return &AddressBook{list: slices.Clone(addresses), changed: make(chan struct{})}
 }
 
 // Add adds addresses and reports whether any of them is new.
@@ -32,8 +32,8 @@
 		}
 	}
 	if isNew {
-		close(b.grown)
-		b.grown = make(chan struct{})
+		close(b.changed)
+		b.changed = make(chan struct{})
 	}
 	return isNew
 }
@@ -50,7 +50,7 @@
 func (b *AddressBook) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.grown
+	return b.changed
 }
 
 // AddressBook returns the addresses of the other control hosts.
--- a/internal/control/recall.go
+++ b/internal/control/recall.go
@@ -22,8 +22,9 @@
 // out of date: upstreams that no longer exist reject requests, are unreachable or become
 // silent.
 //
-// It also saves the suspicions of the quarantine. A harmful request that was forgotten would
-// crash further upstreams before it is suspected again.
+// It also saves the suspicions of the quarantine, which record the requests that ran on
+// upstreams that crashed. A harmful request that was forgotten would crash further upstreams
+// before it is suspected again.
 type RestartCache struct {
 	fs  journal.FS
 	dir string
