--- a/internal/catalog/follower.go
+++ b/internal/catalog/follower.go
@@ -16,68 +16,73 @@
 )
 
 const (
-	// currencySpan is how long a source may go without showing that it is current
-	// before the follower looks for another one.
-	currencySpan = 5 * time.Second
-	retryDelay   = 300 * time.Millisecond
-	reportEvery  = 5 * time.Second
-	// askTimeout bounds the questions to the other hosts of the data centre.
-	askTimeout = 2 * time.Second
-	// loneStart is how long a host without any current control host waits at its
-	// start before it serves by what the hosts of its data centre know.
-	loneStart = 5 * time.Second
+	// confirmTimeout is how long a control host may send no confirmation that it is up to
+	// date before the follower changes to another one.
+	confirmTimeout = 5 * time.Second
+	retryDelay     = 300 * time.Millisecond
+	reportInterval = 5 * time.Second
+	// queryTimeout bounds the queries to the other entry hosts of the data centre.
+	queryTimeout = 2 * time.Second
+	// isolatedStartTimeout is how long a host that finds no up-to-date control host waits
+	// after its start, before it serves by the documents that the entry hosts of its data
+	// centre have.
+	isolatedStartTimeout = 5 * time.Second
 )
 
-// FollowerConfig is what a Follower needs.
+// FollowerConfig configures a Follower.
 type FollowerConfig struct {
 	Store *Store
 	Pool  *peer.Pool
-	// Control are the addresses of the control hosts, Mates those of the other
-	// entry hosts of the data centre.
-	Control []string
-	Mates   []string
+	// Control are the addresses of the control hosts, EntryPeers those of the other entry
+	// hosts of the data centre.
+	Control    []string
+	EntryPeers []string
+	// Self describes this host in its reports to control hosts.
 	Self    wire.HostInForce
 	Log     *slog.Logger
 	Metrics metrics.Registry
 }
 
-// Follower keeps a Store up to date: from one control host that shows that it is
-// current, and from the hosts of the data centre, which hold what control hosts
-// said even where none of these can be reached.
+// Follower keeps a Store up to date. It gets documents from one control host that confirms
+// that it is up to date. If it finds no such control host, it gets those that the other entry
+// hosts of the data centre have.
 type Follower struct {
-	cfg    FollowerConfig
-	synced atomic.Bool
-	ready  chan struct{}
-	once   sync.Once
+	cfg       FollowerConfig
+	isSynced  atomic.Bool
+	ready     chan struct{}
+	readyOnce sync.Once
 
-	// mu guards source and shown.
-	mu     sync.Mutex
+	// mu guards source and confirmedAt.
+	mu sync.Mutex
+	// source is the session with the control host that is watched, nil if there is none.
 	source *peer.Session
-	// shown is when the source last showed that it is current.
-	shown time.Time
+	// confirmedAt is when the source last confirmed that it is up to date, or when it was
+	// chosen.
+	confirmedAt time.Time
 }
 
-// NewFollower returns a Follower that Run starts.
+// NewFollower returns a Follower. Call Run to start it.
 func NewFollower(cfg FollowerConfig) *Follower {
 	return &Follower{cfg: cfg, ready: make(chan struct{})}
 }
 
-// Ready is closed once the Store holds no less than what any reachable host of
-// the data centre, or a current control host, holds. Before that the host must
-// not serve: after a restart it could go by an older document than before.
+// Ready returns a channel that is closed once the Store has all documents of an up-to-date
+// control host or, if there is none, of the reachable entry hosts of the data centre. The
+// host must not serve requests earlier, because after a restart it could serve by older
+// documents than before.
 func (f *Follower) Ready() <-chan struct{} { return f.ready }
 
 func (f *Follower) markReady() {
-	f.once.Do(func() {
+	f.readyOnce.Do(func() {
 		f.cfg.Log.Info("documents are up to date", "revision", f.cfg.Store.Revision())
 		close(f.ready)
 	})
 }
 
-// Run follows until ctx ends.
+// Run keeps the Store up to date until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, task := range []func(context.Context){f.followControl, f.askMates, f.report} {
+	for _, task := range []func(context.Context){f.followControl, f.queryEntryPeers, f.reportLoop} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -87,8 +92,8 @@
 	wg.Wait()
 }
 
-// followControl stays with one control host as long as that one is current, and
-// goes on to the next where it is not.
+// followControl watches one control host as long as it is up to date, then the next one. It
+// begins with a random one.
 func (f *Follower) followControl(ctx context.Context) {
 	if len(f.cfg.Control) == 0 {
 		return
@@ -102,12 +107,13 @@
 			pause.For(ctx, retryDelay)
 			continue
 		}
-		f.stay(ctx, s)
+		f.watchSource(ctx, s)
 	}
 }
 
-// stay watches one control host until its session ends or it is no longer current.
-func (f *Follower) stay(ctx context.Context, s *peer.Session) {
+// watchSource watches a control host until its session ends or its last confirmation is
+// older than confirmTimeout.
+func (f *Follower) watchSource(ctx context.Context, s *peer.Session) {
 	f.setSource(s)
 	defer f.setSource(nil)
 	if s.Post(&wire.Watch{Since: f.cfg.Store.Revision()}) != nil {
@@ -123,7 +129,7 @@
 		case <-s.Done():
 			return
 		case <-ticker.C:
-			if f.silence() > currencySpan {
+			if f.sinceConfirmed() > confirmTimeout {
 				f.cfg.Log.Warn("control host is not current", "host", s.Remote().Host)
 				return
 			}
@@ -135,23 +141,26 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.source = s
-	f.shown = time.Now()
+	f.confirmedAt = time.Now()
 }
 
-func (f *Follower) silence() time.Duration {
+// sinceConfirmed returns the time since the last confirmation.
+func (f *Follower) sinceConfirmed() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Since(f.shown)
+	return time.Since(f.confirmedAt)
 }
 
-// IsCurrent reports whether a control host showed lately that it is current.
+// IsCurrent reports whether a control host confirmed within confirmTimeout that it is up to
+// date.
 func (f *Follower) IsCurrent() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.source != nil && f.synced.Load() && time.Since(f.shown) <= currencySpan
+	return f.source != nil && f.isSynced.Load() && time.Since(f.confirmedAt) <= confirmTimeout
 }
 
-// HandlePeer takes a message if it concerns documents.
+// HandlePeer handles a message from another host. It returns false if the message does not
+// concern documents.
 func (f *Follower) HandlePeer(s *peer.Session, call uint64, m wire.Message) bool {
 	switch m := m.(type) {
 	case *wire.Changes:
@@ -166,29 +175,29 @@
 }
 
 func (f *Follower) handleChanges(s *peer.Session, m *wire.Changes) {
-	if f.cfg.Store.Offer(m.Documents) {
-		f.tell(s)
+	if f.cfg.Store.Merge(m.Documents) {
+		f.sendReport(s)
 	}
 	if !m.Linearizable {
 		return
 	}
 	f.mu.Lock()
 	if f.source == s {
-		f.shown = time.Now()
-		f.synced.Store(true)
+		f.confirmedAt = time.Now()
+		f.isSynced.Store(true)
 	}
 	f.mu.Unlock()
 	f.markReady()
 }
 
-// askMates asks the other hosts of the data centre at the start, and again
-// whenever no control host is current.
-func (f *Follower) askMates(ctx context.Context) {
+// queryEntryPeers queries the other entry hosts of the data centre after the start, and as
+// long as no control host is up to date.
+func (f *Follower) queryEntryPeers(ctx context.Context) {
 	started := time.Now()
 	for ctx.Err() == nil {
 		if !f.IsCurrent() {
-			f.askAll(ctx)
-			if time.Since(started) >= loneStart {
+			f.queryAll(ctx)
+			if time.Since(started) >= isolatedStartTimeout {
 				f.markReady()
 			}
 		}
@@ -196,21 +205,23 @@
 	}
 }
 
-func (f *Follower) askAll(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// queryAll queries all entry peers in parallel.
+func (f *Follower) queryAll(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, address := range f.cfg.Mates {
+	for _, address := range f.cfg.EntryPeers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			f.ask(ctx, address)
+			f.query(ctx, address)
 		}()
 	}
 	wg.Wait()
 }
 
-func (f *Follower) ask(ctx context.Context, address string) {
+// query merges the documents of one entry host into the Store.
+func (f *Follower) query(ctx context.Context, address string) {
 	s, err := f.cfg.Pool.Get(ctx, address)
 	if err != nil {
 		return
@@ -220,24 +231,25 @@
 		return
 	}
 	if c, ok := reply.(*wire.Changes); ok {
-		f.cfg.Store.Offer(c.Documents)
+		f.cfg.Store.Merge(c.Documents)
 	}
 }
 
-// report tells the source now and then what is in force here.
-func (f *Follower) report(ctx context.Context) {
+// reportLoop regularly reports the revision in force on this host to the source.
+func (f *Follower) reportLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.mu.Lock()
 		s := f.source
 		f.mu.Unlock()
 		if s != nil {
-			f.tell(s)
+			f.sendReport(s)
 		}
-		pause.For(ctx, reportEvery)
+		pause.For(ctx, reportInterval)
 	}
 }
 
-func (f *Follower) tell(s *peer.Session) {
+// sendReport sends the revision in force on this host.
+func (f *Follower) sendReport(s *peer.Session) {
 	self := f.cfg.Self
 	self.Revision = f.cfg.Store.InForce()
 	_ = s.Post(&wire.InForce{Hosts: []wire.HostInForce{self}})
--- a/internal/catalog/store.go
+++ b/internal/catalog/store.go
@@ -1,8 +1,9 @@
-// Package catalog holds the service documents that are in force on a host.
+// Package catalog holds the service documents that are in force on a host. They define the
+// models, workspaces and tokens for which the host serves requests.
 //
-// A document carries its revision, its place in the replicated log, everywhere. A
-// Store never takes a lower revision of a document than it has, so that an
-// accepted document does not revert, whoever offers an old one.
+// The revision of a document is its index in the replicated log, and is sent along with it. A
+// Store never replaces a document by a lower revision, so that a document does not revert if
+// another host sends an old one.
 package catalog
 
 import (
@@ -19,28 +20,28 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// maxChangesBytes bounds the texts in one message.
+// maxChangesBytes bounds the total size of the texts in one wire.Changes.
 const maxChangesBytes = 4 << 20
 
-// held is one document with its parsed form.
-type held struct {
+// stored is a document with its parsed form.
+type stored struct {
 	wire.Document
 	parsed *document.Document
 }
 
-// Store holds documents. Readers use Index, which takes no lock.
+// Store holds the documents. Index returns them without a lock.
 type Store struct {
 	log     *slog.Logger
 	refused metrics.Counter
 	invalid metrics.Counter
-	// inForce shows the highest revision in force.
+	// inForce is the metric of the highest revision in force.
 	inForce metrics.Gauge
 
 	// mu guards the fields below.
 	mu       sync.Mutex
-	held     map[string]held
+	stored   map[string]stored
 	revision uint64
-	// unreadable holds the revisions that this build could not read, by document.
+	// unreadable holds, by document name, the revision that this build could not parse.
 	unreadable map[string]uint64
 	changed    chan struct{}
 
@@ -54,7 +55,7 @@
 		refused: metrics.GetOrRegisterCounter("catalog.stale.refused", reg),
 		invalid: metrics.GetOrRegisterCounter("catalog.unreadable", reg),
 		inForce: metrics.GetOrRegisterGauge("catalog.revision", reg),
-		held:    make(map[string]held),
+		stored:  make(map[string]stored),
 		changed: make(chan struct{}),
 
 		unreadable: make(map[string]uint64),
@@ -63,14 +64,14 @@
 	return s
 }
 
-// Offer takes the documents that are newer than what the Store holds. It returns
-// whether anything changed.
-func (s *Store) Offer(docs []wire.Document) bool {
+// Merge stores the documents whose revision is higher than the stored one. It reports whether
+// there were any.
+func (s *Store) Merge(docs []wire.Document) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	isChanged := false
 	for _, d := range docs {
-		isChanged = s.take(d) || isChanged
+		isChanged = s.apply(d) || isChanged
 	}
 	if isChanged {
 		s.publish()
@@ -78,9 +79,9 @@
 	return isChanged
 }
 
-// take holds one document. The caller holds mu.
-func (s *Store) take(d wire.Document) bool {
-	old, ok := s.held[d.Name]
+// apply stores one document if its revision is higher. The caller holds mu.
+func (s *Store) apply(d wire.Document) bool {
+	old, ok := s.stored[d.Name]
 	if ok && d.Revision <= old.Revision {
 		if d.Revision < old.Revision {
 			s.refused.Inc(1)
@@ -89,21 +90,21 @@
 	}
 	parsed, err := document.Parse(d.Text)
 	if err != nil {
-		// Accepted by a newer build. What this build can't read it can't serve by:
-		// the last form that it could read stays, the revision is not reported.
+		// A newer build has accepted this document. The last revision that this build
+		// could parse remains in force, and InForce does not report the new one.
 		s.invalid.Inc(1)
 		s.unreadable[d.Name] = d.Revision
 		s.log.Error("accepted document can't be read", "document", d.Name, "revision", d.Revision, "error", err)
 		return false
 	}
-	s.held[d.Name] = held{Document: d, parsed: parsed}
+	s.stored[d.Name] = stored{Document: d, parsed: parsed}
 	delete(s.unreadable, d.Name)
 	s.revision = max(s.revision, d.Revision)
 	s.log.Info("document in force", "document", d.Name, "revision", d.Revision)
 	return true
 }
 
-// publish makes the documents readable and wakes who waits. The caller holds mu.
+// publish replaces the index and notifies those that wait for Changed. The caller holds mu.
 func (s *Store) publish() {
 	s.index.Store(newIndex(s.sorted(byName), s.revision))
 	s.inForce.Update(int64(s.revision))
@@ -111,14 +112,14 @@
 	s.changed = make(chan struct{})
 }
 
-func byName(a, b held) int { return strings.Compare(a.Name, b.Name) }
+func byName(a, b stored) int { return strings.Compare(a.Name, b.Name) }
 
-func byRevision(a, b held) int { return cmp.Compare(a.Revision, b.Revision) }
+func byRevision(a, b stored) int { return cmp.Compare(a.Revision, b.Revision) }
 
-// sorted returns the documents in an order. The caller holds mu.
-func (s *Store) sorted(order func(a, b held) int) []held {
-	out := make([]held, 0, len(s.held))
-	for _, h := range s.held {
+// sorted returns the documents in the given order. The caller holds mu.
+func (s *Store) sorted(order func(a, b stored) int) []stored {
+	out := make([]stored, 0, len(s.stored))
+	for _, h := range s.stored {
 		out = append(out, h)
 	}
 	slices.SortFunc(out, order)
@@ -128,11 +129,11 @@
 // Index returns the documents in force.
 func (s *Store) Index() *Index { return s.index.Load() }
 
-// Revision returns the highest revision in force.
+// Revision returns the highest revision of all documents in force.
 func (s *Store) Revision() uint64 { return s.Index().revision }
 
-// InForce returns the revision up to which every document is in force: one that
-// can't be read holds it back.
+// InForce returns the highest revision up to which all documents are in force. It is lower
+// than the revision of any document that could not be parsed.
 func (s *Store) InForce() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,8 +151,8 @@
 	return s.changed
 }
 
-// Since returns the documents above a revision, in rising order, as many as one
-// message should carry. isAll tells that none is left out.
+// Since returns the documents above a revision in ascending order, as many as fit into one
+// message. isAll is false if there are more.
 func (s *Store) Since(revision uint64) (c *wire.Changes, isAll bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/catalog/store_test.go
+++ b/internal/catalog/store_test.go
@@ -13,6 +13,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
+// text returns a document with one model, and one workspace that has the given token.
 func text(name, version, token string) []byte {
 	hash := sha256.Sum256([]byte(token))
 	return []byte(fmt.Sprintf(`[service]
@@ -26,7 +27,7 @@
 
 func newStore() *Store { return NewStore(slog.New(slog.DiscardHandler), metrics.NewRegistry()) }
 
-// Without the revision check in take this fails: a late offer brings back an old text.
+// Without the revision check in apply, a late message would bring back an old document.
 func TestDocumentNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore()
@@ -34,7 +35,7 @@
 		for range rapid.IntRange(1, 30).Draw(t, "offers") {
 			name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")
 			revision := rapid.Uint64Range(1, 20).Draw(t, "revision")
-			s.Offer([]wire.Document{{Name: name, Revision: revision, Text: text(name, fmt.Sprint("v", revision), name)}})
+			s.Merge([]wire.Document{{Name: name, Revision: revision, Text: text(name, fmt.Sprint("v", revision), name)}})
 			highest[name] = max(highest[name], revision)
 			require.Equal(t, fmt.Sprint("v", highest[name]), s.Index().Document(name).Models[0].Version)
 		}
@@ -42,9 +43,11 @@
 	})
 }
 
-func TestContestedTokenStaysWithOneDocumentThroughLaterRevisions(t *testing.T) {
+// If two documents with the same token were accepted at the same time, later revisions must not
+// move the token to the other document.
+func TestSharedTokenStaysWithFirstDocumentInLaterRevisions(t *testing.T) {
 	s := newStore()
-	s.Offer([]wire.Document{
+	s.Merge([]wire.Document{
 		{Name: "late", Revision: 9, Text: text("late", "v1", "shared token")},
 		{Name: "early", Revision: 3, Text: text("early", "v1", "shared token")},
 	})
@@ -53,14 +56,16 @@
 		require.True(t, ok)
 		require.Equal(t, "early-w", b.Workspace.Name)
 		name := []string{"early", "late"}[revision%2]
-		s.Offer([]wire.Document{{Name: name, Revision: revision, Text: text(name, "v2", "shared token")}})
+		s.Merge([]wire.Document{{Name: name, Revision: revision, Text: text(name, "v2", "shared token")}})
 	}
 }
 
-func TestUnreadableDocumentHoldsBackWhatIsInForce(t *testing.T) {
+// A document that this build can't parse must leave its last readable revision in force. The
+// reported revision must stay below it, so that operators see that the host is behind.
+func TestUnreadableDocumentLimitsRevisionInForce(t *testing.T) {
 	s := newStore()
-	s.Offer([]wire.Document{{Name: "a", Revision: 2, Text: text("a", "v1", "x")}})
-	s.Offer([]wire.Document{
+	s.Merge([]wire.Document{{Name: "a", Revision: 2, Text: text("a", "v1", "x")}})
+	s.Merge([]wire.Document{
 		{Name: "a", Revision: 5, Text: []byte("[service]\nname = a\nfrom-the-future = 1\n")},
 		{Name: "b", Revision: 7, Text: text("b", "v1", "y")},
 	})
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -25,23 +25,23 @@
 )
 
 const (
-	// notHeardSpan is how long a host may be silent before status names it.
-	notHeardSpan = 15 * time.Second
-	clusterIDLen = 16
+	// notHeardTimeout is the age of the last report from which on the status of a document
+	// lists a host as not heard.
+	notHeardTimeout = 15 * time.Second
+	clusterIDBytes  = 16
 )
 
-// API serves the administration API on a control host: it implements
-// adminapi.Commands and adminapi.Queries.
+// API implements adminapi.Commands and adminapi.Queries on a control host.
 type API struct{ h *Host }
 
-// API returns the commands and queries of the host.
+// API returns the host's implementation of the administration API.
 func (h *Host) API() API { return API{h} }
 
-// Submit implements adminapi.Commands. What a document claims that belongs to
-// another one is refused here; where two such submissions race, catalog.Index
-// decides the same way on every host.
+// Submit implements adminapi.Commands. It rejects a document that uses a token or a pool
+// of another document. If two such submissions are accepted at the same time,
+// catalog.Index decides between them, in the same way on every host.
 func (a API) Submit(ctx context.Context, req adminapi.SubmitRequest) (adminapi.SubmitResult, error) {
-	if err := a.checkTogether(ctx, req); err != nil {
+	if err := a.checkOtherDocuments(ctx, req); err != nil {
 		return adminapi.SubmitResult{}, err
 	}
 	r, err := a.h.commands.Submit(ctx, state.SubmitDocument{
@@ -66,10 +66,10 @@
 	return adminapi.SubmitResult{Revision: r.Revision, Repeated: r.Repeated}, nil
 }
 
-// checkTogether refuses a text that clashes with other documents. A change that came
-// to an outcome before passes: its resend gets that outcome, whatever was accepted
-// since then.
-func (a API) checkTogether(ctx context.Context, req adminapi.SubmitRequest) error {
+// checkOtherDocuments rejects a text that conflicts with other documents. It accepts a
+// change whose outcome is already recorded: a resent change must get the recorded outcome,
+// whatever documents were accepted since.
+func (a API) checkOtherDocuments(ctx context.Context, req adminapi.SubmitRequest) error {
 	all, err := a.h.queries.Documents(ctx)
 	if err != nil {
 		return err
@@ -93,11 +93,11 @@
 	return document.CheckTogether(append(docs, submitted))
 }
 
-// Init implements adminapi.Commands. It is refused unless every control host of the
-// settings answers and none knows a cluster: a host that lost its disk must not
-// begin a second one beside the first.
+// Init implements adminapi.Commands. It fails unless every control host in the settings
+// answers and none belongs to a cluster. Otherwise a host that lost its disk could start a
+// second cluster.
 func (a API) Init(ctx context.Context, req adminapi.InitRequest) (adminapi.Cluster, error) {
-	if err := a.noPeerKnowsACluster(ctx); err != nil {
+	if err := a.requireNoCluster(ctx); err != nil {
 		return adminapi.Cluster{}, err
 	}
 	h := a.h
@@ -122,19 +122,21 @@
 }
 
 func newClusterID() (string, error) {
-	var b [clusterIDLen]byte
+	var b [clusterIDBytes]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return "", errors.Wrap(err, "draw cluster id")
 	}
 	return hex.EncodeToString(b[:]), nil
 }
 
-func (a API) noPeerKnowsACluster(ctx context.Context) error {
+// requireNoCluster returns an error if this host or one of its peers belongs to a cluster,
+// or if a peer does not answer.
+func (a API) requireNoCluster(ctx context.Context) error {
 	if a.h.tables.Cluster().ID != "" {
 		return verdict.New(verdict.NotRun, verdict.CodeConflict, "this host belongs to a cluster")
 	}
 	for _, address := range a.h.cfg.Peers {
-		answer, err := a.h.askStatus(ctx, address)
+		answer, err := a.h.queryStatus(ctx, address)
 		if err != nil {
 			e := verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "control host "+address+" does not answer; all must, before the first start")
 			e.Cause = err
@@ -152,12 +154,12 @@
 		if ctx.Err() != nil {
 			return verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no leader yet").WithRetryAfter(noLeaderRetryAfter)
 		}
-		pause.For(ctx, appliedPoll)
+		pause.For(ctx, pollInterval)
 	}
 	return nil
 }
 
-func (h *Host) askStatus(ctx context.Context, address string) (*wire.StatusAnswer, error) {
+func (h *Host) queryStatus(ctx context.Context, address string) (*wire.StatusAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	s, err := h.cfg.Pool.Get(ctx, address)
@@ -204,7 +206,8 @@
 	return out, nil
 }
 
-// Status implements adminapi.Queries. It gathers what all control hosts have heard.
+// Status implements adminapi.Queries. It merges the reports that all reachable control
+// hosts have received.
 func (a API) Status(ctx context.Context, name string) (adminapi.Status, error) {
 	d, err := a.h.queries.Document(ctx, name)
 	if err != nil {
@@ -212,20 +215,22 @@
 	}
 	lists := [][]wire.HostInForce{a.h.reports.list(time.Now())}
 	for _, address := range a.h.cfg.Peers {
-		if answer, err := a.h.askStatus(ctx, address); err == nil {
+		if answer, err := a.h.queryStatus(ctx, address); err == nil {
 			lists = append(lists, answer.Hosts)
 		}
 	}
 	return status(d, mergeReports(lists...)), nil
 }
 
+// status returns which hosts serve the current revision of a document, in total and by data
+// centre.
 func status(d state.Document, hosts map[string]wire.HostInForce) adminapi.Status {
 	s := adminapi.Status{Name: d.Name, Revision: d.Revision}
 	centres := make(map[string]adminapi.DataCentreStatus)
 	for name, h := range hosts {
 		c := centres[h.DataCentre]
 		switch {
-		case time.Duration(h.AgeMS)*time.Millisecond > notHeardSpan:
+		case time.Duration(h.AgeMS)*time.Millisecond > notHeardTimeout:
 			s.NotHeard = append(s.NotHeard, name)
 			c.NotHeard++
 		case h.Revision >= d.Revision:
@@ -262,7 +267,7 @@
 	}
 	var out adminapi.HistoryPage
 	for _, r := range page.Records {
-		out.Changes = append(out.Changes, change(r))
+		out.Changes = append(out.Changes, toChange(r))
 	}
 	if page.Next > 0 {
 		out.Next = strconv.FormatUint(page.Next, 10)
@@ -270,7 +275,8 @@
 	return out, nil
 }
 
-func change(r state.AuditRecord) adminapi.Change {
+// toChange converts a record of the audit trail to its form in the API.
+func toChange(r state.AuditRecord) adminapi.Change {
 	c := adminapi.Change{
 		Index:   r.Index,
 		Time:    time.UnixMilli(r.At).UTC(),
@@ -289,8 +295,8 @@
 	return c
 }
 
-// Cluster implements adminapi.Queries. It answers from what this host knows, also
-// without a quorum.
+// Cluster implements adminapi.Queries. It returns the local view of this host, which is
+// available without a quorum too.
 func (a API) Cluster(ctx context.Context) (adminapi.Cluster, error) {
 	st := a.h.replica.Status()
 	_, readErr := reader(a).Read(ctx)
@@ -310,12 +316,13 @@
 	return c, nil
 }
 
-// Quarantine implements adminapi.Queries.
+// Quarantine implements adminapi.Queries. It lists the requests that are suspected of
+// crashing upstreams.
 func (a API) Quarantine(context.Context) ([]quarantine.Entry, error) {
 	return a.h.Quarantine().List(), nil
 }
 
-// Release implements adminapi.Commands.
+// Release implements adminapi.Commands. It removes a request from quarantine.
 func (a API) Release(_ context.Context, req adminapi.ReleaseRequest) (bool, error) {
 	isReleased := a.h.Quarantine().Release(req.Fingerprint)
 	a.h.cfg.Log.Warn("request released by an operator", "fingerprint", req.Fingerprint.String(), "author", req.Author, "was_held", isReleased)
--- a/internal/control/forward.go
+++ b/internal/control/forward.go
@@ -11,7 +11,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// forwarder proposes here where this host leads, and at the leader where not.
+// forwarder proposes commands to the local replica, and to the leader if this host does
+// not lead.
 type forwarder struct{ h *Host }
 
 // Propose implements command.Proposer.
@@ -31,9 +32,9 @@
 	return decodeResult(reply.Result)
 }
 
-// result is the form in which the result of a forwarded command travels. One field
-// is set.
-type result struct {
+// forwardedResult is the encoded form of the result of a forwarded command. One of the
+// pointers is set.
+type forwardedResult struct {
 	Submit        *state.SubmitResult        `cbor:"1,keyasint,omitempty"`
 	Repeated      bool                       `cbor:"2,keyasint,omitempty"`
 	Init          *state.InitResult          `cbor:"3,keyasint,omitempty"`
@@ -42,10 +43,10 @@
 	Configuration *state.ConfigurationResult `cbor:"6,keyasint,omitempty"`
 }
 
-// encodeResult refuses the results that have no forwarded form: claims are sent to
-// the leader by the hosts that need them.
+// encodeResult encodes the result of a forwarded command. Results of claims can't be encoded,
+// because hosts send claims directly to the leader.
 func encodeResult(value any) ([]byte, error) {
-	var r result
+	var r forwardedResult
 	switch v := value.(type) {
 	case state.SubmitResult:
 		r.Submit, r.Repeated = &v, v.Repeated
@@ -64,7 +65,7 @@
 }
 
 func decodeResult(data []byte) (any, error) {
-	var r result
+	var r forwardedResult
 	if err := wire.Unmarshal(data, &r); err != nil {
 		return nil, errors.Wrap(err, "control: result of a forwarded command")
 	}
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -1,9 +1,9 @@
-// Package control is the role of the hosts that hold the replicated state, and the
-// client by which the other roles reach them.
+// Package control implements the control hosts, which hold the replicated state, and the
+// client that other hosts use to reach them.
 //
-// A Host joins the replica of the log with the tables that it changes, serves
-// claims, orders and documents to the other roles, and keeps the membership of the
-// log in line with the hosts that exist.
+// A Host runs a replica of the log and the state machine to which the log is applied. It
+// grants claims of non-idempotent calls, and serves documents and the orders for engines to
+// other hosts. It adds or replaces voters when control hosts are added or lose their disks.
 package control
 
 import (
@@ -28,50 +28,51 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// The tables are set aside quickly for a snapshot, and encoded beside the log.
+// The replica applies further entries while a snapshot of the state machine is encoded.
 var _ replica.SnapshotCapturer = (*state.Machine)(nil)
 
 const (
-	// ageInterval is how often the leader moves the age of the tables on.
+	// ageInterval is how often the leader advances the age of the state machine, the
+	// replicated clock by which claims expire.
 	ageInterval = 5 * time.Second
-	// serveTimeout bounds the work for one message of another host.
+	// serveTimeout bounds the time to answer one message of another host.
 	serveTimeout = 2 * time.Second
 )
 
-// Config is what a Host needs.
+// Config configures a Host.
 type Config struct {
 	// Name is the host's name.
 	Name string
-	// Journal and Recovered are the opened data folder.
+	// Journal is the open data folder, Recovered what it contained.
 	Journal   *journal.Journal
 	Recovered journal.Recovered
 	Transport *Transport
 	Pool      *peer.Pool
 	// Peers are the peer addresses of the other control hosts.
 	Peers []string
-	// Founders are the peer addresses of the hosts that found the cluster together, this
-	// one among them; empty where none is to be founded.
-	Founders []string
-	// Voters is how many replicas vote where there are more control hosts; the others
-	// learn and take the place of a voter that falls silent. Zero lets all vote.
+	// InitialVoters are the peer addresses of the hosts that bootstrap the cluster together,
+	// including this one; empty if this host must not bootstrap a cluster.
+	InitialVoters []string
+	// Voters is the maximum number of voters. Further control hosts are learners, which
+	// replace a voter that becomes silent. Zero means that all control hosts vote.
 	Voters int
-	// ElectionTicks is as in replica.Options.
+	// ElectionTicks is passed to replica.Options.
 	ElectionTicks int
-	// HearingSpan is how lately a replica must have been heard to count as alive;
-	// DefaultHearingSpan if zero.
-	HearingSpan time.Duration
-	// Registry are the limits of the upstreams' announcements; zero values where
-	// upstreams announce themselves elsewhere.
+	// ReplicaSilenceTimeout is the time without contact after which a replica counts as
+	// dead; DefaultReplicaSilenceTimeout if zero.
+	ReplicaSilenceTimeout time.Duration
+	// Registry are the timeouts of upstreams' announcements; zero if upstreams do not
+	// announce themselves to control hosts.
 	Registry registry.Limits
-	// Recall keeps the list of upstreams over a restart; nil where it is not kept.
-	Recall *Recall
-	// Address is this host's own peer address.
+	// RestartCache saves the list of upstreams for a restart; nil if it is not saved.
+	RestartCache *RestartCache
+	// Address is the peer address of this host.
 	Address string
-	// Tick and SnapshotEntries are as in replica.Options.
+	// Tick and SnapshotEntries are passed to replica.Options.
 	Tick            time.Duration
 	SnapshotEntries uint64
-	// ClaimRetention is how long claims are kept; the leader's is in force. Zero
-	// leaves it as it is.
+	// ClaimRetention is how long claims are kept. The current leader's value applies to
+	// all hosts; zero leaves the replicated value unchanged.
 	ClaimRetention time.Duration
 	Log            *slog.Logger
 	Metrics        metrics.Registry
@@ -79,50 +80,51 @@
 
 // Host is one control host.
 type Host struct {
-	cfg      Config
-	id       consensus.ReplicaID
-	replica  *replica.Replica
-	tables   *state.Machine
-	store    *catalog.Store
-	watchers *watchers
-	reports  *reports
-	client   *Client
-	commands *command.Service
-	queries  *query.Service
-	joins    joinGate
-	book     *Book
-	fleet    *fleet
+	cfg         Config
+	id          consensus.ReplicaID
+	replica     *replica.Replica
+	tables      *state.Machine
+	store       *catalog.Store
+	watchers    *watchers
+	reports     *reports
+	client      *Client
+	commands    *command.Service
+	queries     *query.Service
+	joins       joinGate
+	addressBook *AddressBook
+	fleet       *fleet
 }
 
-// ID names the replica of a host by the disk that its journal found.
+// ID returns the replica ID of a host. It contains the ID of the disk that holds the
+// journal, so that a host with a new disk is a new replica.
 func ID(host string, r journal.Recovered) consensus.ReplicaID {
 	return consensus.NewReplicaID(host, r.DiskID)
 }
 
-// withDefaults fills in what is zero. The tick must be the replica's own: silence is
-// counted in ticks.
+// withDefaults replaces zero values by defaults. Tick must have the value that the replica
+// uses, because the time since the last contact with a replica is counted in ticks.
 func (c Config) withDefaults() Config {
 	if c.Tick <= 0 {
 		c.Tick = replica.DefaultTick
 	}
-	if c.HearingSpan <= 0 {
-		c.HearingSpan = DefaultHearingSpan
+	if c.ReplicaSilenceTimeout <= 0 {
+		c.ReplicaSilenceTimeout = DefaultReplicaSilenceTimeout
 	}
 	return c
 }
 
-// Open starts the replica of a host. It serves nobody before HandlePeer is called.
+// Open starts the replica of a host. Other hosts are served through HandlePeer.
 func Open(cfg Config) (*Host, error) {
 	cfg = cfg.withDefaults()
 	h := &Host{
-		cfg:     cfg,
-		id:      ID(cfg.Name, cfg.Recovered),
-		tables:  state.New(state.Options{}),
-		store:   catalog.NewStore(cfg.Log, cfg.Metrics),
-		reports: newReports(),
-		book:    NewBook(cfg.Peers...),
+		cfg:         cfg,
+		id:          ID(cfg.Name, cfg.Recovered),
+		tables:      state.New(state.Options{}),
+		store:       catalog.NewStore(cfg.Log, cfg.Metrics),
+		reports:     newReports(),
+		addressBook: NewAddressBook(cfg.Peers...),
 	}
-	h.client = NewClientOf(cfg.Pool, h.book)
+	h.client = NewClientWithAddressBook(cfg.Pool, h.addressBook)
 	h.fleet = newFleet(h)
 	h.watchers = newWatchers(h.store)
 	var err error
@@ -131,7 +133,7 @@
 		Storage:         cfg.Journal,
 		StateMachine:    h.tables,
 		Transport:       cfg.Transport,
-		PersistedState:  restored(cfg.Recovered),
+		PersistedState:  persistedState(cfg.Recovered),
 		Tick:            cfg.Tick,
 		ElectionTicks:   cfg.ElectionTicks,
 		SnapshotEntries: cfg.SnapshotEntries,
@@ -146,20 +148,20 @@
 	return h, nil
 }
 
-func restored(r journal.Recovered) consensus.PersistedState {
+func persistedState(r journal.Recovered) consensus.PersistedState {
 	return consensus.PersistedState{HardState: r.HardState, Snapshot: r.Snapshot, Entries: r.Entries}
 }
 
-// Run does the host's background work until ctx ends. The error is what ended the
-// replica; the host must then stop.
+// Run does the host's background work until ctx ends. If the replica fails, Run returns
+// its error, and the host must stop.
 func (h *Host) Run(ctx context.Context) error {
-	go KeepDialled(ctx, h.cfg.Pool, h.book)
-	go h.found(ctx)
+	go KeepConnected(ctx, h.cfg.Pool, h.addressBook)
+	go h.bootstrap(ctx)
 	go h.fleet.run(ctx)
-	go h.passDocuments(ctx)
-	go h.showCurrency(ctx)
+	go h.publishDocuments(ctx)
+	go h.confirmPeriodically(ctx)
 	go h.advanceAge(ctx)
-	go h.keepJoined(ctx)
+	go h.requestMembership(ctx)
 	select {
 	case <-ctx.Done():
 		return nil
@@ -168,18 +170,19 @@
 	}
 }
 
-// Close hands the leadership over and stops the replica.
+// Close transfers the leadership to another replica and stops this one.
 func (h *Host) Close(ctx context.Context) error {
 	h.commands.Close(ctx)
 	return h.replica.Close(ctx)
 }
 
-// passDocuments keeps the catalog at what the tables hold, and the watchers with it.
-func (h *Host) passDocuments(ctx context.Context) {
+// publishDocuments copies new documents from the state machine to the catalog and sends
+// them to the watchers, until ctx ends.
+func (h *Host) publishDocuments(ctx context.Context) {
 	for {
 		changed := h.tables.Changed()
 		h.syncStore()
-		h.watchers.send(false)
+		h.watchers.sendAll(false)
 		select {
 		case <-ctx.Done():
 			return
@@ -188,39 +191,41 @@
 	}
 }
 
-// syncStore brings the catalog up to the tables.
+// syncStore copies the documents that are new in the state machine to the catalog.
 func (h *Host) syncStore() {
 	var docs []wire.Document
 	for _, d := range h.tables.Changes(h.store.Revision()) {
 		docs = append(docs, wire.Document{Name: d.Name, Revision: d.Revision, Text: []byte(d.Text)})
 	}
-	h.store.Offer(docs)
+	h.store.Merge(docs)
 }
 
-// showCurrency tells watchers at intervals that this host holds all that was
-// accepted, as a quorum confirmed. One that is cut off falls silent on this, and
-// its watchers go elsewhere.
-func (h *Host) showCurrency(ctx context.Context) {
+// confirmPeriodically tells the watchers at regular intervals that a quorum has confirmed
+// that this host has all accepted documents. A host without contact to a quorum sends no
+// confirmations, and its watchers change to another control host.
+func (h *Host) confirmPeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
-		if h.watchers.any() {
-			h.confirmCurrency(ctx)
+		if h.watchers.hasWatchers() {
+			h.confirmUpToDate(ctx)
 		}
-		pause.For(ctx, currencyInterval)
+		pause.For(ctx, confirmInterval)
 	}
 }
 
-// confirmCurrency asks a quorum and tells the watchers.
-func (h *Host) confirmCurrency(ctx context.Context) {
+// confirmUpToDate confirms with a quorum that this host is up to date and tells the
+// watchers.
+func (h *Host) confirmUpToDate(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, serveTimeout)
 	defer cancel()
 	if _, err := (reader{h}).Read(ctx); err != nil {
 		return
 	}
 	h.syncStore()
-	h.watchers.send(true)
+	h.watchers.sendAll(true)
 }
 
-// advanceAge moves the age of the tables on by the leader's own monotonic clock.
+// advanceAge regularly advances the age of the state machine by the time that passed on
+// this host's monotonic clock, while this host leads.
 func (h *Host) advanceAge(ctx context.Context) {
 	last := time.Now()
 	for ctx.Err() == nil {
@@ -237,8 +242,8 @@
 	}
 }
 
-// reader is the barrier of linearizable reads on any control host: a follower asks
-// the leader for the index and waits until its own tables are there.
+// reader makes linearizable reads possible on any control host. A host that does not lead
+// asks the leader for a read index and waits until its own replica has applied it.
 type reader struct{ h *Host }
 
 // Read implements query.Reader.
@@ -255,14 +260,15 @@
 	return index, r.h.awaitApplied(ctx, index)
 }
 
-// readAtLeader asks the leader that this replica knows, on the session that carries its
-// log. While none is known it waits here, for the time of a hand-over: asking the other
-// hosts then would only keep them from electing one.
+// readAtLeader asks the leader for a read index, on the session that also carries the log.
+// If no leader is known it waits up to leaderSearchTime, enough for a leadership transfer.
+// It does not ask the other control hosts meanwhile, since that would only delay their
+// election.
 func (h *Host) readAtLeader(ctx context.Context) (uint64, error) {
-	began := time.Now()
+	started := time.Now()
 	leader, isKnown := h.replica.Leader()
-	for !isKnown && ctx.Err() == nil && time.Since(began) < handOver {
-		pause.For(ctx, clientDelay)
+	for !isKnown && ctx.Err() == nil && time.Since(started) < leaderSearchTime {
+		pause.For(ctx, retryDelay)
 		leader, isKnown = h.replica.Leader()
 	}
 	if leader == h.id {
@@ -270,27 +276,29 @@
 	}
 	s := h.cfg.Transport.session(leader)
 	if s == nil {
-		return 0, unreachable(false, nil)
+		return 0, noLeaderError(false, nil)
 	}
 	reply, _, err := s.Call(ctx, &wire.ReadQuery{})
 	if err != nil {
-		return 0, unreachable(false, err)
+		return 0, noLeaderError(false, err)
 	}
 	answer, ok := reply.(*wire.ReadAnswer)
 	if !ok {
-		return 0, unreachable(false, errors.Errorf("reply of kind %d", reply.Kind()))
+		return 0, noLeaderError(false, errors.Errorf("reply of kind %d", reply.Kind()))
 	}
 	return answer.Index, nil
 }
 
-const appliedPoll = 5 * time.Millisecond
+// pollInterval is the delay between two checks of the state of the local replica.
+const pollInterval = 5 * time.Millisecond
 
+// awaitApplied waits until this replica has applied the log up to index.
 func (h *Host) awaitApplied(ctx context.Context, index uint64) error {
 	for h.replica.AppliedIndex() < index {
 		if ctx.Err() != nil {
 			return verdict.New(verdict.NotRun, verdict.CodeDeadline, "this control host is behind")
 		}
-		pause.For(ctx, appliedPoll)
+		pause.For(ctx, pollInterval)
 	}
 	return nil
 }
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -17,22 +17,24 @@
 )
 
 const (
+	// joinInterval is how often a replica without a vote asks to be added.
 	joinInterval = 400 * time.Millisecond
-	// joinTimeout bounds one change of the membership, the catching up included.
+	// joinTimeout bounds one change of the membership, including the time in which the new
+	// replica catches up with the log.
 	joinTimeout = 5 * time.Minute
-	// DefaultHearingSpan is how lately a replica must have been heard to count as alive. It
-	// also is how long the repair of a lost disk waits, and so bounds from below the
-	// time in which the loss of another disk counts double.
-	DefaultHearingSpan = 3 * time.Second
+	// DefaultReplicaSilenceTimeout is the time without contact after which a replica counts
+	// as dead. The replica of a lost disk is not replaced earlier, so the loss of another
+	// disk within this time is a second simultaneous failure.
+	DefaultReplicaSilenceTimeout = 3 * time.Second
 )
 
-// joinGate lets one join run at a time.
+// joinGate allows one membership change at a time.
 type joinGate struct {
 	mu   sync.Mutex
 	busy bool
 }
 
-func (g *joinGate) enter() bool {
+func (g *joinGate) tryAcquire() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.busy {
@@ -42,23 +44,23 @@
 	return true
 }
 
-func (g *joinGate) leave() {
+func (g *joinGate) release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.busy = false
 }
 
-// keepJoined asks to be let in for as long as this replica has no vote: after the
-// first start, and after the disk was lost. A replica with another disk than before
-// is a stranger to the others until a committed change lets it in, so that what it
-// has forgotten can't be outvoted by it.
-func (h *Host) keepJoined(ctx context.Context) {
+// requestMembership asks the leader to add this replica as long as it has no vote, as after
+// the host's first start or the loss of its disk. A host with a new disk is a new replica,
+// which has no vote until a membership change is committed. Otherwise the replica, which
+// lacks the entries that it acknowledged before, could vote to overwrite committed ones.
+func (h *Host) requestMembership(ctx context.Context) {
 	voter := metrics.GetOrRegisterGauge("control.voter", h.cfg.Metrics)
 	for ctx.Err() == nil {
 		pause.For(ctx, joinInterval)
-		needs := h.shouldJoin()
+		shouldJoin := h.shouldJoin()
 		voter.Update(int64(boolToInt(h.replica.Status().Membership.IsVoter(h.id))))
-		if !needs {
+		if !shouldJoin {
 			continue
 		}
 		askCtx, cancel := context.WithTimeout(ctx, clientTimeout)
@@ -74,40 +76,40 @@
 	return 0
 }
 
-// shouldJoin reports whether this replica lacks a vote, or hears no leader: one that was
-// replaced while it was cut off still believes that it votes.
+// shouldJoin reports whether this replica lacks a vote or has no leader. A replica that was
+// replaced while it was disconnected finds no leader but still believes that it is a voter.
 func (h *Host) shouldJoin() bool {
 	st := h.replica.Status()
 	return !st.Membership.IsVoter(h.id) || st.Leader == ""
 }
 
-// handleJoin begins to let a replica in. The answer does not wait until it is.
+// handleJoin starts to add a replica and replies before this is done.
 func (h *Host) handleJoin(s *peer.Session, m *wire.Join) (wire.Message, error) {
-	if err := h.mustLead(); err != nil {
+	if err := h.requireLeader(); err != nil {
 		return nil, err
 	}
 	id := consensus.ReplicaID(m.Replica)
 	if s.Remote().Host != m.Host || hostOf(id) != m.Host {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeForbidden, "a host may join for itself only")
 	}
-	if !h.joins.enter() {
+	if !h.joins.tryAcquire() {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeInProgress, "another replica is joining").WithRetryAfter(joinInterval)
 	}
 	go func() {
-		defer h.joins.leave()
+		defer h.joins.release()
 		ctx, cancel := context.WithTimeout(context.Background(), joinTimeout)
 		defer cancel()
-		if err := h.letIn(ctx, id); err != nil {
+		if err := h.addVoter(ctx, id); err != nil {
 			h.cfg.Log.Warn("replica could not join", "replica", id, "error", err)
 		}
 	}()
 	return &wire.Ack{}, nil
 }
 
-// letIn makes a voter of a replica. Where its host was a member with another disk,
-// the new replica takes the place of the old one; learners that the host left
-// behind are removed.
-func (h *Host) letIn(ctx context.Context, id consensus.ReplicaID) error {
+// addVoter makes a replica a voter. It replaces a voter that the same host had on another
+// disk, and removes learners that the same host had on other disks. If there are already
+// Config.Voters voters, the replica becomes a learner and replaces a voter that is silent.
+func (h *Host) addVoter(ctx context.Context, id consensus.ReplicaID) error {
 	st := h.replica.Status()
 	if st.Membership.IsVoter(id) {
 		return nil
@@ -121,7 +123,7 @@
 		}
 	}
 	if old, ok := h.predecessor(st, id); ok {
-		if h.isHeard(st, old) {
+		if h.hasRecentContact(st, old) {
 			return verdict.New(verdict.NotRun, verdict.CodeConflict, "replica "+string(old)+" of the same host is alive")
 		}
 		return h.replica.ReplaceVoter(ctx, old, id)
@@ -130,19 +132,19 @@
 		return err
 	}
 	if h.cfg.Voters > 0 && len(st.Membership.Voters) >= h.cfg.Voters {
-		return h.succeed(ctx, id)
+		return h.replaceSilentVoter(ctx, id)
 	}
 	return h.replica.PromoteLearner(ctx, id)
 }
 
-// succeed gives a learner the place of a voter that has fallen silent. Where none has,
-// it goes on learning. Nothing is done while a second voter is silent too: the
-// cluster has no margin then for a change that goes wrong half way.
-func (h *Host) succeed(ctx context.Context, id consensus.ReplicaID) error {
+// replaceSilentVoter replaces a silent voter by a learner. If no voter is silent, the
+// replica remains a learner. If two or more are silent, nothing is changed, because a
+// membership change that fails halfway could cost the cluster its quorum.
+func (h *Host) replaceSilentVoter(ctx context.Context, id consensus.ReplicaID) error {
 	var silent []consensus.ReplicaID
 	st := h.replica.Status()
 	for _, v := range st.Membership.Voters {
-		if v != h.id && !h.isHeard(st, v) {
+		if v != h.id && !h.hasRecentContact(st, v) {
 			silent = append(silent, v)
 		}
 	}
@@ -153,7 +155,7 @@
 	return h.replica.ReplaceVoter(ctx, silent[0], id)
 }
 
-// predecessor returns the voter that the host of id was with another disk.
+// predecessor returns the voter that belongs to the same host as id.
 func (h *Host) predecessor(st consensus.Status, id consensus.ReplicaID) (consensus.ReplicaID, bool) {
 	i := slices.IndexFunc(st.Membership.Voters, func(v consensus.ReplicaID) bool { return hostOf(v) == hostOf(id) })
 	if i < 0 {
@@ -162,15 +164,18 @@
 	return st.Membership.Voters[i], true
 }
 
-func (h *Host) isHeard(st consensus.Status, id consensus.ReplicaID) bool {
+// hasRecentContact reports whether this host, as the leader, received a message from a
+// replica within ReplicaSilenceTimeout.
+func (h *Host) hasRecentContact(st consensus.Status, id consensus.ReplicaID) bool {
 	for _, p := range st.Peers {
 		if p.ID == id {
-			return time.Duration(p.TicksSinceContact)*h.cfg.Tick < h.cfg.HearingSpan
+			return time.Duration(p.TicksSinceContact)*h.cfg.Tick < h.cfg.ReplicaSilenceTimeout
 		}
 	}
 	return false
 }
 
+// hostOf returns the host's name, the part of a replica ID before the slash.
 func hostOf(id consensus.ReplicaID) string {
 	host, _, _ := strings.Cut(string(id), "/")
 	return host
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -16,66 +16,69 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// HandlePeer takes a message if it concerns a control host.
+// HandlePeer handles a message from another host. It returns false if the message is not
+// for control hosts.
 func (h *Host) HandlePeer(s *peer.Session, call uint64, m wire.Message) bool {
 	switch m := m.(type) {
 	case *wire.Consensus:
 		h.handleConsensus(m)
 	case *wire.ConsensusPart:
-		if data, isWhole := h.cfg.Transport.join(consensus.ReplicaID(s.Remote().Replica), m); isWhole {
+		if data, isWhole := h.cfg.Transport.reassemble(consensus.ReplicaID(s.Remote().Replica), m); isWhole {
 			h.handleConsensus(&wire.Consensus{To: m.To, Data: data})
 		}
 	case *wire.Hosts:
-		h.Learn(m.Control...)
+		h.AddControlHosts(m.Control...)
 	case *wire.Attach:
 		h.fleet.attach(s, m)
 	case *wire.Suspicions:
 		h.fleet.quarantine.Merge(m.All)
 	case *wire.EngineLoad:
-		h.fleet.load(s, m)
+		h.fleet.updateLoad(s, m)
 	case *wire.GroupQuery:
-		_ = s.Reply(call, h.fleet.members(m))
+		_ = s.Reply(call, h.fleet.groupMembers(m))
 	case *wire.ConfigurationQuery:
-		h.answer(s, call, func(ctx context.Context) (wire.Message, error) { return h.handleConfigurationQuery(ctx, m) })
+		h.replyAsync(s, call, func(ctx context.Context) (wire.Message, error) { return h.handleConfigurationQuery(ctx, m) })
 	case *wire.Watch:
 		h.watchers.add(s, m)
 	case *wire.InForce:
 		h.reports.add(m, time.Now())
 	case *wire.StatusQuery:
-		h.answer(s, call, func(context.Context) (wire.Message, error) { return h.statusAnswer(), nil })
+		h.replyAsync(s, call, func(context.Context) (wire.Message, error) { return h.statusAnswer(), nil })
 	case *wire.ReadQuery:
-		h.answer(s, call, h.handleRead)
+		h.replyAsync(s, call, h.handleRead)
 	case *wire.Propose:
-		h.answer(s, call, func(ctx context.Context) (wire.Message, error) { return h.handlePropose(ctx, m) })
+		h.replyAsync(s, call, func(ctx context.Context) (wire.Message, error) { return h.handlePropose(ctx, m) })
 	case *wire.ClaimRequest:
-		h.answer(s, call, func(ctx context.Context) (wire.Message, error) { return h.handleClaim(ctx, s, m) })
+		h.replyAsync(s, call, func(ctx context.Context) (wire.Message, error) { return h.handleClaim(ctx, s, m) })
 	case *wire.FinishRequest:
-		h.answer(s, call, func(ctx context.Context) (wire.Message, error) { return h.handleFinish(ctx, m) })
+		h.replyAsync(s, call, func(ctx context.Context) (wire.Message, error) { return h.handleFinish(ctx, m) })
 	case *wire.OrderQuery:
-		h.answer(s, call, func(ctx context.Context) (wire.Message, error) { return h.handleOrder(ctx, m) })
+		h.replyAsync(s, call, func(ctx context.Context) (wire.Message, error) { return h.handleOrder(ctx, m) })
 	case *wire.Join:
-		h.answer(s, call, func(context.Context) (wire.Message, error) { return h.handleJoin(s, m) })
+		h.replyAsync(s, call, func(context.Context) (wire.Message, error) { return h.handleJoin(s, m) })
 	default:
 		return false
 	}
 	return true
 }
 
-// answer serves a call beside the session's read loop.
-func (h *Host) answer(s *peer.Session, call uint64, serve func(context.Context) (wire.Message, error)) {
+// replyAsync handles a call on a new goroutine, since the session's read loop must not
+// block.
+func (h *Host) replyAsync(s *peer.Session, call uint64, serve func(context.Context) (wire.Message, error)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), serveTimeout)
 		defer cancel()
 		reply, err := serve(ctx)
 		if err != nil {
-			reply = h.failure(err)
+			reply = h.failureReply(err)
 		}
 		_ = s.Reply(call, reply)
 	}()
 }
 
-// failure names the leader where the caller should ask it instead.
-func (h *Host) failure(err error) *wire.Failure {
+// failureReply encodes an error. If another host leads, the reply contains the address of
+// that host.
+func (h *Host) failureReply(err error) *wire.Failure {
 	f := peer.NewFailure(err)
 	var notLeader *replica.NotLeaderError
 	if errors.As(err, &notLeader) && notLeader.Leader != "" {
@@ -114,9 +117,9 @@
 	return &wire.Proposed{Index: r.Index, Result: data}, nil
 }
 
-// mustLead refuses a claim where this host does not lead, before it is batched with
-// others: only the leader's own log may grant.
-func (h *Host) mustLead() error {
+// requireLeader returns an error if this host does not lead. A claim is rejected before it
+// is batched with others, since only the leader may grant claims.
+func (h *Host) requireLeader() error {
 	if h.replica.IsLeader() {
 		return nil
 	}
@@ -126,12 +129,13 @@
 	return e
 }
 
-// claimSlackMS makes up for the steps in which the tables' age moves on: without it a
-// claim made just before a step would count as unknown while its call still runs.
+// claimSlackMS is added to the deadline of claims because the age of the state machine
+// increases in steps of ageInterval. Without it, the outcome of a call that was claimed just
+// before such a step would count as unknown while the call still runs.
 const claimSlackMS = uint64(ageInterval / time.Millisecond)
 
 func (h *Host) handleClaim(ctx context.Context, s *peer.Session, m *wire.ClaimRequest) (wire.Message, error) {
-	if err := h.mustLead(); err != nil {
+	if err := h.requireLeader(); err != nil {
 		return nil, err
 	}
 	r, err := h.commands.Claim(ctx, state.Claim{
@@ -178,7 +182,7 @@
 }
 
 func (h *Host) handleFinish(ctx context.Context, m *wire.FinishRequest) (wire.Message, error) {
-	if err := h.mustLead(); err != nil {
+	if err := h.requireLeader(); err != nil {
 		return nil, err
 	}
 	f := state.Finish{
@@ -209,10 +213,10 @@
 	return ""
 }
 
-// handleOrder answers only after a quorum round that began after the question came
-// in: a host that is cut off can't answer, and what it answered before is too old. A
-// host that does not lead asks the leader for that round, so that an agent which
-// can't reach the leader has its orders all the same.
+// handleOrder returns the current order to an upstream after a linearizable read, so that
+// a host without contact to a quorum can't return an old order. A host that does not lead
+// gets the read index from the leader, so that agents need not reach the leader
+// themselves.
 func (h *Host) handleOrder(ctx context.Context, m *wire.OrderQuery) (wire.Message, error) {
 	if _, err := (reader{h}).Read(ctx); err != nil {
 		return nil, err
@@ -235,6 +239,8 @@
 	return answer, nil
 }
 
+// groupShape returns the configuration of a group of ranks, or nil if the document has no
+// group of that name.
 func groupShape(d *document.Document, name string) *wire.GroupShape {
 	g := d.Group(name)
 	if g == nil {
--- a/internal/control/suspicions_test.go
+++ b/internal/control/suspicions_test.go
@@ -18,35 +18,36 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// told is what the tests' suspicions say.
-func told(upstream string, age time.Duration) quarantine.Suspicion {
+// newSuspicion returns a suspicion against the one request that these tests use.
+func newSuspicion(upstream string, age time.Duration) quarantine.Suspicion {
 	return quarantine.Suspicion{
 		Fingerprint: quarantine.Fingerprint{1}, Workspace: "w", Incarnation: quarantine.Incarnation{Upstream: upstream}, Request: "r", AgeMS: age.Milliseconds(),
 	}
 }
 
-// station is a host with sessions: a control host, or an entry host.
-type station struct {
+// testHost is a control host or an entry host with its sessions.
+type testHost struct {
 	pool    *peer.Pool
 	address string
 	keeper  *quarantine.Keeper
-	// heard gets the messages of an entry host.
-	heard chan wire.Message
+	// received gets the messages that an entry host receives.
+	received chan wire.Message
 }
 
-// startStation runs a host; host is nil for an entry host.
-func startStation(t *testing.T, name string, host func(*station) *Host) *station {
-	st := &station{heard: make(chan wire.Message, 100)}
+// startTestHost starts a control host, which newHost creates, or an entry host if newHost is
+// nil.
+func startTestHost(t *testing.T, name string, newHost func(*testHost) *Host) *testHost {
+	th := &testHost{received: make(chan wire.Message, 100)}
 	mux := http.NewServeMux()
 	srv := httptest.NewServer(mux)
 	t.Cleanup(srv.Close)
-	st.address = strings.TrimPrefix(srv.URL, "http://")
+	th.address = strings.TrimPrefix(srv.URL, "http://")
 	var control *Host
-	hello := wire.Hello{Host: name, Address: st.address}
-	if host != nil {
+	hello := wire.Hello{Host: name, Address: th.address}
+	if newHost != nil {
 		hello.Replica = name + "/1"
 	}
-	st.pool = peer.NewPool(peer.Config{
+	th.pool = peer.NewPool(peer.Config{
 		Hello: hello, Secret: "s", Metrics: metrics.NewRegistry(), DialTimeout: 10 * time.Second,
 		Handler: peer.HandlerFunc(func(s *peer.Session, call uint64, m wire.Message) {
 			if control != nil {
@@ -54,138 +55,142 @@
 				return
 			}
 			if all, ok := m.(*wire.Suspicions); ok {
-				st.keeper.Merge(all.All)
+				th.keeper.Merge(all.All)
 			}
-			st.heard <- m
+			th.received <- m
 		}),
 		OnUp: func(s *peer.Session) {
 			if control != nil && s.Remote().Replica != "" {
 				control.cfg.Transport.SessionUp(s)
-				control.Meet(s)
+				control.ControlHostConnected(s)
 			}
 		},
 	})
-	t.Cleanup(st.pool.Close)
-	if host != nil {
-		control = host(st)
-		st.keeper = control.Quarantine()
+	t.Cleanup(th.pool.Close)
+	if newHost != nil {
+		control = newHost(th)
+		th.keeper = control.Quarantine()
 	} else {
-		began := time.Now()
-		st.keeper = quarantine.NewKeeper(quarantine.Config{
-			Limits: quarantine.DefaultLimits, Now: func() time.Duration { return time.Since(began) }, Log: slog.New(slog.DiscardHandler),
+		started := time.Now()
+		th.keeper = quarantine.NewKeeper(quarantine.Config{
+			Limits: quarantine.DefaultLimits, Now: func() time.Duration { return time.Since(started) }, Log: slog.New(slog.DiscardHandler),
 			Metrics: metrics.NewRegistry(),
-			Publish: func(news []quarantine.Suspicion) {
-				for _, s := range st.pool.Sessions() {
-					_ = s.Post(&wire.Suspicions{All: news})
+			Publish: func(added []quarantine.Suspicion) {
+				for _, s := range th.pool.Sessions() {
+					_ = s.Post(&wire.Suspicions{All: added})
 				}
 			},
 		})
 	}
-	mux.Handle(peer.Path, peer.NewServer(st.pool))
-	return st
+	mux.Handle(peer.Path, peer.NewServer(th.pool))
+	return th
 }
 
-// newControl returns a control host without a replica, as far as the fleet needs one.
-func newControl(recall *Recall) func(*station) *Host {
-	return func(st *station) *Host {
+// newControlHost returns a control host without a replica, which the tests don't need.
+func newControlHost(cache *RestartCache) func(*testHost) *Host {
+	return func(th *testHost) *Host {
 		h := &Host{
 			cfg: Config{
-				Address: st.address, Transport: NewTransport(metrics.NewRegistry()), Pool: st.pool, Recall: recall,
+				Address: th.address, Transport: NewTransport(metrics.NewRegistry()), Pool: th.pool, RestartCache: cache,
 				Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 			},
-			book: NewBook(), tables: state.New(state.Options{}),
+			addressBook: NewAddressBook(), tables: state.New(state.Options{}),
 		}
 		h.fleet = newFleet(h)
 		return h
 	}
 }
 
-// attach lets an entry host ask a control host to be told.
-func (st *station) attach(t *testing.T, control *station) {
+// attach attaches an entry host to a control host and sends it its suspicions.
+func (th *testHost) attach(t *testing.T, control *testHost) {
 	t.Helper()
-	s, err := st.pool.Get(t.Context(), control.address)
+	s, err := th.pool.Get(t.Context(), control.address)
 	require.NoError(t, err)
 	require.NoError(t, s.Post(&wire.Attach{Role: roleCallers}))
-	require.NoError(t, s.Post(&wire.Suspicions{All: st.keeper.All()}))
+	require.NoError(t, s.Post(&wire.Suspicions{All: th.keeper.All()}))
 }
 
-// holds reports whether a host holds the tests' request.
-func (st *station) holds() bool {
-	return st.keeper.Verdict(quarantine.Fingerprint{1}) == quarantine.Quarantined
+// holdsRequest reports whether the request is in quarantine on a host.
+func (th *testHost) holdsRequest() bool {
+	return th.keeper.Verdict(quarantine.Fingerprint{1}) == quarantine.Quarantined
 }
 
-// hearTime is generous: it ends a test that has failed.
-const hearTime = 60 * time.Second
+// propagationTimeout bounds the wait for messages. It is reached only in tests that fail.
+const propagationTimeout = 60 * time.Second
 
-// What one entry host has seen is known at all, by way of control hosts that some of them
-// alone can reach, and at one that comes later before anything else.
+// If an entry host suspects a request of crashing an upstream, the suspicion must reach all
+// other entry hosts, even if they are attached to different control hosts. An entry host that
+// attaches later must receive the suspicions before any other message.
 func TestSuspicionsReachAllEntryHosts(t *testing.T) {
-	one, two := startStation(t, "c1", newControl(nil)), startStation(t, "c2", newControl(nil))
+	one, two := startTestHost(t, "c1", newControlHost(nil)), startTestHost(t, "c2", newControlHost(nil))
 	_, err := one.pool.Get(t.Context(), two.address)
 	require.NoError(t, err)
-	a, b := startStation(t, "e1", nil), startStation(t, "e2", nil)
+	a, b := startTestHost(t, "e1", nil), startTestHost(t, "e2", nil)
 	a.attach(t, one)
 	b.attach(t, two)
 	a.keeper.UpstreamCrashed(quarantine.Attempt{Fingerprint: quarantine.Fingerprint{1}, Incarnation: quarantine.Incarnation{Upstream: "u1"}})
-	require.Eventually(t, func() bool { return b.keeper.Verdict(quarantine.Fingerprint{1}) == quarantine.Suspect }, hearTime, time.Millisecond)
-	two.keeper.Merge([]quarantine.Suspicion{told("u0", time.Minute)})
-	for _, st := range []*station{a, b, one, two} {
-		require.Eventually(t, st.holds, hearTime, time.Millisecond)
+	require.Eventually(t, func() bool { return b.keeper.Verdict(quarantine.Fingerprint{1}) == quarantine.Suspect }, propagationTimeout, time.Millisecond)
+	two.keeper.Merge([]quarantine.Suspicion{newSuspicion("u0", time.Minute)})
+	for _, th := range []*testHost{a, b, one, two} {
+		require.Eventually(t, th.holdsRequest, propagationTimeout, time.Millisecond)
 	}
-	late := startStation(t, "e3", nil)
+	late := startTestHost(t, "e3", nil)
 	late.attach(t, two)
-	first := <-late.heard
+	first := <-late.received
 	require.IsType(t, &wire.Suspicions{}, first)
-	require.True(t, late.holds())
+	require.True(t, late.holdsRequest())
 	require.True(t, late.keeper.Release(quarantine.Fingerprint{1}))
-	for _, st := range []*station{a, b, one, two} {
-		require.Eventually(t, func() bool { return len(st.keeper.List()) == 0 }, hearTime, time.Millisecond)
+	for _, th := range []*testHost{a, b, one, two} {
+		require.Eventually(t, func() bool { return len(th.keeper.List()) == 0 }, propagationTimeout, time.Millisecond)
 	}
 }
 
-// What one side of a cut has found out meanwhile, the other knows once they meet.
-func TestSuspicionsOfBothSidesMeet(t *testing.T) {
-	one, two := startStation(t, "c1", newControl(nil)), startStation(t, "c2", newControl(nil))
-	a, b := startStation(t, "e1", nil), startStation(t, "e2", nil)
+// After a network partition, each side must learn the suspicions that the other side
+// collected meanwhile. Each side alone has too few of them to hold the request.
+func TestSuspicionsAreMergedAfterPartition(t *testing.T) {
+	one, two := startTestHost(t, "c1", newControlHost(nil)), startTestHost(t, "c2", newControlHost(nil))
+	a, b := startTestHost(t, "e1", nil), startTestHost(t, "e2", nil)
 	a.attach(t, one)
 	b.attach(t, two)
-	one.keeper.Merge([]quarantine.Suspicion{told("u1", time.Minute)})
-	two.keeper.Merge([]quarantine.Suspicion{told("u2", time.Second)})
-	for _, st := range []*station{a, b} {
-		require.Eventually(t, func() bool { return len(st.keeper.List()) == 1 }, hearTime, time.Millisecond)
+	one.keeper.Merge([]quarantine.Suspicion{newSuspicion("u1", time.Minute)})
+	two.keeper.Merge([]quarantine.Suspicion{newSuspicion("u2", time.Second)})
+	for _, th := range []*testHost{a, b} {
+		require.Eventually(t, func() bool { return len(th.keeper.List()) == 1 }, propagationTimeout, time.Millisecond)
 	}
-	require.False(t, a.holds() || b.holds())
+	require.False(t, a.holdsRequest() || b.holdsRequest())
 	_, err := one.pool.Get(t.Context(), two.address)
 	require.NoError(t, err)
-	for _, st := range []*station{a, b, one, two} {
-		require.Eventually(t, st.holds, hearTime, time.Millisecond)
+	for _, th := range []*testHost{a, b, one, two} {
+		require.Eventually(t, th.holdsRequest, propagationTimeout, time.Millisecond)
 	}
 }
 
-// After all processes have ended, control hosts know from their disks which requests are held.
-func TestSuspicionsOutliveAllProcesses(t *testing.T) {
-	recall := NewRecall(journal.OS{}, t.TempDir())
-	before := newControl(recall)(&station{})
-	before.Quarantine().Merge([]quarantine.Suspicion{told("u1", time.Minute), told("u2", time.Second)})
-	require.NoError(t, recall.SaveSuspicions(before.Quarantine().All()))
-	after := newControl(recall)(&station{})
+// Suspicions must survive a restart of all processes, by the copy on the control hosts'
+// disks.
+func TestSuspicionsSurviveRestartOfAllProcesses(t *testing.T) {
+	cache := NewRestartCache(journal.OS{}, t.TempDir())
+	before := newControlHost(cache)(&testHost{})
+	before.Quarantine().Merge([]quarantine.Suspicion{newSuspicion("u1", time.Minute), newSuspicion("u2", time.Second)})
+	require.NoError(t, cache.SaveSuspicions(before.Quarantine().All()))
+	after := newControlHost(cache)(&testHost{})
 	require.Equal(t, quarantine.Quarantined, after.Quarantine().Verdict(quarantine.Fingerprint{1}))
 }
 
-// Agents are told nothing of requests, and entry hosts that want suspicions alone nothing else.
-func TestOnlyEntryHostsHearSuspicions(t *testing.T) {
-	control := startStation(t, "c1", newControl(nil))
-	agent := startStation(t, "a1", nil)
+// Agents must not receive suspicions, and entry hosts that attach for suspicions only must
+// receive nothing else.
+func TestOnlyEntryHostsReceiveSuspicions(t *testing.T) {
+	control := startTestHost(t, "c1", newControlHost(nil))
+	agent := startTestHost(t, "a1", nil)
 	s, err := agent.pool.Get(t.Context(), control.address)
 	require.NoError(t, err)
 	require.NoError(t, s.Post(&wire.Attach{Role: "agent"}))
-	entry := startStation(t, "e1", nil)
+	entry := startTestHost(t, "e1", nil)
 	entry.attach(t, control)
-	require.IsType(t, &wire.Suspicions{}, <-entry.heard)
-	control.keeper.Merge([]quarantine.Suspicion{told("u1", 0)})
-	require.IsType(t, &wire.Suspicions{}, <-entry.heard)
+	require.IsType(t, &wire.Suspicions{}, <-entry.received)
+	control.keeper.Merge([]quarantine.Suspicion{newSuspicion("u1", 0)})
+	require.IsType(t, &wire.Suspicions{}, <-entry.received)
 	for {
-		m := <-agent.heard
+		m := <-agent.received
 		require.IsNotType(t, &wire.Suspicions{}, m)
 		if _, ok := m.(*wire.Hosts); ok {
 			break
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -9,65 +9,65 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// currencyInterval is how often watchers are told that this host is current.
-const currencyInterval = time.Second
+// confirmInterval is how often watchers are told that this host is up to date.
+const confirmInterval = time.Second
 
-// watchers passes documents on to the hosts that watch this one.
+// watchers sends documents to the hosts that have sent a wire.Watch.
 type watchers struct {
 	store *catalog.Store
 
-	// mu guards the fields below. Nothing is sent under it but by Session.Post,
-	// which does not wait.
+	// mu guards the fields below. While it is held, messages are sent only by Session.Post,
+	// which does not block.
 	mu sync.Mutex
-	// since holds the revision up to which each watcher has been sent everything.
-	since map[*peer.Session]uint64
+	// sentRevision holds the revision up to which all documents were sent to a watcher.
+	sentRevision map[*peer.Session]uint64
 }
 
 func newWatchers(store *catalog.Store) *watchers {
-	return &watchers{store: store, since: make(map[*peer.Session]uint64)}
+	return &watchers{store: store, sentRevision: make(map[*peer.Session]uint64)}
 }
 
 func (w *watchers) add(s *peer.Session, m *wire.Watch) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.since[s] = m.Since
-	w.sendOne(s, false)
+	w.sentRevision[s] = m.Since
+	w.sendTo(s, false)
 }
 
-// any reports whether somebody watches.
-func (w *watchers) any() bool {
+// hasWatchers reports whether any host watches.
+func (w *watchers) hasWatchers() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.since) > 0
+	return len(w.sentRevision) > 0
 }
 
-// send gives every watcher what it lacks. isCurrent tells that this host asked a
-// quorum since the last change that it knows.
-func (w *watchers) send(isCurrent bool) {
+// sendAll sends every watcher the documents that it lacks. isCurrent tells that a quorum has
+// confirmed that this host is up to date.
+func (w *watchers) sendAll(isCurrent bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for s := range w.since {
+	for s := range w.sentRevision {
 		if !s.Alive() {
-			delete(w.since, s)
+			delete(w.sentRevision, s)
 			continue
 		}
-		w.sendOne(s, isCurrent)
+		w.sendTo(s, isCurrent)
 	}
 }
 
-// sendOne posts the documents above the watcher's revision; the revision moves
-// only where the session took the message. The caller holds mu.
-func (w *watchers) sendOne(s *peer.Session, isCurrent bool) {
-	for isAll := false; !isAll; {
+// sendTo sends one watcher the documents above its sentRevision, which increases only if
+// the message was queued. The caller holds mu.
+func (w *watchers) sendTo(s *peer.Session, isCurrent bool) {
+	for isComplete := false; !isComplete; {
 		var c *wire.Changes
-		c, isAll = w.store.Since(w.since[s])
-		c.Linearizable = isCurrent && isAll
+		c, isComplete = w.store.Since(w.sentRevision[s])
+		c.Linearizable = isCurrent && isComplete
 		if len(c.Documents) == 0 && !c.Linearizable {
 			return
 		}
 		if s.Post(c) != nil {
 			return
 		}
-		w.since[s] = c.Revision
+		w.sentRevision[s] = c.Revision
 	}
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -15,7 +15,9 @@
 	return &wire.Announce{Upstream: wire.Upstream{Name: name, Incarnation: inc, Seq: seq, State: state}}
 }
 
-func TestOwnersMoveOnlyWhereAHostIsLost(t *testing.T) {
+// The loss of a host must change the owners only of upstreams that it owned. Otherwise all
+// agents would change owners at once.
+func TestOwnersChangeOnlyForUpstreamsOfLostHost(t *testing.T) {
 	var hosts []Host
 	for i := range 9 {
 		hosts = append(hosts, Host{Name: fmt.Sprintf("entry-%d", i)})
@@ -34,16 +36,20 @@
 	}
 }
 
+// Announcements can arrive out of order. An older one must not turn an upstream that is
+// shutting down back into a ready one.
 func TestOlderRecordNeverReplacesNewer(t *testing.T) {
-	tab := NewTable(DefaultSpans)
+	tab := NewTable(DefaultTimeouts)
 	require.True(t, tab.Announce(announce("w", 2, 5, wire.UpstreamLeaving), 0))
 	require.False(t, tab.Announce(announce("w", 2, 4, wire.UpstreamReady), 0))
 	require.False(t, tab.Announce(announce("w", 1, 9, wire.UpstreamReady), 0))
 	require.Equal(t, wire.UpstreamLeaving, tab.Full().Upserts[0].State)
 }
 
+// An upstream without announcements must become suspect and later be removed. An announcement
+// in between must end the suspicion.
 func TestSilentUpstreamIsSuspectedThenForgotten(t *testing.T) {
-	tab, view := NewTable(DefaultSpans), NewView()
+	tab, view := NewTable(DefaultTimeouts), NewView()
 	version := uint64(0)
 	step := func(now time.Duration) {
 		tab.Expire(now)
@@ -59,16 +65,18 @@
 	tab.Announce(announce("w", 1, 1, wire.UpstreamReady), 0)
 	step(0)
 	require.False(t, view.Entries()[0].Suspect)
-	step(DefaultSpans.Silent)
+	step(DefaultTimeouts.SilenceTimeout)
 	require.True(t, view.Entries()[0].Suspect)
-	tab.Announce(announce("w", 1, 2, wire.UpstreamReady), DefaultSpans.Silent)
-	step(DefaultSpans.Silent)
+	tab.Announce(announce("w", 1, 2, wire.UpstreamReady), DefaultTimeouts.SilenceTimeout)
+	step(DefaultTimeouts.SilenceTimeout)
 	require.False(t, view.Entries()[0].Suspect)
-	step(DefaultSpans.Silent + DefaultSpans.Forget)
+	step(DefaultTimeouts.SilenceTimeout + DefaultTimeouts.ForgetTimeout)
 	require.Empty(t, view.Entries())
 }
 
-func TestUpstreamIsTrustedWhileOneOwnerHearsIt(t *testing.T) {
+// An upstream must not become suspect as long as one connected owner receives its
+// announcements.
+func TestUpstreamIsNotSuspectWhileOneOwnerHearsIt(t *testing.T) {
 	view := NewView()
 	up := wire.Upstream{Name: "w", Incarnation: 1, Seq: 1, State: wire.UpstreamReady}
 	for _, owner := range []string{"a", "b"} {
@@ -76,18 +84,18 @@
 	}
 	require.True(t, view.Apply("a", &wire.Delta{Version: 1, Silent: []string{"w"}}, 0))
 	require.False(t, view.Entries()[0].Suspect)
-	view.Lost("b", 0)
+	view.OwnerDisconnected("b", 0)
 	require.True(t, view.Entries()[0].Suspect)
-	view.Expire(ownerGrace)
+	view.Expire(ownerRetention)
 	require.Len(t, view.Entries(), 1)
 }
 
-// A view that missed deltas notices it by the next delta or notice, and holds the
-// same as its owner after the full answer. Without the version check in Apply this
-// fails: a missed record stays missing.
-func TestViewFollowsItsOwnerThroughLostDeltas(t *testing.T) {
+// A view that missed deltas must notice it by the next delta or notice, and must equal the
+// owner's table after a full delta. Without the version check in Apply, a missed record would
+// be missing until it changes again.
+func TestViewMatchesOwnerDespiteLostDeltas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tab, view := NewTable(DefaultSpans), NewView()
+		tab, view := NewTable(DefaultTimeouts), NewView()
 		version, now := uint64(0), time.Duration(0)
 		full := func() {
 			d := tab.Full()
--- a/internal/directory/service.go
+++ b/internal/directory/service.go
@@ -15,77 +15,83 @@
 )
 
 const (
-	flushInterval  = 100 * time.Millisecond
+	// flushInterval is how often an owner sends changes to its subscribers.
+	flushInterval = 100 * time.Millisecond
+	// noticeInterval is how often an owner sends its version, so that subscribers notice
+	// that they missed changes.
 	noticeInterval = 10 * time.Second
 	retryDelay     = 500 * time.Millisecond
-	// dialGrace is how long a host waits for a session from the one whose turn it is
-	// to dial, so that a pair does not end up with two.
-	dialGrace = time.Second
-	// leastLoadInterval and loadIntervalPerHost say how often an owner passes on load
-	// reports: the more hosts there are to tell, the less often, so that the cost a
-	// host stays the same.
-	leastLoadInterval   = time.Second
+	// incomingSessionWait is how long a host waits for the session of a host whose name
+	// sorts before its own, before it dials that host itself. If both dialled, the two hosts
+	// could end up with two sessions.
+	incomingSessionWait = time.Second
+	// The interval at which an owner forwards load reports is minLoadInterval, or
+	// loadIntervalPerHost for each entry host if that is longer. It grows with the number of
+	// receivers, so that the cost for each host remains the same.
+	minLoadInterval     = time.Second
 	loadIntervalPerHost = 75 * time.Millisecond
 )
 
-// ServiceConfig is what a Service needs.
+// ServiceConfig configures a Service.
 type ServiceConfig struct {
-	// Self is the name of this entry host, Hosts all of its data centre, itself included.
+	// Self is the name of this entry host. Hosts are all entry hosts of its data centre,
+	// including this one.
 	Self  string
 	Hosts []Host
 	// Incarnation identifies this start of the process.
 	Incarnation uint64
 	Pool        *peer.Pool
-	Spans       Spans
-	// Now returns the time since any fixed point, by a monotonic clock.
+	Timeouts    Timeouts
+	// Now returns the time on a monotonic clock.
 	Now     func() time.Duration
 	Log     *slog.Logger
 	Metrics metrics.Registry
-	// OnEvents, if set, gets cache events as they come in.
+	// OnEvents, if set, is called with the cache events of an upstream as they arrive.
 	OnEvents func(upstream string, events []wire.CacheEvent)
 }
 
-// Service is the directory of one entry host: an owner for some upstreams and a
-// subscriber of all other owners. Lock order: mu alone; nothing is sent under it
-// but by Session.Post, which does not wait.
+// Service is the directory on one entry host. The host owns some upstreams and subscribes to
+// all other owners.
 type Service struct {
 	cfg ServiceConfig
 
-	// mu guards table, view, version and subscribers.
-	mu          sync.Mutex
-	table       *Table
-	view        *View
+	// mu guards table, view, version and subscribers. While it is held, messages are sent
+	// only by Session.Post, which does not block.
+	mu    sync.Mutex
+	table *Table
+	view  *View
+	// version is the number of the last delta that this host sent as an owner.
 	version     uint64
 	subscribers map[*peer.Session]bool
 
-	entries  atomic.Pointer[[]Entry]
-	sent     metrics.Counter
-	gaps     metrics.Counter
-	announce metrics.Counter
+	entries       atomic.Pointer[[]Entry]
+	sent          metrics.Counter
+	gaps          metrics.Counter
+	announcements metrics.Counter
 }
 
-// NewService returns a Service that Run starts.
+// NewService returns a Service. Call Run to start it.
 func NewService(cfg ServiceConfig) *Service {
-	if cfg.Spans == (Spans{}) {
-		cfg.Spans = DefaultSpans
+	if cfg.Timeouts == (Timeouts{}) {
+		cfg.Timeouts = DefaultTimeouts
 	}
 	d := &Service{
-		cfg:         cfg,
-		table:       NewTable(cfg.Spans),
-		view:        NewView(),
-		subscribers: make(map[*peer.Session]bool),
-		sent:        metrics.GetOrRegisterCounter("directory.deltas.sent", cfg.Metrics),
-		gaps:        metrics.GetOrRegisterCounter("directory.gaps", cfg.Metrics),
-		announce:    metrics.GetOrRegisterCounter("directory.announcements", cfg.Metrics),
+		cfg:           cfg,
+		table:         NewTable(cfg.Timeouts),
+		view:          NewView(),
+		subscribers:   make(map[*peer.Session]bool),
+		sent:          metrics.GetOrRegisterCounter("directory.deltas.sent", cfg.Metrics),
+		gaps:          metrics.GetOrRegisterCounter("directory.gaps", cfg.Metrics),
+		announcements: metrics.GetOrRegisterCounter("directory.announcements", cfg.Metrics),
 	}
 	d.entries.Store(&[]Entry{})
 	return d
 }
 
-// Entries returns the upstreams known now. The slice is shared: read only.
+// Entries returns the known upstreams. The slice is shared; callers must not modify it.
 func (d *Service) Entries() []Entry { return *d.entries.Load() }
 
-// Run keeps the directory until ctx ends.
+// Run subscribes to the other hosts and sends the changes of this host until ctx ends.
 func (d *Service) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, h := range d.cfg.Hosts {
@@ -95,7 +101,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			d.follow(ctx, h)
+			d.followOwner(ctx, h)
 		}()
 	}
 	d.flushLoop(ctx)
@@ -126,9 +132,11 @@
 }
 
 func (d *Service) loadInterval() time.Duration {
-	return max(leastLoadInterval, time.Duration(len(d.cfg.Hosts))*loadIntervalPerHost)
+	return max(minLoadInterval, time.Duration(len(d.cfg.Hosts))*loadIntervalPerHost)
 }
 
+// flush removes expired records and sends what has changed to the subscribers. withLoads
+// includes load reports, and withNotice sends the current version too.
 func (d *Service) flush(now time.Duration, withLoads, withNotice bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,7 +147,7 @@
 		d.version++
 		delta.Incarnation, delta.Version = d.cfg.Incarnation, d.version
 		d.broadcast(delta)
-		d.applyOwn(delta, now)
+		d.applyLocal(delta, now)
 		isChanged = true
 	}
 	if withNotice {
@@ -150,17 +158,17 @@
 	}
 }
 
-// applyOwn merges what this host owns itself. The caller holds mu.
-func (d *Service) applyOwn(delta *wire.Delta, now time.Duration) {
+// applyLocal applies a delta of this host's own table to its view. The caller holds mu.
+func (d *Service) applyLocal(delta *wire.Delta, now time.Duration) {
 	if !d.view.Apply(d.cfg.Self, delta, now) {
 		full := d.table.Full()
 		full.Incarnation, full.Version = d.cfg.Incarnation, d.version
 		d.view.Apply(d.cfg.Self, full, now)
 	}
-	d.passEvents(delta)
+	d.deliverEvents(delta)
 }
 
-func (d *Service) passEvents(delta *wire.Delta) {
+func (d *Service) deliverEvents(delta *wire.Delta) {
 	if d.cfg.OnEvents == nil {
 		return
 	}
@@ -169,14 +177,14 @@
 	}
 }
 
-// publish makes the view readable without a lock. The caller holds mu.
+// publish updates the list that Entries returns without a lock. The caller holds mu.
 func (d *Service) publish() {
 	entries := d.view.Entries()
 	d.entries.Store(&entries)
 }
 
-// broadcast posts m to all subscribers; one whose queue is full notices the gap
-// by itself. The caller holds mu.
+// broadcast posts m to all subscribers. If the queue of a subscriber is full, the message
+// is lost, and the subscriber notices the gap by the next version. The caller holds mu.
 func (d *Service) broadcast(m wire.Message) {
 	for s := range d.subscribers {
 		if !s.Alive() {
@@ -189,7 +197,8 @@
 	}
 }
 
-// HandlePeer takes a message if it concerns the directory.
+// HandlePeer handles a message from another host. It returns false if the message is not
+// for the directory.
 func (d *Service) HandlePeer(s *peer.Session, call uint64, m wire.Message) bool {
 	switch m := m.(type) {
 	case *wire.Announce:
@@ -201,7 +210,7 @@
 	case *wire.DigestNotice:
 		d.handleNotice(s, m)
 	case *wire.GroupQuery:
-		_ = s.Reply(call, d.group(m.Group))
+		_ = s.Reply(call, d.groupMembers(m.Group))
 	default:
 		return false
 	}
@@ -209,7 +218,7 @@
 }
 
 func (d *Service) handleAnnounce(s *peer.Session, call uint64, m *wire.Announce) {
-	d.announce.Inc(1)
+	d.announcements.Inc(1)
 	now := d.cfg.Now()
 	d.mu.Lock()
 	urgent := d.table.Announce(m, now)
@@ -231,8 +240,9 @@
 	}
 }
 
-// group returns the hosts of a group, suspect ones too: none may be left out.
-func (d *Service) group(name string) *wire.GroupAnswer {
+// groupMembers returns the hosts of a group. It includes suspect ones, because the caller
+// needs all ranks of the group.
+func (d *Service) groupMembers(name string) *wire.GroupAnswer {
 	a := &wire.GroupAnswer{}
 	for _, e := range d.Entries() {
 		if u := e.Upstream; u.Group == name && u.Ranks > 0 {
@@ -249,7 +259,7 @@
 		d.resubscribe(s)
 		return
 	}
-	d.passEvents(m)
+	d.deliverEvents(m)
 	d.publish()
 }
 
@@ -261,15 +271,17 @@
 	}
 }
 
+// resubscribe requests the full table of an owner, after a delta of it was missed.
 func (d *Service) resubscribe(s *peer.Session) {
 	d.gaps.Inc(1)
 	_ = s.Post(&wire.Subscribe{})
 }
 
-// follow subscribes to one owner, again after each loss, until ctx ends.
-func (d *Service) follow(ctx context.Context, h Host) {
+// followOwner maintains a subscription to one owner until ctx ends. After the session is
+// lost, it subscribes again.
+func (d *Service) followOwner(ctx context.Context, h Host) {
 	if d.cfg.Self > h.Name {
-		d.awaitDial(ctx, h)
+		d.awaitIncomingSession(ctx, h)
 	}
 	for ctx.Err() == nil {
 		s, err := d.cfg.Pool.Get(ctx, h.Address)
@@ -283,23 +295,23 @@
 		select {
 		case <-ctx.Done():
 		case <-s.Done():
-			d.lost(h.Name)
+			d.ownerDisconnected(h.Name)
 		}
 	}
 }
 
-// awaitDial waits for a session that the other host opens.
-func (d *Service) awaitDial(ctx context.Context, h Host) {
-	deadline := d.cfg.Now() + dialGrace
+// awaitIncomingSession waits up to incomingSessionWait for the other host to dial.
+func (d *Service) awaitIncomingSession(ctx context.Context, h Host) {
+	deadline := d.cfg.Now() + incomingSessionWait
 	for ctx.Err() == nil && d.cfg.Now() < deadline && d.cfg.Pool.Live(h.Address) == nil {
 		pause.For(ctx, flushInterval)
 	}
 }
 
-func (d *Service) lost(name string) {
+func (d *Service) ownerDisconnected(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.view.Lost(name, d.cfg.Now())
+	d.view.OwnerDisconnected(name, d.cfg.Now())
 	d.publish()
 	d.cfg.Log.Info("directory host lost", "host", name)
 }
