--- a/internal/command/batcher.go
+++ b/internal/command/batcher.go
@@ -47,7 +47,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	return &batcher[Q, R]{
 		size:     o.BatchSize,
-		bound:    o.Pending,
+		bound:    o.MaxPending,
 		timeout:  o.Timeout,
 		send:     send,
 		unwanted: func(Q, R, error) {},
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -23,9 +23,9 @@
 	// BatchSize bounds the claims, and the finishes, of one command; the default
 	// is 128.
 	BatchSize int
-	// Pending bounds the claims, and the finishes, that wait; more are refused.
+	// MaxPending bounds the claims, and the finishes, that wait; more are refused.
 	// The default is 8,192.
-	Pending int
+	MaxPending int
 	// Timeout bounds the wait for one batch; the default is 5 seconds.
 	Timeout time.Duration
 }
@@ -42,8 +42,8 @@
 	if o.BatchSize == 0 {
 		o.BatchSize = defaultBatchSize
 	}
-	if o.Pending == 0 {
-		o.Pending = defaultPending
+	if o.MaxPending == 0 {
+		o.MaxPending = defaultPending
 	}
 	if o.Timeout == 0 {
 		o.Timeout = defaultTimeout
@@ -134,10 +134,10 @@
 	return propose[state.VoterAddressResult](ctx, s.proposer, c)
 }
 
-// AdvanceAge moves the age of the tables on and states how long claims are kept from
+// AdvanceClock moves the age of the tables on and states how long claims are kept from
 // here on; a retention of zero leaves that as it is. Only the leader calls it.
-func (s *Service) AdvanceAge(ctx context.Context, elapsed, retention time.Duration) (state.AgeResult, error) {
-	return propose[state.AgeResult](ctx, s.proposer, state.AdvanceAge{
+func (s *Service) AdvanceClock(ctx context.Context, elapsed, retention time.Duration) (state.ClockResult, error) {
+	return propose[state.ClockResult](ctx, s.proposer, state.AdvanceClock{
 		Elapsed:   milliseconds(elapsed),
 		Retention: milliseconds(retention),
 	})
@@ -238,7 +238,7 @@
 	switch r.Reason {
 	case state.ReasonTooLarge:
 		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, string(r.Reason))
-	case state.ReasonApplied:
+	case state.ReasonAlreadyApplied:
 		return verdict.New(verdict.MayHaveRun, verdict.CodeInternal, string(r.Reason))
 	}
 	return verdict.New(verdict.NotRun, verdict.CodeBadRequest, string(r.Reason))
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -122,9 +122,9 @@
 	changed, err := s.SetVoterAddress(t.Context(), state.SetVoterAddress{Replica: "a/1", Host: "a", Address: "127.0.0.1:1"})
 	require.NoError(t, err)
 	require.True(t, changed.Changed)
-	age, err := s.AdvanceAge(t.Context(), 3*time.Second, time.Hour)
+	age, err := s.AdvanceClock(t.Context(), 3*time.Second, time.Hour)
 	require.NoError(t, err)
-	require.Equal(t, state.Age(3000), age.Age)
+	require.Equal(t, state.LogicalTime(3000), age.LogicalTime)
 }
 
 func TestProposeFailures(t *testing.T) {
@@ -199,7 +199,7 @@
 func TestTooManyWaitingClaimsAreRefused(t *testing.T) {
 	a := newApplier()
 	a.gate = make(chan struct{})
-	s := New(a, Options{Pending: 1})
+	s := New(a, Options{MaxPending: 1})
 	defer s.Close(t.Context())
 	ask(context.Background(), s, "1")
 	require.Eventually(t, func() bool { return a.arrived() == 1 }, generous, time.Millisecond)
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -177,7 +177,7 @@
 // passDocuments keeps the catalog at what the tables hold, and the watchers with it.
 func (h *Host) passDocuments(ctx context.Context) {
 	for {
-		changed := h.tables.Changed()
+		changed := h.tables.DocumentsChanged()
 		h.syncStore()
 		h.watchers.send(false)
 		select {
@@ -191,7 +191,7 @@
 // syncStore brings the catalog up to the tables.
 func (h *Host) syncStore() {
 	var docs []wire.Document
-	for _, d := range h.tables.Changes(h.store.Revision()) {
+	for _, d := range h.tables.DocumentsSince(h.store.Revision()) {
 		docs = append(docs, wire.Document{Name: d.Name, Revision: d.Revision, Text: []byte(d.Text)})
 	}
 	h.store.Offer(docs)
@@ -232,7 +232,7 @@
 			continue
 		}
 		proposeCtx, cancel := context.WithTimeout(ctx, serveTimeout)
-		_, _ = h.commands.AdvanceAge(proposeCtx, elapsed, h.cfg.ClaimRetention)
+		_, _ = h.commands.AdvanceClock(proposeCtx, elapsed, h.cfg.ClaimRetention)
 		cancel()
 	}
 }
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -188,7 +188,7 @@
 		Verdict:   verdict.Verdict(m.Verdict),
 	}
 	if m.Answer != nil {
-		f.Answer = &state.RecordedAnswer{
+		f.Answer = &state.RecordedResponse{
 			Status:      m.Answer.Status,
 			ContentType: contentType(m.Answer.Header),
 			Body:        m.Answer.Body,
--- a/internal/logtrace/trace.go
+++ b/internal/logtrace/trace.go
@@ -88,13 +88,13 @@
 	// Lines are those of the request and, near them, those about its upstreams, in time
 	// order.
 	Lines []Line
-	// Offsets are by how much a host's clock seems to be ahead of the others, by host.
-	Offsets map[string]time.Duration
+	// ClockOffsets are by how much a host's clock seems to be ahead of the others, by host.
+	ClockOffsets map[string]time.Duration
 }
 
 // Find gathers what the lines say of a request.
 func Find(all []Line, request string) Trace {
-	t := Trace{Offsets: offsets(all)}
+	t := Trace{ClockOffsets: offsets(all)}
 	upstreams := make(map[string]bool)
 	var first, last time.Time
 	for _, l := range all {
@@ -127,7 +127,7 @@
 }
 
 // trueTime is a line's time less its host's offset.
-func (t Trace) trueTime(l Line) time.Time { return l.At.Add(-t.Offsets[l.Host]) }
+func (t Trace) trueTime(l Line) time.Time { return l.At.Add(-t.ClockOffsets[l.Host]) }
 
 // offsets estimates the clocks from when each configuration came into force: that is
 // within some 100 ms on all hosts, so only larger differences mean something.
@@ -169,13 +169,13 @@
 		}
 		fmt.Fprintf(&b, "%s  %-18s %s%s  %s\n", t.trueTime(l).Format("15:04:05.000"), l.Host, mark, l.Message, strings.Join(l.Fields, " "))
 	}
-	hosts := make([]string, 0, len(t.Offsets))
-	for host := range t.Offsets {
+	hosts := make([]string, 0, len(t.ClockOffsets))
+	for host := range t.ClockOffsets {
 		hosts = append(hosts, host)
 	}
 	slices.Sort(hosts)
 	for _, host := range hosts {
-		fmt.Fprintf(&b, "clock of %s taken back by %s\n", host, t.Offsets[host].Round(time.Millisecond))
+		fmt.Fprintf(&b, "clock of %s taken back by %s\n", host, t.ClockOffsets[host].Round(time.Millisecond))
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
--- a/internal/logtrace/trace_test.go
+++ b/internal/logtrace/trace_test.go
@@ -30,8 +30,8 @@
 	}
 	// The clock of control-2 is two seconds ahead: what it saw was before.
 	require.Equal(t, []string{"upstream is silent", "request sent", "request failed"}, messages)
-	require.InDelta(t, 2*time.Second, trace.Offsets["control-2"], float64(50*time.Millisecond))
-	require.NotContains(t, trace.Offsets, "control-1")
+	require.InDelta(t, 2*time.Second, trace.ClockOffsets["control-2"], float64(50*time.Millisecond))
+	require.NotContains(t, trace.ClockOffsets, "control-1")
 	var out strings.Builder
 	require.NoError(t, trace.Write(&out))
 	require.Contains(t, out.String(), "~ upstream is silent")
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -18,19 +18,19 @@
 type Tables interface {
 	Document(name string) (state.Document, bool)
 	Documents() []state.Document
-	Changes(since uint64) []state.Document
+	DocumentsSince(since uint64) []state.Document
 	History(before uint64, limit int, keep func(state.AuditRecord) bool) state.AuditPage
 	Cluster() state.Cluster
-	Applied() uint64
-	Age() state.Age
+	AppliedIndex() uint64
+	LogicalTime() state.LogicalTime
 	Fence() uint64
 	ClaimCount() int
 }
 
 // The length of a page of the audit trail.
 const (
-	DefaultPage = 100
-	MaxPage     = 1000
+	DefaultPageSize = 100
+	MaxPageSize     = 1000
 )
 
 // Service reads the tables. Its methods may be called concurrently; their errors
@@ -47,8 +47,8 @@
 type Status struct {
 	// Index is that of the last applied entry.
 	Index uint64
-	// Age is in milliseconds.
-	Age state.Age
+	// LogicalTime is in milliseconds.
+	LogicalTime state.LogicalTime
 	// Fence is the fencing number for orders to engines.
 	Fence   uint64
 	Cluster state.Cluster
@@ -76,12 +76,12 @@
 	return s.tables.Documents(), nil
 }
 
-// Changes returns the documents with a revision above since, the lowest first.
-func (s *Service) Changes(ctx context.Context, since uint64) ([]state.Document, error) {
+// DocumentsSince returns the documents with a revision above since, the lowest first.
+func (s *Service) DocumentsSince(ctx context.Context, since uint64) ([]state.Document, error) {
 	if err := s.barrier(ctx); err != nil {
 		return nil, err
 	}
-	return s.tables.Changes(since), nil
+	return s.tables.DocumentsSince(since), nil
 }
 
 // HistoryRequest asks for a page of the audit trail.
@@ -102,13 +102,13 @@
 		return state.AuditPage{}, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "limit is negative")
 	}
 	if q.Limit == 0 {
-		q.Limit = DefaultPage
+		q.Limit = DefaultPageSize
 	}
 	if err := s.barrier(ctx); err != nil {
 		return state.AuditPage{}, err
 	}
-	keep := func(r state.AuditRecord) bool { return q.All || r.IsOf(q.Documents) }
-	return s.tables.History(q.Before, min(q.Limit, MaxPage), keep), nil
+	keep := func(r state.AuditRecord) bool { return q.All || r.IsSubmissionOf(q.Documents) }
+	return s.tables.History(q.Before, min(q.Limit, MaxPageSize), keep), nil
 }
 
 // Status returns the state of the cluster.
@@ -123,11 +123,11 @@
 // without a quorum. It may be old.
 func (s *Service) LocalStatus() Status {
 	return Status{
-		Index:   s.tables.Applied(),
-		Age:     s.tables.Age(),
-		Fence:   s.tables.Fence(),
-		Cluster: s.tables.Cluster(),
-		Claims:  s.tables.ClaimCount(),
+		Index:       s.tables.AppliedIndex(),
+		LogicalTime: s.tables.LogicalTime(),
+		Fence:       s.tables.Fence(),
+		Cluster:     s.tables.Cluster(),
+		Claims:      s.tables.ClaimCount(),
 	}
 }
 
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -29,10 +29,10 @@
 		if err != nil {
 			return 0, err
 		}
-		r.machine.Apply(r.machine.Applied()+1, data)
+		r.machine.Apply(r.machine.AppliedIndex()+1, data)
 	}
 	r.missing = nil
-	return r.machine.Applied(), nil
+	return r.machine.AppliedIndex(), nil
 }
 
 func newService(missing ...state.Command) (*Service, *lateReader) {
@@ -57,7 +57,7 @@
 			return docs[0].Revision, err
 		},
 		"changes": func(s *Service) (uint64, error) {
-			docs, err := s.Changes(t.Context(), 2)
+			docs, err := s.DocumentsSince(t.Context(), 2)
 			return docs[0].Revision, err
 		},
 		"history": func(s *Service) (uint64, error) {
@@ -90,7 +90,7 @@
 		calls := []func() error{
 			func() error { _, err := s.Document(t.Context(), "d"); return err },
 			func() error { _, err := s.Documents(t.Context()); return err },
-			func() error { _, err := s.Changes(t.Context(), 0); return err },
+			func() error { _, err := s.DocumentsSince(t.Context(), 0); return err },
 			func() error { _, err := s.History(t.Context(), HistoryRequest{Limit: 1}); return err },
 			func() error { _, err := s.Status(t.Context()); return err },
 		}
@@ -106,13 +106,13 @@
 
 func TestUnknownDocumentAndPages(t *testing.T) {
 	var commands []state.Command
-	for i := range MaxPage + 1 {
+	for i := range MaxPageSize + 1 {
 		commands = append(commands, submit(fmt.Sprint(i), 0, "x"))
 	}
 	s, _ := newService(commands...)
 	_, err := s.Document(t.Context(), "other")
 	require.Equal(t, verdict.CodeNotFound, verdict.Of(err).Code)
-	for limit, want := range map[int]int{0: DefaultPage, 7: 7, MaxPage + 1: MaxPage} {
+	for limit, want := range map[int]int{0: DefaultPageSize, 7: 7, MaxPageSize + 1: MaxPageSize} {
 		page, err := s.History(t.Context(), HistoryRequest{Limit: limit, All: true})
 		require.NoError(t, err)
 		require.Len(t, page.Records, want)
--- a/internal/state/audit.go
+++ b/internal/state/audit.go
@@ -24,8 +24,8 @@
 type AuditRecord struct {
 	// Index is that of the log entry; no two records share one.
 	Index uint64 `cbor:"1,keyasint"`
-	// Age is the age of the tables.
-	Age Age `cbor:"2,keyasint,omitempty"`
+	// LogicalTime is the age of the tables.
+	LogicalTime LogicalTime `cbor:"2,keyasint,omitempty"`
 	// At is the proposer's wall clock in Unix milliseconds, for display only; zero
 	// where it is not known.
 	At      int64  `cbor:"3,keyasint,omitempty"`
@@ -42,8 +42,8 @@
 	Digest   [sha256.Size]byte `cbor:"11,keyasint"`
 }
 
-// IsOf reports whether the record is of a change of one of the documents.
-func (r AuditRecord) IsOf(documents []string) bool {
+// IsSubmissionOf reports whether the record is of a change of one of the documents.
+func (r AuditRecord) IsSubmissionOf(documents []string) bool {
 	return r.Action == ActionSubmit && slices.Contains(documents, r.Subject)
 }
 
--- a/internal/state/claims.go
+++ b/internal/state/claims.go
@@ -17,14 +17,14 @@
 	attempt     string
 	host        string
 	incarnation uint64
-	deadline    Age
+	deadline    LogicalTime
 	// expires is the age at which the claim is forgotten. It never falls.
-	expires  Age
+	expires  LogicalTime
 	finished bool
 	// finishedAt is the age at which the call ended.
-	finishedAt Age
+	finishedAt LogicalTime
 	verdict    verdict.Verdict
-	answer     *RecordedAnswer
+	answer     *RecordedResponse
 	// gone tells that the claim was freed and only the expiry queue holds it.
 	gone bool
 }
@@ -40,12 +40,12 @@
 	max          int
 	perWorkspace int
 	maxAnswers   int
-	settleAfter  Age
+	settleAfter  LogicalTime
 
 	// mu guards all below.
 	mu sync.RWMutex
 	// retention is how long a claim is kept.
-	retention  Age
+	retention  LogicalTime
 	workspaces map[string]*workspaceClaims
 	queue      expiryQueue
 	// count is the number of claims, without the settled ones.
@@ -61,9 +61,9 @@
 	t.max = o.Claims
 	t.perWorkspace = o.ClaimsPerWorkspace
 	t.retention = o.ClaimRetention
-	t.maxAnswers = o.AnswerBytes
-	t.settleAfter = o.SettleAfter
-	t.settled.max = o.Settled
+	t.maxAnswers = o.RecordedBytes
+	t.settleAfter = o.CompactAfter
+	t.settled.max = o.CompactClaims
 	t.clear()
 }
 
@@ -78,7 +78,7 @@
 }
 
 // retain takes the span for which claims are kept from here on; zero changes nothing.
-func (t *claims) retain(span Age) {
+func (t *claims) retain(span LogicalTime) {
 	if span == 0 {
 		return
 	}
@@ -88,13 +88,13 @@
 }
 
 // span returns how long claims are kept.
-func (t *claims) span() Age {
+func (t *claims) span() LogicalTime {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.retention
 }
 
-func (t *claims) claimBatch(b ClaimBatch, age Age) ClaimBatchResult {
+func (t *claims) claimBatch(b ClaimBatch, age LogicalTime) ClaimBatchResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	results := make([]ClaimResult, 0, len(b.Claims))
@@ -106,7 +106,7 @@
 
 // claim grants a key that is free, and tells the state of one that is not. The
 // caller holds mu.
-func (t *claims) claim(c Claim, age Age) ClaimResult {
+func (t *claims) claim(c Claim, age LogicalTime) ClaimResult {
 	if !validNames(c.Workspace, c.Key, c.Attempt) || len(c.Host) > MaxNameBytes {
 		return ClaimResult{Outcome: ClaimRefused, Verdict: verdict.NotRun}
 	}
@@ -119,7 +119,7 @@
 	if t.full(c.Workspace) {
 		return ClaimResult{Outcome: ClaimRefused, Verdict: verdict.NotRun}
 	}
-	deadline := age + min(Age(c.Deadline), MaxDeadline)
+	deadline := age + min(LogicalTime(c.Deadline), MaxDeadline)
 	t.insert(c.Workspace, &claim{
 		key:         c.Key,
 		digest:      c.Digest,
@@ -142,7 +142,7 @@
 }
 
 // answerTo tells the state of a claim to one that asks for it. It never grants.
-func (c *claim) answerTo(asked Claim, age Age) ClaimResult {
+func (c *claim) answerTo(asked Claim, age LogicalTime) ClaimResult {
 	switch {
 	case c.digest != asked.Digest:
 		return ClaimResult{Outcome: ClaimKeyReused, Verdict: verdict.NotRun}
@@ -154,7 +154,7 @@
 	return ClaimResult{Outcome: ClaimInProgress, Verdict: verdict.MayHaveRun, Remaining: uint64(c.deadline - age)}
 }
 
-func (t *claims) finishBatch(b FinishClaims, age Age) FinishResult {
+func (t *claims) finishBatch(b FinishClaims, age LogicalTime) FinishResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	results := make([]FinishOutcome, 0, len(b.Finishes))
@@ -166,7 +166,7 @@
 
 // finish ends an attempt. What has ended stays so, but for an attempt that may
 // have run and turns out to have run. The caller holds mu.
-func (t *claims) finish(f Finish, age Age) FinishOutcome {
+func (t *claims) finish(f Finish, age LogicalTime) FinishOutcome {
 	c := t.find(f.Workspace, f.Key)
 	if c == nil || c.attempt != f.Attempt || f.Verdict > verdict.Ran {
 		return FinishIgnored
@@ -192,8 +192,8 @@
 }
 
 // record keeps an answer where the bounds allow. The caller holds mu.
-func (t *claims) record(c *claim, a *RecordedAnswer) {
-	if a == nil || len(a.Body) > MaxAnswerBytes || len(a.ContentType) > MaxNameBytes {
+func (t *claims) record(c *claim, a *RecordedResponse) {
+	if a == nil || len(a.Body) > MaxResponseBytes || len(a.ContentType) > MaxNameBytes {
 		return
 	}
 	if t.answerBytes+len(a.Body) > t.maxAnswers {
@@ -246,7 +246,7 @@
 // expire forgets the claims whose time has come, and returns how many. An entry
 // of the queue never lies after its claim's expiry, so a claim goes at the first
 // age that reaches it, also in tables that were restored in between.
-func (t *claims) expire(age Age) int {
+func (t *claims) expire(age LogicalTime) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	expired := 0
@@ -267,7 +267,7 @@
 
 // expiry is an entry of the expiry queue.
 type expiry struct {
-	at        Age
+	at        LogicalTime
 	workspace *workspaceClaims
 	claim     *claim
 }
@@ -305,12 +305,12 @@
 	Attempt     string
 	Host        string
 	Incarnation uint64
-	Deadline    Age
-	Expires     Age
+	Deadline    LogicalTime
+	Expires     LogicalTime
 	Finished    bool
 	Verdict     verdict.Verdict
-	Answer      *RecordedAnswer
-	FinishedAt  Age
+	Answer      *RecordedResponse
+	FinishedAt  LogicalTime
 }
 
 // images returns the claims in no order; sortImages brings them into theirs, so
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -47,9 +47,9 @@
 	At int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// AdvanceAge moves the age of the tables on by the time that the leader measured
+// AdvanceClock moves the age of the tables on by the time that the leader measured
 // with its monotonic clock.
-type AdvanceAge struct {
+type AdvanceClock struct {
 	// Elapsed is in milliseconds; what exceeds MaxAdvance is not counted.
 	Elapsed uint64 `cbor:"1,keyasint"`
 	// Retention is how long claims that come or end from here on are kept, in
@@ -93,8 +93,8 @@
 	Claims []Claim `cbor:"1,keyasint"`
 }
 
-// RecordedAnswer is the answer to a call that ran.
-type RecordedAnswer struct {
+// RecordedResponse is the answer to a call that ran.
+type RecordedResponse struct {
 	// Status is the HTTP status code.
 	Status      int    `cbor:"1,keyasint"`
 	ContentType string `cbor:"2,keyasint,omitempty"`
@@ -108,7 +108,7 @@
 	Attempt   string          `cbor:"3,keyasint"`
 	Verdict   verdict.Verdict `cbor:"4,keyasint,omitempty"`
 	// Answer is recorded only with the verdict Ran.
-	Answer *RecordedAnswer `cbor:"5,keyasint,omitempty"`
+	Answer *RecordedResponse `cbor:"5,keyasint,omitempty"`
 }
 
 // FinishClaims carries the ends of many attempts.
@@ -127,7 +127,7 @@
 }
 
 func (Init) kind() commandKind            { return kindInit }
-func (AdvanceAge) kind() commandKind      { return kindAdvanceAge }
+func (AdvanceClock) kind() commandKind    { return kindAdvanceAge }
 func (SubmitDocument) kind() commandKind  { return kindSubmitDocument }
 func (ClaimBatch) kind() commandKind      { return kindClaimBatch }
 func (FinishClaims) kind() commandKind    { return kindFinishClaims }
@@ -153,13 +153,13 @@
 		return nil, &Rejected{Reason: ReasonMalformed}
 	}
 	if e.Version != commandVersion {
-		return nil, &Rejected{Reason: ReasonVersion}
+		return nil, &Rejected{Reason: ReasonUnknownVersion}
 	}
 	switch e.Kind {
 	case kindInit:
 		return decodeBody[Init](e.Body)
 	case kindAdvanceAge:
-		return decodeBody[AdvanceAge](e.Body)
+		return decodeBody[AdvanceClock](e.Body)
 	case kindSubmitDocument:
 		return decodeBody[SubmitDocument](e.Body)
 	case kindClaimBatch:
@@ -171,7 +171,7 @@
 	case kindPutConfiguration:
 		return decodeBody[PutConfiguration](e.Body)
 	}
-	return nil, &Rejected{Reason: ReasonKind}
+	return nil, &Rejected{Reason: ReasonUnknownKind}
 }
 
 func decodeBody[C Command](body []byte) (Command, *Rejected) {
--- a/internal/state/configuration.go
+++ b/internal/state/configuration.go
@@ -84,7 +84,7 @@
 // putConfiguration takes a configuration. The caller holds applyMu.
 func (m *Machine) putConfiguration(index uint64, c PutConfiguration) any {
 	if c.Number == 0 || len(c.Author) > MaxNameBytes {
-		return Rejected{Reason: ReasonName}
+		return Rejected{Reason: ReasonInvalidName}
 	}
 	if len(c.Data) > MaxConfigurationBytes {
 		return Rejected{Reason: ReasonTooLarge}
@@ -92,13 +92,13 @@
 	result := m.configuration.put(c)
 	if result.Accepted {
 		m.audit.add(AuditRecord{
-			Index:    index,
-			Age:      m.Age(),
-			At:       c.At,
-			Author:   c.Author,
-			Action:   ActionConfiguration,
-			Outcome:  acceptance(true),
-			Revision: c.Number,
+			Index:       index,
+			LogicalTime: m.LogicalTime(),
+			At:          c.At,
+			Author:      c.Author,
+			Action:      ActionConfiguration,
+			Outcome:     acceptance(true),
+			Revision:    c.Number,
 		})
 	}
 	return result
--- a/internal/state/documents.go
+++ b/internal/state/documents.go
@@ -16,8 +16,8 @@
 	Text     string `cbor:"3,keyasint,omitempty"`
 	Author   string `cbor:"4,keyasint"`
 	ChangeID string `cbor:"5,keyasint"`
-	// AcceptedAge is the age of the tables at acceptance.
-	AcceptedAge Age `cbor:"6,keyasint,omitempty"`
+	// AcceptedLogicalTime is the age of the tables at acceptance.
+	AcceptedLogicalTime LogicalTime `cbor:"6,keyasint,omitempty"`
 	// At is the proposer's wall clock in Unix milliseconds, for display only.
 	At int64 `cbor:"7,keyasint,omitempty"`
 }
@@ -31,16 +31,16 @@
 
 // outcome is what a change came to the first time.
 type outcome struct {
-	Key    changeKey         `cbor:"1,keyasint"`
-	Digest [sha256.Size]byte `cbor:"2,keyasint"`
-	Result SubmitResult      `cbor:"3,keyasint"`
-	Age    Age               `cbor:"4,keyasint,omitempty"`
+	Key         changeKey         `cbor:"1,keyasint"`
+	Digest      [sha256.Size]byte `cbor:"2,keyasint"`
+	Result      SubmitResult      `cbor:"3,keyasint"`
+	LogicalTime LogicalTime       `cbor:"4,keyasint,omitempty"`
 }
 
 // documents is the table of documents and of the outcomes of recent changes.
 type documents struct {
 	maxOutcomes int
-	retention   Age
+	retention   LogicalTime
 
 	// mu guards all below.
 	mu     sync.RWMutex
@@ -70,7 +70,7 @@
 }
 
 // submit accepts a change, repeats its first outcome, or refuses it.
-func (d *documents) submit(index uint64, age Age, c SubmitDocument) SubmitResult {
+func (d *documents) submit(index uint64, age LogicalTime, c SubmitDocument) SubmitResult {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	key := changeKey{Name: c.Name, Author: c.Author, ChangeID: c.ChangeID}
@@ -79,7 +79,7 @@
 		return d.repeat(first, digest)
 	}
 	result := d.decide(index, age, c)
-	d.retain(&outcome{Key: key, Digest: digest, Result: result, Age: age})
+	d.retain(&outcome{Key: key, Digest: digest, Result: result, LogicalTime: age})
 	return result
 }
 
@@ -94,7 +94,7 @@
 }
 
 // decide answers a change that is new. The caller holds mu.
-func (d *documents) decide(index uint64, age Age, c SubmitDocument) SubmitResult {
+func (d *documents) decide(index uint64, age LogicalTime, c SubmitDocument) SubmitResult {
 	current, exists := d.byName[c.Name]
 	if c.Base != current.Revision {
 		result := SubmitResult{Outcome: SubmitConflict, Revision: current.Revision}
@@ -104,13 +104,13 @@
 		return result
 	}
 	d.byName[c.Name] = Document{
-		Name:        c.Name,
-		Revision:    index,
-		Text:        c.Text,
-		Author:      c.Author,
-		ChangeID:    c.ChangeID,
-		AcceptedAge: age,
-		At:          c.At,
+		Name:                c.Name,
+		Revision:            index,
+		Text:                c.Text,
+		Author:              c.Author,
+		ChangeID:            c.ChangeID,
+		AcceptedLogicalTime: age,
+		At:                  c.At,
 	}
 	d.fence = index
 	d.notify()
@@ -133,10 +133,10 @@
 }
 
 // expire drops the outcomes that are older than the retention.
-func (d *documents) expire(age Age) {
+func (d *documents) expire(age LogicalTime) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for len(d.queue) > 0 && d.queue[0].Age+d.retention <= age {
+	for len(d.queue) > 0 && d.queue[0].LogicalTime+d.retention <= age {
 		d.dropOldest()
 	}
 }
@@ -186,8 +186,8 @@
 	return m.documents.sorted(byName)
 }
 
-// Changes returns the documents with a revision above since, the lowest first.
-func (m *Machine) Changes(since uint64) []Document {
+// DocumentsSince returns the documents with a revision above since, the lowest first.
+func (m *Machine) DocumentsSince(since uint64) []Document {
 	m.documents.mu.RLock()
 	defer m.documents.mu.RUnlock()
 	list := m.documents.sorted(byRevision)
@@ -197,9 +197,9 @@
 	return list[first:]
 }
 
-// Changed returns a channel that is closed at the next new revision. Call it
+// DocumentsChanged returns a channel that is closed at the next new revision. Call it
 // before Changes, so that no revision falls in between.
-func (m *Machine) Changed() <-chan struct{} {
+func (m *Machine) DocumentsChanged() <-chan struct{} {
 	m.documents.mu.RLock()
 	defer m.documents.mu.RUnlock()
 	return m.documents.changed
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -24,54 +24,54 @@
 	"github.com/sassafraspost/sassafraspost/internal/consensus"
 )
 
-// Age is the age of the tables in milliseconds. It moves only by AdvanceAge.
-type Age uint64
+// LogicalTime is the age of the tables in milliseconds. It moves only by AdvanceAge.
+type LogicalTime uint64
 
 // The bounds of one command.
 const (
 	// MaxAdvance is the most that one AdvanceAge counts.
-	MaxAdvance Age = 60_000
+	MaxAdvance LogicalTime = 60_000
 	// MaxDeadline is the longest deadline of a claim.
-	MaxDeadline Age = 3_600_000
-	// MaxAnswerBytes is the longest body that is recorded; a longer answer leaves
+	MaxDeadline LogicalTime = 3_600_000
+	// MaxResponseBytes is the longest body that is recorded; a longer answer leaves
 	// the verdict only.
-	MaxAnswerBytes = 64 << 10
+	MaxResponseBytes = 64 << 10
 	// MaxNameBytes bounds names, keys, authors and ids.
 	MaxNameBytes = 512
 	// MaxDocumentBytes bounds the text of a document.
 	MaxDocumentBytes = 4 << 20
 )
 
-const day Age = 24 * 3_600_000
+const day LogicalTime = 24 * 3_600_000
 
 // The bounds of the retention that an AdvanceAge states.
 const (
-	MinRetention Age = 60_000
-	MaxRetention     = 30 * day
+	MinRetention LogicalTime = 60_000
+	MaxRetention             = 30 * day
 )
 
 // Options bound what the tables retain. Zero means the default.
 type Options struct {
 	// ClaimRetention is how long a claim is kept after it finished or passed its
 	// deadline, until an AdvanceAge states another span; the default is 24 hours.
-	ClaimRetention Age
+	ClaimRetention LogicalTime
 	// Claims bounds open and retained claims altogether, and with them the memory;
 	// the default is 150,000.
 	Claims int
 	// ClaimsPerWorkspace bounds those of one workspace, so that it cannot take the
 	// room of the others; the default is 50,000.
 	ClaimsPerWorkspace int
-	// SettleAfter is how long after its end a call's claim is kept whole; then the
+	// CompactAfter is how long after its end a call's claim is kept whole; then the
 	// answer goes, and the verdict is kept for the retention. The default is 10 minutes.
-	SettleAfter Age
-	// Settled bounds the claims kept in that short form; the default is 500,000.
-	Settled int
-	// AnswerBytes bounds the recorded bodies altogether; an answer beyond it
+	CompactAfter LogicalTime
+	// CompactClaims bounds the claims kept in that short form; the default is 500,000.
+	CompactClaims int
+	// RecordedBytes bounds the recorded bodies altogether; an answer beyond it
 	// leaves the verdict only. The default is 32 MiB.
-	AnswerBytes int
+	RecordedBytes int
 	// OutcomeRetention is how long the outcome of a change is kept for a resend;
 	// the default is 24 hours.
-	OutcomeRetention Age
+	OutcomeRetention LogicalTime
 	// Outcomes bounds the outcomes kept; the default is 10,000.
 	Outcomes int
 	// AuditRecords bounds the audit trail; the default is 10,000.
@@ -79,29 +79,29 @@
 }
 
 const (
-	defaultClaims                 = 150_000
-	defaultClaimsPerWorkspace     = 50_000
-	defaultSettleAfter        Age = 600_000
-	defaultSettled                = 500_000
-	defaultAnswerBytes            = 32 << 20
-	defaultOutcomes               = 10_000
-	defaultAuditRecords           = 10_000
+	defaultClaims                         = 150_000
+	defaultClaimsPerWorkspace             = 50_000
+	defaultSettleAfter        LogicalTime = 600_000
+	defaultSettled                        = 500_000
+	defaultAnswerBytes                    = 32 << 20
+	defaultOutcomes                       = 10_000
+	defaultAuditRecords                   = 10_000
 )
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.ClaimRetention, day)
 	setDefault(&o.Claims, defaultClaims)
 	setDefault(&o.ClaimsPerWorkspace, defaultClaimsPerWorkspace)
-	setDefault(&o.SettleAfter, defaultSettleAfter)
-	setDefault(&o.Settled, defaultSettled)
-	setDefault(&o.AnswerBytes, defaultAnswerBytes)
+	setDefault(&o.CompactAfter, defaultSettleAfter)
+	setDefault(&o.CompactClaims, defaultSettled)
+	setDefault(&o.RecordedBytes, defaultAnswerBytes)
 	setDefault(&o.OutcomeRetention, day)
 	setDefault(&o.Outcomes, defaultOutcomes)
 	setDefault(&o.AuditRecords, defaultAuditRecords)
 	return o
 }
 
-func setDefault[T Age | int](v *T, d T) {
+func setDefault[T LogicalTime | int](v *T, d T) {
 	if *v == 0 {
 		*v = d
 	}
@@ -135,11 +135,11 @@
 	return m
 }
 
-// Applied returns the index of the last entry that was applied.
-func (m *Machine) Applied() uint64 { return m.applied.Load() }
+// AppliedIndex returns the index of the last entry that was applied.
+func (m *Machine) AppliedIndex() uint64 { return m.applied.Load() }
 
-// Age returns the age of the tables.
-func (m *Machine) Age() Age { return Age(m.age.Load()) }
+// LogicalTime returns the age of the tables.
+func (m *Machine) LogicalTime() LogicalTime { return LogicalTime(m.age.Load()) }
 
 // Apply applies the command of the log entry index. The result is the typed one
 // of the command, or Rejected; it is the same on every replica.
@@ -147,7 +147,7 @@
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
 	if index <= m.applied.Load() {
-		return Rejected{Reason: ReasonApplied}
+		return Rejected{Reason: ReasonAlreadyApplied}
 	}
 	defer m.applied.Store(index)
 	command, rejected := decode(data)
@@ -157,20 +157,20 @@
 	switch c := command.(type) {
 	case Init:
 		return m.applyInit(index, c)
-	case AdvanceAge:
+	case AdvanceClock:
 		return m.advance(c)
 	case SubmitDocument:
 		return m.submit(index, c)
 	case ClaimBatch:
-		return m.claims.claimBatch(c, m.Age())
+		return m.claims.claimBatch(c, m.LogicalTime())
 	case FinishClaims:
-		return m.claims.finishBatch(c, m.Age())
+		return m.claims.finishBatch(c, m.LogicalTime())
 	case SetVoterAddress:
 		return m.setVoterAddress(index, c)
 	case PutConfiguration:
 		return m.putConfiguration(index, c)
 	}
-	return Rejected{Reason: ReasonKind}
+	return Rejected{Reason: ReasonUnknownKind}
 }
 
 // ApplyMembership takes the membership of the log entry index into the tables.
@@ -183,40 +183,40 @@
 	defer m.applied.Store(index)
 	m.cluster.setMembership(members)
 	m.audit.add(AuditRecord{
-		Index:   index,
-		Age:     m.Age(),
-		Action:  ActionMembership,
-		Outcome: "applied",
-		Detail:  describe(members),
+		Index:       index,
+		LogicalTime: m.LogicalTime(),
+		Action:      ActionMembership,
+		Outcome:     "applied",
+		Detail:      describe(members),
 	})
 }
 
 // advance moves the age on. The caller holds applyMu.
-func (m *Machine) advance(c AdvanceAge) AgeResult {
-	age := m.Age() + min(Age(c.Elapsed), MaxAdvance)
+func (m *Machine) advance(c AdvanceClock) ClockResult {
+	age := m.LogicalTime() + min(LogicalTime(c.Elapsed), MaxAdvance)
 	m.age.Store(uint64(age))
-	m.claims.retain(Age(c.Retention))
+	m.claims.retain(LogicalTime(c.Retention))
 	m.documents.expire(age)
-	return AgeResult{Age: age, Expired: m.claims.expire(age)}
+	return ClockResult{LogicalTime: age, Expired: m.claims.expire(age)}
 }
 
 // submit takes a document. The caller holds applyMu.
 func (m *Machine) submit(index uint64, c SubmitDocument) any {
 	if !validNames(c.Name, c.ChangeID, c.Author) {
-		return Rejected{Reason: ReasonName}
+		return Rejected{Reason: ReasonInvalidName}
 	}
 	if len(c.Text) > MaxDocumentBytes {
 		return Rejected{Reason: ReasonTooLarge}
 	}
-	result := m.documents.submit(index, m.Age(), c)
+	result := m.documents.submit(index, m.LogicalTime(), c)
 	m.audit.add(AuditRecord{
-		Index:   index,
-		Age:     m.Age(),
-		At:      c.At,
-		Author:  c.Author,
-		Action:  ActionSubmit,
-		Subject: c.Name,
-		Outcome: result.describe(),
+		Index:       index,
+		LogicalTime: m.LogicalTime(),
+		At:          c.At,
+		Author:      c.Author,
+		Action:      ActionSubmit,
+		Subject:     c.Name,
+		Outcome:     result.describe(),
 
 		Revision: result.Revision,
 		ChangeID: c.ChangeID,
@@ -228,17 +228,17 @@
 // applyInit names the cluster. The caller holds applyMu.
 func (m *Machine) applyInit(index uint64, c Init) any {
 	if !validNames(c.ClusterID) || len(c.Author) > MaxNameBytes {
-		return Rejected{Reason: ReasonName}
+		return Rejected{Reason: ReasonInvalidName}
 	}
 	result := m.cluster.name(c.ClusterID)
 	m.audit.add(AuditRecord{
-		Index:   index,
-		Age:     m.Age(),
-		At:      c.At,
-		Author:  c.Author,
-		Action:  ActionInit,
-		Subject: c.ClusterID,
-		Outcome: acceptance(result.Accepted),
+		Index:       index,
+		LogicalTime: m.LogicalTime(),
+		At:          c.At,
+		Author:      c.Author,
+		Action:      ActionInit,
+		Subject:     c.ClusterID,
+		Outcome:     acceptance(result.Accepted),
 	})
 	return result
 }
@@ -246,19 +246,19 @@
 // setVoterAddress takes an address. The caller holds applyMu.
 func (m *Machine) setVoterAddress(index uint64, c SetVoterAddress) any {
 	if !validNames(string(c.Replica), c.Host, c.Address) || len(c.Author) > MaxNameBytes {
-		return Rejected{Reason: ReasonName}
+		return Rejected{Reason: ReasonInvalidName}
 	}
 	result := m.cluster.setAddress(VoterAddress{Replica: c.Replica, Host: c.Host, Address: c.Address})
 	if result.Changed {
 		m.audit.add(AuditRecord{
-			Index:   index,
-			Age:     m.Age(),
-			At:      c.At,
-			Author:  c.Author,
-			Action:  ActionVoterAddress,
-			Subject: string(c.Replica),
-			Outcome: acceptance(true),
-			Detail:  c.Host + " at " + c.Address,
+			Index:       index,
+			LogicalTime: m.LogicalTime(),
+			At:          c.At,
+			Author:      c.Author,
+			Action:      ActionVoterAddress,
+			Subject:     string(c.Replica),
+			Outcome:     acceptance(true),
+			Detail:      c.Host + " at " + c.Address,
 		})
 	}
 	return result
--- a/internal/state/result.go
+++ b/internal/state/result.go
@@ -7,13 +7,13 @@
 
 // The reasons of a rejection. Every replica finds the same one.
 const (
-	ReasonEmpty     Reason = "empty command"
-	ReasonMalformed Reason = "malformed command"
-	ReasonVersion   Reason = "unknown version of command"
-	ReasonKind      Reason = "unknown kind of command"
-	ReasonApplied   Reason = "already applied"
-	ReasonName      Reason = "missing or too long name"
-	ReasonTooLarge  Reason = "document is too large"
+	ReasonEmpty          Reason = "empty command"
+	ReasonMalformed      Reason = "malformed command"
+	ReasonUnknownVersion Reason = "unknown version of command"
+	ReasonUnknownKind    Reason = "unknown kind of command"
+	ReasonAlreadyApplied Reason = "already applied"
+	ReasonInvalidName    Reason = "missing or too long name"
+	ReasonTooLarge       Reason = "document is too large"
 )
 
 // Rejected is the result of a command that the tables cannot take.
@@ -27,9 +27,9 @@
 	ClusterID string
 }
 
-// AgeResult is the result of AdvanceAge.
-type AgeResult struct {
-	Age Age
+// ClockResult is the result of AdvanceAge.
+type ClockResult struct {
+	LogicalTime LogicalTime
 	// Expired counts the claims that were forgotten.
 	Expired int
 }
@@ -115,7 +115,7 @@
 	Verdict verdict.Verdict
 	// Answer is that of a finished claim, where it was recorded. It is shared and
 	// must not be changed.
-	Answer *RecordedAnswer
+	Answer *RecordedResponse
 	// Remaining is the span in milliseconds until a claim in progress counts as
 	// unknown.
 	Remaining uint64
--- a/internal/state/settled.go
+++ b/internal/state/settled.go
@@ -26,7 +26,7 @@
 type settledClaim struct {
 	digest  [settledDigestBytes]byte
 	verdict verdict.Verdict
-	expires Age
+	expires LogicalTime
 }
 
 // settled holds the settled claims. The lock of claims guards it.
@@ -73,7 +73,7 @@
 
 // expire forgets the claims whose time has come, and returns how many. One may wait for
 // those settled before it, where the retention was shortened or their calls had more time.
-func (s *settled) expire(age Age) int {
+func (s *settled) expire(age LogicalTime) int {
 	n := 0
 	for n < len(s.queue) && s.byKey[s.queue[n]].expires <= age {
 		delete(s.byKey, s.queue[n])
@@ -104,7 +104,7 @@
 		k := settledKey(data[:settledKeyBytes])
 		rest := data[settledKeyBytes:]
 		copy(c.digest[:], rest)
-		c.expires = Age(binary.LittleEndian.Uint64(rest[settledDigestBytes:]))
+		c.expires = LogicalTime(binary.LittleEndian.Uint64(rest[settledDigestBytes:]))
 		c.verdict = verdict.Verdict(rest[settledDigestBytes+8])
 		s.add(k, c)
 	}
@@ -119,7 +119,7 @@
 // settle shortens the claims whose calls ended long enough ago, as long as there is
 // room. The order is that of the ends and, among equal ages, of the names, so that
 // all replicas settle the same ones. The caller holds mu.
-func (t *claims) settle(age Age) {
+func (t *claims) settle(age LogicalTime) {
 	due := 0
 	for due < len(t.ended) && t.ended[due].claim.finishedAt+t.settleAfter <= age {
 		due++
@@ -141,7 +141,7 @@
 	)
 }
 
-func (t *claims) settleOne(e ended, age Age) {
+func (t *claims) settleOne(e ended, age LogicalTime) {
 	// A call that had much time and ended soon is promised more than the retention from now.
 	c := settledClaim{verdict: e.claim.verdict, expires: max(e.claim.expires, age+t.retention)}
 	copy(c.digest[:], e.claim.digest[:])
--- a/internal/state/settled_test.go
+++ b/internal/state/settled_test.go
@@ -14,14 +14,14 @@
 // others and never lets the key run again within the retention. Without the look into
 // the settled claims this fails: the key is granted again.
 func TestSettledClaimNeverRunsAgain(t *testing.T) {
-	l := newLog(t, Options{ClaimRetention: 5000, SettleAfter: 1000, Settled: 2, Claims: 3, ClaimsPerWorkspace: 3})
+	l := newLog(t, Options{ClaimRetention: 5000, CompactAfter: 1000, CompactClaims: 2, Claims: 3, ClaimsPerWorkspace: 3})
 	for _, key := range []string{"a", "b", "c"} {
 		require.Equal(t, ClaimGranted, l.claim(key, "1", 7).Outcome)
-		require.Equal(t, FinishRecorded, l.finish(key, "1", verdict.Ran, &RecordedAnswer{Status: 201, Body: []byte("slot")}))
+		require.Equal(t, FinishRecorded, l.finish(key, "1", verdict.Ran, &RecordedResponse{Status: 201, Body: []byte("slot")}))
 	}
 	require.Equal(t, ClaimRefused, l.claim("d", "1", 7).Outcome, "the table is full")
 	require.NotNil(t, l.claim("a", "2", 7).Answer)
-	l.do(AdvanceAge{Elapsed: 1000})
+	l.do(AdvanceClock{Elapsed: 1000})
 
 	require.Equal(t, 3, l.m.ClaimCount())
 	require.Equal(t, ClaimResult{Outcome: ClaimFinished, Verdict: verdict.Ran}, l.claim("a", "2", 7))
@@ -38,7 +38,7 @@
 	require.NoError(t, err)
 	require.Equal(t, image[len(image)-2*settledBytes:], again[len(again)-2*settledBytes:])
 
-	l.do(AdvanceAge{Elapsed: 5000})
+	l.do(AdvanceClock{Elapsed: 5000})
 	require.Equal(t, ClaimGranted, l.claim("a", "4", 7).Outcome, "the retention has ended")
 }
 
@@ -51,7 +51,7 @@
 		s := settled{max: count}
 		s.clear()
 		for i := range count {
-			s.add(newSettledKey("workspace", fmt.Sprint("key ", i)), settledClaim{expires: Age(i)})
+			s.add(newSettledKey("workspace", fmt.Sprint("key ", i)), settledClaim{expires: LogicalTime(i)})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -67,9 +67,9 @@
 	want, err := l.m.Snapshot()
 	require.NoError(t, err)
 	encode := l.m.Capture()
-	require.Equal(t, FinishRecorded, l.finish("a", "1", verdict.Ran, &RecordedAnswer{Status: 201}))
+	require.Equal(t, FinishRecorded, l.finish("a", "1", verdict.Ran, &RecordedResponse{Status: 201}))
 	require.Equal(t, ClaimGranted, l.claim("b", "1", 7).Outcome)
-	l.do(AdvanceAge{Elapsed: 1000})
+	l.do(AdvanceClock{Elapsed: 1000})
 	got, err := encode()
 	require.NoError(t, err)
 	require.Equal(t, want, got)
@@ -85,9 +85,9 @@
 	require.Equal(t, ClaimGranted, l.do(ClaimBatch{Claims: []Claim{c}}).(ClaimBatchResult).Claims[0].Outcome)
 	require.Equal(t, FinishRecorded, l.finish("k", "p", verdict.MayHaveRun, nil))
 	promised := uint64(deadline + small.ClaimRetention)
-	l.do(AdvanceAge{Elapsed: uint64(small.SettleAfter)})
-	l.do(AdvanceAge{Elapsed: promised - uint64(small.SettleAfter) - 1})
+	l.do(AdvanceClock{Elapsed: uint64(small.CompactAfter)})
+	l.do(AdvanceClock{Elapsed: promised - uint64(small.CompactAfter) - 1})
 	require.Equal(t, ClaimFinished, l.do(ClaimBatch{Claims: []Claim{c}}).(ClaimBatchResult).Claims[0].Outcome)
-	l.do(AdvanceAge{Elapsed: 1})
+	l.do(AdvanceClock{Elapsed: 1})
 	require.Equal(t, ClaimGranted, l.do(ClaimBatch{Claims: []Claim{c}}).(ClaimBatchResult).Claims[0].Outcome)
 }
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -11,21 +11,21 @@
 // image is the form of the tables in a snapshot. The order of every list is fixed,
 // so equal tables give equal bytes.
 type image struct {
-	Version    uint8                `cbor:"1,keyasint"`
-	Applied    uint64               `cbor:"2,keyasint"`
-	Age        Age                  `cbor:"3,keyasint"`
-	Fence      uint64               `cbor:"4,keyasint"`
-	Documents  []Document           `cbor:"5,keyasint"`
-	Outcomes   []outcome            `cbor:"6,keyasint"`
-	Claims     []claimImage         `cbor:"7,keyasint"`
-	ClusterID  string               `cbor:"8,keyasint"`
-	Membership consensus.Membership `cbor:"9,keyasint"`
-	Addresses  []VoterAddress       `cbor:"10,keyasint"`
-	Audit      []AuditRecord        `cbor:"11,keyasint"`
+	Version      uint8                `cbor:"1,keyasint"`
+	AppliedIndex uint64               `cbor:"2,keyasint"`
+	LogicalTime  LogicalTime          `cbor:"3,keyasint"`
+	Fence        uint64               `cbor:"4,keyasint"`
+	Documents    []Document           `cbor:"5,keyasint"`
+	Outcomes     []outcome            `cbor:"6,keyasint"`
+	Claims       []claimImage         `cbor:"7,keyasint"`
+	ClusterID    string               `cbor:"8,keyasint"`
+	Membership   consensus.Membership `cbor:"9,keyasint"`
+	Addresses    []VoterAddress       `cbor:"10,keyasint"`
+	Audit        []AuditRecord        `cbor:"11,keyasint"`
 	// Retention is that of claims; zero in images of older builds.
-	Retention Age `cbor:"12,keyasint,omitempty"`
-	// Settled are the settled claims, in the order in which they expire.
-	Settled []byte `cbor:"13,keyasint,omitempty"`
+	Retention LogicalTime `cbor:"12,keyasint,omitempty"`
+	// CompactClaims are the settled claims, in the order in which they expire.
+	CompactClaims []byte `cbor:"13,keyasint,omitempty"`
 	// Configuration is zero in images of older builds.
 	Configuration Configuration `cbor:"14,keyasint,omitempty"`
 }
@@ -49,10 +49,10 @@
 func (m *Machine) capture() image {
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
-	i := image{Version: imageVersion, Applied: m.Applied(), Age: m.Age()}
+	i := image{Version: imageVersion, AppliedIndex: m.AppliedIndex(), LogicalTime: m.LogicalTime()}
 	m.documents.capture(&i)
 	i.Claims = m.claims.images()
-	i.Settled = m.claims.settledImage()
+	i.CompactClaims = m.claims.settledImage()
 	i.Retention = m.claims.span()
 	m.cluster.capture(&i)
 	i.Configuration = m.Configuration()
@@ -95,13 +95,13 @@
 	if i.Version != imageVersion {
 		return errors.Errorf("unknown version %d of tables", i.Version)
 	}
-	if len(i.Settled)%settledBytes != 0 {
+	if len(i.CompactClaims)%settledBytes != 0 {
 		return errors.New("settled claims have a broken length")
 	}
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
-	if i.Applied < m.Applied() {
-		return errors.Errorf("snapshot of entry %d is older than entry %d", i.Applied, m.Applied())
+	if i.AppliedIndex < m.AppliedIndex() {
+		return errors.Errorf("snapshot of entry %d is older than entry %d", i.AppliedIndex, m.AppliedIndex())
 	}
 	m.lockTables()
 	defer m.unlockTables()
@@ -109,12 +109,12 @@
 	if i.Retention > 0 {
 		m.claims.retention = i.Retention
 	}
-	m.claims.restore(i.Claims, i.Settled)
+	m.claims.restore(i.Claims, i.CompactClaims)
 	m.cluster.restore(i.ClusterID, i.Membership, i.Addresses)
 	m.configuration.set(i.Configuration)
 	m.audit.restore(i.Audit)
-	m.age.Store(uint64(i.Age))
-	m.applied.Store(i.Applied)
+	m.age.Store(uint64(i.LogicalTime))
+	m.applied.Store(i.AppliedIndex)
 	return nil
 }
 
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -16,11 +16,11 @@
 
 var small = Options{
 	ClaimRetention:     3000,
-	SettleAfter:        1000,
-	Settled:            4,
+	CompactAfter:       1000,
+	CompactClaims:      4,
 	Claims:             5,
 	ClaimsPerWorkspace: 3,
-	AnswerBytes:        40,
+	RecordedBytes:      40,
 	OutcomeRetention:   2000,
 	Outcomes:           4,
 	AuditRecords:       5,
@@ -47,7 +47,7 @@
 	return l.do(ClaimBatch{Claims: []Claim{c}}).(ClaimBatchResult).Claims[0]
 }
 
-func (l *log) finish(key, attempt string, v verdict.Verdict, a *RecordedAnswer) FinishOutcome {
+func (l *log) finish(key, attempt string, v verdict.Verdict, a *RecordedResponse) FinishOutcome {
 	f := Finish{Workspace: "w", Key: key, Attempt: attempt, Verdict: v, Answer: a}
 	return l.do(FinishClaims{Finishes: []Finish{f}}).(FinishResult).Finishes[0]
 }
@@ -60,7 +60,7 @@
 	case 1:
 		return SetVoterAddress{Replica: consensus.ReplicaID(pick("replica", "a/1", "b/2")), Host: "h", Address: pick("address", "1", "2")}
 	case 2, 3:
-		return AdvanceAge{
+		return AdvanceClock{
 			Elapsed:   rapid.Uint64Range(0, 1500).Draw(t, "elapsed"),
 			Retention: rapid.SampledFrom([]uint64{0, 0, 0, 1, 70_000}).Draw(t, "retention"),
 		}
@@ -92,7 +92,7 @@
 		Verdict:   verdict.Verdict(rapid.IntRange(0, 3).Draw(t, "verdict")),
 	}
 	if rapid.Bool().Draw(t, "answered") {
-		f.Answer = &RecordedAnswer{Status: 200, Body: make([]byte, rapid.IntRange(0, 30).Draw(t, "body"))}
+		f.Answer = &RecordedResponse{Status: 200, Body: make([]byte, rapid.IntRange(0, 30).Draw(t, "body"))}
 	}
 	return FinishClaims{Finishes: []Finish{f}}
 }
@@ -128,7 +128,7 @@
 
 type grant struct {
 	attempt string
-	until   Age
+	until   LogicalTime
 }
 
 // TestRevisionsRiseAndClaimsAreGrantedOnce checks both over any history, in which
@@ -162,9 +162,9 @@
 					}
 					key := [2]string{c.Workspace, c.Key}
 					if g, ok := held[key]; ok {
-						require.GreaterOrEqual(t, m.Age(), g.until, "granted twice")
+						require.GreaterOrEqual(t, m.LogicalTime(), g.until, "granted twice")
 					}
-					held[key] = grant{c.Attempt, m.Age() + Age(c.Deadline) + small.ClaimRetention}
+					held[key] = grant{c.Attempt, m.LogicalTime() + LogicalTime(c.Deadline) + small.ClaimRetention}
 				}
 			case FinishResult:
 				f := command.(FinishClaims).Finishes[0]
@@ -199,16 +199,16 @@
 		}
 		a, b := New(small), New(small)
 		require.Equal(t, a.Apply(1, data), b.Apply(1, data))
-		require.Equal(t, uint64(1), a.Applied())
+		require.Equal(t, uint64(1), a.AppliedIndex())
 	})
 }
 
 func TestRejections(t *testing.T) {
-	body, err := encoding.Marshal(AdvanceAge{Elapsed: 5})
+	body, err := encoding.Marshal(AdvanceClock{Elapsed: 5})
 	require.NoError(t, err)
 	for want, e := range map[Reason]envelope{
-		ReasonVersion: {Version: commandVersion + 1, Kind: kindAdvanceAge, Body: body},
-		ReasonKind:    {Version: commandVersion, Kind: 99, Body: body},
+		ReasonUnknownVersion: {Version: commandVersion + 1, Kind: kindAdvanceAge, Body: body},
+		ReasonUnknownKind:    {Version: commandVersion, Kind: 99, Body: body},
 	} {
 		data, err := encoding.Marshal(e)
 		require.NoError(t, err)
@@ -216,15 +216,15 @@
 	}
 	m := New(small)
 	require.Equal(t, Rejected{ReasonEmpty}, m.Apply(1, nil))
-	data, err := Encode(AdvanceAge{Elapsed: 5})
+	data, err := Encode(AdvanceClock{Elapsed: 5})
 	require.NoError(t, err)
-	require.Equal(t, AgeResult{Age: 5}, m.Apply(2, data))
-	require.Equal(t, Rejected{ReasonApplied}, m.Apply(2, data))
+	require.Equal(t, ClockResult{LogicalTime: 5}, m.Apply(2, data))
+	require.Equal(t, Rejected{ReasonAlreadyApplied}, m.Apply(2, data))
 	l := newLog(t, small)
-	require.Equal(t, Rejected{ReasonName}, l.do(SubmitDocument{Author: "ann", ChangeID: "x"}))
+	require.Equal(t, Rejected{ReasonInvalidName}, l.do(SubmitDocument{Author: "ann", ChangeID: "x"}))
 	long := strings.Repeat("x", MaxDocumentBytes+1)
 	require.Equal(t, Rejected{ReasonTooLarge}, l.do(SubmitDocument{Name: "d", Author: "ann", ChangeID: "x", Text: long}))
-	require.Equal(t, AgeResult{Age: MaxAdvance}, l.do(AdvanceAge{Elapsed: 1 << 60}))
+	require.Equal(t, ClockResult{LogicalTime: MaxAdvance}, l.do(AdvanceClock{Elapsed: 1 << 60}))
 }
 
 func TestSubmit(t *testing.T) {
@@ -235,7 +235,7 @@
 	require.Equal(t, SubmitResult{Outcome: SubmitAccepted, Revision: 1}, first)
 	conflict := SubmitResult{Outcome: SubmitConflict, Revision: 1, Winner: &Winner{Revision: 1, Author: "ann", ChangeID: "x"}}
 	require.Equal(t, conflict, l.do(bob))
-	changed := l.m.Changed()
+	changed := l.m.DocumentsChanged()
 	carl := SubmitDocument{Name: "d", Base: 1, ChangeID: "z", Author: "carl", Text: "three"}
 	require.Equal(t, SubmitResult{Outcome: SubmitAccepted, Revision: 3}, l.do(carl))
 	<-changed
@@ -249,11 +249,11 @@
 	require.True(t, ok)
 	require.Equal(t, "three", doc.Text)
 	require.Equal(t, uint64(3), l.m.Fence())
-	require.Empty(t, l.m.Changes(3))
+	require.Empty(t, l.m.DocumentsSince(3))
 	l.do(SubmitDocument{Name: "c", ChangeID: "x", Author: "ann"})
 	c, d := "c", "d"
-	require.Equal(t, []string{d, c}, names(l.m.Changes(2)))
-	require.Equal(t, []string{c}, names(l.m.Changes(3)))
+	require.Equal(t, []string{d, c}, names(l.m.DocumentsSince(2)))
+	require.Equal(t, []string{c}, names(l.m.DocumentsSince(3)))
 	require.Equal(t, []string{c, d}, names(l.m.Documents()))
 }
 
@@ -275,20 +275,20 @@
 	}
 	require.Equal(t, SubmitConflict, submit("0").Outcome, "forgotten by count, and then judged by its base")
 	require.True(t, submit("0").Repeated)
-	l.do(AdvanceAge{Elapsed: uint64(small.OutcomeRetention)})
+	l.do(AdvanceClock{Elapsed: uint64(small.OutcomeRetention)})
 	require.False(t, submit("0").Repeated)
 }
 
 func TestClaimLife(t *testing.T) {
 	l := newLog(t, small)
-	answer := &RecordedAnswer{Status: 201, ContentType: "text/plain", Body: []byte("slot 7")}
+	answer := &RecordedResponse{Status: 201, ContentType: "text/plain", Body: []byte("slot 7")}
 	require.Equal(t, ClaimGranted, l.claim("k", "a", 1).Outcome)
 	require.Equal(t, ClaimResult{Outcome: ClaimInProgress, Remaining: 1000}, l.claim("k", "b", 1))
 	require.Equal(t, ClaimKeyReused, l.claim("k", "b", 2).Outcome)
 	require.Equal(t, FinishIgnored, l.finish("k", "b", verdict.NotRun, nil))
-	l.do(AdvanceAge{Elapsed: 1000})
+	l.do(AdvanceClock{Elapsed: 1000})
 	require.Equal(t, ClaimInProgress, l.claim("k", "b", 1).Outcome)
-	l.do(AdvanceAge{Elapsed: 1})
+	l.do(AdvanceClock{Elapsed: 1})
 	require.Equal(t, ClaimResult{Outcome: ClaimUnknown}, l.claim("k", "b", 1))
 	require.Equal(t, FinishRecorded, l.finish("k", "a", verdict.MayHaveRun, nil))
 	require.Equal(t, ClaimResult{Outcome: ClaimFinished}, l.claim("k", "b", 1))
@@ -296,7 +296,7 @@
 	require.Equal(t, FinishRecorded, l.finish("k", "a", verdict.Ran, answer))
 	require.Equal(t, FinishIgnored, l.finish("k", "a", verdict.MayHaveRun, nil))
 	require.Equal(t, ClaimResult{Outcome: ClaimFinished, Verdict: verdict.Ran, Answer: answer}, l.claim("k", "b", 1))
-	l.do(AdvanceAge{Elapsed: uint64(small.ClaimRetention)})
+	l.do(AdvanceClock{Elapsed: uint64(small.ClaimRetention)})
 	require.Zero(t, l.m.ClaimCount())
 	require.Equal(t, ClaimGranted, l.claim("k", "b", 1).Outcome)
 	require.Equal(t, FinishFreed, l.finish("k", "b", verdict.NotRun, nil))
@@ -310,11 +310,11 @@
 	l := newLog(t, small)
 	l.claim("k", "a", 1)
 	require.Equal(t, FinishFreed, l.finish("k", "a", verdict.NotRun, nil))
-	l.do(AdvanceAge{Elapsed: 2000})
+	l.do(AdvanceClock{Elapsed: 2000})
 	require.Equal(t, ClaimGranted, l.claim("k", "b", 1).Outcome)
-	require.Equal(t, AgeResult{Age: 4000}, l.do(AdvanceAge{Elapsed: 2000}))
+	require.Equal(t, ClockResult{LogicalTime: 4000}, l.do(AdvanceClock{Elapsed: 2000}))
 	require.Equal(t, ClaimUnknown, l.claim("k", "c", 1).Outcome)
-	require.Equal(t, AgeResult{Age: 6000, Expired: 1}, l.do(AdvanceAge{Elapsed: 2000}))
+	require.Equal(t, ClockResult{LogicalTime: 6000, Expired: 1}, l.do(AdvanceClock{Elapsed: 2000}))
 }
 
 // TestRestoredClaimsExpireAlike: a claim that finished long before its deadline
@@ -323,18 +323,18 @@
 	l := newLog(t, small)
 	c := Claim{Workspace: "w", Key: "k", Attempt: "a", Deadline: 10_000}
 	l.do(ClaimBatch{Claims: []Claim{c}})
-	require.Equal(t, FinishRecorded, l.finish("k", "a", verdict.Ran, &RecordedAnswer{Body: make([]byte, 30)}))
+	require.Equal(t, FinishRecorded, l.finish("k", "a", verdict.Ran, &RecordedResponse{Body: make([]byte, 30)}))
 	image, err := l.m.Snapshot()
 	require.NoError(t, err)
 	restored := &log{t: t, m: New(small), i: l.i}
 	require.NoError(t, restored.m.Restore(image))
 	for i := range 5 {
-		advance := AdvanceAge{Elapsed: uint64(small.ClaimRetention)}
+		advance := AdvanceClock{Elapsed: uint64(small.ClaimRetention)}
 		require.Equal(t, l.do(advance), restored.do(advance))
 		key := fmt.Sprint(i)
 		for _, other := range []*log{l, restored} {
 			require.Equal(t, ClaimGranted, other.claim(key, "a", 1).Outcome)
-			answer := &RecordedAnswer{Body: make([]byte, 30)}
+			answer := &RecordedResponse{Body: make([]byte, 30)}
 			require.Equal(t, FinishRecorded, other.finish(key, "a", verdict.Ran, answer))
 		}
 		want, err := l.m.Snapshot()
@@ -353,9 +353,9 @@
 	}
 	require.Equal(t, ClaimResult{Outcome: ClaimRefused, Verdict: verdict.NotRun}, l.claim("more", "a", 1))
 	require.Equal(t, ClaimInProgress, l.claim("0", "b", 1).Outcome, "a known key is answered all the same")
-	body := make([]byte, small.AnswerBytes-10)
-	require.Equal(t, FinishRecorded, l.finish("0", "a", verdict.Ran, &RecordedAnswer{Body: body}))
-	require.Equal(t, FinishRecorded, l.finish("1", "a", verdict.Ran, &RecordedAnswer{Body: body}))
+	body := make([]byte, small.RecordedBytes-10)
+	require.Equal(t, FinishRecorded, l.finish("0", "a", verdict.Ran, &RecordedResponse{Body: body}))
+	require.Equal(t, FinishRecorded, l.finish("1", "a", verdict.Ran, &RecordedResponse{Body: body}))
 	require.NotNil(t, l.claim("0", "b", 1).Answer)
 	require.Equal(t, ClaimResult{Outcome: ClaimFinished, Verdict: verdict.Ran}, l.claim("1", "b", 1))
 	other := ClaimBatch{}
@@ -368,7 +368,7 @@
 	require.Equal(t, small.Claims, l.m.ClaimCount())
 	wide := newLog(t, Options{})
 	wide.claim("k", "a", 1)
-	require.Equal(t, FinishRecorded, wide.finish("k", "a", verdict.Ran, &RecordedAnswer{Body: make([]byte, MaxAnswerBytes+1)}))
+	require.Equal(t, FinishRecorded, wide.finish("k", "a", verdict.Ran, &RecordedResponse{Body: make([]byte, MaxResponseBytes+1)}))
 	require.Equal(t, ClaimResult{Outcome: ClaimFinished, Verdict: verdict.Ran}, wide.claim("k", "b", 1))
 }
 
@@ -411,14 +411,14 @@
 	}
 	l.do(SubmitDocument{Name: "a", ChangeID: "y", Author: "bob", Text: "two"})
 	l.do(a)
-	page := l.m.History(0, 2, func(r AuditRecord) bool { return r.IsOf([]string{"a"}) })
+	page := l.m.History(0, 2, func(r AuditRecord) bool { return r.IsSubmissionOf([]string{"a"}) })
 	require.Equal(t, uint64(5), page.Next)
 	one := sha256.Sum256([]byte("one"))
 	require.Equal(t, AuditRecord{Index: 6, At: 7, Author: "ann", Action: ActionSubmit, Subject: "a",
 		Outcome: "accepted (repeated)", Revision: 1, ChangeID: "x", Digest: one}, page.Records[0])
 	require.Equal(t, AuditRecord{Index: 5, Author: "bob", Action: ActionSubmit, Subject: "a",
 		Outcome: "conflict", Revision: 1, ChangeID: "y", Digest: sha256.Sum256([]byte("two"))}, page.Records[1])
-	page = l.m.History(page.Next, 2, func(r AuditRecord) bool { return r.IsOf([]string{"a"}) })
+	page = l.m.History(page.Next, 2, func(r AuditRecord) bool { return r.IsSubmissionOf([]string{"a"}) })
 	require.Zero(t, page.Next)
 	require.Len(t, page.Records, 1)
 	require.Equal(t, AuditRecord{Index: 1, At: 7, Author: "ann", Action: ActionSubmit, Subject: "a",
@@ -436,17 +436,17 @@
 		require.Equal(t, got, b.do(c))
 		return got
 	}
-	both(AdvanceAge{Retention: uint64(2 * MinRetention)})
+	both(AdvanceClock{Retention: uint64(2 * MinRetention)})
 	image, err := a.m.Snapshot()
 	require.NoError(t, err)
 	a.m = New(Options{ClaimRetention: day / 2})
 	require.NoError(t, a.m.Restore(image))
 	both(ClaimBatch{Claims: []Claim{{Workspace: "w", Key: "k", Attempt: "p"}}})
-	require.Equal(t, AgeResult{Age: MinRetention}, both(AdvanceAge{Elapsed: uint64(MinRetention)}))
-	require.Equal(t, AgeResult{Age: 2 * MinRetention, Expired: 1}, both(AdvanceAge{Elapsed: uint64(MinRetention)}))
-	both(AdvanceAge{Retention: 1})
+	require.Equal(t, ClockResult{LogicalTime: MinRetention}, both(AdvanceClock{Elapsed: uint64(MinRetention)}))
+	require.Equal(t, ClockResult{LogicalTime: 2 * MinRetention, Expired: 1}, both(AdvanceClock{Elapsed: uint64(MinRetention)}))
+	both(AdvanceClock{Retention: 1})
 	both(ClaimBatch{Claims: []Claim{{Workspace: "w", Key: "k", Attempt: "q"}}})
-	require.Equal(t, 1, both(AdvanceAge{Elapsed: uint64(MinRetention)}).(AgeResult).Expired, "not below the least")
+	require.Equal(t, 1, both(AdvanceClock{Elapsed: uint64(MinRetention)}).(ClockResult).Expired, "not below the least")
 }
 
 func TestRestoreRefusesAnOlderOrBadSnapshot(t *testing.T) {
