--- a/internal/command/batcher.go
+++ b/internal/command/batcher.go
@@ -22,14 +22,14 @@
 // batcher gathers the requests of concurrent callers. One batch is in flight at a
 // time; what comes in meanwhile makes the next one.
 type batcher[Q, R any] struct {
-	size    int
-	bound   int
-	timeout time.Duration
+	maxBatch   int
+	maxPending int
+	timeout    time.Duration
 	// send sends a batch and returns a result for each request, in order.
 	send func(ctx context.Context, requests []Q) ([]R, error)
-	// unwanted takes the end of a request whose caller will not use it: the caller
+	// onUnused takes the end of a request whose caller will not use it: the caller
 	// has gone, or gets an error. It must not block.
-	unwanted func(request Q, result R, err error)
+	onUnused func(request Q, result R, err error)
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -46,19 +46,19 @@
 func newBatcher[Q, R any](o Options, send func(context.Context, []Q) ([]R, error)) *batcher[Q, R] {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &batcher[Q, R]{
-		size:     o.BatchSize,
-		bound:    o.MaxPending,
-		timeout:  o.Timeout,
-		send:     send,
-		unwanted: func(Q, R, error) {},
-		ctx:      ctx,
-		cancel:   cancel,
+		maxBatch:   o.BatchSize,
+		maxPending: o.MaxPending,
+		timeout:    o.Timeout,
+		send:       send,
+		onUnused:   func(Q, R, error) {},
+		ctx:        ctx,
+		cancel:     cancel,
 	}
 }
 
-// do waits for the result of a request. Where ctx ends first, the error tells
+// submit waits for the result of a request. Where ctx ends first, the error tells
 // whether the request was sent.
-func (b *batcher[Q, R]) do(ctx context.Context, request Q) (R, error) {
+func (b *batcher[Q, R]) submit(ctx context.Context, request Q) (R, error) {
 	var none R
 	if ctx.Err() != nil {
 		return none, contextError(verdict.NotRun, ctx.Err())
@@ -82,15 +82,15 @@
 	if b.closed {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeLeaving, "service is closed")
 	}
-	if len(b.pending) >= b.bound {
+	if len(b.pending) >= b.maxPending {
 		e := verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many requests wait for the log")
-		return nil, e.After(overloadRetry)
+		return nil, e.After(overloadRetryDelay)
 	}
 	c := &call[Q, R]{request: request, done: make(chan struct{})}
 	b.pending = append(b.pending, c)
 	if !b.sending {
 		b.sending = true
-		b.wg.Go(b.run)
+		b.wg.Go(b.sendBatches)
 	}
 	return c, nil
 }
@@ -111,10 +111,10 @@
 	return none, contextError(v, cause)
 }
 
-// run sends batches until none is left.
-func (b *batcher[Q, R]) run() {
+// sendBatches sends batches until none is left.
+func (b *batcher[Q, R]) sendBatches() {
 	for {
-		batch := b.take()
+		batch := b.nextBatch()
 		if len(batch) == 0 {
 			return
 		}
@@ -126,21 +126,21 @@
 		results, err := b.send(ctx, requests)
 		cancel()
 		if err == nil && len(results) != len(batch) {
-			err = unexpected()
+			err = unexpectedResult()
 		}
 		b.deliver(batch, results, err)
 	}
 }
 
-// take returns the next batch without those whose caller has gone. An empty one
+// nextBatch returns the next batch without those whose caller has gone. An empty one
 // ends the sending.
-func (b *batcher[Q, R]) take() []*call[Q, R] {
+func (b *batcher[Q, R]) nextBatch() []*call[Q, R] {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var batch []*call[Q, R]
 	taken := 0
 	for _, c := range b.pending {
-		if len(batch) == b.size {
+		if len(batch) == b.maxBatch {
 			break
 		}
 		taken++
@@ -169,7 +169,7 @@
 		b.mu.Unlock()
 		close(c.done)
 		if unwanted {
-			b.unwanted(c.request, c.result, c.err)
+			b.onUnused(c.request, c.result, c.err)
 		}
 	}
 }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -34,8 +34,8 @@
 	defaultBatchSize = 128
 	defaultPending   = 8192
 	defaultTimeout   = 5 * time.Second
-	// overloadRetry is when a caller that was refused should ask again.
-	overloadRetry = time.Second
+	// overloadRetryDelay is when a caller that was refused should ask again.
+	overloadRetryDelay = time.Second
 )
 
 func (o Options) withDefaults() Options {
@@ -65,7 +65,7 @@
 	s := &Service{proposer: p}
 	s.claims = newBatcher(o, s.sendClaims)
 	s.finishes = newBatcher(o, s.sendFinishes)
-	s.claims.unwanted = s.release
+	s.claims.onUnused = s.releaseClaim
 	return s
 }
 
@@ -112,7 +112,7 @@
 	case state.SubmitChangeIDReused:
 		return result, verdict.New(verdict.NotRun, verdict.CodeKeyReused, "change id was used for another text")
 	}
-	return result, unexpected()
+	return result, unexpectedResult()
 }
 
 // Init names the cluster. A second one fails with CodeConflict; the result then
@@ -149,7 +149,7 @@
 // gives it. After an error the caller must not dispatch; so the error always says
 // NotRun, and the claim, where it was made all the same, is given back.
 func (s *Service) Claim(ctx context.Context, c state.Claim) (state.ClaimResult, error) {
-	result, err := s.claims.do(ctx, c)
+	result, err := s.claims.submit(ctx, c)
 	if err != nil {
 		e := *verdict.Of(err)
 		e.Verdict = verdict.NotRun
@@ -161,7 +161,7 @@
 // Finish tells the end of an attempt. After an error the claim may stay open; it
 // then counts as unknown from its deadline on.
 func (s *Service) Finish(ctx context.Context, f state.Finish) (state.FinishOutcome, error) {
-	outcome, err := s.finishes.do(ctx, f)
+	outcome, err := s.finishes.submit(ctx, f)
 	if err != nil {
 		return 0, verdict.Of(err)
 	}
@@ -178,10 +178,10 @@
 	return result.Finishes, err
 }
 
-// release gives a claim back that nobody dispatches. The log keeps the order of
+// releaseClaim gives a claim back that nobody dispatches. The log keeps the order of
 // proposals, so the finish comes after the claim where both are applied; where it
 // is lost, the claim counts as unknown, which is safe.
-func (s *Service) release(c state.Claim, result state.ClaimResult, err error) {
+func (s *Service) releaseClaim(c state.Claim, result state.ClaimResult, err error) {
 	if err == nil && result.Outcome != state.ClaimGranted {
 		return
 	}
@@ -214,9 +214,9 @@
 	case R:
 		return r, nil
 	case state.Rejected:
-		return none, rejection(r)
+		return none, rejectionError(r)
 	}
-	return none, unexpected()
+	return none, unexpectedResult()
 }
 
 // proposeError types the failure of a proposal. One that is not typed already
@@ -232,9 +232,9 @@
 	return verdict.Of(err)
 }
 
-// rejection types a command that had no effect. A command counts as applied
+// rejectionError types a command that had no effect. A command counts as applied
 // already only where it was proposed twice, so that one may have run.
-func rejection(r state.Rejected) *verdict.Error {
+func rejectionError(r state.Rejected) *verdict.Error {
 	switch r.Reason {
 	case state.ReasonTooLarge:
 		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, string(r.Reason))
@@ -244,6 +244,6 @@
 	return verdict.New(verdict.NotRun, verdict.CodeBadRequest, string(r.Reason))
 }
 
-func unexpected() *verdict.Error {
+func unexpectedResult() *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "unexpected result of a command")
 }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -14,29 +14,29 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-const generous = 10 * time.Second
+const waitTimeout = 10 * time.Second
 
-// applier applies each proposal at once; with a gate it waits for a value before
+// fakeProposer applies each proposal at once; with a gate it waits for a value before
 // each one.
-type applier struct {
+type fakeProposer struct {
 	machine *state.Machine
 	gate    chan struct{}
 
 	mu    sync.Mutex
 	index uint64
-	// lost makes the next proposal succeed without the proposer learning of it.
-	lost error
-	// refused makes each proposal fail without effect.
-	refused error
+	// errAfterApply makes the next proposal succeed without the proposer learning of it.
+	errAfterApply error
+	// errBeforeApply makes each proposal fail without effect.
+	errBeforeApply error
 }
 
-func newApplier() *applier { return &applier{machine: state.New(state.Options{})} }
+func newFakeProposer() *fakeProposer { return &fakeProposer{machine: state.New(state.Options{})} }
 
-func (a *applier) Propose(ctx context.Context, data []byte) (any, error) {
+func (a *fakeProposer) Propose(ctx context.Context, data []byte) (any, error) {
 	a.mu.Lock()
 	a.index++
-	index, lost, refused := a.index, a.lost, a.refused
-	a.lost = nil
+	index, lost, refused := a.index, a.errAfterApply, a.errBeforeApply
+	a.errAfterApply = nil
 	a.mu.Unlock()
 	if refused != nil {
 		return nil, refused
@@ -52,7 +52,7 @@
 	return result, lost
 }
 
-func (a *applier) arrived() int {
+func (a *fakeProposer) proposalCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return int(a.index)
@@ -62,8 +62,8 @@
 	return state.Claim{Workspace: "w", Key: key, Attempt: attempt, Deadline: 1000}
 }
 
-// ask claims in the background; the error comes on the channel.
-func ask(ctx context.Context, s *Service, key string) <-chan error {
+// claimAsync claims in the background; the error comes on the channel.
+func claimAsync(ctx context.Context, s *Service, key string) <-chan error {
 	failed := make(chan error, 1)
 	go func() {
 		_, err := s.Claim(ctx, claim(key, "a"))
@@ -82,7 +82,7 @@
 }
 
 func TestSubmit(t *testing.T) {
-	s := New(newApplier(), Options{})
+	s := New(newFakeProposer(), Options{})
 	defer s.Close(t.Context())
 	ctx := t.Context()
 	doc := state.SubmitDocument{Name: "d", ChangeID: "x", Author: "ann", Text: "one"}
@@ -111,8 +111,8 @@
 	requireCode(t, err, verdict.NotRun, verdict.CodeTooLarge)
 }
 
-func TestInitOnceAndAddresses(t *testing.T) {
-	s := New(newApplier(), Options{})
+func TestInitSucceedsOnceAndVoterAddressIsSet(t *testing.T) {
+	s := New(newFakeProposer(), Options{})
 	defer s.Close(t.Context())
 	_, err := s.Init(t.Context(), state.Init{ClusterID: "c1"})
 	require.NoError(t, err)
@@ -127,7 +127,7 @@
 	require.Equal(t, state.LogicalTime(3000), age.LogicalTime)
 }
 
-func TestProposeFailures(t *testing.T) {
+func TestProposalErrorsHaveVerdictAndCode(t *testing.T) {
 	for name, c := range map[string]struct {
 		err     error
 		verdict verdict.Verdict
@@ -138,8 +138,8 @@
 		"other":    {errors.New("connection reset"), verdict.MayHaveRun, verdict.CodeInternal},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := newApplier()
-			a.refused = c.err
+			a := newFakeProposer()
+			a.errBeforeApply = c.err
 			s := New(a, Options{})
 			defer s.Close(t.Context())
 			_, err := s.Submit(t.Context(), state.SubmitDocument{Name: "d", ChangeID: "x", Author: "ann"})
@@ -154,7 +154,7 @@
 }
 
 func TestClaimAndFinish(t *testing.T) {
-	s := New(newApplier(), Options{})
+	s := New(newFakeProposer(), Options{})
 	defer s.Close(t.Context())
 	result, err := s.Claim(t.Context(), claim("k", "a"))
 	require.NoError(t, err)
@@ -172,39 +172,39 @@
 // that come make few more, each within the bound.
 func TestClaimsOfConcurrentCallersShareProposals(t *testing.T) {
 	const callers, size = 50, 20
-	a := newApplier()
+	a := newFakeProposer()
 	a.gate = make(chan struct{})
 	s := New(a, Options{BatchSize: size})
 	defer s.Close(t.Context())
-	failed := []<-chan error{ask(t.Context(), s, "first")}
-	require.Eventually(t, func() bool { return a.arrived() == 1 }, generous, time.Millisecond)
+	failed := []<-chan error{claimAsync(t.Context(), s, "first")}
+	require.Eventually(t, func() bool { return a.proposalCount() == 1 }, waitTimeout, time.Millisecond)
 	for i := range callers {
-		failed = append(failed, ask(t.Context(), s, fmt.Sprint(i)))
+		failed = append(failed, claimAsync(t.Context(), s, fmt.Sprint(i)))
 	}
-	require.Eventually(t, func() bool { return s.claims.waiting() == callers }, generous, time.Millisecond)
+	require.Eventually(t, func() bool { return s.claims.pendingCount() == callers }, waitTimeout, time.Millisecond)
 	close(a.gate)
 	for _, err := range failed {
 		require.NoError(t, <-err)
 	}
 	require.Equal(t, callers+1, a.machine.ClaimCount())
-	require.Equal(t, 1+(callers+size-1)/size, a.arrived())
+	require.Equal(t, 1+(callers+size-1)/size, a.proposalCount())
 }
 
-func (b *batcher[Q, R]) waiting() int {
+func (b *batcher[Q, R]) pendingCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.pending)
 }
 
 func TestTooManyWaitingClaimsAreRefused(t *testing.T) {
-	a := newApplier()
+	a := newFakeProposer()
 	a.gate = make(chan struct{})
 	s := New(a, Options{MaxPending: 1})
 	defer s.Close(t.Context())
-	ask(context.Background(), s, "1")
-	require.Eventually(t, func() bool { return a.arrived() == 1 }, generous, time.Millisecond)
-	ask(context.Background(), s, "2")
-	require.Eventually(t, func() bool { return s.claims.waiting() == 1 }, generous, time.Millisecond)
+	claimAsync(context.Background(), s, "1")
+	require.Eventually(t, func() bool { return a.proposalCount() == 1 }, waitTimeout, time.Millisecond)
+	claimAsync(context.Background(), s, "2")
+	require.Eventually(t, func() bool { return s.claims.pendingCount() == 1 }, waitTimeout, time.Millisecond)
 	_, err := s.Claim(t.Context(), claim("3", "a"))
 	e := requireCode(t, err, verdict.NotRun, verdict.CodeOverloaded)
 	require.Positive(t, e.RetryAfter)
@@ -213,32 +213,32 @@
 
 // TestUnusedGrantIsGivenBack: a caller that goes away, or does not learn of its
 // grant, does not dispatch. Its key must not stay taken.
-func TestUnusedGrantIsGivenBack(t *testing.T) {
-	free := func(t *testing.T, s *Service, a *applier) {
-		require.Eventually(t, func() bool { return a.machine.ClaimCount() == 0 }, generous, time.Millisecond)
+func TestUnusedGrantIsReleased(t *testing.T) {
+	free := func(t *testing.T, s *Service, a *fakeProposer) {
+		require.Eventually(t, func() bool { return a.machine.ClaimCount() == 0 }, waitTimeout, time.Millisecond)
 		result, err := s.Claim(context.Background(), claim("k", "b"))
 		require.NoError(t, err)
 		require.Equal(t, state.ClaimGranted, result.Outcome)
 	}
 	t.Run("caller gone", func(t *testing.T) {
-		a := newApplier()
+		a := newFakeProposer()
 		a.gate = make(chan struct{})
 		s := New(a, Options{})
 		defer s.Close(t.Context())
 		ctx, cancel := context.WithCancel(t.Context())
-		failed := ask(ctx, s, "k")
-		require.Eventually(t, func() bool { return a.arrived() == 1 }, generous, time.Millisecond)
+		failed := claimAsync(ctx, s, "k")
+		require.Eventually(t, func() bool { return a.proposalCount() == 1 }, waitTimeout, time.Millisecond)
 		cancel()
 		requireCode(t, <-failed, verdict.NotRun, verdict.CodeCancelled)
 		a.gate <- struct{}{}
-		require.Eventually(t, func() bool { return a.arrived() == 2 }, generous, time.Millisecond)
+		require.Eventually(t, func() bool { return a.proposalCount() == 2 }, waitTimeout, time.Millisecond)
 		require.Equal(t, 1, a.machine.ClaimCount())
 		close(a.gate)
 		free(t, s, a)
 	})
 	t.Run("answer lost", func(t *testing.T) {
-		a := newApplier()
-		a.lost = errors.New("connection reset")
+		a := newFakeProposer()
+		a.errAfterApply = errors.New("connection reset")
 		s := New(a, Options{})
 		defer s.Close(t.Context())
 		_, err := s.Claim(t.Context(), claim("k", "a"))
@@ -249,31 +249,31 @@
 
 // TestGoneCallerIsNotSent: a caller that went before its batch was sent makes no
 // claim.
-func TestGoneCallerIsNotSent(t *testing.T) {
-	a := newApplier()
+func TestCancelledClaimIsNotProposed(t *testing.T) {
+	a := newFakeProposer()
 	a.gate = make(chan struct{})
 	s := New(a, Options{})
 	defer s.Close(t.Context())
-	first := ask(context.Background(), s, "1")
-	require.Eventually(t, func() bool { return a.arrived() == 1 }, generous, time.Millisecond)
+	first := claimAsync(context.Background(), s, "1")
+	require.Eventually(t, func() bool { return a.proposalCount() == 1 }, waitTimeout, time.Millisecond)
 	ctx, cancel := context.WithCancel(t.Context())
-	second := ask(ctx, s, "2")
-	require.Eventually(t, func() bool { return s.claims.waiting() == 1 }, generous, time.Millisecond)
+	second := claimAsync(ctx, s, "2")
+	require.Eventually(t, func() bool { return s.claims.pendingCount() == 1 }, waitTimeout, time.Millisecond)
 	cancel()
 	require.Error(t, <-second)
 	close(a.gate)
 	require.NoError(t, <-first)
-	require.Eventually(t, func() bool { return s.claims.waiting() == 0 }, generous, time.Millisecond)
-	require.Equal(t, 1, a.arrived())
+	require.Eventually(t, func() bool { return s.claims.pendingCount() == 0 }, waitTimeout, time.Millisecond)
+	require.Equal(t, 1, a.proposalCount())
 	require.Equal(t, 1, a.machine.ClaimCount())
 }
 
-func TestClosedServiceRefuses(t *testing.T) {
-	a := newApplier()
+func TestClosedServiceRefusesClaims(t *testing.T) {
+	a := newFakeProposer()
 	a.gate = make(chan struct{})
 	s := New(a, Options{})
-	failed := ask(context.Background(), s, "1")
-	require.Eventually(t, func() bool { return a.arrived() == 1 }, generous, time.Millisecond)
+	failed := claimAsync(context.Background(), s, "1")
+	require.Eventually(t, func() bool { return a.proposalCount() == 1 }, waitTimeout, time.Millisecond)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	s.Close(ended)
@@ -283,12 +283,12 @@
 }
 
 // Without the wait in close this fails: the claim in flight is cut off.
-func TestCloseLetsWhatIsInFlightEnd(t *testing.T) {
-	a := newApplier()
+func TestCloseWaitsForBatchInFlight(t *testing.T) {
+	a := newFakeProposer()
 	a.gate = make(chan struct{})
 	s := New(a, Options{})
-	failed := ask(context.Background(), s, "1")
-	require.Eventually(t, func() bool { return a.arrived() == 1 }, generous, time.Millisecond)
+	failed := claimAsync(context.Background(), s, "1")
+	require.Eventually(t, func() bool { return a.proposalCount() == 1 }, waitTimeout, time.Millisecond)
 	closed := make(chan struct{})
 	go func() {
 		s.Close(t.Context())
@@ -298,7 +298,7 @@
 		s.claims.mu.Lock()
 		defer s.claims.mu.Unlock()
 		return s.claims.closed
-	}, generous, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	_, err := s.Claim(t.Context(), claim("2", "a"))
 	requireCode(t, err, verdict.NotRun, verdict.CodeLeaving)
 	close(a.gate)
--- a/internal/logtrace/trace.go
+++ b/internal/logtrace/trace.go
@@ -14,12 +14,12 @@
 	"github.com/pkg/errors"
 )
 
-// around is how long before and after the request's lines those about its upstreams are
+// contextWindow is how long before and after the request's lines those about its upstreams are
 // shown: an upstream's state may have changed a few announcements before.
-const around = 3 * time.Second
+const contextWindow = 3 * time.Second
 
-// maxLine bounds a line of a log.
-const maxLine = 1 << 20
+// maxLineBytes bounds a line of a log.
+const maxLineBytes = 1 << 20
 
 // Line is one line of a log.
 type Line struct {
@@ -31,9 +31,9 @@
 	Fields []string
 	// Request and Upstream are those fields, empty where the line has none.
 	Request, Upstream string
-	// configuration is the number that came into force; 0 where the line says another
+	// configurationNumber is the number that came into force; 0 where the line says another
 	// thing.
-	configuration uint64
+	configurationNumber uint64
 }
 
 // Read reads the lines of a log. What comes before a line's first brace is passed over,
@@ -41,21 +41,21 @@
 func Read(r io.Reader) ([]Line, error) {
 	var out []Line
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		text := lines.Text()
 		start := strings.IndexByte(text, '{')
 		if start < 0 {
 			continue
 		}
-		if l, ok := parse(text[start:]); ok {
+		if l, ok := parseLine(text[start:]); ok {
 			out = append(out, l)
 		}
 	}
 	return out, errors.Wrap(lines.Err(), "read log")
 }
 
-func parse(text string) (Line, bool) {
+func parseLine(text string) (Line, bool) {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal([]byte(text), &fields) != nil {
 		return Line{}, false
@@ -70,7 +70,7 @@
 	_ = json.Unmarshal(fields["request"], &l.Request)
 	_ = json.Unmarshal(fields["upstream"], &l.Upstream)
 	if l.Message == "configuration in force" {
-		_ = json.Unmarshal(fields["configuration"], &l.configuration)
+		_ = json.Unmarshal(fields["configuration"], &l.configurationNumber)
 	}
 	for name, value := range fields {
 		switch name {
@@ -94,7 +94,7 @@
 
 // Find gathers what the lines say of a request.
 func Find(all []Line, request string) Trace {
-	t := Trace{ClockOffsets: offsets(all)}
+	t := Trace{ClockOffsets: estimateClockOffsets(all)}
 	upstreams := make(map[string]bool)
 	var first, last time.Time
 	for _, l := range all {
@@ -115,27 +115,27 @@
 		return t
 	}
 	for _, l := range all {
-		isNear := l.At.After(first.Add(-around)) && l.At.Before(last.Add(around))
+		isNear := l.At.After(first.Add(-contextWindow)) && l.At.Before(last.Add(contextWindow))
 		if l.Request == request || l.Request == "" && upstreams[l.Upstream] && isNear {
 			t.Lines = append(t.Lines, l)
 		}
 	}
 	slices.SortStableFunc(t.Lines, func(a, b Line) int {
-		return cmp.Compare(t.trueTime(a).UnixNano(), t.trueTime(b).UnixNano())
+		return cmp.Compare(t.correctedTime(a).UnixNano(), t.correctedTime(b).UnixNano())
 	})
 	return t
 }
 
-// trueTime is a line's time less its host's offset.
-func (t Trace) trueTime(l Line) time.Time { return l.At.Add(-t.ClockOffsets[l.Host]) }
+// correctedTime is a line's time less its host's offset.
+func (t Trace) correctedTime(l Line) time.Time { return l.At.Add(-t.ClockOffsets[l.Host]) }
 
-// offsets estimates the clocks from when each configuration came into force: that is
+// estimateClockOffsets estimates the clocks from when each configuration came into force: that is
 // within some 100 ms on all hosts, so only larger differences mean something.
-func offsets(all []Line) map[string]time.Duration {
+func estimateClockOffsets(all []Line) map[string]time.Duration {
 	byNumber := make(map[uint64][]Line)
 	for _, l := range all {
-		if l.configuration > 0 {
-			byNumber[l.configuration] = append(byNumber[l.configuration], l)
+		if l.configurationNumber > 0 {
+			byNumber[l.configurationNumber] = append(byNumber[l.configurationNumber], l)
 		}
 	}
 	apart := make(map[string][]time.Duration)
@@ -149,15 +149,15 @@
 	out := make(map[string]time.Duration)
 	for host, list := range apart {
 		slices.Sort(list)
-		if d := list[len(list)/2]; d.Abs() >= leastOffset {
+		if d := list[len(list)/2]; d.Abs() >= minClockOffset {
 			out[host] = d
 		}
 	}
 	return out
 }
 
-// leastOffset is the least difference that is taken for one of clocks.
-const leastOffset = 300 * time.Millisecond
+// minClockOffset is the least difference that is taken for one of clocks.
+const minClockOffset = 300 * time.Millisecond
 
 // Write prints the trace.
 func (t Trace) Write(w io.Writer) error {
@@ -167,7 +167,7 @@
 		if l.Request == "" {
 			mark = "~ "
 		}
-		fmt.Fprintf(&b, "%s  %-18s %s%s  %s\n", t.trueTime(l).Format("15:04:05.000"), l.Host, mark, l.Message, strings.Join(l.Fields, " "))
+		fmt.Fprintf(&b, "%s  %-18s %s%s  %s\n", t.correctedTime(l).Format("15:04:05.000"), l.Host, mark, l.Message, strings.Join(l.Fields, " "))
 	}
 	hosts := make([]string, 0, len(t.ClockOffsets))
 	for host := range t.ClockOffsets {
--- a/internal/logtrace/trace_test.go
+++ b/internal/logtrace/trace_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const logs = `  12.1 entry-1 {"time":"2026-05-07T09:12:50Z","level":"INFO","msg":"configuration in force","host":"entry-1","configuration":5}
+const sampleLogs = `  12.1 entry-1 {"time":"2026-05-07T09:12:50Z","level":"INFO","msg":"configuration in force","host":"entry-1","configuration":5}
 {"time":"2026-05-07T09:12:50.01Z","level":"INFO","msg":"configuration in force","host":"control-1","configuration":5}
 {"time":"2026-05-07T09:12:52Z","level":"INFO","msg":"configuration in force","host":"control-2","configuration":5}
 {"time":"2026-05-07T09:12:53Z","level":"INFO","msg":"request sent","host":"entry-1","request":"r1","upstream":"u1","send":1}
@@ -19,8 +19,8 @@
 {"time":"2026-05-07T09:13:30Z","level":"INFO","msg":"upstream is silent","host":"control-1","upstream":"u1"}
 `
 
-func TestFind(t *testing.T) {
-	all, err := Read(strings.NewReader(logs))
+func TestFindCorrectsClocksAndAddsUpstreamLines(t *testing.T) {
+	all, err := Read(strings.NewReader(sampleLogs))
 	require.NoError(t, err)
 	require.Len(t, all, 8)
 	trace := Find(all, "r1")
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -58,7 +58,7 @@
 
 // Document returns the document of that name, or CodeNotFound.
 func (s *Service) Document(ctx context.Context, name string) (state.Document, error) {
-	if err := s.barrier(ctx); err != nil {
+	if err := s.waitForBarrier(ctx); err != nil {
 		return state.Document{}, err
 	}
 	doc, ok := s.tables.Document(name)
@@ -70,7 +70,7 @@
 
 // Documents returns all documents by name.
 func (s *Service) Documents(ctx context.Context) ([]state.Document, error) {
-	if err := s.barrier(ctx); err != nil {
+	if err := s.waitForBarrier(ctx); err != nil {
 		return nil, err
 	}
 	return s.tables.Documents(), nil
@@ -78,7 +78,7 @@
 
 // DocumentsSince returns the documents with a revision above since, the lowest first.
 func (s *Service) DocumentsSince(ctx context.Context, since uint64) ([]state.Document, error) {
-	if err := s.barrier(ctx); err != nil {
+	if err := s.waitForBarrier(ctx); err != nil {
 		return nil, err
 	}
 	return s.tables.DocumentsSince(since), nil
@@ -104,7 +104,7 @@
 	if q.Limit == 0 {
 		q.Limit = DefaultPageSize
 	}
-	if err := s.barrier(ctx); err != nil {
+	if err := s.waitForBarrier(ctx); err != nil {
 		return state.AuditPage{}, err
 	}
 	keep := func(r state.AuditRecord) bool { return q.All || r.IsSubmissionOf(q.Documents) }
@@ -113,7 +113,7 @@
 
 // Status returns the state of the cluster.
 func (s *Service) Status(ctx context.Context) (Status, error) {
-	if err := s.barrier(ctx); err != nil {
+	if err := s.waitForBarrier(ctx); err != nil {
 		return Status{}, err
 	}
 	return s.LocalStatus(), nil
@@ -131,8 +131,8 @@
 	}
 }
 
-// barrier waits until the tables are up to date. Whatever fails, nothing has run.
-func (s *Service) barrier(ctx context.Context) error {
+// waitForBarrier waits until the tables are up to date. Whatever fails, nothing has run.
+func (s *Service) waitForBarrier(ctx context.Context) error {
 	_, err := s.reader.Read(ctx)
 	if err == nil {
 		return nil
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -12,31 +12,31 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// lateReader applies what is still missing at the barrier, as a replica does that
+// laggingReader applies what is still missing at the barrier, as a replica does that
 // lags behind.
-type lateReader struct {
-	machine *state.Machine
-	missing []state.Command
-	err     error
+type laggingReader struct {
+	machine   *state.Machine
+	unapplied []state.Command
+	err       error
 }
 
-func (r *lateReader) Read(context.Context) (uint64, error) {
+func (r *laggingReader) Read(context.Context) (uint64, error) {
 	if r.err != nil {
 		return 0, r.err
 	}
-	for _, c := range r.missing {
+	for _, c := range r.unapplied {
 		data, err := state.Encode(c)
 		if err != nil {
 			return 0, err
 		}
 		r.machine.Apply(r.machine.AppliedIndex()+1, data)
 	}
-	r.missing = nil
+	r.unapplied = nil
 	return r.machine.AppliedIndex(), nil
 }
 
-func newService(missing ...state.Command) (*Service, *lateReader) {
-	r := &lateReader{machine: state.New(state.Options{}), missing: missing}
+func newService(missing ...state.Command) (*Service, *laggingReader) {
+	r := &laggingReader{machine: state.New(state.Options{}), unapplied: missing}
 	return New(r, r.machine), r
 }
 
@@ -45,7 +45,7 @@
 }
 
 // TestReadsFollowTheBarrier: each read sees what was committed before it.
-func TestReadsFollowTheBarrier(t *testing.T) {
+func TestReadsSeeEarlierCommits(t *testing.T) {
 	commands := []state.Command{state.Init{ClusterID: "c1"}, submit("d", 0, "x"), submit("d", 2, "y")}
 	for name, read := range map[string]func(*Service) (uint64, error){
 		"document": func(s *Service) (uint64, error) {
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestFailedBarrierHasNotRun(t *testing.T) {
+func TestBarrierErrorsSayNotRun(t *testing.T) {
 	s, r := newService()
 	for code, err := range map[verdict.Code]error{
 		verdict.CodeNoQuorum: verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, "cut off"),
@@ -104,7 +104,7 @@
 	require.Zero(t, s.LocalStatus().Index)
 }
 
-func TestUnknownDocumentAndPages(t *testing.T) {
+func TestUnknownDocumentAndPageLimits(t *testing.T) {
 	var commands []state.Command
 	for i := range MaxPageSize + 1 {
 		commands = append(commands, submit(fmt.Sprint(i), 0, "x"))
--- a/internal/state/audit.go
+++ b/internal/state/audit.go
@@ -57,7 +57,7 @@
 
 // audit is the trail of the newest records.
 type audit struct {
-	max int
+	maxRecords int
 
 	// mu guards all below.
 	mu sync.RWMutex
@@ -66,12 +66,12 @@
 	start int
 }
 
-func (a *audit) init(n int) { a.max = n }
+func (a *audit) init(n int) { a.maxRecords = n }
 
 func (a *audit) add(r AuditRecord) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.ring) < a.max {
+	if len(a.ring) < a.maxRecords {
 		a.ring = append(a.ring, r)
 		return
 	}
@@ -89,7 +89,7 @@
 
 // restore replaces the records by the newest of list. The caller holds mu.
 func (a *audit) restore(list []AuditRecord) {
-	a.ring = list[max(0, len(list)-a.max):]
+	a.ring = list[max(0, len(list)-a.maxRecords):]
 	a.start = 0
 }
 
@@ -101,13 +101,13 @@
 	a.mu.RLock()
 	defer a.mu.RUnlock()
 	page := AuditPage{Records: []AuditRecord{}}
-	for i := a.end(before) - 1; i >= 0; i-- {
+	for i := a.endBefore(before) - 1; i >= 0; i-- {
 		r := a.at(i)
 		if keep != nil && !keep(r) {
 			continue
 		}
 		if len(page.Records) >= limit {
-			page.next()
+			page.setNext()
 			return page
 		}
 		page.Records = append(page.Records, r)
@@ -115,16 +115,16 @@
 	return page
 }
 
-// next marks that records follow the last one of the page.
-func (p *AuditPage) next() {
+// setNext marks that records follow the last one of the page.
+func (p *AuditPage) setNext() {
 	if n := len(p.Records); n > 0 {
 		p.Next = p.Records[n-1].Index
 	}
 }
 
-// end returns the position behind the records with an index below before. The
+// endBefore returns the position behind the records with an index below before. The
 // caller holds mu.
-func (a *audit) end(before uint64) int {
+func (a *audit) endBefore(before uint64) int {
 	if before == 0 {
 		return len(a.ring)
 	}
--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	targetDocuments  = 27
-	targetWorkspaces = 250
-	targetClaims     = 100_000
-	// workspaceLines is a plausible section of a document for one workspace.
-	workspaceLines = "[workspace.%04d]\nshare = 12\nrequests-per-second = 40\ntokens-per-second = 9000\npriority = dispatch\ndeadline = 730ms\n"
+	targetDocumentCount   = 27
+	workspacesPerDocument = 250
+	targetClaimCount      = 100_000
+	// workspaceSection is a plausible section of a document for one workspace.
+	workspaceSection = "[workspace.%04d]\nshare = 12\nrequests-per-second = 40\ntokens-per-second = 9000\npriority = dispatch\ndeadline = 730ms\n"
 )
 
-// atTarget returns tables of the size to be carried in two years.
-func atTarget(b *testing.B) *log {
+// newTargetLog returns tables of the size to be carried in two years.
+func newTargetLog(b *testing.B) *testLog {
 	l := newLog(b, Options{})
-	for d := range targetDocuments {
+	for d := range targetDocumentCount {
 		var text strings.Builder
-		for w := range targetWorkspaces {
-			fmt.Fprintf(&text, workspaceLines, d*targetWorkspaces+w)
+		for w := range workspacesPerDocument {
+			fmt.Fprintf(&text, workspaceSection, d*workspacesPerDocument+w)
 		}
-		l.do(SubmitDocument{Name: fmt.Sprintf("model-%02d", d), ChangeID: "x", Author: "ann", Text: text.String()})
+		l.apply(SubmitDocument{Name: fmt.Sprintf("model-%02d", d), ChangeID: "x", Author: "ann", Text: text.String()})
 	}
 	return l
 }
 
-func addClaims(l *log) {
+func addClaims(l *testLog) {
 	const batch = 100
-	for n := 0; n < targetClaims; n += batch {
+	for n := 0; n < targetClaimCount; n += batch {
 		var claims ClaimBatch
 		var ends FinishClaims
 		for i := n; i < n+batch; i++ {
 			c := Claim{
-				Workspace: fmt.Sprintf("workspace-%04d", i%(targetDocuments*targetWorkspaces)),
+				Workspace: fmt.Sprintf("workspace-%04d", i%(targetDocumentCount*workspacesPerDocument)),
 				Key:       fmt.Sprintf("%032x", i),
-				Attempt:   fmt.Sprintf("%032x", i+targetClaims),
+				Attempt:   fmt.Sprintf("%032x", i+targetClaimCount),
 				Host:      "entry-001",
 				Digest:    [32]byte{byte(i)},
 				Deadline:  30_000,
@@ -49,8 +49,8 @@
 			claims.Claims = append(claims.Claims, c)
 			ends.Finishes = append(ends.Finishes, Finish{Workspace: c.Workspace, Key: c.Key, Attempt: c.Attempt, Verdict: verdict.Ran})
 		}
-		l.do(claims)
-		l.do(ends)
+		l.apply(claims)
+		l.apply(ends)
 	}
 }
 
@@ -61,37 +61,37 @@
 	return float64(s.HeapAlloc)
 }
 
-func BenchmarkSnapshotAtTarget(b *testing.B) {
+func BenchmarkSnapshotAtTargetSize(b *testing.B) {
 	before := heapBytes()
-	l := atTarget(b)
+	l := newTargetLog(b)
 	documents := heapBytes()
 	addClaims(l)
 	claims := heapBytes()
-	require.Equal(b, targetClaims, l.m.ClaimCount())
+	require.Equal(b, targetClaimCount, l.machine.ClaimCount())
 	var image []byte
 	var err error
 	for b.Loop() {
-		image, err = l.m.Snapshot()
+		image, err = l.machine.Snapshot()
 		require.NoError(b, err)
 	}
 	b.ReportMetric((documents-before)/(1<<20), "MiB-documents")
-	b.ReportMetric((claims-documents)/targetClaims, "B/claim")
+	b.ReportMetric((claims-documents)/targetClaimCount, "B/claim")
 	b.ReportMetric(float64(len(image))/(1<<20), "MiB-snapshot")
 }
 
-// BenchmarkCaptureAtTarget measures how long a snapshot holds up changes.
-func BenchmarkCaptureAtTarget(b *testing.B) {
-	l := atTarget(b)
+// BenchmarkCaptureAtTargetSize measures how long a snapshot holds up changes.
+func BenchmarkCaptureAtTargetSize(b *testing.B) {
+	l := newTargetLog(b)
 	addClaims(l)
 	for b.Loop() {
-		require.Len(b, l.m.capture().Claims, targetClaims)
+		require.Len(b, l.machine.capture().Claims, targetClaimCount)
 	}
 }
 
-func BenchmarkRestoreAtTarget(b *testing.B) {
-	l := atTarget(b)
+func BenchmarkRestoreAtTargetSize(b *testing.B) {
+	l := newTargetLog(b)
 	addClaims(l)
-	image, err := l.m.Snapshot()
+	image, err := l.machine.Snapshot()
 	require.NoError(b, err)
 	for b.Loop() {
 		require.NoError(b, New(Options{}).Restore(image))
--- a/internal/state/claims.go
+++ b/internal/state/claims.go
@@ -25,8 +25,8 @@
 	finishedAt LogicalTime
 	verdict    verdict.Verdict
 	answer     *RecordedResponse
-	// gone tells that the claim was freed and only the expiry queue holds it.
-	gone bool
+	// removed tells that the claim was freed and only the expiry queue holds it.
+	removed bool
 }
 
 // workspaceClaims are the claims of one workspace.
@@ -37,48 +37,48 @@
 
 // claims is the table of claims.
 type claims struct {
-	max          int
-	perWorkspace int
-	maxAnswers   int
-	settleAfter  LogicalTime
+	maxClaims        int
+	maxPerWorkspace  int
+	maxRecordedBytes int
+	compactAfter     LogicalTime
 
 	// mu guards all below.
 	mu sync.RWMutex
 	// retention is how long a claim is kept.
-	retention  LogicalTime
-	workspaces map[string]*workspaceClaims
-	queue      expiryQueue
+	retention   LogicalTime
+	workspaces  map[string]*workspaceClaims
+	expiryQueue expiryQueue
 	// count is the number of claims, without the settled ones.
 	count int
-	// ended holds the claims that are to be settled, by the age of their end.
-	ended   []ended
-	settled settled
-	// answerBytes is the sum of the recorded bodies.
-	answerBytes int
+	// awaitingCompaction holds the claims that are to be settled, by the age of their end.
+	awaitingCompaction []finishedClaim
+	compactClaims      compactTable
+	// recordedBytes is the sum of the recorded bodies.
+	recordedBytes int
 }
 
 func (t *claims) init(o Options) {
-	t.max = o.Claims
-	t.perWorkspace = o.ClaimsPerWorkspace
+	t.maxClaims = o.Claims
+	t.maxPerWorkspace = o.ClaimsPerWorkspace
 	t.retention = o.ClaimRetention
-	t.maxAnswers = o.RecordedBytes
-	t.settleAfter = o.CompactAfter
-	t.settled.max = o.CompactClaims
+	t.maxRecordedBytes = o.RecordedBytes
+	t.compactAfter = o.CompactAfter
+	t.compactClaims.maxClaims = o.CompactClaims
 	t.clear()
 }
 
 // clear empties the table. The caller holds mu or is the only user.
 func (t *claims) clear() {
 	t.workspaces = map[string]*workspaceClaims{}
-	t.queue = nil
+	t.expiryQueue = nil
 	t.count = 0
-	t.answerBytes = 0
-	t.ended = nil
-	t.settled.clear()
+	t.recordedBytes = 0
+	t.awaitingCompaction = nil
+	t.compactClaims.clear()
 }
 
-// retain takes the span for which claims are kept from here on; zero changes nothing.
-func (t *claims) retain(span LogicalTime) {
+// setRetention takes the span for which claims are kept from here on; zero changes nothing.
+func (t *claims) setRetention(span LogicalTime) {
 	if span == 0 {
 		return
 	}
@@ -87,8 +87,8 @@
 	t.retention = min(max(span, MinRetention), MaxRetention)
 }
 
-// span returns how long claims are kept.
-func (t *claims) span() LogicalTime {
+// currentRetention returns how long claims are kept.
+func (t *claims) currentRetention() LogicalTime {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.retention
@@ -111,12 +111,12 @@
 		return ClaimResult{Outcome: ClaimRefused, Verdict: verdict.NotRun}
 	}
 	if held := t.find(c.Workspace, c.Key); held != nil {
-		return held.answerTo(c, age)
+		return held.resultFor(c, age)
 	}
-	if result, ok := t.settled.find(c); ok {
+	if result, ok := t.compactClaims.find(c); ok {
 		return result
 	}
-	if t.full(c.Workspace) {
+	if t.isFull(c.Workspace) {
 		return ClaimResult{Outcome: ClaimRefused, Verdict: verdict.NotRun}
 	}
 	deadline := age + min(LogicalTime(c.Deadline), MaxDeadline)
@@ -132,17 +132,17 @@
 	return ClaimResult{Outcome: ClaimGranted}
 }
 
-// full tells whether a workspace may not make another claim. The caller holds mu.
-func (t *claims) full(workspace string) bool {
-	if t.count >= t.max {
+// isFull tells whether a workspace may not make another claim. The caller holds mu.
+func (t *claims) isFull(workspace string) bool {
+	if t.count >= t.maxClaims {
 		return true
 	}
 	ws := t.workspaces[workspace]
-	return ws != nil && len(ws.byKey) >= t.perWorkspace
+	return ws != nil && len(ws.byKey) >= t.maxPerWorkspace
 }
 
-// answerTo tells the state of a claim to one that asks for it. It never grants.
-func (c *claim) answerTo(asked Claim, age LogicalTime) ClaimResult {
+// resultFor tells the state of a claim to one that asks for it. It never grants.
+func (c *claim) resultFor(asked Claim, age LogicalTime) ClaimResult {
 	switch {
 	case c.digest != asked.Digest:
 		return ClaimResult{Outcome: ClaimKeyReused, Verdict: verdict.NotRun}
@@ -180,27 +180,27 @@
 	}
 	if !c.finished {
 		c.finishedAt = age
-		t.ended = append(t.ended, ended{workspace: t.workspaces[f.Workspace], claim: c})
+		t.awaitingCompaction = append(t.awaitingCompaction, finishedClaim{workspace: t.workspaces[f.Workspace], claim: c})
 	}
 	c.finished = true
 	c.verdict = f.Verdict
 	c.expires = max(c.expires, age+t.retention)
 	if f.Verdict == verdict.Ran {
-		t.record(c, f.Answer)
+		t.recordResponse(c, f.Answer)
 	}
 	return FinishRecorded
 }
 
-// record keeps an answer where the bounds allow. The caller holds mu.
-func (t *claims) record(c *claim, a *RecordedResponse) {
+// recordResponse keeps an answer where the bounds allow. The caller holds mu.
+func (t *claims) recordResponse(c *claim, a *RecordedResponse) {
 	if a == nil || len(a.Body) > MaxResponseBytes || len(a.ContentType) > MaxNameBytes {
 		return
 	}
-	if t.answerBytes+len(a.Body) > t.maxAnswers {
+	if t.recordedBytes+len(a.Body) > t.maxRecordedBytes {
 		return
 	}
 	c.answer = a
-	t.answerBytes += len(a.Body)
+	t.recordedBytes += len(a.Body)
 }
 
 // find returns a claim or nil. The caller holds mu.
@@ -222,9 +222,9 @@
 	ws.byKey[c.key] = c
 	t.count++
 	if c.answer != nil {
-		t.answerBytes += len(c.answer.Body)
+		t.recordedBytes += len(c.answer.Body)
 	}
-	heap.Push(&t.queue, expiry{at: c.expires, workspace: ws, claim: c})
+	heap.Push(&t.expiryQueue, expiry{at: c.expires, workspace: ws, claim: c})
 }
 
 // remove drops a claim; its entry in the queue is dropped when it comes up. The
@@ -237,10 +237,10 @@
 		delete(t.workspaces, workspace)
 	}
 	if c.answer != nil {
-		t.answerBytes -= len(c.answer.Body)
+		t.recordedBytes -= len(c.answer.Body)
 		c.answer = nil
 	}
-	c.gone = true
+	c.removed = true
 }
 
 // expire forgets the claims whose time has come, and returns how many. An entry
@@ -250,19 +250,19 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	expired := 0
-	for len(t.queue) > 0 && t.queue[0].at <= age {
-		e := heap.Pop(&t.queue).(expiry)
+	for len(t.expiryQueue) > 0 && t.expiryQueue[0].at <= age {
+		e := heap.Pop(&t.expiryQueue).(expiry)
 		switch {
-		case e.claim.gone:
+		case e.claim.removed:
 		case e.claim.expires > age:
-			heap.Push(&t.queue, expiry{at: e.claim.expires, workspace: e.workspace, claim: e.claim})
+			heap.Push(&t.expiryQueue, expiry{at: e.claim.expires, workspace: e.workspace, claim: e.claim})
 		default:
 			t.remove(e.workspace.name, e.claim)
 			expired++
 		}
 	}
-	t.settle(age)
-	return expired + t.settled.expire(age)
+	t.compactFinished(age)
+	return expired + t.compactClaims.expire(age)
 }
 
 // expiry is an entry of the expiry queue.
@@ -296,8 +296,8 @@
 	return e
 }
 
-// claimImage is a claim in a snapshot.
-type claimImage struct {
+// claimSnapshot is a claim in a snapshot.
+type claimSnapshot struct {
 	_           struct{} `cbor:",toarray"`
 	Workspace   string
 	Key         string
@@ -313,28 +313,28 @@
 	FinishedAt  LogicalTime
 }
 
-// images returns the claims in no order; sortImages brings them into theirs, so
+// snapshotClaims returns the claims in no order; sortImages brings them into theirs, so
 // that the lock is not held while they are sorted.
-func (t *claims) images() []claimImage {
+func (t *claims) snapshotClaims() []claimSnapshot {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	list := make([]claimImage, 0, t.count)
+	list := make([]claimSnapshot, 0, t.count)
 	for _, ws := range t.workspaces {
 		for _, c := range ws.byKey {
-			list = append(list, c.image(ws.name))
+			list = append(list, c.snapshot(ws.name))
 		}
 	}
 	return list
 }
 
-func sortImages(list []claimImage) {
-	slices.SortFunc(list, func(a, b claimImage) int {
+func sortClaimSnapshots(list []claimSnapshot) {
+	slices.SortFunc(list, func(a, b claimSnapshot) int {
 		return cmp.Or(strings.Compare(a.Workspace, b.Workspace), strings.Compare(a.Key, b.Key))
 	})
 }
 
-func (c *claim) image(workspace string) claimImage {
-	return claimImage{
+func (c *claim) snapshot(workspace string) claimSnapshot {
+	return claimSnapshot{
 		Workspace:   workspace,
 		Key:         c.key,
 		Digest:      c.digest,
@@ -351,9 +351,9 @@
 }
 
 // restore replaces the claims. The caller holds mu.
-func (t *claims) restore(list []claimImage, settled []byte) {
+func (t *claims) restore(list []claimSnapshot, settled []byte) {
 	t.clear()
-	t.settled.restore(settled)
+	t.compactClaims.restore(settled)
 	for _, i := range list {
 		c := &claim{
 			key:         i.Key,
@@ -370,22 +370,22 @@
 		}
 		t.insert(i.Workspace, c)
 		if c.finished {
-			t.ended = append(t.ended, ended{workspace: t.workspaces[i.Workspace], claim: c})
+			t.awaitingCompaction = append(t.awaitingCompaction, finishedClaim{workspace: t.workspaces[i.Workspace], claim: c})
 		}
 	}
-	slices.SortFunc(t.ended, compareEnded)
+	slices.SortFunc(t.awaitingCompaction, compareFinished)
 }
 
-// settledImage returns the settled claims as a snapshot holds them.
-func (t *claims) settledImage() []byte {
+// encodeCompactClaims returns the settled claims as a snapshot holds them.
+func (t *claims) encodeCompactClaims() []byte {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.settled.image()
+	return t.compactClaims.encode()
 }
 
 // ClaimCount returns how many claims are open or retained.
 func (m *Machine) ClaimCount() int {
 	m.claims.mu.RLock()
 	defer m.claims.mu.RUnlock()
-	return m.claims.count + len(m.claims.settled.byKey)
+	return m.claims.count + len(m.claims.compactClaims.byKey)
 }
--- a/internal/state/cluster.go
+++ b/internal/state/cluster.go
@@ -36,8 +36,8 @@
 
 func (c *cluster) init() { c.addresses = map[consensus.ReplicaID]VoterAddress{} }
 
-// name sets the identity once.
-func (c *cluster) name(id string) InitResult {
+// setID sets the identity once.
+func (c *cluster) setID(id string) InitResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.id != "" {
@@ -101,6 +101,6 @@
 	}
 }
 
-func describe(members consensus.Membership) string {
+func describeMembership(members consensus.Membership) string {
 	return fmt.Sprintf("voters %v, learners %v", members.Voters, members.Learners)
 }
--- a/internal/state/configuration.go
+++ b/internal/state/configuration.go
@@ -40,8 +40,8 @@
 // configuration is the table of the configuration in force.
 type configuration struct {
 	// mu guards all below.
-	mu   sync.RWMutex
-	held Configuration
+	mu      sync.RWMutex
+	current Configuration
 	// changed is closed and replaced at each new number.
 	changed chan struct{}
 }
@@ -52,8 +52,8 @@
 func (c *configuration) put(p PutConfiguration) ConfigurationResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p.Number <= c.held.Number {
-		return ConfigurationResult{Number: c.held.Number}
+	if p.Number <= c.current.Number {
+		return ConfigurationResult{Number: c.current.Number}
 	}
 	c.set(Configuration{Number: p.Number, Data: p.Data})
 	return ConfigurationResult{Accepted: true, Number: p.Number}
@@ -61,7 +61,7 @@
 
 // set replaces the configuration. The caller holds mu.
 func (c *configuration) set(held Configuration) {
-	c.held = held
+	c.current = held
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
@@ -70,7 +70,7 @@
 func (m *Machine) Configuration() Configuration {
 	m.configuration.mu.RLock()
 	defer m.configuration.mu.RUnlock()
-	return m.configuration.held
+	return m.configuration.current
 }
 
 // ConfigurationChanged returns a channel that is closed at the next new number. Call it
@@ -97,7 +97,7 @@
 			At:          c.At,
 			Author:      c.Author,
 			Action:      ActionConfiguration,
-			Outcome:     acceptance(true),
+			Outcome:     acceptedOrRefused(true),
 			Revision:    c.Number,
 		})
 	}
--- a/internal/state/documents.go
+++ b/internal/state/documents.go
@@ -45,13 +45,13 @@
 	// mu guards all below.
 	mu     sync.RWMutex
 	byName map[string]Document
-	// fence is the newest revision.
-	fence uint64
+	// latestRevision is the newest revision.
+	latestRevision uint64
 	// changed is closed and replaced at each new revision.
 	changed  chan struct{}
 	outcomes map[changeKey]*outcome
-	// queue holds the outcomes, the oldest first.
-	queue []*outcome
+	// outcomeQueue holds the outcomes, the oldest first.
+	outcomeQueue []*outcome
 }
 
 func (d *documents) init(o Options) {
@@ -64,9 +64,9 @@
 // clear empties the table. The caller holds mu or is the only user.
 func (d *documents) clear() {
 	d.byName = map[string]Document{}
-	d.fence = 0
+	d.latestRevision = 0
 	d.outcomes = map[changeKey]*outcome{}
-	d.queue = nil
+	d.outcomeQueue = nil
 }
 
 // submit accepts a change, repeats its first outcome, or refuses it.
@@ -76,15 +76,15 @@
 	key := changeKey{Name: c.Name, Author: c.Author, ChangeID: c.ChangeID}
 	digest := sha256.Sum256([]byte(c.Text))
 	if first, ok := d.outcomes[key]; ok {
-		return d.repeat(first, digest)
+		return d.repeatOutcome(first, digest)
 	}
-	result := d.decide(index, age, c)
-	d.retain(&outcome{Key: key, Digest: digest, Result: result, LogicalTime: age})
+	result := d.submitNew(index, age, c)
+	d.keepOutcome(&outcome{Key: key, Digest: digest, Result: result, LogicalTime: age})
 	return result
 }
 
-// repeat answers a change that was sent before. The caller holds mu.
-func (d *documents) repeat(first *outcome, digest [sha256.Size]byte) SubmitResult {
+// repeatOutcome answers a change that was sent before. The caller holds mu.
+func (d *documents) repeatOutcome(first *outcome, digest [sha256.Size]byte) SubmitResult {
 	result := first.Result
 	if first.Digest != digest {
 		result = SubmitResult{Outcome: SubmitChangeIDReused, Revision: d.byName[first.Key.Name].Revision}
@@ -93,8 +93,8 @@
 	return result
 }
 
-// decide answers a change that is new. The caller holds mu.
-func (d *documents) decide(index uint64, age LogicalTime, c SubmitDocument) SubmitResult {
+// submitNew answers a change that is new. The caller holds mu.
+func (d *documents) submitNew(index uint64, age LogicalTime, c SubmitDocument) SubmitResult {
 	current, exists := d.byName[c.Name]
 	if c.Base != current.Revision {
 		result := SubmitResult{Outcome: SubmitConflict, Revision: current.Revision}
@@ -112,7 +112,7 @@
 		AcceptedLogicalTime: age,
 		At:                  c.At,
 	}
-	d.fence = index
+	d.latestRevision = index
 	d.notify()
 	return SubmitResult{Outcome: SubmitAccepted, Revision: index}
 }
@@ -123,11 +123,11 @@
 	d.changed = make(chan struct{})
 }
 
-// retain keeps an outcome and drops the oldest beyond the bound. The caller holds mu.
-func (d *documents) retain(o *outcome) {
+// keepOutcome keeps an outcome and drops the oldest beyond the bound. The caller holds mu.
+func (d *documents) keepOutcome(o *outcome) {
 	d.outcomes[o.Key] = o
-	d.queue = append(d.queue, o)
-	for len(d.queue) > d.maxOutcomes {
+	d.outcomeQueue = append(d.outcomeQueue, o)
+	for len(d.outcomeQueue) > d.maxOutcomes {
 		d.dropOldest()
 	}
 }
@@ -136,16 +136,16 @@
 func (d *documents) expire(age LogicalTime) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for len(d.queue) > 0 && d.queue[0].LogicalTime+d.retention <= age {
+	for len(d.outcomeQueue) > 0 && d.outcomeQueue[0].LogicalTime+d.retention <= age {
 		d.dropOldest()
 	}
 }
 
 // dropOldest drops the first outcome of the queue. The caller holds mu.
 func (d *documents) dropOldest() {
-	delete(d.outcomes, d.queue[0].Key)
-	d.queue[0] = nil
-	d.queue = d.queue[1:]
+	delete(d.outcomes, d.outcomeQueue[0].Key)
+	d.outcomeQueue[0] = nil
+	d.outcomeQueue = d.outcomeQueue[1:]
 }
 
 // sorted returns all documents in an order. The caller holds mu.
@@ -158,9 +158,9 @@
 	return list
 }
 
-func byName(a, b Document) int { return strings.Compare(a.Name, b.Name) }
+func compareByName(a, b Document) int { return strings.Compare(a.Name, b.Name) }
 
-func byRevision(a, b Document) int { return cmp.Compare(a.Revision, b.Revision) }
+func compareByRevision(a, b Document) int { return cmp.Compare(a.Revision, b.Revision) }
 
 // Document returns the document of that name.
 func (m *Machine) Document(name string) (Document, bool) {
@@ -183,14 +183,14 @@
 func (m *Machine) Documents() []Document {
 	m.documents.mu.RLock()
 	defer m.documents.mu.RUnlock()
-	return m.documents.sorted(byName)
+	return m.documents.sorted(compareByName)
 }
 
 // DocumentsSince returns the documents with a revision above since, the lowest first.
 func (m *Machine) DocumentsSince(since uint64) []Document {
 	m.documents.mu.RLock()
 	defer m.documents.mu.RUnlock()
-	list := m.documents.sorted(byRevision)
+	list := m.documents.sorted(compareByRevision)
 	first, _ := slices.BinarySearchFunc(list, since+1, func(d Document, revision uint64) int {
 		return cmp.Compare(d.Revision, revision)
 	})
@@ -210,7 +210,7 @@
 func (m *Machine) Fence() uint64 {
 	m.documents.mu.RLock()
 	defer m.documents.mu.RUnlock()
-	return m.documents.fence
+	return m.documents.latestRevision
 }
 
 // describe returns the outcome for the audit trail.
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -158,7 +158,7 @@
 	case Init:
 		return m.applyInit(index, c)
 	case AdvanceClock:
-		return m.advance(c)
+		return m.advanceClock(c)
 	case SubmitDocument:
 		return m.submit(index, c)
 	case ClaimBatch:
@@ -187,15 +187,15 @@
 		LogicalTime: m.LogicalTime(),
 		Action:      ActionMembership,
 		Outcome:     "applied",
-		Detail:      describe(members),
+		Detail:      describeMembership(members),
 	})
 }
 
-// advance moves the age on. The caller holds applyMu.
-func (m *Machine) advance(c AdvanceClock) ClockResult {
+// advanceClock moves the age on. The caller holds applyMu.
+func (m *Machine) advanceClock(c AdvanceClock) ClockResult {
 	age := m.LogicalTime() + min(LogicalTime(c.Elapsed), MaxAdvance)
 	m.age.Store(uint64(age))
-	m.claims.retain(LogicalTime(c.Retention))
+	m.claims.setRetention(LogicalTime(c.Retention))
 	m.documents.expire(age)
 	return ClockResult{LogicalTime: age, Expired: m.claims.expire(age)}
 }
@@ -230,7 +230,7 @@
 	if !validNames(c.ClusterID) || len(c.Author) > MaxNameBytes {
 		return Rejected{Reason: ReasonInvalidName}
 	}
-	result := m.cluster.name(c.ClusterID)
+	result := m.cluster.setID(c.ClusterID)
 	m.audit.add(AuditRecord{
 		Index:       index,
 		LogicalTime: m.LogicalTime(),
@@ -238,7 +238,7 @@
 		Author:      c.Author,
 		Action:      ActionInit,
 		Subject:     c.ClusterID,
-		Outcome:     acceptance(result.Accepted),
+		Outcome:     acceptedOrRefused(result.Accepted),
 	})
 	return result
 }
@@ -257,14 +257,14 @@
 			Author:      c.Author,
 			Action:      ActionVoterAddress,
 			Subject:     string(c.Replica),
-			Outcome:     acceptance(true),
+			Outcome:     acceptedOrRefused(true),
 			Detail:      c.Host + " at " + c.Address,
 		})
 	}
 	return result
 }
 
-func acceptance(accepted bool) string {
+func acceptedOrRefused(accepted bool) string {
 	if accepted {
 		return "accepted"
 	}
--- a/internal/state/settled_test.go
+++ b/internal/state/settled_test.go
@@ -13,7 +13,7 @@
 // A claim whose call ended some time ago is kept in short form: it frees room for
 // others and never lets the key run again within the retention. Without the look into
 // the settled claims this fails: the key is granted again.
-func TestSettledClaimNeverRunsAgain(t *testing.T) {
+func TestCompactClaimIsNotGrantedAgain(t *testing.T) {
 	l := newLog(t, Options{ClaimRetention: 5000, CompactAfter: 1000, CompactClaims: 2, Claims: 3, ClaimsPerWorkspace: 3})
 	for _, key := range []string{"a", "b", "c"} {
 		require.Equal(t, ClaimGranted, l.claim(key, "1", 7).Outcome)
@@ -21,37 +21,37 @@
 	}
 	require.Equal(t, ClaimRefused, l.claim("d", "1", 7).Outcome, "the table is full")
 	require.NotNil(t, l.claim("a", "2", 7).Answer)
-	l.do(AdvanceClock{Elapsed: 1000})
+	l.apply(AdvanceClock{Elapsed: 1000})
 
-	require.Equal(t, 3, l.m.ClaimCount())
+	require.Equal(t, 3, l.machine.ClaimCount())
 	require.Equal(t, ClaimResult{Outcome: ClaimFinished, Verdict: verdict.Ran}, l.claim("a", "2", 7))
 	require.Equal(t, ClaimKeyReused, l.claim("b", "2", 8).Outcome)
 	require.NotNil(t, l.claim("c", "2", 7).Answer, "the third had no room and is whole")
 	require.Equal(t, FinishIgnored, l.finish("a", "1", verdict.NotRun, nil))
 	require.Equal(t, ClaimGranted, l.claim("d", "1", 7).Outcome, "there is room again")
 
-	image, err := l.m.Snapshot()
+	image, err := l.machine.Snapshot()
 	require.NoError(t, err)
-	require.NoError(t, l.m.Restore(image))
+	require.NoError(t, l.machine.Restore(image))
 	require.Equal(t, ClaimFinished, l.claim("a", "3", 7).Outcome)
-	again, err := l.m.Snapshot()
+	again, err := l.machine.Snapshot()
 	require.NoError(t, err)
-	require.Equal(t, image[len(image)-2*settledBytes:], again[len(again)-2*settledBytes:])
+	require.Equal(t, image[len(image)-2*compactClaimBytes:], again[len(again)-2*compactClaimBytes:])
 
-	l.do(AdvanceClock{Elapsed: 5000})
+	l.apply(AdvanceClock{Elapsed: 5000})
 	require.Equal(t, ClaimGranted, l.claim("a", "4", 7).Outcome, "the retention has ended")
 }
 
-func BenchmarkSettledMemory(b *testing.B) {
+func BenchmarkCompactClaimMemory(b *testing.B) {
 	const count = 100_000
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		s := settled{max: count}
+		s := compactTable{maxClaims: count}
 		s.clear()
 		for i := range count {
-			s.add(newSettledKey("workspace", fmt.Sprint("key ", i)), settledClaim{expires: LogicalTime(i)})
+			s.add(newCompactKey("workspace", fmt.Sprint("key ", i)), compactClaim{expires: LogicalTime(i)})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -61,15 +61,15 @@
 }
 
 // What was set aside does not change with what is applied before it is encoded.
-func TestCaptureIsOfOneMoment(t *testing.T) {
+func TestLaterCommandsDoNotChangeACapture(t *testing.T) {
 	l := newLog(t, Options{})
 	require.Equal(t, ClaimGranted, l.claim("a", "1", 7).Outcome)
-	want, err := l.m.Snapshot()
+	want, err := l.machine.Snapshot()
 	require.NoError(t, err)
-	encode := l.m.Capture()
+	encode := l.machine.Capture()
 	require.Equal(t, FinishRecorded, l.finish("a", "1", verdict.Ran, &RecordedResponse{Status: 201}))
 	require.Equal(t, ClaimGranted, l.claim("b", "1", 7).Outcome)
-	l.do(AdvanceClock{Elapsed: 1000})
+	l.apply(AdvanceClock{Elapsed: 1000})
 	got, err := encode()
 	require.NoError(t, err)
 	require.Equal(t, want, got)
@@ -78,16 +78,16 @@
 // A claim in its short form is kept no less long than it was whole: one that allowed its call
 // much time and ended soon was forgotten before its retention had passed, and its key could run
 // again.
-func TestSettledClaimIsKeptAsLongAsTheClaimItself(t *testing.T) {
-	l := newLog(t, small)
+func TestCompactionDoesNotShortenRetention(t *testing.T) {
+	l := newLog(t, smallOptions)
 	const deadline = 1217
 	c := Claim{Workspace: "w", Key: "k", Attempt: "p", Deadline: deadline}
-	require.Equal(t, ClaimGranted, l.do(ClaimBatch{Claims: []Claim{c}}).(ClaimBatchResult).Claims[0].Outcome)
+	require.Equal(t, ClaimGranted, l.apply(ClaimBatch{Claims: []Claim{c}}).(ClaimBatchResult).Claims[0].Outcome)
 	require.Equal(t, FinishRecorded, l.finish("k", "p", verdict.MayHaveRun, nil))
-	promised := uint64(deadline + small.ClaimRetention)
-	l.do(AdvanceClock{Elapsed: uint64(small.CompactAfter)})
-	l.do(AdvanceClock{Elapsed: promised - uint64(small.CompactAfter) - 1})
-	require.Equal(t, ClaimFinished, l.do(ClaimBatch{Claims: []Claim{c}}).(ClaimBatchResult).Claims[0].Outcome)
-	l.do(AdvanceClock{Elapsed: 1})
-	require.Equal(t, ClaimGranted, l.do(ClaimBatch{Claims: []Claim{c}}).(ClaimBatchResult).Claims[0].Outcome)
+	promised := uint64(deadline + smallOptions.ClaimRetention)
+	l.apply(AdvanceClock{Elapsed: uint64(smallOptions.CompactAfter)})
+	l.apply(AdvanceClock{Elapsed: promised - uint64(smallOptions.CompactAfter) - 1})
+	require.Equal(t, ClaimFinished, l.apply(ClaimBatch{Claims: []Claim{c}}).(ClaimBatchResult).Claims[0].Outcome)
+	l.apply(AdvanceClock{Elapsed: 1})
+	require.Equal(t, ClaimGranted, l.apply(ClaimBatch{Claims: []Claim{c}}).(ClaimBatchResult).Claims[0].Outcome)
 }
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -6,18 +6,18 @@
 	"github.com/sassafraspost/sassafraspost/internal/consensus"
 )
 
-const imageVersion = 1
+const snapshotVersion = 1
 
-// image is the form of the tables in a snapshot. The order of every list is fixed,
+// tablesSnapshot is the form of the tables in a snapshot. The order of every list is fixed,
 // so equal tables give equal bytes.
-type image struct {
+type tablesSnapshot struct {
 	Version      uint8                `cbor:"1,keyasint"`
 	AppliedIndex uint64               `cbor:"2,keyasint"`
 	LogicalTime  LogicalTime          `cbor:"3,keyasint"`
 	Fence        uint64               `cbor:"4,keyasint"`
 	Documents    []Document           `cbor:"5,keyasint"`
 	Outcomes     []outcome            `cbor:"6,keyasint"`
-	Claims       []claimImage         `cbor:"7,keyasint"`
+	Claims       []claimSnapshot      `cbor:"7,keyasint"`
 	ClusterID    string               `cbor:"8,keyasint"`
 	Membership   consensus.Membership `cbor:"9,keyasint"`
 	Addresses    []VoterAddress       `cbor:"10,keyasint"`
@@ -39,39 +39,39 @@
 func (m *Machine) Capture() (encode func() ([]byte, error)) {
 	i := m.capture()
 	return func() ([]byte, error) {
-		sortImages(i.Claims)
+		sortClaimSnapshots(i.Claims)
 		data, err := encoding.Marshal(i)
 		return data, errors.Wrap(err, "encode tables")
 	}
 }
 
 // capture copies the tables.
-func (m *Machine) capture() image {
+func (m *Machine) capture() tablesSnapshot {
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
-	i := image{Version: imageVersion, AppliedIndex: m.AppliedIndex(), LogicalTime: m.LogicalTime()}
+	i := tablesSnapshot{Version: snapshotVersion, AppliedIndex: m.AppliedIndex(), LogicalTime: m.LogicalTime()}
 	m.documents.capture(&i)
-	i.Claims = m.claims.images()
-	i.CompactClaims = m.claims.settledImage()
-	i.Retention = m.claims.span()
+	i.Claims = m.claims.snapshotClaims()
+	i.CompactClaims = m.claims.encodeCompactClaims()
+	i.Retention = m.claims.currentRetention()
 	m.cluster.capture(&i)
 	i.Configuration = m.Configuration()
 	m.audit.capture(&i)
 	return i
 }
 
-func (d *documents) capture(i *image) {
+func (d *documents) capture(i *tablesSnapshot) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	i.Fence = d.fence
-	i.Documents = d.sorted(byName)
-	i.Outcomes = make([]outcome, 0, len(d.queue))
-	for _, o := range d.queue {
+	i.Fence = d.latestRevision
+	i.Documents = d.sorted(compareByName)
+	i.Outcomes = make([]outcome, 0, len(d.outcomeQueue))
+	for _, o := range d.outcomeQueue {
 		i.Outcomes = append(i.Outcomes, *o)
 	}
 }
 
-func (c *cluster) capture(i *image) {
+func (c *cluster) capture(i *tablesSnapshot) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	i.ClusterID = c.id
@@ -79,7 +79,7 @@
 	i.Addresses = c.sortedAddresses()
 }
 
-func (a *audit) capture(i *image) {
+func (a *audit) capture(i *tablesSnapshot) {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
 	i.Audit = a.ordered()
@@ -88,14 +88,14 @@
 // Restore replaces the tables by those of a snapshot. A snapshot that cannot be
 // read, or that is older than the tables, is refused without effect.
 func (m *Machine) Restore(data []byte) error {
-	var i image
+	var i tablesSnapshot
 	if err := decoding.Unmarshal(data, &i); err != nil {
 		return errors.Wrap(err, "decode tables")
 	}
-	if i.Version != imageVersion {
+	if i.Version != snapshotVersion {
 		return errors.Errorf("unknown version %d of tables", i.Version)
 	}
-	if len(i.CompactClaims)%settledBytes != 0 {
+	if len(i.CompactClaims)%compactClaimBytes != 0 {
 		return errors.New("settled claims have a broken length")
 	}
 	m.applyMu.Lock()
@@ -142,8 +142,8 @@
 		d.byName[doc.Name] = doc
 	}
 	for _, o := range outcomes {
-		d.retain(&o)
+		d.keepOutcome(&o)
 	}
-	d.fence = fence
+	d.latestRevision = fence
 	d.notify()
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -14,7 +14,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-var small = Options{
+var smallOptions = Options{
 	ClaimRetention:     3000,
 	CompactAfter:       1000,
 	CompactClaims:      4,
@@ -26,30 +26,30 @@
 	AuditRecords:       5,
 }
 
-// log applies commands at rising indexes.
-type log struct {
-	t testing.TB
-	m *Machine
-	i uint64
+// testLog applies commands at rising indexes.
+type testLog struct {
+	t       testing.TB
+	machine *Machine
+	index   uint64
 }
 
-func newLog(t testing.TB, o Options) *log { return &log{t: t, m: New(o)} }
+func newLog(t testing.TB, o Options) *testLog { return &testLog{t: t, machine: New(o)} }
 
-func (l *log) do(c Command) any {
+func (l *testLog) apply(c Command) any {
 	data, err := Encode(c)
 	require.NoError(l.t, err)
-	l.i++
-	return l.m.Apply(l.i, data)
+	l.index++
+	return l.machine.Apply(l.index, data)
 }
 
-func (l *log) claim(key, attempt string, digest byte) ClaimResult {
+func (l *testLog) claim(key, attempt string, digest byte) ClaimResult {
 	c := Claim{Workspace: "w", Key: key, Attempt: attempt, Digest: [32]byte{digest}, Deadline: 1000}
-	return l.do(ClaimBatch{Claims: []Claim{c}}).(ClaimBatchResult).Claims[0]
+	return l.apply(ClaimBatch{Claims: []Claim{c}}).(ClaimBatchResult).Claims[0]
 }
 
-func (l *log) finish(key, attempt string, v verdict.Verdict, a *RecordedResponse) FinishOutcome {
+func (l *testLog) finish(key, attempt string, v verdict.Verdict, a *RecordedResponse) FinishOutcome {
 	f := Finish{Workspace: "w", Key: key, Attempt: attempt, Verdict: v, Answer: a}
-	return l.do(FinishClaims{Finishes: []Finish{f}}).(FinishResult).Finishes[0]
+	return l.apply(FinishClaims{Finishes: []Finish{f}}).(FinishResult).Finishes[0]
 }
 
 func drawCommand(t *rapid.T, revisions []uint64) Command {
@@ -99,9 +99,9 @@
 
 // TestSnapshotKeepsResultsAndState: tables that are snapshot and restored at any
 // points give the same results and end in the same state.
-func TestSnapshotKeepsResultsAndState(t *testing.T) {
+func TestSnapshotAndRestorePreserveResultsAndState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		straight, split := New(small), New(small)
+		straight, split := New(smallOptions), New(smallOptions)
 		revisions := []uint64{0}
 		for i := uint64(1); i <= uint64(rapid.IntRange(1, 40).Draw(t, "commands")); i++ {
 			command := drawCommand(t, revisions)
@@ -118,7 +118,7 @@
 			require.NoError(t, err)
 			require.Equal(t, image, other)
 			if rapid.IntRange(0, 3).Draw(t, "split") == 0 {
-				split = New(small)
+				split = New(smallOptions)
 				require.NoError(t, split.Restore(other))
 				require.Equal(t, straight.Fence(), split.Fence())
 			}
@@ -126,20 +126,20 @@
 	})
 }
 
-type grant struct {
-	attempt string
-	until   LogicalTime
+type grantedClaim struct {
+	attempt       string
+	retainedUntil LogicalTime
 }
 
-// TestRevisionsRiseAndClaimsAreGrantedOnce checks both over any history, in which
+// TestRevisionsNeverDecreaseAndClaimsAreGrantedOnce checks both over any history, in which
 // old entries and old snapshots come again. A key is granted again only after a
 // NotRun finish of the attempt that holds it, or once its retention has passed.
-func TestRevisionsRiseAndClaimsAreGrantedOnce(t *testing.T) {
+func TestRevisionsNeverDecreaseAndClaimsAreGrantedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New(small)
+		m := New(smallOptions)
 		revisions := []uint64{0}
 		seen := map[string]uint64{}
-		held := map[[2]string]grant{}
+		held := map[[2]string]grantedClaim{}
 		entries := [][]byte{nil}
 		images := [][]byte{nil}
 		for i := uint64(1); i <= 40; i++ {
@@ -162,9 +162,9 @@
 					}
 					key := [2]string{c.Workspace, c.Key}
 					if g, ok := held[key]; ok {
-						require.GreaterOrEqual(t, m.LogicalTime(), g.until, "granted twice")
+						require.GreaterOrEqual(t, m.LogicalTime(), g.retainedUntil, "granted twice")
 					}
-					held[key] = grant{c.Attempt, m.LogicalTime() + LogicalTime(c.Deadline) + small.ClaimRetention}
+					held[key] = grantedClaim{c.Attempt, m.LogicalTime() + LogicalTime(c.Deadline) + smallOptions.ClaimRetention}
 				}
 			case FinishResult:
 				f := command.(FinishClaims).Finishes[0]
@@ -187,7 +187,7 @@
 	})
 }
 
-func TestAnyBytesAreRejectedAlike(t *testing.T) {
+func TestApplyIsDeterministicForArbitraryBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := rapid.SliceOf(rapid.Byte()).Draw(t, "data")
 		if rapid.Bool().Draw(t, "wrapped") {
@@ -197,13 +197,13 @@
 			data, err = encoding.Marshal(envelope{Version: commandVersion, Kind: kind, Body: raw})
 			require.NoError(t, err)
 		}
-		a, b := New(small), New(small)
+		a, b := New(smallOptions), New(smallOptions)
 		require.Equal(t, a.Apply(1, data), b.Apply(1, data))
 		require.Equal(t, uint64(1), a.AppliedIndex())
 	})
 }
 
-func TestRejections(t *testing.T) {
+func TestInvalidCommandsAreRejected(t *testing.T) {
 	body, err := encoding.Marshal(AdvanceClock{Elapsed: 5})
 	require.NoError(t, err)
 	for want, e := range map[Reason]envelope{
@@ -212,52 +212,52 @@
 	} {
 		data, err := encoding.Marshal(e)
 		require.NoError(t, err)
-		require.Equal(t, Rejected{want}, New(small).Apply(1, data))
+		require.Equal(t, Rejected{want}, New(smallOptions).Apply(1, data))
 	}
-	m := New(small)
+	m := New(smallOptions)
 	require.Equal(t, Rejected{ReasonEmpty}, m.Apply(1, nil))
 	data, err := Encode(AdvanceClock{Elapsed: 5})
 	require.NoError(t, err)
 	require.Equal(t, ClockResult{LogicalTime: 5}, m.Apply(2, data))
 	require.Equal(t, Rejected{ReasonAlreadyApplied}, m.Apply(2, data))
-	l := newLog(t, small)
-	require.Equal(t, Rejected{ReasonInvalidName}, l.do(SubmitDocument{Author: "ann", ChangeID: "x"}))
+	l := newLog(t, smallOptions)
+	require.Equal(t, Rejected{ReasonInvalidName}, l.apply(SubmitDocument{Author: "ann", ChangeID: "x"}))
 	long := strings.Repeat("x", MaxDocumentBytes+1)
-	require.Equal(t, Rejected{ReasonTooLarge}, l.do(SubmitDocument{Name: "d", Author: "ann", ChangeID: "x", Text: long}))
-	require.Equal(t, ClockResult{LogicalTime: MaxAdvance}, l.do(AdvanceClock{Elapsed: 1 << 60}))
+	require.Equal(t, Rejected{ReasonTooLarge}, l.apply(SubmitDocument{Name: "d", Author: "ann", ChangeID: "x", Text: long}))
+	require.Equal(t, ClockResult{LogicalTime: MaxAdvance}, l.apply(AdvanceClock{Elapsed: 1 << 60}))
 }
 
 func TestSubmit(t *testing.T) {
-	l := newLog(t, small)
+	l := newLog(t, smallOptions)
 	ann := SubmitDocument{Name: "d", ChangeID: "x", Author: "ann", Text: "one"}
 	bob := SubmitDocument{Name: "d", ChangeID: "y", Author: "bob", Text: "two"}
-	first := l.do(ann)
+	first := l.apply(ann)
 	require.Equal(t, SubmitResult{Outcome: SubmitAccepted, Revision: 1}, first)
 	conflict := SubmitResult{Outcome: SubmitConflict, Revision: 1, Winner: &Winner{Revision: 1, Author: "ann", ChangeID: "x"}}
-	require.Equal(t, conflict, l.do(bob))
-	changed := l.m.DocumentsChanged()
+	require.Equal(t, conflict, l.apply(bob))
+	changed := l.machine.DocumentsChanged()
 	carl := SubmitDocument{Name: "d", Base: 1, ChangeID: "z", Author: "carl", Text: "three"}
-	require.Equal(t, SubmitResult{Outcome: SubmitAccepted, Revision: 3}, l.do(carl))
+	require.Equal(t, SubmitResult{Outcome: SubmitAccepted, Revision: 3}, l.apply(carl))
 	<-changed
 	// A resend returns the first outcome whatever happened since.
-	require.Equal(t, SubmitResult{Outcome: SubmitAccepted, Revision: 1, Repeated: true}, l.do(ann))
+	require.Equal(t, SubmitResult{Outcome: SubmitAccepted, Revision: 1, Repeated: true}, l.apply(ann))
 	conflict.Repeated = true
-	require.Equal(t, conflict, l.do(bob))
+	require.Equal(t, conflict, l.apply(bob))
 	bob.Text = "other"
-	require.Equal(t, SubmitResult{Outcome: SubmitChangeIDReused, Revision: 3, Repeated: true}, l.do(bob))
-	doc, ok := l.m.Document("d")
+	require.Equal(t, SubmitResult{Outcome: SubmitChangeIDReused, Revision: 3, Repeated: true}, l.apply(bob))
+	doc, ok := l.machine.Document("d")
 	require.True(t, ok)
 	require.Equal(t, "three", doc.Text)
-	require.Equal(t, uint64(3), l.m.Fence())
-	require.Empty(t, l.m.DocumentsSince(3))
-	l.do(SubmitDocument{Name: "c", ChangeID: "x", Author: "ann"})
+	require.Equal(t, uint64(3), l.machine.Fence())
+	require.Empty(t, l.machine.DocumentsSince(3))
+	l.apply(SubmitDocument{Name: "c", ChangeID: "x", Author: "ann"})
 	c, d := "c", "d"
-	require.Equal(t, []string{d, c}, names(l.m.DocumentsSince(2)))
-	require.Equal(t, []string{c}, names(l.m.DocumentsSince(3)))
-	require.Equal(t, []string{c, d}, names(l.m.Documents()))
+	require.Equal(t, []string{d, c}, documentNames(l.machine.DocumentsSince(2)))
+	require.Equal(t, []string{c}, documentNames(l.machine.DocumentsSince(3)))
+	require.Equal(t, []string{c, d}, documentNames(l.machine.Documents()))
 }
 
-func names(docs []Document) (list []string) {
+func documentNames(docs []Document) (list []string) {
 	for _, d := range docs {
 		list = append(list, d.Name)
 	}
@@ -265,30 +265,30 @@
 }
 
 func TestOutcomesAreBoundedByCountAndAge(t *testing.T) {
-	l := newLog(t, small)
+	l := newLog(t, smallOptions)
 	submit := func(change string) SubmitResult {
-		return l.do(SubmitDocument{Name: "d", ChangeID: change, Author: "ann"}).(SubmitResult)
+		return l.apply(SubmitDocument{Name: "d", ChangeID: change, Author: "ann"}).(SubmitResult)
 	}
 	require.Equal(t, SubmitAccepted, submit("0").Outcome)
-	for i := range small.Outcomes {
+	for i := range smallOptions.Outcomes {
 		submit(fmt.Sprint(i + 1))
 	}
 	require.Equal(t, SubmitConflict, submit("0").Outcome, "forgotten by count, and then judged by its base")
 	require.True(t, submit("0").Repeated)
-	l.do(AdvanceClock{Elapsed: uint64(small.OutcomeRetention)})
+	l.apply(AdvanceClock{Elapsed: uint64(smallOptions.OutcomeRetention)})
 	require.False(t, submit("0").Repeated)
 }
 
-func TestClaimLife(t *testing.T) {
-	l := newLog(t, small)
+func TestClaimLifecycle(t *testing.T) {
+	l := newLog(t, smallOptions)
 	answer := &RecordedResponse{Status: 201, ContentType: "text/plain", Body: []byte("slot 7")}
 	require.Equal(t, ClaimGranted, l.claim("k", "a", 1).Outcome)
 	require.Equal(t, ClaimResult{Outcome: ClaimInProgress, Remaining: 1000}, l.claim("k", "b", 1))
 	require.Equal(t, ClaimKeyReused, l.claim("k", "b", 2).Outcome)
 	require.Equal(t, FinishIgnored, l.finish("k", "b", verdict.NotRun, nil))
-	l.do(AdvanceClock{Elapsed: 1000})
+	l.apply(AdvanceClock{Elapsed: 1000})
 	require.Equal(t, ClaimInProgress, l.claim("k", "b", 1).Outcome)
-	l.do(AdvanceClock{Elapsed: 1})
+	l.apply(AdvanceClock{Elapsed: 1})
 	require.Equal(t, ClaimResult{Outcome: ClaimUnknown}, l.claim("k", "b", 1))
 	require.Equal(t, FinishRecorded, l.finish("k", "a", verdict.MayHaveRun, nil))
 	require.Equal(t, ClaimResult{Outcome: ClaimFinished}, l.claim("k", "b", 1))
@@ -296,8 +296,8 @@
 	require.Equal(t, FinishRecorded, l.finish("k", "a", verdict.Ran, answer))
 	require.Equal(t, FinishIgnored, l.finish("k", "a", verdict.MayHaveRun, nil))
 	require.Equal(t, ClaimResult{Outcome: ClaimFinished, Verdict: verdict.Ran, Answer: answer}, l.claim("k", "b", 1))
-	l.do(AdvanceClock{Elapsed: uint64(small.ClaimRetention)})
-	require.Zero(t, l.m.ClaimCount())
+	l.apply(AdvanceClock{Elapsed: uint64(smallOptions.ClaimRetention)})
+	require.Zero(t, l.machine.ClaimCount())
 	require.Equal(t, ClaimGranted, l.claim("k", "b", 1).Outcome)
 	require.Equal(t, FinishFreed, l.finish("k", "b", verdict.NotRun, nil))
 	require.Equal(t, ClaimGranted, l.claim("k", "c", 1).Outcome)
@@ -306,54 +306,54 @@
 
 // TestFreedClaimLeavesItsSuccessor: the queue still holds a freed claim, whose
 // expiry must not touch the one that took the key after it.
-func TestFreedClaimLeavesItsSuccessor(t *testing.T) {
-	l := newLog(t, small)
+func TestExpiryOfFreedClaimKeepsNextClaim(t *testing.T) {
+	l := newLog(t, smallOptions)
 	l.claim("k", "a", 1)
 	require.Equal(t, FinishFreed, l.finish("k", "a", verdict.NotRun, nil))
-	l.do(AdvanceClock{Elapsed: 2000})
+	l.apply(AdvanceClock{Elapsed: 2000})
 	require.Equal(t, ClaimGranted, l.claim("k", "b", 1).Outcome)
-	require.Equal(t, ClockResult{LogicalTime: 4000}, l.do(AdvanceClock{Elapsed: 2000}))
+	require.Equal(t, ClockResult{LogicalTime: 4000}, l.apply(AdvanceClock{Elapsed: 2000}))
 	require.Equal(t, ClaimUnknown, l.claim("k", "c", 1).Outcome)
-	require.Equal(t, ClockResult{LogicalTime: 6000, Expired: 1}, l.do(AdvanceClock{Elapsed: 2000}))
+	require.Equal(t, ClockResult{LogicalTime: 6000, Expired: 1}, l.apply(AdvanceClock{Elapsed: 2000}))
 }
 
 // TestRestoredClaimsExpireAlike: a claim that finished long before its deadline
 // goes at the same age in tables that were restored, and bounds count alike.
-func TestRestoredClaimsExpireAlike(t *testing.T) {
-	l := newLog(t, small)
+func TestRestoredClaimsExpireAtTheSameTime(t *testing.T) {
+	l := newLog(t, smallOptions)
 	c := Claim{Workspace: "w", Key: "k", Attempt: "a", Deadline: 10_000}
-	l.do(ClaimBatch{Claims: []Claim{c}})
+	l.apply(ClaimBatch{Claims: []Claim{c}})
 	require.Equal(t, FinishRecorded, l.finish("k", "a", verdict.Ran, &RecordedResponse{Body: make([]byte, 30)}))
-	image, err := l.m.Snapshot()
+	image, err := l.machine.Snapshot()
 	require.NoError(t, err)
-	restored := &log{t: t, m: New(small), i: l.i}
-	require.NoError(t, restored.m.Restore(image))
+	restored := &testLog{t: t, machine: New(smallOptions), index: l.index}
+	require.NoError(t, restored.machine.Restore(image))
 	for i := range 5 {
-		advance := AdvanceClock{Elapsed: uint64(small.ClaimRetention)}
-		require.Equal(t, l.do(advance), restored.do(advance))
+		advance := AdvanceClock{Elapsed: uint64(smallOptions.ClaimRetention)}
+		require.Equal(t, l.apply(advance), restored.apply(advance))
 		key := fmt.Sprint(i)
-		for _, other := range []*log{l, restored} {
+		for _, other := range []*testLog{l, restored} {
 			require.Equal(t, ClaimGranted, other.claim(key, "a", 1).Outcome)
 			answer := &RecordedResponse{Body: make([]byte, 30)}
 			require.Equal(t, FinishRecorded, other.finish(key, "a", verdict.Ran, answer))
 		}
-		want, err := l.m.Snapshot()
+		want, err := l.machine.Snapshot()
 		require.NoError(t, err)
-		got, err := restored.m.Snapshot()
+		got, err := restored.machine.Snapshot()
 		require.NoError(t, err)
 		require.Equal(t, want, got)
 	}
-	require.Equal(t, 2, l.m.ClaimCount())
+	require.Equal(t, 2, l.machine.ClaimCount())
 }
 
-func TestClaimBounds(t *testing.T) {
-	l := newLog(t, small)
-	for i := range small.ClaimsPerWorkspace {
+func TestClaimLimits(t *testing.T) {
+	l := newLog(t, smallOptions)
+	for i := range smallOptions.ClaimsPerWorkspace {
 		require.Equal(t, ClaimGranted, l.claim(fmt.Sprint(i), "a", 1).Outcome)
 	}
 	require.Equal(t, ClaimResult{Outcome: ClaimRefused, Verdict: verdict.NotRun}, l.claim("more", "a", 1))
 	require.Equal(t, ClaimInProgress, l.claim("0", "b", 1).Outcome, "a known key is answered all the same")
-	body := make([]byte, small.RecordedBytes-10)
+	body := make([]byte, smallOptions.RecordedBytes-10)
 	require.Equal(t, FinishRecorded, l.finish("0", "a", verdict.Ran, &RecordedResponse{Body: body}))
 	require.Equal(t, FinishRecorded, l.finish("1", "a", verdict.Ran, &RecordedResponse{Body: body}))
 	require.NotNil(t, l.claim("0", "b", 1).Answer)
@@ -362,10 +362,10 @@
 	for i := range 3 {
 		other.Claims = append(other.Claims, Claim{Workspace: "v", Key: fmt.Sprint(i), Attempt: "a"})
 	}
-	results := l.do(other).(ClaimBatchResult).Claims
+	results := l.apply(other).(ClaimBatchResult).Claims
 	require.Equal(t, ClaimGranted, results[1].Outcome)
 	require.Equal(t, ClaimRefused, results[2].Outcome, "too many altogether")
-	require.Equal(t, small.Claims, l.m.ClaimCount())
+	require.Equal(t, smallOptions.Claims, l.machine.ClaimCount())
 	wide := newLog(t, Options{})
 	wide.claim("k", "a", 1)
 	require.Equal(t, FinishRecorded, wide.finish("k", "a", verdict.Ran, &RecordedResponse{Body: make([]byte, MaxResponseBytes+1)}))
@@ -373,25 +373,25 @@
 }
 
 func TestClusterAndAuditTrail(t *testing.T) {
-	l := newLog(t, small)
-	require.Equal(t, InitResult{Accepted: true, ClusterID: "c1"}, l.do(Init{ClusterID: "c1", Author: "ann", At: 7}))
-	require.Equal(t, InitResult{ClusterID: "c1"}, l.do(Init{ClusterID: "c2", Author: "bob"}))
+	l := newLog(t, smallOptions)
+	require.Equal(t, InitResult{Accepted: true, ClusterID: "c1"}, l.apply(Init{ClusterID: "c1", Author: "ann", At: 7}))
+	require.Equal(t, InitResult{ClusterID: "c1"}, l.apply(Init{ClusterID: "c2", Author: "bob"}))
 	set := SetVoterAddress{Replica: "a/1", Host: "a", Address: "127.0.0.1:1"}
-	require.Equal(t, VoterAddressResult{Changed: true}, l.do(set))
-	require.Equal(t, VoterAddressResult{}, l.do(set))
-	l.do(SetVoterAddress{Replica: "b/2", Host: "b", Address: "127.0.0.1:2"})
-	l.i++
-	l.m.ApplyMembership(l.i, consensus.Membership{Voters: []consensus.ReplicaID{"a/1"}})
-	l.i++
-	l.m.ApplyMembership(l.i, consensus.Membership{Learners: []consensus.ReplicaID{"b/2"}})
-	c := l.m.Cluster()
+	require.Equal(t, VoterAddressResult{Changed: true}, l.apply(set))
+	require.Equal(t, VoterAddressResult{}, l.apply(set))
+	l.apply(SetVoterAddress{Replica: "b/2", Host: "b", Address: "127.0.0.1:2"})
+	l.index++
+	l.machine.ApplyMembership(l.index, consensus.Membership{Voters: []consensus.ReplicaID{"a/1"}})
+	l.index++
+	l.machine.ApplyMembership(l.index, consensus.Membership{Learners: []consensus.ReplicaID{"b/2"}})
+	c := l.machine.Cluster()
 	require.Equal(t, "c1", c.ID)
 	require.Equal(t, []VoterAddress{{Replica: "b/2", Host: "b", Address: "127.0.0.1:2"}}, c.Addresses)
-	page := l.m.History(0, 2, nil)
+	page := l.machine.History(0, 2, nil)
 	require.Equal(t, []uint64{7, 6}, []uint64{page.Records[0].Index, page.Records[1].Index})
 	var rest []uint64
 	for page.Next != 0 {
-		page = l.m.History(page.Next, 2, nil)
+		page = l.machine.History(page.Next, 2, nil)
 		for _, r := range page.Records {
 			rest = append(rest, r.Index)
 		}
@@ -402,29 +402,29 @@
 
 // TestAuditTrailTellsOfEachSubmission: who, what and with what outcome; a filter
 // goes before the limit, so that a page is full where there is more.
-func TestAuditTrailTellsOfEachSubmission(t *testing.T) {
+func TestAuditTrailRecordsEachSubmission(t *testing.T) {
 	l := newLog(t, Options{})
 	a := SubmitDocument{Name: "a", ChangeID: "x", Author: "ann", Text: "one", At: 7}
-	l.do(a)
+	l.apply(a)
 	for i := range 3 {
-		l.do(SubmitDocument{Name: "b", Base: l.i * uint64(min(i, 1)), ChangeID: fmt.Sprint(i), Author: "bob"})
+		l.apply(SubmitDocument{Name: "b", Base: l.index * uint64(min(i, 1)), ChangeID: fmt.Sprint(i), Author: "bob"})
 	}
-	l.do(SubmitDocument{Name: "a", ChangeID: "y", Author: "bob", Text: "two"})
-	l.do(a)
-	page := l.m.History(0, 2, func(r AuditRecord) bool { return r.IsSubmissionOf([]string{"a"}) })
+	l.apply(SubmitDocument{Name: "a", ChangeID: "y", Author: "bob", Text: "two"})
+	l.apply(a)
+	page := l.machine.History(0, 2, func(r AuditRecord) bool { return r.IsSubmissionOf([]string{"a"}) })
 	require.Equal(t, uint64(5), page.Next)
 	one := sha256.Sum256([]byte("one"))
 	require.Equal(t, AuditRecord{Index: 6, At: 7, Author: "ann", Action: ActionSubmit, Subject: "a",
 		Outcome: "accepted (repeated)", Revision: 1, ChangeID: "x", Digest: one}, page.Records[0])
 	require.Equal(t, AuditRecord{Index: 5, Author: "bob", Action: ActionSubmit, Subject: "a",
 		Outcome: "conflict", Revision: 1, ChangeID: "y", Digest: sha256.Sum256([]byte("two"))}, page.Records[1])
-	page = l.m.History(page.Next, 2, func(r AuditRecord) bool { return r.IsSubmissionOf([]string{"a"}) })
+	page = l.machine.History(page.Next, 2, func(r AuditRecord) bool { return r.IsSubmissionOf([]string{"a"}) })
 	require.Zero(t, page.Next)
 	require.Len(t, page.Records, 1)
 	require.Equal(t, AuditRecord{Index: 1, At: 7, Author: "ann", Action: ActionSubmit, Subject: "a",
 		Outcome: "accepted", Revision: 1, ChangeID: "x", Digest: one}, page.Records[0])
-	require.True(t, l.m.HasOutcome("a", "ann", "x"))
-	require.False(t, l.m.HasOutcome("a", "bob", "x"))
+	require.True(t, l.machine.HasOutcome("a", "ann", "x"))
+	require.False(t, l.machine.HasOutcome("a", "bob", "x"))
 }
 
 // TestRetentionComesFromTheLog: replicas of other options, one of them restored, keep
@@ -432,15 +432,15 @@
 func TestRetentionComesFromTheLog(t *testing.T) {
 	a, b := newLog(t, Options{}), newLog(t, Options{ClaimRetention: 3 * day})
 	both := func(c Command) any {
-		got := a.do(c)
-		require.Equal(t, got, b.do(c))
+		got := a.apply(c)
+		require.Equal(t, got, b.apply(c))
 		return got
 	}
 	both(AdvanceClock{Retention: uint64(2 * MinRetention)})
-	image, err := a.m.Snapshot()
+	image, err := a.machine.Snapshot()
 	require.NoError(t, err)
-	a.m = New(Options{ClaimRetention: day / 2})
-	require.NoError(t, a.m.Restore(image))
+	a.machine = New(Options{ClaimRetention: day / 2})
+	require.NoError(t, a.machine.Restore(image))
 	both(ClaimBatch{Claims: []Claim{{Workspace: "w", Key: "k", Attempt: "p"}}})
 	require.Equal(t, ClockResult{LogicalTime: MinRetention}, both(AdvanceClock{Elapsed: uint64(MinRetention)}))
 	require.Equal(t, ClockResult{LogicalTime: 2 * MinRetention, Expired: 1}, both(AdvanceClock{Elapsed: uint64(MinRetention)}))
@@ -450,43 +450,43 @@
 }
 
 func TestRestoreRefusesAnOlderOrBadSnapshot(t *testing.T) {
-	l := newLog(t, small)
-	old, err := l.m.Snapshot()
+	l := newLog(t, smallOptions)
+	old, err := l.machine.Snapshot()
 	require.NoError(t, err)
-	l.do(SubmitDocument{Name: "d", ChangeID: "x", Author: "ann"})
-	require.ErrorContains(t, l.m.Restore(old), "older")
-	require.Error(t, l.m.Restore([]byte{1, 2}))
-	require.Equal(t, uint64(1), l.m.Fence())
+	l.apply(SubmitDocument{Name: "d", ChangeID: "x", Author: "ann"})
+	require.ErrorContains(t, l.machine.Restore(old), "older")
+	require.Error(t, l.machine.Restore([]byte{1, 2}))
+	require.Equal(t, uint64(1), l.machine.Fence())
 }
 
-// TestReadersBesideChanges is for the race detector.
-func TestReadersBesideChanges(t *testing.T) {
-	l := newLog(t, small)
+// TestConcurrentReadsAndChanges is for the race detector.
+func TestConcurrentReadsAndChanges(t *testing.T) {
+	l := newLog(t, smallOptions)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for range 200 {
-			l.m.Documents()
-			l.m.History(0, 3, nil)
-			l.m.Cluster()
-			l.m.ClaimCount()
+			l.machine.Documents()
+			l.machine.History(0, 3, nil)
+			l.machine.Cluster()
+			l.machine.ClaimCount()
 		}
 	}()
 	for i := range 200 {
-		l.do(SubmitDocument{Name: "d", Base: l.m.Fence(), ChangeID: fmt.Sprint(i), Author: "ann"})
+		l.apply(SubmitDocument{Name: "d", Base: l.machine.Fence(), ChangeID: fmt.Sprint(i), Author: "ann"})
 		l.claim(fmt.Sprint(i), "a", 1)
-		image, err := l.m.Snapshot()
+		image, err := l.machine.Snapshot()
 		require.NoError(t, err)
-		require.NoError(t, l.m.Restore(image))
+		require.NoError(t, l.machine.Restore(image))
 	}
 	<-done
 }
 
 // No log entry ends the control host that applies it, since it would end each of them in turn,
 // at every start: what can't be read or is out of bounds is rejected.
-func TestNoEntryEndsTheTables(t *testing.T) {
+func TestCorruptEntriesDoNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New(small)
+		m := New(smallOptions)
 		for i := range uint64(rapid.IntRange(1, 20).Draw(t, "entries")) {
 			data, err := Encode(drawCommand(t, []uint64{1, 2, 3}))
 			require.NoError(t, err)
@@ -505,6 +505,6 @@
 		}
 		snapshot, err := m.Snapshot()
 		require.NoError(t, err)
-		require.NoError(t, New(small).Restore(snapshot))
+		require.NoError(t, New(smallOptions).Restore(snapshot))
 	})
 }
