--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -81,9 +81,9 @@
 const (
 	defaultClaims                         = 150_000
 	defaultClaimsPerWorkspace             = 50_000
-	defaultSettleAfter        LogicalTime = 600_000
-	defaultSettled                        = 500_000
-	defaultAnswerBytes                    = 32 << 20
+	defaultCompactAfter       LogicalTime = 600_000
+	defaultCompactClaims                  = 500_000
+	defaultRecordedBytes                  = 32 << 20
 	defaultOutcomes                       = 10_000
 	defaultAuditRecords                   = 10_000
 )
@@ -92,9 +92,9 @@
 	setDefault(&o.ClaimRetention, day)
 	setDefault(&o.Claims, defaultClaims)
 	setDefault(&o.ClaimsPerWorkspace, defaultClaimsPerWorkspace)
-	setDefault(&o.CompactAfter, defaultSettleAfter)
-	setDefault(&o.CompactClaims, defaultSettled)
-	setDefault(&o.RecordedBytes, defaultAnswerBytes)
+	setDefault(&o.CompactAfter, defaultCompactAfter)
+	setDefault(&o.CompactClaims, defaultCompactClaims)
+	setDefault(&o.RecordedBytes, defaultRecordedBytes)
 	setDefault(&o.OutcomeRetention, day)
 	setDefault(&o.Outcomes, defaultOutcomes)
 	setDefault(&o.AuditRecords, defaultAuditRecords)
@@ -113,9 +113,9 @@
 
 	// applyMu serialises all changes.
 	applyMu sync.Mutex
-	// applied and age change only under applyMu.
-	applied atomic.Uint64
-	age     atomic.Uint64
+	// appliedIndex and age change only under applyMu.
+	appliedIndex atomic.Uint64
+	logicalTime  atomic.Uint64
 
 	documents     documents
 	claims        claims
@@ -136,20 +136,20 @@
 }
 
 // AppliedIndex returns the index of the last entry that was applied.
-func (m *Machine) AppliedIndex() uint64 { return m.applied.Load() }
+func (m *Machine) AppliedIndex() uint64 { return m.appliedIndex.Load() }
 
 // LogicalTime returns the age of the tables.
-func (m *Machine) LogicalTime() LogicalTime { return LogicalTime(m.age.Load()) }
+func (m *Machine) LogicalTime() LogicalTime { return LogicalTime(m.logicalTime.Load()) }
 
 // Apply applies the command of the log entry index. The result is the typed one
 // of the command, or Rejected; it is the same on every replica.
 func (m *Machine) Apply(index uint64, data []byte) any {
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
-	if index <= m.applied.Load() {
+	if index <= m.appliedIndex.Load() {
 		return Rejected{Reason: ReasonAlreadyApplied}
 	}
-	defer m.applied.Store(index)
+	defer m.appliedIndex.Store(index)
 	command, rejected := decode(data)
 	if rejected != nil {
 		return *rejected
@@ -160,7 +160,7 @@
 	case AdvanceClock:
 		return m.advanceClock(c)
 	case SubmitDocument:
-		return m.submit(index, c)
+		return m.submitDocument(index, c)
 	case ClaimBatch:
 		return m.claims.claimBatch(c, m.LogicalTime())
 	case FinishClaims:
@@ -177,10 +177,10 @@
 func (m *Machine) ApplyMembership(index uint64, members consensus.Membership) {
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
-	if index <= m.applied.Load() {
+	if index <= m.appliedIndex.Load() {
 		return
 	}
-	defer m.applied.Store(index)
+	defer m.appliedIndex.Store(index)
 	m.cluster.setMembership(members)
 	m.audit.add(AuditRecord{
 		Index:       index,
@@ -194,14 +194,14 @@
 // advanceClock moves the age on. The caller holds applyMu.
 func (m *Machine) advanceClock(c AdvanceClock) ClockResult {
 	age := m.LogicalTime() + min(LogicalTime(c.Elapsed), MaxAdvance)
-	m.age.Store(uint64(age))
+	m.logicalTime.Store(uint64(age))
 	m.claims.setRetention(LogicalTime(c.Retention))
 	m.documents.expire(age)
 	return ClockResult{LogicalTime: age, Expired: m.claims.expire(age)}
 }
 
-// submit takes a document. The caller holds applyMu.
-func (m *Machine) submit(index uint64, c SubmitDocument) any {
+// submitDocument takes a document. The caller holds applyMu.
+func (m *Machine) submitDocument(index uint64, c SubmitDocument) any {
 	if !validNames(c.Name, c.ChangeID, c.Author) {
 		return Rejected{Reason: ReasonInvalidName}
 	}
--- a/internal/state/result.go
+++ b/internal/state/result.go
@@ -47,14 +47,14 @@
 	SubmitChangeIDReused
 )
 
-var submitNames = map[SubmitOutcome]string{
+var submitOutcomeNames = map[SubmitOutcome]string{
 	SubmitAccepted:       "accepted",
 	SubmitConflict:       "conflict",
 	SubmitChangeIDReused: "change-id-reused",
 }
 
 // String returns the form used in the audit trail.
-func (o SubmitOutcome) String() string { return submitNames[o] }
+func (o SubmitOutcome) String() string { return submitOutcomeNames[o] }
 
 // Winner names the change that a conflicting submission met.
 type Winner struct {
@@ -96,7 +96,7 @@
 	ClaimRefused
 )
 
-var claimNames = map[ClaimOutcome]string{
+var claimOutcomeNames = map[ClaimOutcome]string{
 	ClaimGranted:    "granted",
 	ClaimInProgress: "in-progress",
 	ClaimFinished:   "finished",
@@ -106,7 +106,7 @@
 }
 
 // String returns the form used in logs.
-func (o ClaimOutcome) String() string { return claimNames[o] }
+func (o ClaimOutcome) String() string { return claimOutcomeNames[o] }
 
 // ClaimResult is the result of one claim.
 type ClaimResult struct {
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -8,9 +8,9 @@
 
 const snapshotVersion = 1
 
-// tablesSnapshot is the form of the tables in a snapshot. The order of every list is fixed,
+// snapshot is the form of the tables in a snapshot. The order of every list is fixed,
 // so equal tables give equal bytes.
-type tablesSnapshot struct {
+type snapshot struct {
 	Version      uint8                `cbor:"1,keyasint"`
 	AppliedIndex uint64               `cbor:"2,keyasint"`
 	LogicalTime  LogicalTime          `cbor:"3,keyasint"`
@@ -46,10 +46,10 @@
 }
 
 // capture copies the tables.
-func (m *Machine) capture() tablesSnapshot {
+func (m *Machine) capture() snapshot {
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
-	i := tablesSnapshot{Version: snapshotVersion, AppliedIndex: m.AppliedIndex(), LogicalTime: m.LogicalTime()}
+	i := snapshot{Version: snapshotVersion, AppliedIndex: m.AppliedIndex(), LogicalTime: m.LogicalTime()}
 	m.documents.capture(&i)
 	i.Claims = m.claims.snapshotClaims()
 	i.CompactClaims = m.claims.encodeCompactClaims()
@@ -60,7 +60,7 @@
 	return i
 }
 
-func (d *documents) capture(i *tablesSnapshot) {
+func (d *documents) capture(i *snapshot) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	i.Fence = d.latestRevision
@@ -71,7 +71,7 @@
 	}
 }
 
-func (c *cluster) capture(i *tablesSnapshot) {
+func (c *cluster) capture(i *snapshot) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	i.ClusterID = c.id
@@ -79,7 +79,7 @@
 	i.Addresses = c.sortedAddresses()
 }
 
-func (a *audit) capture(i *tablesSnapshot) {
+func (a *audit) capture(i *snapshot) {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
 	i.Audit = a.ordered()
@@ -88,7 +88,7 @@
 // Restore replaces the tables by those of a snapshot. A snapshot that cannot be
 // read, or that is older than the tables, is refused without effect.
 func (m *Machine) Restore(data []byte) error {
-	var i tablesSnapshot
+	var i snapshot
 	if err := decoding.Unmarshal(data, &i); err != nil {
 		return errors.Wrap(err, "decode tables")
 	}
@@ -113,8 +113,8 @@
 	m.cluster.restore(i.ClusterID, i.Membership, i.Addresses)
 	m.configuration.set(i.Configuration)
 	m.audit.restore(i.Audit)
-	m.age.Store(uint64(i.LogicalTime))
-	m.applied.Store(i.AppliedIndex)
+	m.logicalTime.Store(uint64(i.LogicalTime))
+	m.appliedIndex.Store(i.AppliedIndex)
 	return nil
 }
 
