--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -15,11 +15,12 @@
 	targetDocumentCount   = 27
 	workspacesPerDocument = 250
 	targetClaimCount      = 100_000
-	// workspaceSection is a plausible section of a document for one workspace.
+	// workspaceSection is a typical section of a document for one workspace.
 	workspaceSection = "[workspace.%04d]\nshare = 12\nrequests-per-second = 40\ntokens-per-second = 9000\npriority = dispatch\ndeadline = 730ms\n"
 )
 
-// newTargetLog returns tables of the size to be carried in two years.
+// newTargetLog returns tables with as many documents and workspaces as the system must
+// support in two years.
 func newTargetLog(b *testing.B) *testLog {
 	l := newLog(b, Options{})
 	for d := range targetDocumentCount {
@@ -32,11 +33,12 @@
 	return l
 }
 
+// addClaims adds targetClaimCount finished claims.
 func addClaims(l *testLog) {
 	const batch = 100
 	for n := 0; n < targetClaimCount; n += batch {
 		var claims ClaimBatch
-		var ends FinishClaims
+		var finishes FinishClaims
 		for i := n; i < n+batch; i++ {
 			c := Claim{
 				Workspace: fmt.Sprintf("workspace-%04d", i%(targetDocumentCount*workspacesPerDocument)),
@@ -47,13 +49,14 @@
 				Deadline:  30_000,
 			}
 			claims.Claims = append(claims.Claims, c)
-			ends.Finishes = append(ends.Finishes, Finish{Workspace: c.Workspace, Key: c.Key, Attempt: c.Attempt, Verdict: verdict.Ran})
+			finishes.Finishes = append(finishes.Finishes, Finish{Workspace: c.Workspace, Key: c.Key, Attempt: c.Attempt, Verdict: verdict.Ran})
 		}
 		l.apply(claims)
-		l.apply(ends)
+		l.apply(finishes)
 	}
 }
 
+// heapBytes returns the size of the live heap after a garbage collection.
 func heapBytes() float64 {
 	runtime.GC()
 	var s runtime.MemStats
@@ -68,18 +71,18 @@
 	addClaims(l)
 	claims := heapBytes()
 	require.Equal(b, targetClaimCount, l.machine.ClaimCount())
-	var image []byte
+	var snapshot []byte
 	var err error
 	for b.Loop() {
-		image, err = l.machine.Snapshot()
+		snapshot, err = l.machine.Snapshot()
 		require.NoError(b, err)
 	}
 	b.ReportMetric((documents-before)/(1<<20), "MiB-documents")
 	b.ReportMetric((claims-documents)/targetClaimCount, "B/claim")
-	b.ReportMetric(float64(len(image))/(1<<20), "MiB-snapshot")
+	b.ReportMetric(float64(len(snapshot))/(1<<20), "MiB-snapshot")
 }
 
-// BenchmarkCaptureAtTargetSize measures how long a snapshot holds up changes.
+// BenchmarkCaptureAtTargetSize measures for how long a snapshot blocks changes.
 func BenchmarkCaptureAtTargetSize(b *testing.B) {
 	l := newTargetLog(b)
 	addClaims(l)
@@ -91,9 +94,9 @@
 func BenchmarkRestoreAtTargetSize(b *testing.B) {
 	l := newTargetLog(b)
 	addClaims(l)
-	image, err := l.machine.Snapshot()
+	snapshot, err := l.machine.Snapshot()
 	require.NoError(b, err)
 	for b.Loop() {
-		require.NoError(b, New(Options{}).Restore(image))
+		require.NoError(b, New(Options{}).Restore(snapshot))
 	}
 }
--- a/internal/state/claims.go
+++ b/internal/state/claims.go
@@ -10,7 +10,9 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// claim is one claim that is held or retained.
+// claim is the exclusive right of one attempt to run a non-idempotent call. It is
+// open until the attempt finishes, and kept for the retention after that or, if the attempt
+// never finishes, after its deadline.
 type claim struct {
 	key         string
 	digest      [32]byte
@@ -18,42 +20,46 @@
 	host        string
 	incarnation uint64
 	deadline    LogicalTime
-	// expires is the age at which the claim is forgotten. It never falls.
+	// expires is the logical time at which the claim is deleted. It never decreases.
 	expires  LogicalTime
 	finished bool
-	// finishedAt is the age at which the call ended.
+	// finishedAt is the logical time at which the call finished.
 	finishedAt LogicalTime
 	verdict    verdict.Verdict
 	answer     *RecordedResponse
-	// removed tells that the claim was freed and only the expiry queue holds it.
+	// removed is set once the claim has left the table. The expiry queue may still
+	// refer to it.
 	removed bool
 }
 
-// workspaceClaims are the claims of one workspace.
+// workspaceClaims holds the claims of one workspace by idempotency key.
 type workspaceClaims struct {
 	name  string
 	byKey map[string]*claim
 }
 
-// claims is the table of claims.
+// claims is the table of claims: those not yet compacted and, some time after
+// their call finished, those in compact form.
 type claims struct {
 	maxClaims        int
 	maxPerWorkspace  int
 	maxRecordedBytes int
 	compactAfter     LogicalTime
 
-	// mu guards all below.
+	// mu guards the fields below.
 	mu sync.RWMutex
-	// retention is how long a claim is kept.
+	// retention is how long a claim is kept after its call finished or its deadline
+	// passed.
 	retention   LogicalTime
 	workspaces  map[string]*workspaceClaims
 	expiryQueue expiryQueue
-	// count is the number of claims, without the settled ones.
+	// count is the number of uncompacted claims.
 	count int
-	// awaitingCompaction holds the claims that are to be settled, by the age of their end.
+	// awaitingCompaction holds the finished claims that are not yet compact, by the
+	// logical time at which they finished.
 	awaitingCompaction []finishedClaim
 	compactClaims      compactTable
-	// recordedBytes is the sum of the recorded bodies.
+	// recordedBytes is the total length of the recorded response bodies.
 	recordedBytes int
 }
 
@@ -77,41 +83,42 @@
 	t.compactClaims.clear()
 }
 
-// setRetention takes the span for which claims are kept from here on; zero changes nothing.
-func (t *claims) setRetention(span LogicalTime) {
-	if span == 0 {
+// setRetention sets the retention of claims that are made or finish from now on, within
+// MinRetention and MaxRetention. Zero changes nothing.
+func (t *claims) setRetention(retention LogicalTime) {
+	if retention == 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.retention = min(max(span, MinRetention), MaxRetention)
+	t.retention = min(max(retention, MinRetention), MaxRetention)
 }
 
-// currentRetention returns how long claims are kept.
+// currentRetention returns the retention of claims.
 func (t *claims) currentRetention() LogicalTime {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.retention
 }
 
-func (t *claims) claimBatch(b ClaimBatch, age LogicalTime) ClaimBatchResult {
+func (t *claims) claimBatch(b ClaimBatch, now LogicalTime) ClaimBatchResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	results := make([]ClaimResult, 0, len(b.Claims))
 	for _, c := range b.Claims {
-		results = append(results, t.claim(c, age))
+		results = append(results, t.claim(c, now))
 	}
 	return ClaimBatchResult{Claims: results}
 }
 
-// claim grants a key that is free, and tells the state of one that is not. The
-// caller holds mu.
-func (t *claims) claim(c Claim, age LogicalTime) ClaimResult {
+// claim grants a key that has no claim, and returns the state of the claim that the key
+// has otherwise. The caller holds mu.
+func (t *claims) claim(c Claim, now LogicalTime) ClaimResult {
 	if !validNames(c.Workspace, c.Key, c.Attempt) || len(c.Host) > MaxNameBytes {
 		return ClaimResult{Outcome: ClaimRefused, Verdict: verdict.NotRun}
 	}
-	if held := t.find(c.Workspace, c.Key); held != nil {
-		return held.resultFor(c, age)
+	if existing := t.find(c.Workspace, c.Key); existing != nil {
+		return existing.resultFor(c, now)
 	}
 	if result, ok := t.compactClaims.find(c); ok {
 		return result
@@ -119,7 +126,7 @@
 	if t.isFull(c.Workspace) {
 		return ClaimResult{Outcome: ClaimRefused, Verdict: verdict.NotRun}
 	}
-	deadline := age + min(LogicalTime(c.Deadline), MaxDeadline)
+	deadline := now + min(LogicalTime(c.Deadline), MaxDeadline)
 	t.insert(c.Workspace, &claim{
 		key:         c.Key,
 		digest:      c.Digest,
@@ -132,7 +139,8 @@
 	return ClaimResult{Outcome: ClaimGranted}
 }
 
-// isFull tells whether a workspace may not make another claim. The caller holds mu.
+// isFull reports whether the whole table or the workspace has reached its limit of
+// claims. The caller holds mu.
 func (t *claims) isFull(workspace string) bool {
 	if t.count >= t.maxClaims {
 		return true
@@ -141,32 +149,34 @@
 	return ws != nil && len(ws.byKey) >= t.maxPerWorkspace
 }
 
-// resultFor tells the state of a claim to one that asks for it. It never grants.
-func (c *claim) resultFor(asked Claim, age LogicalTime) ClaimResult {
+// resultFor returns the state of an existing claim to a request for the same key. It
+// never grants.
+func (c *claim) resultFor(request Claim, now LogicalTime) ClaimResult {
 	switch {
-	case c.digest != asked.Digest:
+	case c.digest != request.Digest:
 		return ClaimResult{Outcome: ClaimKeyReused, Verdict: verdict.NotRun}
 	case c.finished:
 		return ClaimResult{Outcome: ClaimFinished, Verdict: c.verdict, Answer: c.answer}
-	case age > c.deadline:
+	case now > c.deadline:
 		return ClaimResult{Outcome: ClaimUnknown, Verdict: verdict.MayHaveRun}
 	}
-	return ClaimResult{Outcome: ClaimInProgress, Verdict: verdict.MayHaveRun, Remaining: uint64(c.deadline - age)}
+	return ClaimResult{Outcome: ClaimInProgress, Verdict: verdict.MayHaveRun, Remaining: uint64(c.deadline - now)}
 }
 
-func (t *claims) finishBatch(b FinishClaims, age LogicalTime) FinishResult {
+func (t *claims) finishBatch(b FinishClaims, now LogicalTime) FinishResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	results := make([]FinishOutcome, 0, len(b.Finishes))
 	for _, f := range b.Finishes {
-		results = append(results, t.finish(f, age))
+		results = append(results, t.finish(f, now))
 	}
 	return FinishResult{Finishes: results}
 }
 
-// finish ends an attempt. What has ended stays so, but for an attempt that may
-// have run and turns out to have run. The caller holds mu.
-func (t *claims) finish(f Finish, age LogicalTime) FinishOutcome {
+// finish records the verdict of the attempt that holds the claim, and frees the key when
+// the call did not run. A recorded verdict is final, except that MayHaveRun may become
+// Ran. The caller holds mu.
+func (t *claims) finish(f Finish, now LogicalTime) FinishOutcome {
 	c := t.find(f.Workspace, f.Key)
 	if c == nil || c.attempt != f.Attempt || f.Verdict > verdict.Ran {
 		return FinishIgnored
@@ -179,19 +189,20 @@
 		return FinishFreed
 	}
 	if !c.finished {
-		c.finishedAt = age
+		c.finishedAt = now
 		t.awaitingCompaction = append(t.awaitingCompaction, finishedClaim{workspace: t.workspaces[f.Workspace], claim: c})
 	}
 	c.finished = true
 	c.verdict = f.Verdict
-	c.expires = max(c.expires, age+t.retention)
+	c.expires = max(c.expires, now+t.retention)
 	if f.Verdict == verdict.Ran {
 		t.recordResponse(c, f.Answer)
 	}
 	return FinishRecorded
 }
 
-// recordResponse keeps an answer where the bounds allow. The caller holds mu.
+// recordResponse stores the response of a call, unless it is too large or the recorded
+// bodies have reached their limit. The caller holds mu.
 func (t *claims) recordResponse(c *claim, a *RecordedResponse) {
 	if a == nil || len(a.Body) > MaxResponseBytes || len(a.ContentType) > MaxNameBytes {
 		return
@@ -203,7 +214,7 @@
 	t.recordedBytes += len(a.Body)
 }
 
-// find returns a claim or nil. The caller holds mu.
+// find returns the uncompacted claim of a key, or nil. The caller holds mu.
 func (t *claims) find(workspace, key string) *claim {
 	ws := t.workspaces[workspace]
 	if ws == nil {
@@ -212,7 +223,7 @@
 	return ws.byKey[key]
 }
 
-// insert adds a claim. The caller holds mu.
+// insert adds a claim and queues its expiry. The caller holds mu.
 func (t *claims) insert(workspace string, c *claim) {
 	ws := t.workspaces[workspace]
 	if ws == nil {
@@ -227,8 +238,8 @@
 	heap.Push(&t.expiryQueue, expiry{at: c.expires, workspace: ws, claim: c})
 }
 
-// remove drops a claim; its entry in the queue is dropped when it comes up. The
-// caller holds mu.
+// remove deletes a claim from the table. Its entry in the expiry queue is discarded when
+// it reaches the front. The caller holds mu.
 func (t *claims) remove(workspace string, c *claim) {
 	ws := t.workspaces[workspace]
 	delete(ws.byKey, c.key)
@@ -243,36 +254,38 @@
 	c.removed = true
 }
 
-// expire forgets the claims whose time has come, and returns how many. An entry
-// of the queue never lies after its claim's expiry, so a claim goes at the first
-// age that reaches it, also in tables that were restored in between.
-func (t *claims) expire(age LogicalTime) int {
+// expire deletes the claims that have expired by now, and returns how many. It also
+// compacts finished claims. An entry of the expiry queue is never later than its claim's
+// expiry, so a claim is deleted at the first logical time that reaches its expiry, and at
+// the same one in tables that were restored from a snapshot.
+func (t *claims) expire(now LogicalTime) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	expired := 0
-	for len(t.expiryQueue) > 0 && t.expiryQueue[0].at <= age {
+	for len(t.expiryQueue) > 0 && t.expiryQueue[0].at <= now {
 		e := heap.Pop(&t.expiryQueue).(expiry)
 		switch {
 		case e.claim.removed:
-		case e.claim.expires > age:
+		case e.claim.expires > now:
 			heap.Push(&t.expiryQueue, expiry{at: e.claim.expires, workspace: e.workspace, claim: e.claim})
 		default:
 			t.remove(e.workspace.name, e.claim)
 			expired++
 		}
 	}
-	t.compactFinished(age)
-	return expired + t.compactClaims.expire(age)
+	t.compactFinished(now)
+	return expired + t.compactClaims.expire(now)
 }
 
-// expiry is an entry of the expiry queue.
+// expiry is an entry of the expiry queue. The claim may expire later than the entry says,
+// since finishing a claim extends it without touching the queue.
 type expiry struct {
 	at        LogicalTime
 	workspace *workspaceClaims
 	claim     *claim
 }
 
-// expiryQueue is a heap by age.
+// expiryQueue is a heap of expiries, the earliest first.
 type expiryQueue []expiry
 
 // Len implements heap.Interface.
@@ -296,7 +309,7 @@
 	return e
 }
 
-// claimSnapshot is a claim in a snapshot.
+// claimSnapshot is the stored form of a claim in a snapshot.
 type claimSnapshot struct {
 	_           struct{} `cbor:",toarray"`
 	Workspace   string
@@ -313,8 +326,8 @@
 	FinishedAt  LogicalTime
 }
 
-// snapshotClaims returns the claims in no order; sortImages brings them into theirs, so
-// that the lock is not held while they are sorted.
+// snapshotClaims returns the uncompacted claims, unsorted. sortClaimSnapshots sorts them
+// later, without the lock.
 func (t *claims) snapshotClaims() []claimSnapshot {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -327,6 +340,7 @@
 	return list
 }
 
+// sortClaimSnapshots sorts by workspace and key, so that equal tables give equal bytes.
 func sortClaimSnapshots(list []claimSnapshot) {
 	slices.SortFunc(list, func(a, b claimSnapshot) int {
 		return cmp.Or(strings.Compare(a.Workspace, b.Workspace), strings.Compare(a.Key, b.Key))
@@ -350,40 +364,40 @@
 	}
 }
 
-// restore replaces the claims. The caller holds mu.
-func (t *claims) restore(list []claimSnapshot, settled []byte) {
+// restore replaces all claims, compact or not, by those of a snapshot. The caller holds mu.
+func (t *claims) restore(list []claimSnapshot, compacted []byte) {
 	t.clear()
-	t.compactClaims.restore(settled)
-	for _, i := range list {
+	t.compactClaims.restore(compacted)
+	for _, s := range list {
 		c := &claim{
-			key:         i.Key,
-			digest:      i.Digest,
-			attempt:     i.Attempt,
-			host:        i.Host,
-			incarnation: i.Incarnation,
-			deadline:    i.Deadline,
-			expires:     i.Expires,
-			finished:    i.Finished,
-			verdict:     i.Verdict,
-			answer:      i.Answer,
-			finishedAt:  i.FinishedAt,
+			key:         s.Key,
+			digest:      s.Digest,
+			attempt:     s.Attempt,
+			host:        s.Host,
+			incarnation: s.Incarnation,
+			deadline:    s.Deadline,
+			expires:     s.Expires,
+			finished:    s.Finished,
+			verdict:     s.Verdict,
+			answer:      s.Answer,
+			finishedAt:  s.FinishedAt,
 		}
-		t.insert(i.Workspace, c)
+		t.insert(s.Workspace, c)
 		if c.finished {
-			t.awaitingCompaction = append(t.awaitingCompaction, finishedClaim{workspace: t.workspaces[i.Workspace], claim: c})
+			t.awaitingCompaction = append(t.awaitingCompaction, finishedClaim{workspace: t.workspaces[s.Workspace], claim: c})
 		}
 	}
 	slices.SortFunc(t.awaitingCompaction, compareFinished)
 }
 
-// encodeCompactClaims returns the settled claims as a snapshot holds them.
+// encodeCompactClaims returns the compact claims in the form that a snapshot holds.
 func (t *claims) encodeCompactClaims() []byte {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.compactClaims.encode()
 }
 
-// ClaimCount returns how many claims are open or retained.
+// ClaimCount returns the number of claims, open or finished, compact or not.
 func (m *Machine) ClaimCount() int {
 	m.claims.mu.RLock()
 	defer m.claims.mu.RUnlock()
--- a/internal/state/cluster.go
+++ b/internal/state/cluster.go
@@ -9,25 +9,25 @@
 	"github.com/sassafraspost/sassafraspost/internal/consensus"
 )
 
-// VoterAddress tells where a replica of the log is reached.
+// VoterAddress is the network address of a replica of the log.
 type VoterAddress struct {
 	Replica consensus.ReplicaID `cbor:"1,keyasint"`
 	Host    string              `cbor:"2,keyasint"`
 	Address string              `cbor:"3,keyasint"`
 }
 
-// Cluster is what the tables know of the cluster.
+// Cluster describes the control cluster as the tables hold it.
 type Cluster struct {
-	// ID is empty until Init.
+	// ID is empty until an Init command was applied.
 	ID         string
 	Membership consensus.Membership
-	// Addresses are in the order of the replicas' names.
+	// Addresses are sorted by replica id.
 	Addresses []VoterAddress
 }
 
-// cluster is the table of the cluster's identity.
+// cluster is the table of the cluster's id, its members and their addresses.
 type cluster struct {
-	// mu guards all below.
+	// mu guards the fields below.
 	mu         sync.RWMutex
 	id         string
 	membership consensus.Membership
@@ -36,7 +36,7 @@
 
 func (c *cluster) init() { c.addresses = map[consensus.ReplicaID]VoterAddress{} }
 
-// setID sets the identity once.
+// setID sets the id of the cluster unless it has one.
 func (c *cluster) setID(id string) InitResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,8 +55,8 @@
 	return VoterAddressResult{Changed: changed}
 }
 
-// setMembership replaces the membership and forgets the addresses of replicas
-// that left it. A replica that has yet to join keeps its address.
+// setMembership replaces the membership and deletes the addresses of replicas that left
+// it. The address of a replica that has not joined yet stays.
 func (c *cluster) setMembership(members consensus.Membership) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +68,7 @@
 	c.membership = members.Clone()
 }
 
-// sortedAddresses returns the addresses by replica. The caller holds mu.
+// sortedAddresses returns the addresses sorted by replica id. The caller holds mu.
 func (c *cluster) sortedAddresses() []VoterAddress {
 	list := make([]VoterAddress, 0, len(c.addresses))
 	for _, a := range c.addresses {
@@ -80,7 +80,7 @@
 	return list
 }
 
-// restore replaces the table. The caller holds mu.
+// restore replaces the table by that of a snapshot. The caller holds mu.
 func (c *cluster) restore(id string, members consensus.Membership, addresses []VoterAddress) {
 	c.id = id
 	c.membership = members
@@ -90,7 +90,7 @@
 	}
 }
 
-// Cluster returns what the tables know of the cluster.
+// Cluster returns a copy of the cluster's id, membership and addresses.
 func (m *Machine) Cluster() Cluster {
 	m.cluster.mu.RLock()
 	defer m.cluster.mu.RUnlock()
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -8,16 +8,16 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// commandVersion is the version of the envelope and of the commands in it.
+// commandVersion is the version of the encoding of the envelope and its commands.
 const commandVersion = 1
 
-// commandKind names the command in an envelope. The numbers are part of the log's
-// format and never change.
+// commandKind identifies the type of the command in an envelope. The numbers are part of
+// the log's format and never change.
 type commandKind uint8
 
 const (
 	kindInit             commandKind = 1
-	kindAdvanceAge       commandKind = 2
+	kindAdvanceClock     commandKind = 2
 	kindSubmitDocument   commandKind = 3
 	kindClaimBatch       commandKind = 4
 	kindFinishClaims     commandKind = 5
@@ -25,45 +25,46 @@
 	kindPutConfiguration commandKind = 7
 )
 
-// envelope is the form of a command in the log.
+// envelope is the encoded form of a command in the log.
 type envelope struct {
 	Version uint8           `cbor:"1,keyasint"`
 	Kind    commandKind     `cbor:"2,keyasint"`
 	Body    cbor.RawMessage `cbor:"3,keyasint"`
 }
 
-// Command is one change of the tables: Init, AdvanceAge, SubmitDocument,
+// Command is one change of the tables: Init, AdvanceClock, SubmitDocument,
 // ClaimBatch, FinishClaims, SetVoterAddress or PutConfiguration.
 type Command interface {
 	kind() commandKind
 }
 
-// Init names the cluster. Only the first one is accepted.
+// Init sets the id of the cluster. Only the first Init is accepted.
 type Init struct {
-	// ClusterID is random, drawn by the proposer.
+	// ClusterID is a random id that the proposer generates.
 	ClusterID string `cbor:"1,keyasint"`
 	Author    string `cbor:"2,keyasint,omitempty"`
 	// At is the proposer's wall clock in Unix milliseconds, for display only.
 	At int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// AdvanceClock moves the age of the tables on by the time that the leader measured
-// with its monotonic clock.
+// AdvanceClock advances the logical clock of the tables by the time that the leader
+// measured with its monotonic clock, and expires what has reached its end.
 type AdvanceClock struct {
-	// Elapsed is in milliseconds; what exceeds MaxAdvance is not counted.
+	// Elapsed is in milliseconds and counts up to MaxAdvance.
 	Elapsed uint64 `cbor:"1,keyasint"`
-	// Retention is how long claims that come or end from here on are kept, in
-	// milliseconds, within MinRetention and MaxRetention; zero keeps the span in
-	// force. It stands in the log since the settings of two replicas may differ.
+	// Retention is how long claims that are made or finish from now on are kept, in
+	// milliseconds, within MinRetention and MaxRetention. Zero keeps the current
+	// value. It is part of the log because the settings of two replicas may differ.
 	Retention uint64 `cbor:"2,keyasint,omitempty"`
 }
 
 // SubmitDocument replaces the text of a document.
 type SubmitDocument struct {
 	Name string `cbor:"1,keyasint"`
-	// Base is the revision that the author has read; zero where there was none.
+	// Base is the revision that the author has read; zero for a new document. The
+	// submission conflicts unless it is the document's current revision.
 	Base uint64 `cbor:"2,keyasint,omitempty"`
-	// ChangeID names the change; the author resends under the same one.
+	// ChangeID identifies the change. The author resends it under the same id.
 	ChangeID string `cbor:"3,keyasint"`
 	Author   string `cbor:"4,keyasint"`
 	Text     string `cbor:"5,keyasint,omitempty"`
@@ -71,29 +72,30 @@
 	At int64 `cbor:"6,keyasint,omitempty"`
 }
 
-// Claim asks for the right to run a non-idempotent call.
+// Claim asks for the exclusive right to run a non-idempotent call.
 type Claim struct {
 	Workspace string `cbor:"1,keyasint"`
 	// Key is the caller's idempotency key.
 	Key string `cbor:"2,keyasint"`
-	// Digest is that of the request as received.
+	// Digest is the digest of the request as received. Another request under the same
+	// key is refused.
 	Digest [32]byte `cbor:"3,keyasint"`
-	// Attempt names this attempt; it is never used for another one.
+	// Attempt is the unique id of this attempt.
 	Attempt string `cbor:"4,keyasint"`
-	// Host and Incarnation name the process that will dispatch.
+	// Host and Incarnation identify the process that will dispatch the call.
 	Host        string `cbor:"5,keyasint,omitempty"`
 	Incarnation uint64 `cbor:"6,keyasint,omitempty"`
-	// Deadline is the span in milliseconds after which an open claim counts as
-	// unknown; what exceeds MaxDeadline is not counted.
+	// Deadline is the time in milliseconds after which the outcome of an open claim
+	// counts as unknown. It is limited to MaxDeadline.
 	Deadline uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// ClaimBatch carries the claims of many callers.
+// ClaimBatch carries the claims of many callers in one log entry.
 type ClaimBatch struct {
 	Claims []Claim `cbor:"1,keyasint"`
 }
 
-// RecordedResponse is the answer to a call that ran.
+// RecordedResponse is the HTTP response to a call that ran, kept to answer resends.
 type RecordedResponse struct {
 	// Status is the HTTP status code.
 	Status      int    `cbor:"1,keyasint"`
@@ -101,7 +103,7 @@
 	Body        []byte `cbor:"3,keyasint,omitempty"`
 }
 
-// Finish tells the end of an attempt.
+// Finish reports the outcome of an attempt that was granted a claim.
 type Finish struct {
 	Workspace string          `cbor:"1,keyasint"`
 	Key       string          `cbor:"2,keyasint"`
@@ -111,12 +113,12 @@
 	Answer *RecordedResponse `cbor:"5,keyasint,omitempty"`
 }
 
-// FinishClaims carries the ends of many attempts.
+// FinishClaims carries the outcomes of many attempts in one log entry.
 type FinishClaims struct {
 	Finishes []Finish `cbor:"1,keyasint"`
 }
 
-// SetVoterAddress tells where a replica of the log is reached.
+// SetVoterAddress sets the network address of a replica of the log.
 type SetVoterAddress struct {
 	Replica consensus.ReplicaID `cbor:"1,keyasint"`
 	Host    string              `cbor:"2,keyasint"`
@@ -127,13 +129,13 @@
 }
 
 func (Init) kind() commandKind            { return kindInit }
-func (AdvanceClock) kind() commandKind    { return kindAdvanceAge }
+func (AdvanceClock) kind() commandKind    { return kindAdvanceClock }
 func (SubmitDocument) kind() commandKind  { return kindSubmitDocument }
 func (ClaimBatch) kind() commandKind      { return kindClaimBatch }
 func (FinishClaims) kind() commandKind    { return kindFinishClaims }
 func (SetVoterAddress) kind() commandKind { return kindSetVoterAddress }
 
-// Encode returns the form of c in the log.
+// Encode returns the encoded form of c in the log.
 func Encode(c Command) ([]byte, error) {
 	body, err := encoding.Marshal(c)
 	if err != nil {
@@ -143,7 +145,7 @@
 	return data, errors.Wrap(err, "encode envelope")
 }
 
-// decode reads a command from the log.
+// decode decodes a command from the log, or returns why it is rejected.
 func decode(data []byte) (Command, *Rejected) {
 	if len(data) == 0 {
 		return nil, &Rejected{Reason: ReasonEmpty}
@@ -158,7 +160,7 @@
 	switch e.Kind {
 	case kindInit:
 		return decodeBody[Init](e.Body)
-	case kindAdvanceAge:
+	case kindAdvanceClock:
 		return decodeBody[AdvanceClock](e.Body)
 	case kindSubmitDocument:
 		return decodeBody[SubmitDocument](e.Body)
@@ -184,10 +186,10 @@
 
 var encoding, decoding = newModes()
 
-// maxElements bounds the elements of one array in a command or a snapshot.
+// maxElements is the maximum number of elements of an array in a command or a snapshot.
 const maxElements = 1 << 28
 
-// newModes returns the CBOR modes; the options are constant and valid.
+// newModes returns the CBOR modes. It panics on invalid options, which are constant.
 func newModes() (cbor.EncMode, cbor.DecMode) {
 	enc, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
--- a/internal/state/configuration.go
+++ b/internal/state/configuration.go
@@ -2,26 +2,26 @@
 
 import "sync"
 
-// MaxConfigurationBytes bounds the encoded form of a configuration.
+// MaxConfigurationBytes is the maximum length of an encoded configuration.
 const MaxConfigurationBytes = 8 << 20
 
-// Configuration is the routing configuration of the whole system. The tables do not
-// read it; who submits one has checked it.
+// Configuration is the routing configuration of the whole system. The tables store it
+// without decoding it; the proposer has validated it.
 type Configuration struct {
-	// Number is chosen by the operator. The highest one accepted is in force; it never
-	// falls. Zero means that there is none.
+	// Number is chosen by the operator and never decreases: the configuration with the
+	// highest accepted number is in force. Zero means that there is none.
 	Number uint64 `cbor:"1,keyasint,omitempty"`
-	// Data is the form that was submitted, byte for byte, in the encoding of the
-	// proposer.
+	// Data is the configuration as it was submitted, byte for byte, in the proposer's
+	// encoding.
 	Data []byte `cbor:"2,keyasint,omitempty"`
 }
 
-// PutConfiguration offers a configuration. It takes effect only where its number is
-// higher than the one held, so it may be applied any number of times.
+// PutConfiguration replaces the configuration if its number is higher than the current
+// one, so that applying it again has no effect.
 type PutConfiguration struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Data   []byte `cbor:"2,keyasint"`
-	// Author and At are for the audit trail; At is the proposer's wall clock in Unix
+	// Author and At go to the audit trail. At is the proposer's wall clock in Unix
 	// milliseconds.
 	Author string `cbor:"3,keyasint,omitempty"`
 	At     int64  `cbor:"4,keyasint,omitempty"`
@@ -31,24 +31,24 @@
 
 // ConfigurationResult is the result of PutConfiguration.
 type ConfigurationResult struct {
-	// Accepted tells that this command changed the configuration.
+	// Accepted is set if this command changed the configuration.
 	Accepted bool `cbor:"1,keyasint,omitempty"`
-	// Number is the one in force.
+	// Number is the number of the configuration in force.
 	Number uint64 `cbor:"2,keyasint"`
 }
 
 // configuration is the table of the configuration in force.
 type configuration struct {
-	// mu guards all below.
+	// mu guards the fields below.
 	mu      sync.RWMutex
 	current Configuration
-	// changed is closed and replaced at each new number.
+	// changed is closed and replaced whenever the configuration changes.
 	changed chan struct{}
 }
 
 func (c *configuration) init() { c.changed = make(chan struct{}) }
 
-// put takes a configuration with a higher number.
+// put replaces the configuration if the number is higher.
 func (c *configuration) put(p PutConfiguration) ConfigurationResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,28 +60,28 @@
 }
 
 // set replaces the configuration. The caller holds mu.
-func (c *configuration) set(held Configuration) {
-	c.current = held
+func (c *configuration) set(next Configuration) {
+	c.current = next
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// Configuration returns the one in force; its data must not be changed.
+// Configuration returns the configuration in force. Its data must not be changed.
 func (m *Machine) Configuration() Configuration {
 	m.configuration.mu.RLock()
 	defer m.configuration.mu.RUnlock()
 	return m.configuration.current
 }
 
-// ConfigurationChanged returns a channel that is closed at the next new number. Call it
-// before Configuration, so that no change is missed.
+// ConfigurationChanged returns a channel that is closed when the configuration changes
+// next. Call it before Configuration, so that no change is missed.
 func (m *Machine) ConfigurationChanged() <-chan struct{} {
 	m.configuration.mu.RLock()
 	defer m.configuration.mu.RUnlock()
 	return m.configuration.changed
 }
 
-// putConfiguration takes a configuration. The caller holds applyMu.
+// putConfiguration applies a PutConfiguration command. The caller holds applyMu.
 func (m *Machine) putConfiguration(index uint64, c PutConfiguration) any {
 	if c.Number == 0 || len(c.Author) > MaxNameBytes {
 		return Rejected{Reason: ReasonInvalidName}
--- a/internal/state/documents.go
+++ b/internal/state/documents.go
@@ -11,25 +11,25 @@
 // Document is one accepted document.
 type Document struct {
 	Name string `cbor:"1,keyasint"`
-	// Revision is the log index at which the text was accepted. It never falls.
+	// Revision is the index of the log entry that set the text. It never decreases.
 	Revision uint64 `cbor:"2,keyasint"`
 	Text     string `cbor:"3,keyasint,omitempty"`
 	Author   string `cbor:"4,keyasint"`
 	ChangeID string `cbor:"5,keyasint"`
-	// AcceptedLogicalTime is the age of the tables at acceptance.
+	// AcceptedLogicalTime is the time of the logical clock when the text was accepted.
 	AcceptedLogicalTime LogicalTime `cbor:"6,keyasint,omitempty"`
 	// At is the proposer's wall clock in Unix milliseconds, for display only.
 	At int64 `cbor:"7,keyasint,omitempty"`
 }
 
-// changeKey names a change.
+// changeKey identifies a change.
 type changeKey struct {
 	Name     string `cbor:"1,keyasint"`
 	Author   string `cbor:"2,keyasint"`
 	ChangeID string `cbor:"3,keyasint"`
 }
 
-// outcome is what a change came to the first time.
+// outcome is the result of a change's first submission, kept to answer a resend.
 type outcome struct {
 	Key         changeKey         `cbor:"1,keyasint"`
 	Digest      [sha256.Size]byte `cbor:"2,keyasint"`
@@ -42,15 +42,15 @@
 	maxOutcomes int
 	retention   LogicalTime
 
-	// mu guards all below.
+	// mu guards the fields below.
 	mu     sync.RWMutex
 	byName map[string]Document
-	// latestRevision is the newest revision.
+	// latestRevision is the newest revision of any document.
 	latestRevision uint64
-	// changed is closed and replaced at each new revision.
+	// changed is closed and replaced whenever a document changes.
 	changed  chan struct{}
 	outcomes map[changeKey]*outcome
-	// outcomeQueue holds the outcomes, the oldest first.
+	// outcomeQueue holds the same outcomes, the oldest first.
 	outcomeQueue []*outcome
 }
 
@@ -69,32 +69,35 @@
 	d.outcomeQueue = nil
 }
 
-// submit accepts a change, repeats its first outcome, or refuses it.
-func (d *documents) submit(index uint64, age LogicalTime, c SubmitDocument) SubmitResult {
+// submit accepts or refuses a change. A change that was submitted before gets its first
+// result again.
+func (d *documents) submit(index uint64, now LogicalTime, c SubmitDocument) SubmitResult {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	key := changeKey{Name: c.Name, Author: c.Author, ChangeID: c.ChangeID}
 	digest := sha256.Sum256([]byte(c.Text))
-	if first, ok := d.outcomes[key]; ok {
-		return d.repeatOutcome(first, digest)
+	if earlier, ok := d.outcomes[key]; ok {
+		return d.repeatOutcome(earlier, digest)
 	}
-	result := d.submitNew(index, age, c)
-	d.keepOutcome(&outcome{Key: key, Digest: digest, Result: result, LogicalTime: age})
+	result := d.submitNew(index, now, c)
+	d.keepOutcome(&outcome{Key: key, Digest: digest, Result: result, LogicalTime: now})
 	return result
 }
 
-// repeatOutcome answers a change that was sent before. The caller holds mu.
-func (d *documents) repeatOutcome(first *outcome, digest [sha256.Size]byte) SubmitResult {
-	result := first.Result
-	if first.Digest != digest {
-		result = SubmitResult{Outcome: SubmitChangeIDReused, Revision: d.byName[first.Key.Name].Revision}
+// repeatOutcome returns the result for a change id that was submitted before: the first
+// result, or SubmitChangeIDReused if the text differs. The caller holds mu.
+func (d *documents) repeatOutcome(earlier *outcome, digest [sha256.Size]byte) SubmitResult {
+	result := earlier.Result
+	if earlier.Digest != digest {
+		result = SubmitResult{Outcome: SubmitChangeIDReused, Revision: d.byName[earlier.Key.Name].Revision}
 	}
 	result.Repeated = true
 	return result
 }
 
-// submitNew answers a change that is new. The caller holds mu.
-func (d *documents) submitNew(index uint64, age LogicalTime, c SubmitDocument) SubmitResult {
+// submitNew accepts a change whose base is the current revision, and refuses another one.
+// The caller holds mu.
+func (d *documents) submitNew(index uint64, now LogicalTime, c SubmitDocument) SubmitResult {
 	current, exists := d.byName[c.Name]
 	if c.Base != current.Revision {
 		result := SubmitResult{Outcome: SubmitConflict, Revision: current.Revision}
@@ -109,7 +112,7 @@
 		Text:                c.Text,
 		Author:              c.Author,
 		ChangeID:            c.ChangeID,
-		AcceptedLogicalTime: age,
+		AcceptedLogicalTime: now,
 		At:                  c.At,
 	}
 	d.latestRevision = index
@@ -117,13 +120,13 @@
 	return SubmitResult{Outcome: SubmitAccepted, Revision: index}
 }
 
-// notify wakes all that wait for a change. The caller holds mu.
+// notify wakes all goroutines that wait for a change. The caller holds mu.
 func (d *documents) notify() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// keepOutcome keeps an outcome and drops the oldest beyond the bound. The caller holds mu.
+// keepOutcome stores an outcome and deletes the oldest beyond the limit. The caller holds mu.
 func (d *documents) keepOutcome(o *outcome) {
 	d.outcomes[o.Key] = o
 	d.outcomeQueue = append(d.outcomeQueue, o)
@@ -132,29 +135,29 @@
 	}
 }
 
-// expire drops the outcomes that are older than the retention.
-func (d *documents) expire(age LogicalTime) {
+// expire deletes the outcomes that are older than the retention.
+func (d *documents) expire(now LogicalTime) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for len(d.outcomeQueue) > 0 && d.outcomeQueue[0].LogicalTime+d.retention <= age {
+	for len(d.outcomeQueue) > 0 && d.outcomeQueue[0].LogicalTime+d.retention <= now {
 		d.dropOldest()
 	}
 }
 
-// dropOldest drops the first outcome of the queue. The caller holds mu.
+// dropOldest deletes the oldest outcome. The caller holds mu.
 func (d *documents) dropOldest() {
 	delete(d.outcomes, d.outcomeQueue[0].Key)
 	d.outcomeQueue[0] = nil
 	d.outcomeQueue = d.outcomeQueue[1:]
 }
 
-// sorted returns all documents in an order. The caller holds mu.
-func (d *documents) sorted(order func(a, b Document) int) []Document {
+// sorted returns all documents in the order that compare defines. The caller holds mu.
+func (d *documents) sorted(compare func(a, b Document) int) []Document {
 	list := make([]Document, 0, len(d.byName))
 	for _, doc := range d.byName {
 		list = append(list, doc)
 	}
-	slices.SortFunc(list, order)
+	slices.SortFunc(list, compare)
 	return list
 }
 
@@ -162,7 +165,7 @@
 
 func compareByRevision(a, b Document) int { return cmp.Compare(a.Revision, b.Revision) }
 
-// Document returns the document of that name.
+// Document returns a document by name, and whether it exists.
 func (m *Machine) Document(name string) (Document, bool) {
 	m.documents.mu.RLock()
 	defer m.documents.mu.RUnlock()
@@ -170,8 +173,8 @@
 	return doc, ok
 }
 
-// HasOutcome reports whether a change has come to an outcome that is still kept; a
-// resend of it then gets that one.
+// HasOutcome reports whether the outcome of a change is still kept. A resend of the change
+// then gets that outcome.
 func (m *Machine) HasOutcome(name, author, changeID string) bool {
 	m.documents.mu.RLock()
 	defer m.documents.mu.RUnlock()
@@ -179,14 +182,14 @@
 	return ok
 }
 
-// Documents returns all documents by name.
+// Documents returns all documents, sorted by name.
 func (m *Machine) Documents() []Document {
 	m.documents.mu.RLock()
 	defer m.documents.mu.RUnlock()
 	return m.documents.sorted(compareByName)
 }
 
-// DocumentsSince returns the documents with a revision above since, the lowest first.
+// DocumentsSince returns the documents with a revision above since, sorted by revision.
 func (m *Machine) DocumentsSince(since uint64) []Document {
 	m.documents.mu.RLock()
 	defer m.documents.mu.RUnlock()
@@ -197,23 +200,23 @@
 	return list[first:]
 }
 
-// DocumentsChanged returns a channel that is closed at the next new revision. Call it
-// before Changes, so that no revision falls in between.
+// DocumentsChanged returns a channel that is closed when a document changes next. Call it
+// before DocumentsSince, so that no change between the two calls is missed.
 func (m *Machine) DocumentsChanged() <-chan struct{} {
 	m.documents.mu.RLock()
 	defer m.documents.mu.RUnlock()
 	return m.documents.changed
 }
 
-// Fence returns the fencing number for orders to engines: the newest revision of
-// any document. It never falls.
+// Fence returns the fencing token for orders to engines: the newest revision of any
+// document. It never decreases.
 func (m *Machine) Fence() uint64 {
 	m.documents.mu.RLock()
 	defer m.documents.mu.RUnlock()
 	return m.documents.latestRevision
 }
 
-// describe returns the outcome for the audit trail.
+// describe returns the text of the outcome in the audit trail.
 func (r SubmitResult) describe() string {
 	if r.Repeated && r.Outcome != SubmitChangeIDReused {
 		return r.Outcome.String() + " (repeated)"
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -1,19 +1,20 @@
-// Package state holds the replicated tables: documents, claims of non-idempotent
-// calls, the cluster's identity and addresses, and the audit trail.
+// Package state implements the replicated tables: documents, claims of non-idempotent
+// calls, the routing configuration, the cluster's id and addresses, and the audit trail.
 //
-// The tables are a function of the log alone. They read no clock: their age moves
-// on by AdvanceAge commands, and all retention goes by that age. Options must be
-// the same on every replica.
+// The contents of the tables depend on the log alone. The tables read no clock: they have
+// a logical clock, which AdvanceClock commands advance, and everything expires by it.
+// Options must be the same on every replica.
 //
 // # Locks
 //
 // Apply, ApplyMembership, Snapshot and Restore are serialised by Machine.applyMu.
 // Each table has a lock of its own for concurrent readers. A goroutine that holds
-// one lock may only take a later one in the order
+// one lock may only take a lock that comes later in this order:
 //
 //	Machine.applyMu, documents.mu, claims.mu, cluster.mu, configuration.mu, audit.mu
 //
-// Readers take one lock at a time. Nothing is called out to while a lock is held.
+// Readers take one lock at a time. No code of other packages is called while a lock is
+// held, except the filter of History.
 package state
 
 import (
@@ -24,57 +25,59 @@
 	"github.com/sassafraspost/sassafraspost/internal/consensus"
 )
 
-// LogicalTime is the age of the tables in milliseconds. It moves only by AdvanceAge.
+// LogicalTime is a time of the tables' logical clock, or a duration by it, in milliseconds.
+// The clock starts at zero and advances only by AdvanceClock commands.
 type LogicalTime uint64
 
-// The bounds of one command.
+// The limits of one command.
 const (
-	// MaxAdvance is the most that one AdvanceAge counts.
+	// MaxAdvance is the most by which one AdvanceClock advances the logical clock.
 	MaxAdvance LogicalTime = 60_000
-	// MaxDeadline is the longest deadline of a claim.
+	// MaxDeadline is the longest time from a claim to its deadline.
 	MaxDeadline LogicalTime = 3_600_000
-	// MaxResponseBytes is the longest body that is recorded; a longer answer leaves
-	// the verdict only.
+	// MaxResponseBytes is the maximum length of a recorded response body. Of a longer
+	// response only the verdict is recorded.
 	MaxResponseBytes = 64 << 10
-	// MaxNameBytes bounds names, keys, authors and ids.
+	// MaxNameBytes is the maximum length of names, keys, authors and ids.
 	MaxNameBytes = 512
-	// MaxDocumentBytes bounds the text of a document.
+	// MaxDocumentBytes is the maximum length of a document's text.
 	MaxDocumentBytes = 4 << 20
 )
 
 const day LogicalTime = 24 * 3_600_000
 
-// The bounds of the retention that an AdvanceAge states.
+// The limits of the claim retention that an AdvanceClock sets.
 const (
 	MinRetention LogicalTime = 60_000
 	MaxRetention             = 30 * day
 )
 
-// Options bound what the tables retain. Zero means the default.
+// Options limits what the tables retain. Zero means the default.
 type Options struct {
 	// ClaimRetention is how long a claim is kept after it finished or passed its
-	// deadline, until an AdvanceAge states another span; the default is 24 hours.
+	// deadline, until an AdvanceClock sets another duration. The default is 24 hours.
 	ClaimRetention LogicalTime
-	// Claims bounds open and retained claims altogether, and with them the memory;
-	// the default is 150,000.
+	// Claims is the maximum number of uncompacted claims, open or finished, of all
+	// workspaces. It limits the memory. The default is 150,000.
 	Claims int
-	// ClaimsPerWorkspace bounds those of one workspace, so that it cannot take the
-	// room of the others; the default is 50,000.
+	// ClaimsPerWorkspace is the maximum number of uncompacted claims of one workspace,
+	// so that none can use up the limit of all. The default is 50,000.
 	ClaimsPerWorkspace int
-	// CompactAfter is how long after its end a call's claim is kept whole; then the
-	// answer goes, and the verdict is kept for the retention. The default is 10 minutes.
+	// CompactAfter is how long a finished claim is kept with its response. After that
+	// the claim is compacted: only its verdict and hashes of its key and its request are
+	// kept, for the rest of the retention. The default is 10 minutes.
 	CompactAfter LogicalTime
-	// CompactClaims bounds the claims kept in that short form; the default is 500,000.
+	// CompactClaims is the maximum number of compact claims. The default is 500,000.
 	CompactClaims int
-	// RecordedBytes bounds the recorded bodies altogether; an answer beyond it
-	// leaves the verdict only. The default is 32 MiB.
+	// RecordedBytes is the maximum total length of the recorded response bodies. Of a
+	// response that would exceed it only the verdict is recorded. The default is 32 MiB.
 	RecordedBytes int
-	// OutcomeRetention is how long the outcome of a change is kept for a resend;
-	// the default is 24 hours.
+	// OutcomeRetention is how long the outcome of a submission is kept to answer a
+	// resend. The default is 24 hours.
 	OutcomeRetention LogicalTime
-	// Outcomes bounds the outcomes kept; the default is 10,000.
+	// Outcomes is the maximum number of outcomes kept. The default is 10,000.
 	Outcomes int
-	// AuditRecords bounds the audit trail; the default is 10,000.
+	// AuditRecords is the maximum length of the audit trail. The default is 10,000.
 	AuditRecords int
 }
 
@@ -107,13 +110,13 @@
 	}
 }
 
-// Machine is the replicated tables.
+// Machine is the replicated state machine that holds the tables.
 type Machine struct {
 	options Options
 
-	// applyMu serialises all changes.
+	// applyMu serialises all changes of the tables.
 	applyMu sync.Mutex
-	// appliedIndex and age change only under applyMu.
+	// appliedIndex and logicalTime change only while applyMu is held.
 	appliedIndex atomic.Uint64
 	logicalTime  atomic.Uint64
 
@@ -124,7 +127,7 @@
 	audit         audit
 }
 
-// New returns empty tables.
+// New returns a Machine with empty tables.
 func New(o Options) *Machine {
 	m := &Machine{options: o.withDefaults()}
 	m.documents.init(m.options)
@@ -135,14 +138,14 @@
 	return m
 }
 
-// AppliedIndex returns the index of the last entry that was applied.
+// AppliedIndex returns the index of the last log entry that was applied.
 func (m *Machine) AppliedIndex() uint64 { return m.appliedIndex.Load() }
 
-// LogicalTime returns the age of the tables.
+// LogicalTime returns the time of the logical clock.
 func (m *Machine) LogicalTime() LogicalTime { return LogicalTime(m.logicalTime.Load()) }
 
-// Apply applies the command of the log entry index. The result is the typed one
-// of the command, or Rejected; it is the same on every replica.
+// Apply applies the command of the log entry at index. It returns the result type of the
+// command, or Rejected. The result is the same on every replica.
 func (m *Machine) Apply(index uint64, data []byte) any {
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
@@ -160,7 +163,7 @@
 	case AdvanceClock:
 		return m.advanceClock(c)
 	case SubmitDocument:
-		return m.submitDocument(index, c)
+		return m.submit(index, c)
 	case ClaimBatch:
 		return m.claims.claimBatch(c, m.LogicalTime())
 	case FinishClaims:
@@ -173,7 +176,7 @@
 	return Rejected{Reason: ReasonUnknownKind}
 }
 
-// ApplyMembership takes the membership of the log entry index into the tables.
+// ApplyMembership stores the membership of the log entry at index.
 func (m *Machine) ApplyMembership(index uint64, members consensus.Membership) {
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
@@ -191,17 +194,19 @@
 	})
 }
 
-// advanceClock moves the age on. The caller holds applyMu.
+// advanceClock advances the logical clock and deletes what has expired. The caller holds
+// applyMu.
 func (m *Machine) advanceClock(c AdvanceClock) ClockResult {
-	age := m.LogicalTime() + min(LogicalTime(c.Elapsed), MaxAdvance)
-	m.logicalTime.Store(uint64(age))
+	now := m.LogicalTime() + min(LogicalTime(c.Elapsed), MaxAdvance)
+	m.logicalTime.Store(uint64(now))
 	m.claims.setRetention(LogicalTime(c.Retention))
-	m.documents.expire(age)
-	return ClockResult{LogicalTime: age, Expired: m.claims.expire(age)}
+	m.documents.expire(now)
+	return ClockResult{LogicalTime: now, Expired: m.claims.expire(now)}
 }
 
-// submitDocument takes a document. The caller holds applyMu.
-func (m *Machine) submitDocument(index uint64, c SubmitDocument) any {
+// submit applies a SubmitDocument and records it in the audit trail. The caller holds
+// applyMu.
+func (m *Machine) submit(index uint64, c SubmitDocument) any {
 	if !validNames(c.Name, c.ChangeID, c.Author) {
 		return Rejected{Reason: ReasonInvalidName}
 	}
@@ -225,7 +230,7 @@
 	return result
 }
 
-// applyInit names the cluster. The caller holds applyMu.
+// applyInit applies an Init and records it in the audit trail. The caller holds applyMu.
 func (m *Machine) applyInit(index uint64, c Init) any {
 	if !validNames(c.ClusterID) || len(c.Author) > MaxNameBytes {
 		return Rejected{Reason: ReasonInvalidName}
@@ -243,7 +248,8 @@
 	return result
 }
 
-// setVoterAddress takes an address. The caller holds applyMu.
+// setVoterAddress applies a SetVoterAddress. Only a changed address is recorded in the
+// audit trail. The caller holds applyMu.
 func (m *Machine) setVoterAddress(index uint64, c SetVoterAddress) any {
 	if !validNames(string(c.Replica), c.Host, c.Address) || len(c.Author) > MaxNameBytes {
 		return Rejected{Reason: ReasonInvalidName}
--- a/internal/state/result.go
+++ b/internal/state/result.go
@@ -2,10 +2,10 @@
 
 import "github.com/sassafraspost/sassafraspost/internal/verdict"
 
-// Reason tells why a command had no effect at all.
+// Reason is the reason why a command was rejected. Control hosts send it to each other.
 type Reason string
 
-// The reasons of a rejection. Every replica finds the same one.
+// The reasons of a rejection. Every replica rejects a command for the same reason.
 const (
 	ReasonEmpty          Reason = "empty command"
 	ReasonMalformed      Reason = "malformed command"
@@ -16,34 +16,35 @@
 	ReasonTooLarge       Reason = "document is too large"
 )
 
-// Rejected is the result of a command that the tables cannot take.
+// Rejected is the result of an invalid command, which had no effect.
 type Rejected struct{ Reason Reason }
 
 // InitResult is the result of Init.
 type InitResult struct {
-	// Accepted tells that this command named the cluster.
+	// Accepted is set if this command set the id of the cluster.
 	Accepted bool
-	// ClusterID is the name in force.
+	// ClusterID is the id of the cluster, set by this command or an earlier one.
 	ClusterID string
 }
 
-// ClockResult is the result of AdvanceAge.
+// ClockResult is the result of AdvanceClock.
 type ClockResult struct {
+	// LogicalTime is the new time of the logical clock.
 	LogicalTime LogicalTime
-	// Expired counts the claims that were forgotten.
+	// Expired is the number of claims that expired and were deleted.
 	Expired int
 }
 
-// SubmitOutcome tells what became of a submission.
+// SubmitOutcome is the outcome of a submission.
 type SubmitOutcome uint8
 
 // The outcomes of a submission.
 const (
-	// SubmitAccepted: the text is in force, for good, until a later revision.
+	// SubmitAccepted: the text is durably in force until a later revision.
 	SubmitAccepted SubmitOutcome = iota + 1
-	// SubmitConflict: another change was accepted since the base.
+	// SubmitConflict: another change was accepted after the base revision.
 	SubmitConflict
-	// SubmitChangeIDReused: the change id was sent before with another text.
+	// SubmitChangeIDReused: the change id was submitted before with another text.
 	SubmitChangeIDReused
 )
 
@@ -56,7 +57,7 @@
 // String returns the form used in the audit trail.
 func (o SubmitOutcome) String() string { return submitOutcomeNames[o] }
 
-// Winner names the change that a conflicting submission met.
+// Winner identifies the accepted change that a submission conflicts with.
 type Winner struct {
 	Revision uint64 `cbor:"1,keyasint"`
 	Author   string `cbor:"2,keyasint,omitempty"`
@@ -66,33 +67,34 @@
 // SubmitResult is the result of SubmitDocument.
 type SubmitResult struct {
 	Outcome SubmitOutcome `cbor:"1,keyasint"`
-	// Revision is that of this change where it was accepted, and the one in force
-	// otherwise.
+	// Revision is the new revision if the change was accepted, and the document's
+	// current one otherwise.
 	Revision uint64 `cbor:"2,keyasint,omitempty"`
-	// Winner is set for a conflict with a document that exists.
+	// Winner is set for a conflict if the document exists.
 	Winner *Winner `cbor:"3,keyasint,omitempty"`
-	// Repeated tells that this is the first outcome of a change sent again.
+	// Repeated is set if the change was submitted before. The result is the one of the
+	// first submission, unless the change id was reused with another text.
 	Repeated bool `cbor:"-"`
 }
 
-// ClaimOutcome tells what became of a claim.
+// ClaimOutcome is the outcome of a request for a claim.
 type ClaimOutcome uint8
 
 // The outcomes of a claim.
 const (
-	// ClaimGranted: this attempt, and no other, may dispatch.
+	// ClaimGranted: this attempt, and no other, may dispatch the call.
 	ClaimGranted ClaimOutcome = iota + 1
-	// ClaimInProgress: another attempt holds the claim, within its deadline.
+	// ClaimInProgress: another attempt holds the claim and its deadline has not passed.
 	ClaimInProgress
-	// ClaimFinished: an attempt has ended; see Verdict and Answer.
+	// ClaimFinished: an earlier attempt has finished; see Verdict and Answer.
 	ClaimFinished
-	// ClaimUnknown: the attempt that holds the claim is past its deadline. It may
-	// have run.
+	// ClaimUnknown: the attempt that holds the claim did not finish by its deadline.
+	// The call may have run.
 	ClaimUnknown
-	// ClaimKeyReused: the key was used for another request.
+	// ClaimKeyReused: the key was used before for another request.
 	ClaimKeyReused
-	// ClaimRefused: there are too many claims, of the workspace or altogether, or a
-	// name of the claim is missing or too long. This request did not run.
+	// ClaimRefused: there are too many claims, in the workspace or in total, or a name
+	// in the claim is missing or too long. This request did not run.
 	ClaimRefused
 )
 
@@ -111,25 +113,26 @@
 // ClaimResult is the result of one claim.
 type ClaimResult struct {
 	Outcome ClaimOutcome
-	// Verdict tells of a finished claim whether the call ran.
+	// Verdict states whether the call of the claim ran.
 	Verdict verdict.Verdict
-	// Answer is that of a finished claim, where it was recorded. It is shared and
-	// must not be changed.
+	// Answer is the response to the call of a finished claim, if it was recorded. It is
+	// shared and must not be changed.
 	Answer *RecordedResponse
-	// Remaining is the span in milliseconds until a claim in progress counts as
-	// unknown.
+	// Remaining is the time in milliseconds until the deadline of a claim in progress,
+	// after which the outcome is ClaimUnknown.
 	Remaining uint64
 }
 
 // ClaimBatchResult is the result of ClaimBatch, in the order of the claims.
 type ClaimBatchResult struct{ Claims []ClaimResult }
 
-// FinishOutcome tells what became of a Finish.
+// FinishOutcome is the outcome of a Finish.
 type FinishOutcome uint8
 
 // The outcomes of a Finish.
 const (
-	// FinishIgnored: the attempt does not hold the claim, or it has ended already.
+	// FinishIgnored: the attempt does not hold the claim, or the claim has a final
+	// verdict already.
 	FinishIgnored FinishOutcome = iota + 1
 	// FinishRecorded: the verdict is recorded.
 	FinishRecorded
@@ -142,6 +145,6 @@
 
 // VoterAddressResult is the result of SetVoterAddress.
 type VoterAddressResult struct {
-	// Changed tells that another address was known, or none.
+	// Changed is set if the replica had another address before, or none.
 	Changed bool
 }
--- a/internal/state/settled.go
+++ b/internal/state/settled.go
@@ -13,30 +13,34 @@
 const (
 	compactKeyBytes    = 16
 	compactDigestBytes = 8
-	// compactClaimBytes is the length of a settled claim in a snapshot.
+	// compactClaimBytes is the length of a compact claim in a snapshot: key, digest,
+	// 8 bytes of expiry and 1 byte of verdict.
 	compactClaimBytes = compactKeyBytes + compactDigestBytes + 8 + 1
 )
 
-// compactKey is the short form of a workspace and a key: the start of their SHA-256.
+// compactKey identifies a workspace and an idempotency key by the first 16 bytes of their
+// SHA-256.
 type compactKey [compactKeyBytes]byte
 
-// compactClaim is what is kept of a claim some time after its call has ended: enough
-// to tell a resend that the call has run, or may have, and never to run it again. The
-// answer is not kept.
+// compactClaim is what is kept of a claim some time after its call finished. It is enough
+// to reject a resend of the call and say whether the call ran or may have run, so that the
+// call never runs again. The response is not kept.
 type compactClaim struct {
 	digest  [compactDigestBytes]byte
 	verdict verdict.Verdict
 	expires LogicalTime
 }
 
-// compactTable holds the settled claims. The lock of claims guards it.
+// compactTable holds the compact claims. claims.mu guards it.
 type compactTable struct {
 	maxClaims int
 	byKey     map[compactKey]compactClaim
-	// queue holds the keys in the order in which they were settled.
+	// queue holds the keys in the order in which their claims were compacted.
 	queue []compactKey
 }
 
+// newCompactKey hashes the length of the workspace first, so that moving a character from
+// the workspace to the key gives another hash.
 func newCompactKey(workspace, key string) compactKey {
 	h := sha256.New()
 	var length [8]byte
@@ -54,13 +58,14 @@
 
 func (s *compactTable) isFull() bool { return len(s.byKey) >= s.maxClaims }
 
-// find tells the state of a settled claim to one that asks for it.
-func (s *compactTable) find(asked Claim) (ClaimResult, bool) {
-	c, ok := s.byKey[newCompactKey(asked.Workspace, asked.Key)]
+// find returns the state of the compact claim of a key to a request for the same key. It
+// reports whether there is one.
+func (s *compactTable) find(request Claim) (ClaimResult, bool) {
+	c, ok := s.byKey[newCompactKey(request.Workspace, request.Key)]
 	if !ok {
 		return ClaimResult{}, false
 	}
-	if c.digest != [compactDigestBytes]byte(asked.Digest[:compactDigestBytes]) {
+	if c.digest != [compactDigestBytes]byte(request.Digest[:compactDigestBytes]) {
 		return ClaimResult{Outcome: ClaimKeyReused, Verdict: verdict.NotRun}, true
 	}
 	return ClaimResult{Outcome: ClaimFinished, Verdict: c.verdict}, true
@@ -71,11 +76,12 @@
 	s.queue = append(s.queue, k)
 }
 
-// expire forgets the claims whose time has come, and returns how many. One may wait for
-// those settled before it, where the retention was shortened or their calls had more time.
-func (s *compactTable) expire(age LogicalTime) int {
+// expire deletes the claims at the front of the queue that have expired by now, and returns
+// how many. A claim stays past its expiry while one that was compacted before it has not expired
+// yet, because the retention was shortened in between or that call had a longer deadline.
+func (s *compactTable) expire(now LogicalTime) int {
 	n := 0
-	for n < len(s.queue) && s.byKey[s.queue[n]].expires <= age {
+	for n < len(s.queue) && s.byKey[s.queue[n]].expires <= now {
 		delete(s.byKey, s.queue[n])
 		n++
 	}
@@ -83,7 +89,7 @@
 	return n
 }
 
-// encode returns the claims one after the other, in the order of the queue.
+// encode returns the claims as records of compactClaimBytes, in the order of the queue.
 func (s *compactTable) encode() []byte {
 	out := make([]byte, 0, len(s.queue)*compactClaimBytes)
 	for _, k := range s.queue {
@@ -96,7 +102,8 @@
 	return out
 }
 
-// restore takes what image returned; the length is that of whole claims.
+// restore replaces the claims by those that encode returned. The length of data must be a
+// multiple of compactClaimBytes.
 func (s *compactTable) restore(data []byte) {
 	s.clear()
 	for ; len(data) > 0; data = data[compactClaimBytes:] {
@@ -110,29 +117,31 @@
 	}
 }
 
-// finishedClaim is a claim whose call has ended, on its way to being settled.
+// finishedClaim is a claim whose call has finished and that is not yet compact.
 type finishedClaim struct {
 	workspace *workspaceClaims
 	claim     *claim
 }
 
-// compactFinished shortens the claims whose calls ended long enough ago, as long as there is
-// room. The order is that of the ends and, among equal ages, of the names, so that
-// all replicas settle the same ones. The caller holds mu.
-func (t *claims) compactFinished(age LogicalTime) {
-	due := 0
-	for due < len(t.awaitingCompaction) && t.awaitingCompaction[due].claim.finishedAt+t.compactAfter <= age {
-		due++
+// compactFinished replaces the claims that finished at least compactAfter ago by their
+// compact form, until the table of compact claims is full. It takes them by the time at
+// which they finished and then by workspace and key, so that every replica compacts the
+// same ones. The caller holds mu.
+func (t *claims) compactFinished(now LogicalTime) {
+	dueCount := 0
+	for dueCount < len(t.awaitingCompaction) && t.awaitingCompaction[dueCount].claim.finishedAt+t.compactAfter <= now {
+		dueCount++
 	}
-	batch := slices.DeleteFunc(slices.Clone(t.awaitingCompaction[:due]), func(e finishedClaim) bool { return e.claim.removed })
+	batch := slices.DeleteFunc(slices.Clone(t.awaitingCompaction[:dueCount]), func(e finishedClaim) bool { return e.claim.removed })
 	slices.SortFunc(batch, compareFinished)
 	n := 0
 	for ; n < len(batch) && !t.compactClaims.isFull(); n++ {
-		t.compactOne(batch[n], age)
+		t.compactOne(batch[n], now)
 	}
-	t.awaitingCompaction = append(batch[n:], t.awaitingCompaction[due:]...)
+	t.awaitingCompaction = append(batch[n:], t.awaitingCompaction[dueCount:]...)
 }
 
+// compareFinished orders by finish time, then by workspace and key.
 func compareFinished(a, b finishedClaim) int {
 	return cmp.Or(
 		cmp.Compare(a.claim.finishedAt, b.claim.finishedAt),
@@ -141,9 +150,11 @@
 	)
 }
 
-func (t *claims) compactOne(e finishedClaim, age LogicalTime) {
-	// A call that had much time and ended soon is promised more than the retention from now.
-	c := compactClaim{verdict: e.claim.verdict, expires: max(e.claim.expires, age+t.retention)}
+// compactOne replaces one claim by its compact form. The caller holds mu.
+func (t *claims) compactOne(e finishedClaim, now LogicalTime) {
+	// A call that finished long before its deadline expires later than one retention
+	// from now, and keeps that expiry.
+	c := compactClaim{verdict: e.claim.verdict, expires: max(e.claim.expires, now+t.retention)}
 	copy(c.digest[:], e.claim.digest[:])
 	t.compactClaims.add(newCompactKey(e.workspace.name, e.claim.key), c)
 	t.remove(e.workspace.name, e.claim)
--- a/internal/state/settled_test.go
+++ b/internal/state/settled_test.go
@@ -10,36 +10,35 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// A claim whose call ended some time ago is kept in short form: it frees room for
-// others and never lets the key run again within the retention. Without the look into
-// the settled claims this fails: the key is granted again.
+// Compacting a finished claim makes room for further claims. Its key must not be granted
+// again within the retention. It would be if only uncompacted claims were looked up.
 func TestCompactClaimIsNotGrantedAgain(t *testing.T) {
 	l := newLog(t, Options{ClaimRetention: 5000, CompactAfter: 1000, CompactClaims: 2, Claims: 3, ClaimsPerWorkspace: 3})
 	for _, key := range []string{"a", "b", "c"} {
 		require.Equal(t, ClaimGranted, l.claim(key, "1", 7).Outcome)
 		require.Equal(t, FinishRecorded, l.finish(key, "1", verdict.Ran, &RecordedResponse{Status: 201, Body: []byte("slot")}))
 	}
-	require.Equal(t, ClaimRefused, l.claim("d", "1", 7).Outcome, "the table is full")
+	require.Equal(t, ClaimRefused, l.claim("d", "1", 7).Outcome, "the limit of uncompacted claims is reached")
 	require.NotNil(t, l.claim("a", "2", 7).Answer)
 	l.apply(AdvanceClock{Elapsed: 1000})
 
 	require.Equal(t, 3, l.machine.ClaimCount())
 	require.Equal(t, ClaimResult{Outcome: ClaimFinished, Verdict: verdict.Ran}, l.claim("a", "2", 7))
 	require.Equal(t, ClaimKeyReused, l.claim("b", "2", 8).Outcome)
-	require.NotNil(t, l.claim("c", "2", 7).Answer, "the third had no room and is whole")
+	require.NotNil(t, l.claim("c", "2", 7).Answer, "the limit of compact claims is reached, so the third stays uncompacted")
 	require.Equal(t, FinishIgnored, l.finish("a", "1", verdict.NotRun, nil))
-	require.Equal(t, ClaimGranted, l.claim("d", "1", 7).Outcome, "there is room again")
+	require.Equal(t, ClaimGranted, l.claim("d", "1", 7).Outcome, "compaction made room")
 
-	image, err := l.machine.Snapshot()
+	snapshot, err := l.machine.Snapshot()
 	require.NoError(t, err)
-	require.NoError(t, l.machine.Restore(image))
+	require.NoError(t, l.machine.Restore(snapshot))
 	require.Equal(t, ClaimFinished, l.claim("a", "3", 7).Outcome)
-	again, err := l.machine.Snapshot()
+	second, err := l.machine.Snapshot()
 	require.NoError(t, err)
-	require.Equal(t, image[len(image)-2*compactClaimBytes:], again[len(again)-2*compactClaimBytes:])
+	require.Equal(t, snapshot[len(snapshot)-2*compactClaimBytes:], second[len(second)-2*compactClaimBytes:])
 
 	l.apply(AdvanceClock{Elapsed: 5000})
-	require.Equal(t, ClaimGranted, l.claim("a", "4", 7).Outcome, "the retention has ended")
+	require.Equal(t, ClaimGranted, l.claim("a", "4", 7).Outcome, "the retention has passed")
 }
 
 func BenchmarkCompactClaimMemory(b *testing.B) {
@@ -60,7 +59,7 @@
 	}
 }
 
-// What was set aside does not change with what is applied before it is encoded.
+// A capture is encoded while further commands are applied. They must not change it.
 func TestLaterCommandsDoNotChangeACapture(t *testing.T) {
 	l := newLog(t, Options{})
 	require.Equal(t, ClaimGranted, l.claim("a", "1", 7).Outcome)
@@ -75,18 +74,18 @@
 	require.Equal(t, want, got)
 }
 
-// A claim in its short form is kept no less long than it was whole: one that allowed its call
-// much time and ended soon was forgotten before its retention had passed, and its key could run
-// again.
+// Compaction must not shorten the time for which a claim is kept: the retention after its
+// deadline, even if it finished long before. Otherwise its key would be granted again too early,
+// and the call could run twice.
 func TestCompactionDoesNotShortenRetention(t *testing.T) {
 	l := newLog(t, smallOptions)
 	const deadline = 1217
 	c := Claim{Workspace: "w", Key: "k", Attempt: "p", Deadline: deadline}
 	require.Equal(t, ClaimGranted, l.apply(ClaimBatch{Claims: []Claim{c}}).(ClaimBatchResult).Claims[0].Outcome)
 	require.Equal(t, FinishRecorded, l.finish("k", "p", verdict.MayHaveRun, nil))
-	promised := uint64(deadline + smallOptions.ClaimRetention)
+	expires := uint64(deadline + smallOptions.ClaimRetention)
 	l.apply(AdvanceClock{Elapsed: uint64(smallOptions.CompactAfter)})
-	l.apply(AdvanceClock{Elapsed: promised - uint64(smallOptions.CompactAfter) - 1})
+	l.apply(AdvanceClock{Elapsed: expires - uint64(smallOptions.CompactAfter) - 1})
 	require.Equal(t, ClaimFinished, l.apply(ClaimBatch{Claims: []Claim{c}}).(ClaimBatchResult).Claims[0].Outcome)
 	l.apply(AdvanceClock{Elapsed: 1})
 	require.Equal(t, ClaimGranted, l.apply(ClaimBatch{Claims: []Claim{c}}).(ClaimBatchResult).Claims[0].Outcome)
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -6,10 +6,11 @@
 	"github.com/sassafraspost/sassafraspost/internal/consensus"
 )
 
+// snapshotVersion is the version of the encoding of snapshots.
 const snapshotVersion = 1
 
-// snapshot is the form of the tables in a snapshot. The order of every list is fixed,
-// so equal tables give equal bytes.
+// snapshot is the stored form of all tables. The order of every list is fixed, so that
+// equal tables give equal bytes.
 type snapshot struct {
 	Version      uint8                `cbor:"1,keyasint"`
 	AppliedIndex uint64               `cbor:"2,keyasint"`
@@ -22,103 +23,103 @@
 	Membership   consensus.Membership `cbor:"9,keyasint"`
 	Addresses    []VoterAddress       `cbor:"10,keyasint"`
 	Audit        []AuditRecord        `cbor:"11,keyasint"`
-	// Retention is that of claims; zero in images of older builds.
+	// Retention is the claim retention; zero in snapshots of older builds.
 	Retention LogicalTime `cbor:"12,keyasint,omitempty"`
-	// CompactClaims are the settled claims, in the order in which they expire.
+	// CompactClaims are the encoded compact claims in the order of their compaction.
 	CompactClaims []byte `cbor:"13,keyasint,omitempty"`
-	// Configuration is zero in images of older builds.
+	// Configuration is zero in snapshots of older builds.
 	Configuration Configuration `cbor:"14,keyasint,omitempty"`
 }
 
-// Snapshot returns the tables after the last applied entry.
+// Snapshot returns the encoded tables after the last applied log entry.
 func (m *Machine) Snapshot() ([]byte, error) { return m.Capture()() }
 
-// Capture sets the tables after the last applied entry aside. Changes wait only while
-// they are copied; texts and answers are shared, not copied. What it returns sorts and
-// encodes the copy, beside the changes that come after.
+// Capture copies the tables after the last applied log entry. Changes are blocked only
+// during the copy; texts and response bodies are shared, not copied. The returned function
+// sorts and encodes the copy, and may run concurrently with later changes.
 func (m *Machine) Capture() (encode func() ([]byte, error)) {
-	i := m.capture()
+	s := m.capture()
 	return func() ([]byte, error) {
-		sortClaimSnapshots(i.Claims)
-		data, err := encoding.Marshal(i)
+		sortClaimSnapshots(s.Claims)
+		data, err := encoding.Marshal(s)
 		return data, errors.Wrap(err, "encode tables")
 	}
 }
 
-// capture copies the tables.
+// capture copies the tables under their locks.
 func (m *Machine) capture() snapshot {
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
-	i := snapshot{Version: snapshotVersion, AppliedIndex: m.AppliedIndex(), LogicalTime: m.LogicalTime()}
-	m.documents.capture(&i)
-	i.Claims = m.claims.snapshotClaims()
-	i.CompactClaims = m.claims.encodeCompactClaims()
-	i.Retention = m.claims.currentRetention()
-	m.cluster.capture(&i)
-	i.Configuration = m.Configuration()
-	m.audit.capture(&i)
-	return i
+	s := snapshot{Version: snapshotVersion, AppliedIndex: m.AppliedIndex(), LogicalTime: m.LogicalTime()}
+	m.documents.capture(&s)
+	s.Claims = m.claims.snapshotClaims()
+	s.CompactClaims = m.claims.encodeCompactClaims()
+	s.Retention = m.claims.currentRetention()
+	m.cluster.capture(&s)
+	s.Configuration = m.Configuration()
+	m.audit.capture(&s)
+	return s
 }
 
-func (d *documents) capture(i *snapshot) {
+func (d *documents) capture(s *snapshot) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	i.Fence = d.latestRevision
-	i.Documents = d.sorted(compareByName)
-	i.Outcomes = make([]outcome, 0, len(d.outcomeQueue))
+	s.Fence = d.latestRevision
+	s.Documents = d.sorted(compareByName)
+	s.Outcomes = make([]outcome, 0, len(d.outcomeQueue))
 	for _, o := range d.outcomeQueue {
-		i.Outcomes = append(i.Outcomes, *o)
+		s.Outcomes = append(s.Outcomes, *o)
 	}
 }
 
-func (c *cluster) capture(i *snapshot) {
+func (c *cluster) capture(s *snapshot) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	i.ClusterID = c.id
-	i.Membership = c.membership.Clone()
-	i.Addresses = c.sortedAddresses()
+	s.ClusterID = c.id
+	s.Membership = c.membership.Clone()
+	s.Addresses = c.sortedAddresses()
 }
 
-func (a *audit) capture(i *snapshot) {
+func (a *audit) capture(s *snapshot) {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
-	i.Audit = a.ordered()
+	s.Audit = a.ordered()
 }
 
-// Restore replaces the tables by those of a snapshot. A snapshot that cannot be
-// read, or that is older than the tables, is refused without effect.
+// Restore replaces the tables by those of a snapshot. A snapshot that cannot be decoded,
+// or that is older than the tables, is refused without effect.
 func (m *Machine) Restore(data []byte) error {
-	var i snapshot
-	if err := decoding.Unmarshal(data, &i); err != nil {
+	var s snapshot
+	if err := decoding.Unmarshal(data, &s); err != nil {
 		return errors.Wrap(err, "decode tables")
 	}
-	if i.Version != snapshotVersion {
-		return errors.Errorf("unknown version %d of tables", i.Version)
+	if s.Version != snapshotVersion {
+		return errors.Errorf("unknown version %d of tables", s.Version)
 	}
-	if len(i.CompactClaims)%compactClaimBytes != 0 {
-		return errors.New("settled claims have a broken length")
+	if len(s.CompactClaims)%compactClaimBytes != 0 {
+		return errors.New("compact claims are not a whole number of records")
 	}
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
-	if i.AppliedIndex < m.AppliedIndex() {
-		return errors.Errorf("snapshot of entry %d is older than entry %d", i.AppliedIndex, m.AppliedIndex())
+	if s.AppliedIndex < m.AppliedIndex() {
+		return errors.Errorf("snapshot of entry %d is older than entry %d", s.AppliedIndex, m.AppliedIndex())
 	}
 	m.lockTables()
 	defer m.unlockTables()
-	m.documents.restore(i.Documents, i.Outcomes, i.Fence)
-	if i.Retention > 0 {
-		m.claims.retention = i.Retention
+	m.documents.restore(s.Documents, s.Outcomes, s.Fence)
+	if s.Retention > 0 {
+		m.claims.retention = s.Retention
 	}
-	m.claims.restore(i.Claims, i.CompactClaims)
-	m.cluster.restore(i.ClusterID, i.Membership, i.Addresses)
-	m.configuration.set(i.Configuration)
-	m.audit.restore(i.Audit)
-	m.logicalTime.Store(uint64(i.LogicalTime))
-	m.appliedIndex.Store(i.AppliedIndex)
+	m.claims.restore(s.Claims, s.CompactClaims)
+	m.cluster.restore(s.ClusterID, s.Membership, s.Addresses)
+	m.configuration.set(s.Configuration)
+	m.audit.restore(s.Audit)
+	m.logicalTime.Store(uint64(s.LogicalTime))
+	m.appliedIndex.Store(s.AppliedIndex)
 	return nil
 }
 
-// lockTables takes the locks of all tables in their order.
+// lockTables takes the locks of all tables in the order that the package comment states.
 func (m *Machine) lockTables() {
 	m.documents.mu.Lock()
 	m.claims.mu.Lock()
@@ -135,8 +136,8 @@
 	m.documents.mu.Unlock()
 }
 
-// restore replaces the table. The caller holds mu.
-func (d *documents) restore(list []Document, outcomes []outcome, fence uint64) {
+// restore replaces the table by that of a snapshot. The caller holds mu.
+func (d *documents) restore(list []Document, outcomes []outcome, latestRevision uint64) {
 	d.clear()
 	for _, doc := range list {
 		d.byName[doc.Name] = doc
@@ -144,6 +145,6 @@
 	for _, o := range outcomes {
 		d.keepOutcome(&o)
 	}
-	d.latestRevision = fence
+	d.latestRevision = latestRevision
 	d.notify()
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -14,6 +14,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
+// smallOptions has limits that a few commands reach.
 var smallOptions = Options{
 	ClaimRetention:     3000,
 	CompactAfter:       1000,
@@ -26,7 +27,7 @@
 	AuditRecords:       5,
 }
 
-// testLog applies commands at rising indexes.
+// testLog encodes commands and applies them at consecutive log indexes.
 type testLog struct {
 	t       testing.TB
 	machine *Machine
@@ -52,13 +53,15 @@
 	return l.apply(FinishClaims{Finishes: []Finish{f}}).(FinishResult).Finishes[0]
 }
 
+// drawCommand draws a command from few names and keys, so that commands often concern the
+// same document or claim.
 func drawCommand(t *rapid.T, revisions []uint64) Command {
-	pick := func(label string, values ...string) string { return rapid.SampledFrom(values).Draw(t, label) }
+	draw := func(label string, values ...string) string { return rapid.SampledFrom(values).Draw(t, label) }
 	switch rapid.IntRange(0, 9).Draw(t, "kind") {
 	case 0:
-		return Init{ClusterID: pick("cluster", "c1", "c2")}
+		return Init{ClusterID: draw("cluster", "c1", "c2")}
 	case 1:
-		return SetVoterAddress{Replica: consensus.ReplicaID(pick("replica", "a/1", "b/2")), Host: "h", Address: pick("address", "1", "2")}
+		return SetVoterAddress{Replica: consensus.ReplicaID(draw("replica", "a/1", "b/2")), Host: "h", Address: draw("address", "1", "2")}
 	case 2, 3:
 		return AdvanceClock{
 			Elapsed:   rapid.Uint64Range(0, 1500).Draw(t, "elapsed"),
@@ -66,19 +69,19 @@
 		}
 	case 4, 5:
 		return SubmitDocument{
-			Name:     pick("name", "d1", "d2"),
+			Name:     draw("name", "d1", "d2"),
 			Base:     rapid.SampledFrom(revisions[max(0, len(revisions)-3):]).Draw(t, "base"),
-			ChangeID: pick("change", "x", "y", "z"),
-			Author:   pick("author", "ann", "bob"),
-			Text:     pick("text", "", "one", "two"),
+			ChangeID: draw("change", "x", "y", "z"),
+			Author:   draw("author", "ann", "bob"),
+			Text:     draw("text", "", "one", "two"),
 		}
 	case 6, 7:
 		var b ClaimBatch
 		for range rapid.IntRange(1, 3).Draw(t, "claims") {
 			b.Claims = append(b.Claims, Claim{
-				Workspace: pick("workspace", "v", "w"),
-				Key:       pick("key", "1", "2", "3", "4"),
-				Attempt:   pick("attempt", "p", "q"),
+				Workspace: draw("workspace", "v", "w"),
+				Key:       draw("key", "1", "2", "3", "4"),
+				Attempt:   draw("attempt", "p", "q"),
 				Digest:    [32]byte{byte(rapid.IntRange(0, 1).Draw(t, "digest"))},
 				Deadline:  rapid.Uint64Range(0, 4000).Draw(t, "deadline"),
 			})
@@ -86,9 +89,9 @@
 		return b
 	}
 	f := Finish{
-		Workspace: pick("workspace", "v", "w"),
-		Key:       pick("key", "1", "2", "3", "4"),
-		Attempt:   pick("attempt", "p", "q"),
+		Workspace: draw("workspace", "v", "w"),
+		Key:       draw("key", "1", "2", "3", "4"),
+		Attempt:   draw("attempt", "p", "q"),
 		Verdict:   verdict.Verdict(rapid.IntRange(0, 3).Draw(t, "verdict")),
 	}
 	if rapid.Bool().Draw(t, "answered") {
@@ -97,57 +100,59 @@
 	return FinishClaims{Finishes: []Finish{f}}
 }
 
-// TestSnapshotKeepsResultsAndState: tables that are snapshot and restored at any
-// points give the same results and end in the same state.
+// A replica that restores snapshots at random points must return the same results and
+// produce the same snapshots as one that never restores. Otherwise replicas would diverge.
 func TestSnapshotAndRestorePreserveResultsAndState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		straight, split := New(smallOptions), New(smallOptions)
+		reference, restored := New(smallOptions), New(smallOptions)
 		revisions := []uint64{0}
 		for i := uint64(1); i <= uint64(rapid.IntRange(1, 40).Draw(t, "commands")); i++ {
 			command := drawCommand(t, revisions)
 			data, err := Encode(command)
 			require.NoError(t, err)
-			want := straight.Apply(i, data)
-			require.Equal(t, want, split.Apply(i, data))
+			want := reference.Apply(i, data)
+			require.Equal(t, want, restored.Apply(i, data))
 			if r, ok := want.(SubmitResult); ok {
 				revisions = append(revisions, r.Revision)
 			}
-			image, err := straight.Snapshot()
+			snapshot, err := reference.Snapshot()
 			require.NoError(t, err)
-			other, err := split.Snapshot()
+			other, err := restored.Snapshot()
 			require.NoError(t, err)
-			require.Equal(t, image, other)
+			require.Equal(t, snapshot, other)
 			if rapid.IntRange(0, 3).Draw(t, "split") == 0 {
-				split = New(smallOptions)
-				require.NoError(t, split.Restore(other))
-				require.Equal(t, straight.Fence(), split.Fence())
+				restored = New(smallOptions)
+				require.NoError(t, restored.Restore(other))
+				require.Equal(t, reference.Fence(), restored.Fence())
 			}
 		}
 	})
 }
 
+// grantedClaim is the claim that the test expects a key to have.
 type grantedClaim struct {
 	attempt       string
 	retainedUntil LogicalTime
 }
 
-// TestRevisionsNeverDecreaseAndClaimsAreGrantedOnce checks both over any history, in which
-// old entries and old snapshots come again. A key is granted again only after a
-// NotRun finish of the attempt that holds it, or once its retention has passed.
+// Revisions must never decrease and a key must not be granted twice, also when old log
+// entries and old snapshots are applied again. A key may be granted again only after its
+// attempt finished with NotRun or its retention has passed; otherwise a non-idempotent call
+// would run twice.
 func TestRevisionsNeverDecreaseAndClaimsAreGrantedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(smallOptions)
 		revisions := []uint64{0}
-		seen := map[string]uint64{}
-		held := map[[2]string]grantedClaim{}
+		lastRevision := map[string]uint64{}
+		granted := map[[2]string]grantedClaim{}
 		entries := [][]byte{nil}
-		images := [][]byte{nil}
+		snapshots := [][]byte{nil}
 		for i := uint64(1); i <= 40; i++ {
-			again := rapid.IntRange(0, int(i)-1).Draw(t, "again")
-			if again > 0 && rapid.Bool().Draw(t, "old entry") {
-				m.Apply(uint64(again), entries[again])
-			} else if again > 0 && again < int(i)-1 {
-				require.Error(t, m.Restore(images[again]))
+			old := rapid.IntRange(0, int(i)-1).Draw(t, "again")
+			if old > 0 && rapid.Bool().Draw(t, "old entry") {
+				m.Apply(uint64(old), entries[old])
+			} else if old > 0 && old < int(i)-1 {
+				require.Error(t, m.Restore(snapshots[old]))
 			}
 			command := drawCommand(t, revisions)
 			data, err := Encode(command)
@@ -161,32 +166,34 @@
 						continue
 					}
 					key := [2]string{c.Workspace, c.Key}
-					if g, ok := held[key]; ok {
+					if g, ok := granted[key]; ok {
 						require.GreaterOrEqual(t, m.LogicalTime(), g.retainedUntil, "granted twice")
 					}
-					held[key] = grantedClaim{c.Attempt, m.LogicalTime() + LogicalTime(c.Deadline) + smallOptions.ClaimRetention}
+					granted[key] = grantedClaim{c.Attempt, m.LogicalTime() + LogicalTime(c.Deadline) + smallOptions.ClaimRetention}
 				}
 			case FinishResult:
 				f := command.(FinishClaims).Finishes[0]
 				key := [2]string{f.Workspace, f.Key}
 				if result.Finishes[0] == FinishFreed {
-					require.Equal(t, held[key].attempt, f.Attempt, "freed by another attempt")
+					require.Equal(t, granted[key].attempt, f.Attempt, "freed by another attempt")
 					require.Equal(t, verdict.NotRun, f.Verdict)
-					delete(held, key)
+					delete(granted, key)
 				}
 			}
 			for _, doc := range m.Documents() {
-				require.GreaterOrEqual(t, doc.Revision, seen[doc.Name], "revision fell")
+				require.GreaterOrEqual(t, doc.Revision, lastRevision[doc.Name], "revision decreased")
 				require.LessOrEqual(t, doc.Revision, m.Fence())
-				seen[doc.Name] = doc.Revision
+				lastRevision[doc.Name] = doc.Revision
 			}
-			image, err := m.Snapshot()
+			snapshot, err := m.Snapshot()
 			require.NoError(t, err)
-			entries, images = append(entries, data), append(images, image)
+			entries, snapshots = append(entries, data), append(snapshots, snapshot)
 		}
 	})
 }
 
+// Two replicas must return the same result for a log entry of arbitrary bytes, and must count
+// the entry as applied. Otherwise they would diverge.
 func TestApplyIsDeterministicForArbitraryBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := rapid.SliceOf(rapid.Byte()).Draw(t, "data")
@@ -207,7 +214,7 @@
 	body, err := encoding.Marshal(AdvanceClock{Elapsed: 5})
 	require.NoError(t, err)
 	for want, e := range map[Reason]envelope{
-		ReasonUnknownVersion: {Version: commandVersion + 1, Kind: kindAdvanceAge, Body: body},
+		ReasonUnknownVersion: {Version: commandVersion + 1, Kind: kindAdvanceClock, Body: body},
 		ReasonUnknownKind:    {Version: commandVersion, Kind: 99, Body: body},
 	} {
 		data, err := encoding.Marshal(e)
@@ -239,7 +246,7 @@
 	carl := SubmitDocument{Name: "d", Base: 1, ChangeID: "z", Author: "carl", Text: "three"}
 	require.Equal(t, SubmitResult{Outcome: SubmitAccepted, Revision: 3}, l.apply(carl))
 	<-changed
-	// A resend returns the first outcome whatever happened since.
+	// A resend gets the result of the first submission, although the document has changed.
 	require.Equal(t, SubmitResult{Outcome: SubmitAccepted, Revision: 1, Repeated: true}, l.apply(ann))
 	conflict.Repeated = true
 	require.Equal(t, conflict, l.apply(bob))
@@ -273,7 +280,7 @@
 	for i := range smallOptions.Outcomes {
 		submit(fmt.Sprint(i + 1))
 	}
-	require.Equal(t, SubmitConflict, submit("0").Outcome, "forgotten by count, and then judged by its base")
+	require.Equal(t, SubmitConflict, submit("0").Outcome, "the oldest outcome is dropped beyond the limit, so the resend counts as a new change")
 	require.True(t, submit("0").Repeated)
 	l.apply(AdvanceClock{Elapsed: uint64(smallOptions.OutcomeRetention)})
 	require.False(t, submit("0").Repeated)
@@ -304,8 +311,8 @@
 	require.Equal(t, FinishIgnored, l.finish("k", "b", verdict.NotRun, nil))
 }
 
-// TestFreedClaimLeavesItsSuccessor: the queue still holds a freed claim, whose
-// expiry must not touch the one that took the key after it.
+// A freed claim stays in the expiry queue. When that entry comes up, the next claim of the same
+// key must not be deleted.
 func TestExpiryOfFreedClaimKeepsNextClaim(t *testing.T) {
 	l := newLog(t, smallOptions)
 	l.claim("k", "a", 1)
@@ -317,17 +324,18 @@
 	require.Equal(t, ClockResult{LogicalTime: 6000, Expired: 1}, l.apply(AdvanceClock{Elapsed: 2000}))
 }
 
-// TestRestoredClaimsExpireAlike: a claim that finished long before its deadline
-// goes at the same age in tables that were restored, and bounds count alike.
+// Claims must expire at the same logical time on a replica that restored a snapshot, and count
+// towards the same limits. The expiry queue is rebuilt there, so its entries differ for a claim
+// that finished long before its deadline.
 func TestRestoredClaimsExpireAtTheSameTime(t *testing.T) {
 	l := newLog(t, smallOptions)
 	c := Claim{Workspace: "w", Key: "k", Attempt: "a", Deadline: 10_000}
 	l.apply(ClaimBatch{Claims: []Claim{c}})
 	require.Equal(t, FinishRecorded, l.finish("k", "a", verdict.Ran, &RecordedResponse{Body: make([]byte, 30)}))
-	image, err := l.machine.Snapshot()
+	snapshot, err := l.machine.Snapshot()
 	require.NoError(t, err)
 	restored := &testLog{t: t, machine: New(smallOptions), index: l.index}
-	require.NoError(t, restored.machine.Restore(image))
+	require.NoError(t, restored.machine.Restore(snapshot))
 	for i := range 5 {
 		advance := AdvanceClock{Elapsed: uint64(smallOptions.ClaimRetention)}
 		require.Equal(t, l.apply(advance), restored.apply(advance))
@@ -352,7 +360,7 @@
 		require.Equal(t, ClaimGranted, l.claim(fmt.Sprint(i), "a", 1).Outcome)
 	}
 	require.Equal(t, ClaimResult{Outcome: ClaimRefused, Verdict: verdict.NotRun}, l.claim("more", "a", 1))
-	require.Equal(t, ClaimInProgress, l.claim("0", "b", 1).Outcome, "a known key is answered all the same")
+	require.Equal(t, ClaimInProgress, l.claim("0", "b", 1).Outcome, "a key that has a claim is answered although the limit is reached")
 	body := make([]byte, smallOptions.RecordedBytes-10)
 	require.Equal(t, FinishRecorded, l.finish("0", "a", verdict.Ran, &RecordedResponse{Body: body}))
 	require.Equal(t, FinishRecorded, l.finish("1", "a", verdict.Ran, &RecordedResponse{Body: body}))
@@ -364,12 +372,12 @@
 	}
 	results := l.apply(other).(ClaimBatchResult).Claims
 	require.Equal(t, ClaimGranted, results[1].Outcome)
-	require.Equal(t, ClaimRefused, results[2].Outcome, "too many altogether")
+	require.Equal(t, ClaimRefused, results[2].Outcome, "the limit of all workspaces is reached")
 	require.Equal(t, smallOptions.Claims, l.machine.ClaimCount())
-	wide := newLog(t, Options{})
-	wide.claim("k", "a", 1)
-	require.Equal(t, FinishRecorded, wide.finish("k", "a", verdict.Ran, &RecordedResponse{Body: make([]byte, MaxResponseBytes+1)}))
-	require.Equal(t, ClaimResult{Outcome: ClaimFinished, Verdict: verdict.Ran}, wide.claim("k", "b", 1))
+	defaults := newLog(t, Options{})
+	defaults.claim("k", "a", 1)
+	require.Equal(t, FinishRecorded, defaults.finish("k", "a", verdict.Ran, &RecordedResponse{Body: make([]byte, MaxResponseBytes+1)}))
+	require.Equal(t, ClaimResult{Outcome: ClaimFinished, Verdict: verdict.Ran}, defaults.claim("k", "b", 1))
 }
 
 func TestClusterAndAuditTrail(t *testing.T) {
@@ -396,12 +404,13 @@
 			rest = append(rest, r.Index)
 		}
 	}
-	require.Equal(t, []uint64{5, 3, 2}, rest, "an unchanged address leaves no record; the oldest is dropped")
+	require.Equal(t, []uint64{5, 3, 2}, rest, "an unchanged address makes no record, and the oldest record is dropped")
 	require.Equal(t, "refused", page.Records[0].Outcome)
 }
 
-// TestAuditTrailTellsOfEachSubmission: who, what and with what outcome; a filter
-// goes before the limit, so that a page is full where there is more.
+// The audit trail must record the author, the document and the outcome of every submission,
+// also of a conflict and of a resend. The filter must apply before the limit, so that a page
+// is full whenever more matching records follow.
 func TestAuditTrailRecordsEachSubmission(t *testing.T) {
 	l := newLog(t, Options{})
 	a := SubmitDocument{Name: "a", ChangeID: "x", Author: "ann", Text: "one", At: 7}
@@ -427,26 +436,26 @@
 	require.False(t, l.machine.HasOutcome("a", "bob", "x"))
 }
 
-// TestRetentionComesFromTheLog: replicas of other options, one of them restored, keep
-// claims alike once an AdvanceAge has stated how long.
+// Replicas with different options, one of them restored from a snapshot, must keep claims for
+// the same time once an AdvanceClock has set the retention.
 func TestRetentionComesFromTheLog(t *testing.T) {
 	a, b := newLog(t, Options{}), newLog(t, Options{ClaimRetention: 3 * day})
-	both := func(c Command) any {
+	applyToBoth := func(c Command) any {
 		got := a.apply(c)
 		require.Equal(t, got, b.apply(c))
 		return got
 	}
-	both(AdvanceClock{Retention: uint64(2 * MinRetention)})
-	image, err := a.machine.Snapshot()
+	applyToBoth(AdvanceClock{Retention: uint64(2 * MinRetention)})
+	snapshot, err := a.machine.Snapshot()
 	require.NoError(t, err)
 	a.machine = New(Options{ClaimRetention: day / 2})
-	require.NoError(t, a.machine.Restore(image))
-	both(ClaimBatch{Claims: []Claim{{Workspace: "w", Key: "k", Attempt: "p"}}})
-	require.Equal(t, ClockResult{LogicalTime: MinRetention}, both(AdvanceClock{Elapsed: uint64(MinRetention)}))
-	require.Equal(t, ClockResult{LogicalTime: 2 * MinRetention, Expired: 1}, both(AdvanceClock{Elapsed: uint64(MinRetention)}))
-	both(AdvanceClock{Retention: 1})
-	both(ClaimBatch{Claims: []Claim{{Workspace: "w", Key: "k", Attempt: "q"}}})
-	require.Equal(t, 1, both(AdvanceClock{Elapsed: uint64(MinRetention)}).(ClockResult).Expired, "not below the least")
+	require.NoError(t, a.machine.Restore(snapshot))
+	applyToBoth(ClaimBatch{Claims: []Claim{{Workspace: "w", Key: "k", Attempt: "p"}}})
+	require.Equal(t, ClockResult{LogicalTime: MinRetention}, applyToBoth(AdvanceClock{Elapsed: uint64(MinRetention)}))
+	require.Equal(t, ClockResult{LogicalTime: 2 * MinRetention, Expired: 1}, applyToBoth(AdvanceClock{Elapsed: uint64(MinRetention)}))
+	applyToBoth(AdvanceClock{Retention: 1})
+	applyToBoth(ClaimBatch{Claims: []Claim{{Workspace: "w", Key: "k", Attempt: "q"}}})
+	require.Equal(t, 1, applyToBoth(AdvanceClock{Elapsed: uint64(MinRetention)}).(ClockResult).Expired, "the retention is at least MinRetention")
 }
 
 func TestRestoreRefusesAnOlderOrBadSnapshot(t *testing.T) {
@@ -459,7 +468,8 @@
 	require.Equal(t, uint64(1), l.machine.Fence())
 }
 
-// TestConcurrentReadsAndChanges is for the race detector.
+// Readers run concurrently with changes, snapshots and restores. The race detector reports
+// access without a lock.
 func TestConcurrentReadsAndChanges(t *testing.T) {
 	l := newLog(t, smallOptions)
 	done := make(chan struct{})
@@ -475,15 +485,15 @@
 	for i := range 200 {
 		l.apply(SubmitDocument{Name: "d", Base: l.machine.Fence(), ChangeID: fmt.Sprint(i), Author: "ann"})
 		l.claim(fmt.Sprint(i), "a", 1)
-		image, err := l.machine.Snapshot()
+		snapshot, err := l.machine.Snapshot()
 		require.NoError(t, err)
-		require.NoError(t, l.machine.Restore(image))
+		require.NoError(t, l.machine.Restore(snapshot))
 	}
 	<-done
 }
 
-// No log entry ends the control host that applies it, since it would end each of them in turn,
-// at every start: what can't be read or is out of bounds is rejected.
+// A corrupt log entry must be rejected without a panic. A panic would crash every control host
+// that applies the entry, and again at every restart.
 func TestCorruptEntriesDoNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(smallOptions)
