--- a/internal/command/batcher.go
+++ b/internal/command/batcher.go
@@ -8,35 +8,36 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// call is one request that waits for a batch.
+// call is one request of a caller that waits for its result.
 type call[Q, R any] struct {
 	request Q
-	// done is closed once result or err stands.
+	// done is closed once result or err is set.
 	done   chan struct{}
 	result R
 	err    error
-	// sent, finished and abandoned are guarded by the batcher's mu.
+	// The batcher's mu guards the fields below. sent is set once the request is part of a
+	// batch, abandoned once the caller has stopped waiting.
 	sent, finished, abandoned bool
 }
 
-// batcher gathers the requests of concurrent callers. One batch is in flight at a
-// time; what comes in meanwhile makes the next one.
+// batcher combines the requests of concurrent callers into batches. One batch is in flight at
+// a time; requests that arrive meanwhile form the next batch.
 type batcher[Q, R any] struct {
 	maxBatch   int
 	maxPending int
 	timeout    time.Duration
 	// send sends a batch and returns a result for each request, in order.
 	send func(ctx context.Context, requests []Q) ([]R, error)
-	// onUnused takes the end of a request whose caller will not use it: the caller
-	// has gone, or gets an error. It must not block.
+	// onUnused is called with the result of a request if the caller will not use it,
+	// because the caller has stopped waiting or gets an error. It must not block.
 	onUnused func(request Q, result R, err error)
 
 	ctx    context.Context
 	cancel context.CancelFunc
-	// wg counts the goroutine that sends.
+	// wg waits for the goroutine of sendBatches.
 	wg sync.WaitGroup
 
-	// mu guards all below. Nothing is called out to while it is held.
+	// mu guards the fields below. send and onUnused are called without it.
 	mu      sync.Mutex
 	pending []*call[Q, R]
 	sending bool
@@ -56,16 +57,16 @@
 	}
 }
 
-// submit waits for the result of a request. Where ctx ends first, the error tells
-// whether the request was sent.
+// submit adds a request to a batch and waits for its result. If ctx ends first, the verdict of
+// the error states whether the request was sent.
 func (b *batcher[Q, R]) submit(ctx context.Context, request Q) (R, error) {
-	var none R
+	var zero R
 	if ctx.Err() != nil {
-		return none, contextError(verdict.NotRun, ctx.Err())
+		return zero, contextError(verdict.NotRun, ctx.Err())
 	}
 	c, err := b.enqueue(request)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	select {
 	case <-c.done:
@@ -75,7 +76,7 @@
 	}
 }
 
-// enqueue adds a request to the next batch. It is refused where too many wait.
+// enqueue adds a request to the next batch. It is refused if too many requests wait.
 func (b *batcher[Q, R]) enqueue(request Q) (*call[Q, R], error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -95,7 +96,8 @@
 	return c, nil
 }
 
-// abandon gives up waiting, unless the result has just come.
+// abandon returns the result if it has just arrived, and otherwise marks the call as abandoned
+// and returns an error.
 func (b *batcher[Q, R]) abandon(c *call[Q, R], cause error) (R, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -107,11 +109,11 @@
 	if c.sent {
 		v = verdict.MayHaveRun
 	}
-	var none R
-	return none, contextError(v, cause)
+	var zero R
+	return zero, contextError(v, cause)
 }
 
-// sendBatches sends batches until none is left.
+// sendBatches sends one batch after the other until no request waits.
 func (b *batcher[Q, R]) sendBatches() {
 	for {
 		batch := b.nextBatch()
@@ -132,8 +134,8 @@
 	}
 }
 
-// nextBatch returns the next batch without those whose caller has gone. An empty one
-// ends the sending.
+// nextBatch removes the next batch from the pending calls, without abandoned ones, and marks its
+// calls as sent. After an empty batch sendBatches returns.
 func (b *batcher[Q, R]) nextBatch() []*call[Q, R] {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -157,6 +159,7 @@
 	return batch
 }
 
+// deliver hands the results, or err, to the callers of a batch.
 func (b *batcher[Q, R]) deliver(batch []*call[Q, R], results []R, err error) {
 	for i, c := range batch {
 		b.mu.Lock()
@@ -165,17 +168,17 @@
 			c.result = results[i]
 		}
 		c.finished = true
-		unwanted := c.abandoned || err != nil
+		isUnused := c.abandoned || err != nil
 		b.mu.Unlock()
 		close(c.done)
-		if unwanted {
+		if isUnused {
 			b.onUnused(c.request, c.result, c.err)
 		}
 	}
 }
 
-// close refuses what comes and waits until what was taken has its result; when ctx
-// ends first, it ends the batch in flight.
+// close refuses new requests and waits until the accepted ones have a result. When ctx ends
+// first, it cancels the batch in flight and those after it.
 func (b *batcher[Q, R]) close(ctx context.Context) {
 	b.mu.Lock()
 	b.closed = true
@@ -193,7 +196,7 @@
 	<-done
 }
 
-// contextError tells why a caller stopped waiting.
+// contextError returns the error of a caller whose context ended while it waited.
 func contextError(v verdict.Verdict, cause error) *verdict.Error {
 	code := verdict.CodeCancelled
 	if cause == context.DeadlineExceeded {
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,4 @@
-// Package command changes the replicated tables. Reads are in package query.
+// Package command changes the replicated tables. Package query reads them.
 package command
 
 import (
@@ -12,21 +12,22 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// Proposer puts a command into the log and returns the result of applying it. An
-// error of another type than *verdict.Error leaves open whether it is applied.
+// Proposer appends a command to the log and returns the result of applying it. After an error
+// of another type than *verdict.Error the command may or may not be applied.
 type Proposer interface {
 	Propose(ctx context.Context, data []byte) (result any, err error)
 }
 
 // Options are the settings of a Service. Zero means the default.
 type Options struct {
-	// BatchSize bounds the claims, and the finishes, of one command; the default
-	// is 128.
+	// BatchSize is the maximum number of claims, or of finishes, in one command. The
+	// default is 128.
 	BatchSize int
-	// MaxPending bounds the claims, and the finishes, that wait; more are refused.
-	// The default is 8,192.
+	// MaxPending is the maximum number of claims, and likewise of finishes, that wait
+	// for a batch. Further ones are refused. The default is 8,192.
 	MaxPending int
-	// Timeout bounds the wait for one batch; the default is 5 seconds.
+	// Timeout is the maximum time to wait for the result of one batch. The default is
+	// 5 seconds.
 	Timeout time.Duration
 }
 
@@ -34,7 +35,8 @@
 	defaultBatchSize = 128
 	defaultPending   = 8192
 	defaultTimeout   = 5 * time.Second
-	// overloadRetryDelay is when a caller that was refused should ask again.
+	// overloadRetryDelay is the time after which a caller should retry that was refused
+	// because too many requests wait.
 	overloadRetryDelay = time.Second
 )
 
@@ -51,15 +53,15 @@
 	return o
 }
 
-// Service changes the tables. Its methods may be called concurrently; their
-// errors are of type *verdict.Error.
+// Service changes the tables. Its methods may be called concurrently. Their errors are of type
+// *verdict.Error.
 type Service struct {
 	proposer Proposer
 	claims   *batcher[state.Claim, state.ClaimResult]
 	finishes *batcher[state.Finish, state.FinishOutcome]
 }
 
-// New returns a Service that proposes to p.
+// New returns a Service that proposes its commands to p.
 func New(p Proposer, o Options) *Service {
 	o = o.withDefaults()
 	s := &Service{proposer: p}
@@ -69,19 +71,19 @@
 	return s
 }
 
-// Close refuses what comes and waits until what is in flight has ended, by itself or
-// because ctx has.
+// Close refuses new claims and finishes and waits until those in flight have a result. When ctx
+// ends first, it cancels them.
 func (s *Service) Close(ctx context.Context) {
 	s.claims.close(ctx)
 	s.finishes.close(ctx)
 }
 
-// ConflictError names the change that a submission met.
+// ConflictError identifies the accepted change that a submission conflicts with.
 type ConflictError struct {
 	Name string
-	// Revision is the one in force; zero where the document does not exist.
+	// Revision is the document's current revision; zero if the document does not exist.
 	Revision uint64
-	// Winner is nil where the document does not exist.
+	// Winner is nil if the document does not exist.
 	Winner *state.Winner
 }
 
@@ -94,9 +96,9 @@
 		e.Name, e.Winner.Revision, e.Winner.Author, e.Winner.ChangeID)
 }
 
-// Submit replaces a document. The result is set also where the change lost: the
-// error then has CodeConflict and a *ConflictError as its cause, or
-// CodeKeyReused. After a MayHaveRun the author resends the same change.
+// Submit replaces the text of a document. The result is also set when the change is refused:
+// the error then has CodeConflict and a *ConflictError as its cause, or CodeKeyReused. After
+// an error with the verdict MayHaveRun the author should resend the same change.
 func (s *Service) Submit(ctx context.Context, c state.SubmitDocument) (state.SubmitResult, error) {
 	result, err := propose[state.SubmitResult](ctx, s.proposer, c)
 	if err != nil {
@@ -115,27 +117,27 @@
 	return result, unexpectedResult()
 }
 
-// Init names the cluster. A second one fails with CodeConflict; the result then
-// has the name in force.
+// Init sets the id of the cluster. If the cluster has one already, Init fails with CodeConflict
+// and the result contains that id.
 func (s *Service) Init(ctx context.Context, c state.Init) (state.InitResult, error) {
 	result, err := propose[state.InitResult](ctx, s.proposer, c)
 	if err != nil {
 		return state.InitResult{}, err
 	}
 	if !result.Accepted {
-		text := "cluster is initialised already as " + result.ClusterID
-		return result, verdict.New(verdict.NotRun, verdict.CodeConflict, text)
+		message := "cluster is initialised already as " + result.ClusterID
+		return result, verdict.New(verdict.NotRun, verdict.CodeConflict, message)
 	}
 	return result, nil
 }
 
-// SetVoterAddress tells where a replica is reached.
+// SetVoterAddress sets the network address of a replica of the log.
 func (s *Service) SetVoterAddress(ctx context.Context, c state.SetVoterAddress) (state.VoterAddressResult, error) {
 	return propose[state.VoterAddressResult](ctx, s.proposer, c)
 }
 
-// AdvanceClock moves the age of the tables on and states how long claims are kept from
-// here on; a retention of zero leaves that as it is. Only the leader calls it.
+// AdvanceClock advances the logical clock of the tables and sets how long claims are kept from
+// now on. A retention of zero keeps the current one. Only the leader calls it.
 func (s *Service) AdvanceClock(ctx context.Context, elapsed, retention time.Duration) (state.ClockResult, error) {
 	return propose[state.ClockResult](ctx, s.proposer, state.AdvanceClock{
 		Elapsed:   milliseconds(elapsed),
@@ -143,11 +145,13 @@
 	})
 }
 
-func milliseconds(span time.Duration) uint64 { return uint64(max(0, span.Milliseconds())) }
+// milliseconds returns d in milliseconds, and zero for a negative d.
+func milliseconds(d time.Duration) uint64 { return uint64(max(0, d.Milliseconds())) }
 
-// Claim asks for the right to dispatch a non-idempotent call. Only ClaimGranted
-// gives it. After an error the caller must not dispatch; so the error always says
-// NotRun, and the claim, where it was made all the same, is given back.
+// Claim asks for the exclusive right to dispatch a non-idempotent call. Only the outcome
+// ClaimGranted gives it. After an error the caller must not dispatch the call. The error
+// therefore always has the verdict NotRun, and a claim that was granted nevertheless is
+// released.
 func (s *Service) Claim(ctx context.Context, c state.Claim) (state.ClaimResult, error) {
 	result, err := s.claims.submit(ctx, c)
 	if err != nil {
@@ -158,8 +162,8 @@
 	return result, nil
 }
 
-// Finish tells the end of an attempt. After an error the claim may stay open; it
-// then counts as unknown from its deadline on.
+// Finish records the outcome of an attempt. After an error the claim may stay open; from its
+// deadline on, the outcome of its call then counts as unknown.
 func (s *Service) Finish(ctx context.Context, f state.Finish) (state.FinishOutcome, error) {
 	outcome, err := s.finishes.submit(ctx, f)
 	if err != nil {
@@ -178,9 +182,10 @@
 	return result.Finishes, err
 }
 
-// releaseClaim gives a claim back that nobody dispatches. The log keeps the order of
-// proposals, so the finish comes after the claim where both are applied; where it
-// is lost, the claim counts as unknown, which is safe.
+// releaseClaim frees a key whose claim was granted, or may have been, to a caller that will not
+// dispatch the call. The log keeps the order of proposals, so that the finish is applied after
+// the claim. If the finish is lost, the claim counts as unknown from its deadline on, which is
+// safe because the call does not run again.
 func (s *Service) releaseClaim(c state.Claim, result state.ClaimResult, err error) {
 	if err == nil && result.Outcome != state.ClaimGranted {
 		return
@@ -188,7 +193,8 @@
 	if err != nil && verdict.Of(err).Verdict == verdict.NotRun {
 		return
 	}
-	// A full queue or a closed service leaves the claim to its deadline.
+	// If the queue is full or the service is closed, the claim stays open until its
+	// deadline.
 	_, _ = s.finishes.enqueue(state.Finish{
 		Workspace: c.Workspace,
 		Key:       c.Key,
@@ -197,34 +203,35 @@
 	})
 }
 
-// propose puts a command into the log and returns its result, of type R.
+// propose appends a command to the log and returns its result, which must be of type R or
+// Rejected.
 func propose[R any](ctx context.Context, p Proposer, c state.Command) (R, error) {
-	var none R
+	var zero R
 	data, err := state.Encode(c)
 	if err != nil {
 		e := verdict.New(verdict.NotRun, verdict.CodeBadRequest, "command cannot be encoded")
 		e.Cause = err
-		return none, e
+		return zero, e
 	}
 	result, err := p.Propose(ctx, data)
 	if err != nil {
-		return none, proposeError(err)
+		return zero, proposeError(err)
 	}
 	switch r := result.(type) {
 	case R:
 		return r, nil
 	case state.Rejected:
-		return none, rejectionError(r)
+		return zero, rejectionError(r)
 	}
-	return none, unexpectedResult()
+	return zero, unexpectedResult()
 }
 
-// proposeError types the failure of a proposal. One that is not typed already
-// leaves open whether the command is applied.
+// proposeError converts the error of a proposal to a *verdict.Error. After an error that is
+// not one already, the command may be applied, so the verdict is MayHaveRun.
 func proposeError(err error) *verdict.Error {
-	var typed *verdict.Error
-	if errors.As(err, &typed) {
-		return typed
+	var e *verdict.Error
+	if errors.As(err, &e) {
+		return e
 	}
 	if cause := errors.Cause(err); cause == context.DeadlineExceeded || cause == context.Canceled {
 		return contextError(verdict.MayHaveRun, cause)
@@ -232,8 +239,8 @@
 	return verdict.Of(err)
 }
 
-// rejectionError types a command that had no effect. A command counts as applied
-// already only where it was proposed twice, so that one may have run.
+// rejectionError returns the error for a rejected command. ReasonAlreadyApplied means that the
+// command was proposed twice, so its first copy may have run.
 func rejectionError(r state.Rejected) *verdict.Error {
 	switch r.Reason {
 	case state.ReasonTooLarge:
@@ -244,6 +251,7 @@
 	return verdict.New(verdict.NotRun, verdict.CodeBadRequest, string(r.Reason))
 }
 
+// unexpectedResult is the error for a result that does not match the command.
 func unexpectedResult() *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "unexpected result of a command")
 }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -16,17 +16,17 @@
 
 const waitTimeout = 10 * time.Second
 
-// fakeProposer applies each proposal at once; with a gate it waits for a value before
-// each one.
+// fakeProposer applies each proposal at once. If gate is set, it receives from gate before it
+// applies a proposal.
 type fakeProposer struct {
 	machine *state.Machine
 	gate    chan struct{}
 
 	mu    sync.Mutex
 	index uint64
-	// errAfterApply makes the next proposal succeed without the proposer learning of it.
+	// errAfterApply makes the next proposal return an error although it is applied.
 	errAfterApply error
-	// errBeforeApply makes each proposal fail without effect.
+	// errBeforeApply makes each proposal return an error without being applied.
 	errBeforeApply error
 }
 
@@ -35,11 +35,11 @@
 func (a *fakeProposer) Propose(ctx context.Context, data []byte) (any, error) {
 	a.mu.Lock()
 	a.index++
-	index, lost, refused := a.index, a.errAfterApply, a.errBeforeApply
+	index, errAfterApply, errBeforeApply := a.index, a.errAfterApply, a.errBeforeApply
 	a.errAfterApply = nil
 	a.mu.Unlock()
-	if refused != nil {
-		return nil, refused
+	if errBeforeApply != nil {
+		return nil, errBeforeApply
 	}
 	if a.gate != nil {
 		select {
@@ -49,9 +49,10 @@
 		}
 	}
 	result := a.machine.Apply(index, data)
-	return result, lost
+	return result, errAfterApply
 }
 
+// proposalCount returns how many proposals were made, applied or not.
 func (a *fakeProposer) proposalCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -62,14 +63,14 @@
 	return state.Claim{Workspace: "w", Key: key, Attempt: attempt, Deadline: 1000}
 }
 
-// claimAsync claims in the background; the error comes on the channel.
+// claimAsync claims a key in the background and returns a channel for the error.
 func claimAsync(ctx context.Context, s *Service, key string) <-chan error {
-	failed := make(chan error, 1)
+	claimErr := make(chan error, 1)
 	go func() {
 		_, err := s.Claim(ctx, claim(key, "a"))
-		failed <- err
+		claimErr <- err
 	}()
-	return failed
+	return claimErr
 }
 
 func requireCode(t *testing.T, err error, v verdict.Verdict, code verdict.Code) *verdict.Error {
@@ -122,9 +123,9 @@
 	changed, err := s.SetVoterAddress(t.Context(), state.SetVoterAddress{Replica: "a/1", Host: "a", Address: "127.0.0.1:1"})
 	require.NoError(t, err)
 	require.True(t, changed.Changed)
-	age, err := s.AdvanceClock(t.Context(), 3*time.Second, time.Hour)
+	clock, err := s.AdvanceClock(t.Context(), 3*time.Second, time.Hour)
 	require.NoError(t, err)
-	require.Equal(t, state.LogicalTime(3000), age.LogicalTime)
+	require.Equal(t, state.LogicalTime(3000), clock.LogicalTime)
 }
 
 func TestProposalErrorsHaveVerdictAndCode(t *testing.T) {
@@ -146,7 +147,7 @@
 			requireCode(t, err, c.verdict, c.code)
 			_, err = s.Finish(t.Context(), state.Finish{Workspace: "w", Key: "k", Attempt: "a"})
 			requireCode(t, err, c.verdict, c.code)
-			// Nothing is dispatched without a grant, so a claim never has run.
+			// A call is dispatched only after a grant, so it has not run.
 			_, err = s.Claim(t.Context(), claim("k", "a"))
 			requireCode(t, err, verdict.NotRun, c.code)
 		})
@@ -168,23 +169,23 @@
 	require.Equal(t, state.FinishRecorded, outcome)
 }
 
-// TestClaimsOfConcurrentCallersShareProposals: while one batch is in flight, all
-// that come make few more, each within the bound.
+// Claims that arrive while a batch is in flight must share the following batches, each of at
+// most BatchSize claims. Otherwise each caller would wait for a log entry of its own.
 func TestClaimsOfConcurrentCallersShareProposals(t *testing.T) {
 	const callers, size = 50, 20
 	a := newFakeProposer()
 	a.gate = make(chan struct{})
 	s := New(a, Options{BatchSize: size})
 	defer s.Close(t.Context())
-	failed := []<-chan error{claimAsync(t.Context(), s, "first")}
+	claimErrs := []<-chan error{claimAsync(t.Context(), s, "first")}
 	require.Eventually(t, func() bool { return a.proposalCount() == 1 }, waitTimeout, time.Millisecond)
 	for i := range callers {
-		failed = append(failed, claimAsync(t.Context(), s, fmt.Sprint(i)))
+		claimErrs = append(claimErrs, claimAsync(t.Context(), s, fmt.Sprint(i)))
 	}
 	require.Eventually(t, func() bool { return s.claims.pendingCount() == callers }, waitTimeout, time.Millisecond)
 	close(a.gate)
-	for _, err := range failed {
-		require.NoError(t, <-err)
+	for _, claimErr := range claimErrs {
+		require.NoError(t, <-claimErr)
 	}
 	require.Equal(t, callers+1, a.machine.ClaimCount())
 	require.Equal(t, 1+(callers+size-1)/size, a.proposalCount())
@@ -211,44 +212,44 @@
 	close(a.gate)
 }
 
-// TestUnusedGrantIsGivenBack: a caller that goes away, or does not learn of its
-// grant, does not dispatch. Its key must not stay taken.
+// A caller that stops waiting, or gets an error although its claim was granted, does not
+// dispatch its call. Its key must be freed; otherwise a retry would be refused.
 func TestUnusedGrantIsReleased(t *testing.T) {
-	free := func(t *testing.T, s *Service, a *fakeProposer) {
+	requireFreed := func(t *testing.T, s *Service, a *fakeProposer) {
 		require.Eventually(t, func() bool { return a.machine.ClaimCount() == 0 }, waitTimeout, time.Millisecond)
 		result, err := s.Claim(context.Background(), claim("k", "b"))
 		require.NoError(t, err)
 		require.Equal(t, state.ClaimGranted, result.Outcome)
 	}
-	t.Run("caller gone", func(t *testing.T) {
+	t.Run("caller cancelled", func(t *testing.T) {
 		a := newFakeProposer()
 		a.gate = make(chan struct{})
 		s := New(a, Options{})
 		defer s.Close(t.Context())
 		ctx, cancel := context.WithCancel(t.Context())
-		failed := claimAsync(ctx, s, "k")
+		claimErr := claimAsync(ctx, s, "k")
 		require.Eventually(t, func() bool { return a.proposalCount() == 1 }, waitTimeout, time.Millisecond)
 		cancel()
-		requireCode(t, <-failed, verdict.NotRun, verdict.CodeCancelled)
+		requireCode(t, <-claimErr, verdict.NotRun, verdict.CodeCancelled)
 		a.gate <- struct{}{}
 		require.Eventually(t, func() bool { return a.proposalCount() == 2 }, waitTimeout, time.Millisecond)
 		require.Equal(t, 1, a.machine.ClaimCount())
 		close(a.gate)
-		free(t, s, a)
+		requireFreed(t, s, a)
 	})
-	t.Run("answer lost", func(t *testing.T) {
+	t.Run("result lost", func(t *testing.T) {
 		a := newFakeProposer()
 		a.errAfterApply = errors.New("connection reset")
 		s := New(a, Options{})
 		defer s.Close(t.Context())
 		_, err := s.Claim(t.Context(), claim("k", "a"))
 		requireCode(t, err, verdict.NotRun, verdict.CodeInternal)
-		free(t, s, a)
+		requireFreed(t, s, a)
 	})
 }
 
-// TestGoneCallerIsNotSent: a caller that went before its batch was sent makes no
-// claim.
+// A claim whose caller stops waiting before its batch is sent must not be proposed. Otherwise
+// its key would stay blocked until the unused grant is released.
 func TestCancelledClaimIsNotProposed(t *testing.T) {
 	a := newFakeProposer()
 	a.gate = make(chan struct{})
@@ -272,22 +273,23 @@
 	a := newFakeProposer()
 	a.gate = make(chan struct{})
 	s := New(a, Options{})
-	failed := claimAsync(context.Background(), s, "1")
+	claimErr := claimAsync(context.Background(), s, "1")
 	require.Eventually(t, func() bool { return a.proposalCount() == 1 }, waitTimeout, time.Millisecond)
-	ended, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	s.Close(ended)
-	requireCode(t, <-failed, verdict.NotRun, verdict.CodeCancelled)
+	s.Close(cancelled)
+	requireCode(t, <-claimErr, verdict.NotRun, verdict.CodeCancelled)
 	_, err := s.Claim(t.Context(), claim("2", "a"))
 	requireCode(t, err, verdict.NotRun, verdict.CodeLeaving)
 }
 
-// Without the wait in close this fails: the claim in flight is cut off.
+// Close must wait for the batch in flight. Otherwise its claims would fail although the log
+// applies them.
 func TestCloseWaitsForBatchInFlight(t *testing.T) {
 	a := newFakeProposer()
 	a.gate = make(chan struct{})
 	s := New(a, Options{})
-	failed := claimAsync(context.Background(), s, "1")
+	claimErr := claimAsync(context.Background(), s, "1")
 	require.Eventually(t, func() bool { return a.proposalCount() == 1 }, waitTimeout, time.Millisecond)
 	closed := make(chan struct{})
 	go func() {
@@ -302,6 +304,6 @@
 	_, err := s.Claim(t.Context(), claim("2", "a"))
 	requireCode(t, err, verdict.NotRun, verdict.CodeLeaving)
 	close(a.gate)
-	require.NoError(t, <-failed)
+	require.NoError(t, <-claimErr)
 	<-closed
 }
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -1,4 +1,5 @@
-// Package query reads the replicated tables. Changes are in package command.
+// Package query reads the replicated tables with linearizable reads. Package command changes
+// them.
 package query
 
 import (
@@ -8,13 +9,14 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// Reader is the barrier of linearizable reads. Read returns once the local tables
-// hold all that was committed before the call, and the index up to which.
+// Reader is the barrier of linearizable reads. Read returns once the local tables contain
+// all that was committed before the call. The index is the last log entry that they must
+// contain for that.
 type Reader interface {
 	Read(ctx context.Context) (index uint64, err error)
 }
 
-// Tables are the local tables; *state.Machine implements them.
+// Tables is the local copy of the replicated tables; *state.Machine implements it.
 type Tables interface {
 	Document(name string) (state.Document, bool)
 	Documents() []state.Document
@@ -27,36 +29,36 @@
 	ClaimCount() int
 }
 
-// The length of a page of the audit trail.
+// The number of records on a page of the audit trail.
 const (
 	DefaultPageSize = 100
 	MaxPageSize     = 1000
 )
 
-// Service reads the tables. Its methods may be called concurrently; their errors
-// are of type *verdict.Error. A read changes nothing, so its errors say NotRun.
+// Service reads the tables. Its methods may be called concurrently. Their errors are of
+// type *verdict.Error and have the verdict NotRun, since a read changes nothing.
 type Service struct {
 	reader Reader
 	tables Tables
 }
 
-// New returns a Service that reads tables after the barrier of r.
+// New returns a Service that reads tables once the barrier r has returned.
 func New(r Reader, tables Tables) *Service { return &Service{reader: r, tables: tables} }
 
-// Status is what the control state says of itself.
+// Status summarises the replicated tables.
 type Status struct {
-	// Index is that of the last applied entry.
+	// Index is the index of the last applied log entry.
 	Index uint64
-	// LogicalTime is in milliseconds.
+	// LogicalTime is the time of the tables' logical clock in milliseconds.
 	LogicalTime state.LogicalTime
-	// Fence is the fencing number for orders to engines.
+	// Fence is the fencing token for orders to engines.
 	Fence   uint64
 	Cluster state.Cluster
-	// Claims counts the open and the retained ones.
+	// Claims is the number of claims, open or finished.
 	Claims int
 }
 
-// Document returns the document of that name, or CodeNotFound.
+// Document returns a document by name, or an error with CodeNotFound.
 func (s *Service) Document(ctx context.Context, name string) (state.Document, error) {
 	if err := s.waitForBarrier(ctx); err != nil {
 		return state.Document{}, err
@@ -68,7 +70,7 @@
 	return doc, nil
 }
 
-// Documents returns all documents by name.
+// Documents returns all documents, sorted by name.
 func (s *Service) Documents(ctx context.Context) ([]state.Document, error) {
 	if err := s.waitForBarrier(ctx); err != nil {
 		return nil, err
@@ -76,7 +78,7 @@
 	return s.tables.Documents(), nil
 }
 
-// DocumentsSince returns the documents with a revision above since, the lowest first.
+// DocumentsSince returns the documents with a revision above since, sorted by revision.
 func (s *Service) DocumentsSince(ctx context.Context, since uint64) ([]state.Document, error) {
 	if err := s.waitForBarrier(ctx); err != nil {
 		return nil, err
@@ -84,14 +86,15 @@
 	return s.tables.DocumentsSince(since), nil
 }
 
-// HistoryRequest asks for a page of the audit trail.
+// HistoryRequest selects a page of the audit trail.
 type HistoryRequest struct {
-	// Before is Next of the page before; zero starts at the newest record.
+	// Before is the Next of the previous page; zero starts at the newest record.
 	Before uint64
-	// Limit bounds the records; zero is DefaultPage, and more than MaxPage is MaxPage.
+	// Limit is the maximum number of records, at most MaxPageSize. Zero means
+	// DefaultPageSize.
 	Limit int
-	// All asks for every record; else only submissions of Documents count, towards
-	// the limit too.
+	// All selects every record. Otherwise only submissions of Documents are returned,
+	// and only they count towards Limit.
 	All       bool
 	Documents []string
 }
@@ -111,7 +114,7 @@
 	return s.tables.History(q.Before, min(q.Limit, MaxPageSize), keep), nil
 }
 
-// Status returns the state of the cluster.
+// Status returns the status as of the last commit before the call.
 func (s *Service) Status(ctx context.Context) (Status, error) {
 	if err := s.waitForBarrier(ctx); err != nil {
 		return Status{}, err
@@ -119,8 +122,8 @@
 	return s.LocalStatus(), nil
 }
 
-// LocalStatus returns the state of the cluster as this replica last knew it, also
-// without a quorum. It may be old.
+// LocalStatus returns the status of the local tables without a barrier. It works without a
+// quorum and may be out of date.
 func (s *Service) LocalStatus() Status {
 	return Status{
 		Index:       s.tables.AppliedIndex(),
@@ -131,7 +134,8 @@
 	}
 }
 
-// waitForBarrier waits until the tables are up to date. Whatever fails, nothing has run.
+// waitForBarrier waits until the local tables are up to date. Its errors have the verdict
+// NotRun whatever the cause says, since a read changes nothing.
 func (s *Service) waitForBarrier(ctx context.Context) error {
 	_, err := s.reader.Read(ctx)
 	if err == nil {
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -12,8 +12,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// laggingReader applies what is still missing at the barrier, as a replica does that
-// lags behind.
+// laggingReader simulates a replica that is behind: the unapplied commands are committed, and
+// Read applies them before it returns.
 type laggingReader struct {
 	machine   *state.Machine
 	unapplied []state.Command
@@ -35,8 +35,8 @@
 	return r.machine.AppliedIndex(), nil
 }
 
-func newService(missing ...state.Command) (*Service, *laggingReader) {
-	r := &laggingReader{machine: state.New(state.Options{}), unapplied: missing}
+func newService(unapplied ...state.Command) (*Service, *laggingReader) {
+	r := &laggingReader{machine: state.New(state.Options{}), unapplied: unapplied}
 	return New(r, r.machine), r
 }
 
@@ -44,7 +44,8 @@
 	return state.SubmitDocument{Name: name, Base: base, ChangeID: change, Author: "ann", Text: change}
 }
 
-// TestReadsFollowTheBarrier: each read sees what was committed before it.
+// Every read must pass the barrier first. Without it, a read at a replica that is behind would
+// miss documents that were committed before the read.
 func TestReadsSeeEarlierCommits(t *testing.T) {
 	commands := []state.Command{state.Init{ClusterID: "c1"}, submit("d", 0, "x"), submit("d", 2, "y")}
 	for name, read := range map[string]func(*Service) (uint64, error){
@@ -80,6 +81,8 @@
 	}
 }
 
+// A read changes nothing, so its error must not tell the caller that something may have run,
+// although the error of the barrier says so.
 func TestBarrierErrorsSayNotRun(t *testing.T) {
 	s, r := newService()
 	for code, err := range map[verdict.Code]error{
@@ -120,7 +123,7 @@
 	}
 	page, err := s.History(t.Context(), HistoryRequest{Documents: []string{"3", "8"}})
 	require.NoError(t, err)
-	require.Len(t, page.Records, 2, "what is not asked for takes no room of the page")
+	require.Len(t, page.Records, 2, "other documents' records do not count towards the limit")
 	require.Equal(t, "8", page.Records[0].Subject)
 	require.Zero(t, page.Next)
 	_, err = s.History(t.Context(), HistoryRequest{Limit: -1})
