--- a/internal/logtrace/trace.go
+++ b/internal/logtrace/trace.go
@@ -1,4 +1,4 @@
-// Package logtrace follows one request through the logs of many hosts.
+// Package logtrace traces one request through the merged logs of many hosts.
 package logtrace
 
 import (
@@ -14,30 +14,32 @@
 	"github.com/pkg/errors"
 )
 
-// contextWindow is how long before and after the request's lines those about its upstreams are
-// shown: an upstream's state may have changed a few announcements before.
+// contextWindow is how long before the first and after the last line of a request the lines
+// about its upstreams are shown. The state of an upstream may have changed a few of its
+// announcements before the request.
 const contextWindow = 3 * time.Second
 
-// maxLineBytes bounds a line of a log.
+// maxLineBytes is the maximum length of a log line.
 const maxLineBytes = 1 << 20
 
-// Line is one line of a log.
+// Line is a parsed log line.
 type Line struct {
 	At      time.Time
 	Host    string
 	Level   string
 	Message string
-	// Fields are the other fields in the order of their names, as NAME=VALUE.
+	// Fields are the remaining fields as NAME=VALUE, sorted by name.
 	Fields []string
-	// Request and Upstream are those fields, empty where the line has none.
+	// Request and Upstream are the values of the fields request and upstream, empty if
+	// the line does not have them.
 	Request, Upstream string
-	// configurationNumber is the number that came into force; 0 where the line says another
-	// thing.
+	// configurationNumber is the number of the configuration that came into force; 0 if
+	// the line has another message.
 	configurationNumber uint64
 }
 
-// Read reads the lines of a log. What comes before a line's first brace is passed over,
-// and so are lines that aren't the system's.
+// Read parses a log. It ignores what precedes the first brace of a line, such as a prefix
+// that a log collector adds, and skips lines that are not JSON or have no time or message.
 func Read(r io.Reader) ([]Line, error) {
 	var out []Line
 	lines := bufio.NewScanner(r)
@@ -55,6 +57,8 @@
 	return out, errors.Wrap(lines.Err(), "read log")
 }
 
+// parseLine parses the JSON object of a line. It reports false if the line is not one of
+// this system.
 func parseLine(text string) (Line, bool) {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal([]byte(text), &fields) != nil {
@@ -64,7 +68,7 @@
 	if json.Unmarshal(fields["time"], &l.At) != nil || json.Unmarshal(fields["msg"], &l.Message) != nil {
 		return Line{}, false
 	}
-	// A field that is missing stays empty.
+	// The other fields are optional, so errors are ignored.
 	_ = json.Unmarshal(fields["host"], &l.Host)
 	_ = json.Unmarshal(fields["level"], &l.Level)
 	_ = json.Unmarshal(fields["request"], &l.Request)
@@ -83,16 +87,17 @@
 	return l, true
 }
 
-// Trace is what the logs say of a request.
+// Trace is the part of the logs that concerns one request.
 type Trace struct {
-	// Lines are those of the request and, near them, those about its upstreams, in time
-	// order.
+	// Lines are the lines of the request, and lines about its upstreams within
+	// contextWindow of them, sorted by time.
 	Lines []Line
-	// ClockOffsets are by how much a host's clock seems to be ahead of the others, by host.
+	// ClockOffsets is the estimate of how far a host's clock is ahead of the others, by
+	// host. Hosts with a small offset are left out.
 	ClockOffsets map[string]time.Duration
 }
 
-// Find gathers what the lines say of a request.
+// Find returns the trace of a request; it has no lines if none mentions the request.
 func Find(all []Line, request string) Trace {
 	t := Trace{ClockOffsets: estimateClockOffsets(all)}
 	upstreams := make(map[string]bool)
@@ -126,11 +131,12 @@
 	return t
 }
 
-// correctedTime is a line's time less its host's offset.
+// correctedTime returns the time of a line minus the clock offset of its host.
 func (t Trace) correctedTime(l Line) time.Time { return l.At.Add(-t.ClockOffsets[l.Host]) }
 
-// estimateClockOffsets estimates the clocks from when each configuration came into force: that is
-// within some 100 ms on all hosts, so only larger differences mean something.
+// estimateClockOffsets compares the times at which hosts logged that a configuration came into
+// force. That happens within about 100 ms on all hosts, so only larger differences are due to
+// the clocks. The offset of a host is its median difference from the median host.
 func estimateClockOffsets(all []Line) map[string]time.Duration {
 	byNumber := make(map[uint64][]Line)
 	for _, l := range all {
@@ -138,16 +144,16 @@
 			byNumber[l.configurationNumber] = append(byNumber[l.configurationNumber], l)
 		}
 	}
-	apart := make(map[string][]time.Duration)
+	differences := make(map[string][]time.Duration)
 	for _, lines := range byNumber {
 		slices.SortFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
-		middle := lines[len(lines)/2].At
+		median := lines[len(lines)/2].At
 		for _, l := range lines {
-			apart[l.Host] = append(apart[l.Host], l.At.Sub(middle))
+			differences[l.Host] = append(differences[l.Host], l.At.Sub(median))
 		}
 	}
 	out := make(map[string]time.Duration)
-	for host, list := range apart {
+	for host, list := range differences {
 		slices.Sort(list)
 		if d := list[len(list)/2]; d.Abs() >= minClockOffset {
 			out[host] = d
@@ -156,10 +162,11 @@
 	return out
 }
 
-// minClockOffset is the least difference that is taken for one of clocks.
+// minClockOffset is the smallest difference that is attributed to a host's clock.
 const minClockOffset = 300 * time.Millisecond
 
-// Write prints the trace.
+// Write prints the trace and the clock offsets. Lines about an upstream that do not name
+// the request are marked with ~.
 func (t Trace) Write(w io.Writer) error {
 	var b strings.Builder
 	for _, l := range t.Lines {
--- a/internal/logtrace/trace_test.go
+++ b/internal/logtrace/trace_test.go
@@ -19,6 +19,8 @@
 {"time":"2026-05-07T09:13:30Z","level":"INFO","msg":"upstream is silent","host":"control-1","upstream":"u1"}
 `
 
+// The trace of r1 must contain its own lines and the line about its upstream shortly before, in
+// corrected order, but neither the line of r2 nor the upstream line half a minute later.
 func TestFindCorrectsClocksAndAddsUpstreamLines(t *testing.T) {
 	all, err := Read(strings.NewReader(sampleLogs))
 	require.NoError(t, err)
@@ -28,7 +30,7 @@
 	for _, l := range trace.Lines {
 		messages = append(messages, l.Message)
 	}
-	// The clock of control-2 is two seconds ahead: what it saw was before.
+	// The clock of control-2 is two seconds ahead, so its line comes first.
 	require.Equal(t, []string{"upstream is silent", "request sent", "request failed"}, messages)
 	require.InDelta(t, 2*time.Second, trace.ClockOffsets["control-2"], float64(50*time.Millisecond))
 	require.NotContains(t, trace.ClockOffsets, "control-1")
