--- a/internal/state/audit.go
+++ b/internal/state/audit.go
@@ -52,7 +52,8 @@
 type AuditPage struct {
 	// Records are sorted by index, the newest first.
 	Records []AuditRecord
-	// Next is the argument before of History for the next page; zero if there is none.
+	// Next is the index to pass to History as before to get the next page; zero if there
+	// is no next page.
 	Next uint64
 }
 
--- a/internal/state/claims.go
+++ b/internal/state/claims.go
@@ -38,8 +38,8 @@
 	byKey map[string]*claim
 }
 
-// claims is the table of claims: those not yet compacted and, some time after
-// their call finished, those in compact form.
+// claims is the table of claims. Some time after its call finished, a claim is compacted:
+// only its verdict and hashes of its key and its request are kept.
 type claims struct {
 	maxClaims        int
 	maxPerWorkspace  int
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -48,9 +48,9 @@
 }
 
 // AdvanceClock advances the logical clock of the tables by the time that the leader
-// measured with its monotonic clock, and expires what has reached its end.
+// measured with its monotonic clock, and deletes what has expired.
 type AdvanceClock struct {
-	// Elapsed is in milliseconds and counts up to MaxAdvance.
+	// Elapsed is in milliseconds. More than MaxAdvance counts as MaxAdvance.
 	Elapsed uint64 `cbor:"1,keyasint"`
 	// Retention is how long claims that are made or finish from now on are kept, in
 	// milliseconds, within MinRetention and MaxRetention. Zero keeps the current
--- a/internal/state/result.go
+++ b/internal/state/result.go
@@ -2,7 +2,8 @@
 
 import "github.com/sassafraspost/sassafraspost/internal/verdict"
 
-// Reason is the reason why a command was rejected. Control hosts send it to each other.
+// Reason is the reason why a command was rejected. Control hosts send its
+// text to each other.
 type Reason string
 
 // The reasons of a rejection. Every replica rejects a command for the same reason.
