--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -492,8 +492,9 @@
 	<-done
 }
 
-// A corrupt log entry must be rejected without a panic. A panic would crash every control host
-// that applies the entry, and again at every restart.
+// A corrupt log entry must not cause a panic: what cannot be decoded or exceeds a limit is
+// rejected. A panic would crash every control host that applies the entry, and again at every
+// restart.
 func TestCorruptEntriesDoNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(smallOptions)
