--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -14,32 +14,32 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-const generous = 10 * time.Second
+const waitTimeout = 10 * time.Second
 
-// applier applies each proposal at once; with a gate it waits for a value before
-// each one.
-type applier struct {
+// fakeProposer applies each proposal at once. If gate is set, it receives from gate before it
+// applies a proposal.
+type fakeProposer struct {
 	machine *state.Machine
 	gate    chan struct{}
 
 	mu    sync.Mutex
 	index uint64
-	// lost makes the next proposal succeed without the proposer learning of it.
-	lost error
-	// refused makes each proposal fail without effect.
-	refused error
+	// errAfterApply makes the next proposal return an error although it is applied.
+	errAfterApply error
+	// errBeforeApply makes each proposal return an error without being applied.
+	errBeforeApply error
 }
 
-func newApplier() *applier { return &applier{machine: state.New(state.Options{})} }
+func newFakeProposer() *fakeProposer { return &fakeProposer{machine: state.New(state.Options{})} }
 
-func (a *applier) Propose(ctx context.Context, data []byte) (any, error) {
+func (a *fakeProposer) Propose(ctx context.Context, data []byte) (any, error) {
 	a.mu.Lock()
 	a.index++
-	index, lost, refused := a.index, a.lost, a.refused
-	a.lost = nil
+	index, errAfterApply, errBeforeApply := a.index, a.errAfterApply, a.errBeforeApply
+	a.errAfterApply = nil
 	a.mu.Unlock()
-	if refused != nil {
-		return nil, refused
+	if errBeforeApply != nil {
+		return nil, errBeforeApply
 	}
 	if a.gate != nil {
 		select {
@@ -49,10 +49,11 @@
 		}
 	}
 	result := a.machine.Apply(index, data)
-	return result, lost
+	return result, errAfterApply
 }
 
-func (a *applier) arrived() int {
+// proposalCount returns how many proposals were made, applied or not.
+func (a *fakeProposer) proposalCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return int(a.index)
@@ -62,14 +63,14 @@
 	return state.Claim{Workspace: "w", Key: key, Attempt: attempt, Deadline: 1000}
 }
 
-// ask claims in the background; the error comes on the channel.
-func ask(ctx context.Context, s *Service, key string) <-chan error {
-	failed := make(chan error, 1)
+// claimAsync claims a key in the background and returns a channel for the error.
+func claimAsync(ctx context.Context, s *Service, key string) <-chan error {
+	claimErr := make(chan error, 1)
 	go func() {
 		_, err := s.Claim(ctx, claim(key, "a"))
-		failed <- err
+		claimErr <- err
 	}()
-	return failed
+	return claimErr
 }
 
 func requireCode(t *testing.T, err error, v verdict.Verdict, code verdict.Code) *verdict.Error {
@@ -82,7 +83,7 @@
 }
 
 func TestSubmit(t *testing.T) {
-	s := New(newApplier(), Options{})
+	s := New(newFakeProposer(), Options{})
 	defer s.Close(t.Context())
 	ctx := t.Context()
 	doc := state.SubmitDocument{Name: "d", ChangeID: "x", Author: "ann", Text: "one"}
@@ -111,8 +112,8 @@
 	requireCode(t, err, verdict.NotRun, verdict.CodeTooLarge)
 }
 
-func TestInitOnceAndAddresses(t *testing.T) {
-	s := New(newApplier(), Options{})
+func TestInitSucceedsOnceAndVoterAddressIsSet(t *testing.T) {
+	s := New(newFakeProposer(), Options{})
 	defer s.Close(t.Context())
 	_, err := s.Init(t.Context(), state.Init{ClusterID: "c1"})
 	require.NoError(t, err)
@@ -122,12 +123,12 @@
 	changed, err := s.SetVoterAddress(t.Context(), state.SetVoterAddress{Replica: "a/1", Host: "a", Address: "127.0.0.1:1"})
 	require.NoError(t, err)
 	require.True(t, changed.Changed)
-	age, err := s.AdvanceAge(t.Context(), 3*time.Second, time.Hour)
+	clock, err := s.AdvanceClock(t.Context(), 3*time.Second, time.Hour)
 	require.NoError(t, err)
-	require.Equal(t, state.Age(3000), age.Age)
+	require.Equal(t, state.LogicalTime(3000), clock.LogicalTime)
 }
 
-func TestProposeFailures(t *testing.T) {
+func TestProposalErrorsHaveVerdictAndCode(t *testing.T) {
 	for name, c := range map[string]struct {
 		err     error
 		verdict verdict.Verdict
@@ -138,15 +139,15 @@
 		"other":    {errors.New("connection reset"), verdict.MayHaveRun, verdict.CodeInternal},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := newApplier()
-			a.refused = c.err
+			a := newFakeProposer()
+			a.errBeforeApply = c.err
 			s := New(a, Options{})
 			defer s.Close(t.Context())
 			_, err := s.Submit(t.Context(), state.SubmitDocument{Name: "d", ChangeID: "x", Author: "ann"})
 			requireCode(t, err, c.verdict, c.code)
 			_, err = s.Finish(t.Context(), state.Finish{Workspace: "w", Key: "k", Attempt: "a"})
 			requireCode(t, err, c.verdict, c.code)
-			// Nothing is dispatched without a grant, so a claim never has run.
+			// A call is dispatched only after a grant, so it has not run.
 			_, err = s.Claim(t.Context(), claim("k", "a"))
 			requireCode(t, err, verdict.NotRun, c.code)
 		})
@@ -154,7 +155,7 @@
 }
 
 func TestClaimAndFinish(t *testing.T) {
-	s := New(newApplier(), Options{})
+	s := New(newFakeProposer(), Options{})
 	defer s.Close(t.Context())
 	result, err := s.Claim(t.Context(), claim("k", "a"))
 	require.NoError(t, err)
@@ -168,127 +169,128 @@
 	require.Equal(t, state.FinishRecorded, outcome)
 }
 
-// TestClaimsOfConcurrentCallersShareProposals: while one batch is in flight, all
-// that come make few more, each within the bound.
+// Claims that arrive while a batch is in flight must share the following batches, each of at
+// most BatchSize claims. Otherwise each caller would wait for a log entry of its own.
 func TestClaimsOfConcurrentCallersShareProposals(t *testing.T) {
 	const callers, size = 50, 20
-	a := newApplier()
+	a := newFakeProposer()
 	a.gate = make(chan struct{})
 	s := New(a, Options{BatchSize: size})
 	defer s.Close(t.Context())
-	failed := []<-chan error{ask(t.Context(), s, "first")}
-	require.Eventually(t, func() bool { return a.arrived() == 1 }, generous, time.Millisecond)
+	claimErrs := []<-chan error{claimAsync(t.Context(), s, "first")}
+	require.Eventually(t, func() bool { return a.proposalCount() == 1 }, waitTimeout, time.Millisecond)
 	for i := range callers {
-		failed = append(failed, ask(t.Context(), s, fmt.Sprint(i)))
+		claimErrs = append(claimErrs, claimAsync(t.Context(), s, fmt.Sprint(i)))
 	}
-	require.Eventually(t, func() bool { return s.claims.waiting() == callers }, generous, time.Millisecond)
+	require.Eventually(t, func() bool { return s.claims.pendingCount() == callers }, waitTimeout, time.Millisecond)
 	close(a.gate)
-	for _, err := range failed {
-		require.NoError(t, <-err)
+	for _, claimErr := range claimErrs {
+		require.NoError(t, <-claimErr)
 	}
 	require.Equal(t, callers+1, a.machine.ClaimCount())
-	require.Equal(t, 1+(callers+size-1)/size, a.arrived())
+	require.Equal(t, 1+(callers+size-1)/size, a.proposalCount())
 }
 
-func (b *batcher[Q, R]) waiting() int {
+func (b *batcher[Q, R]) pendingCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.pending)
 }
 
 func TestTooManyWaitingClaimsAreRefused(t *testing.T) {
-	a := newApplier()
+	a := newFakeProposer()
 	a.gate = make(chan struct{})
-	s := New(a, Options{Pending: 1})
+	s := New(a, Options{MaxPending: 1})
 	defer s.Close(t.Context())
-	ask(context.Background(), s, "1")
-	require.Eventually(t, func() bool { return a.arrived() == 1 }, generous, time.Millisecond)
-	ask(context.Background(), s, "2")
-	require.Eventually(t, func() bool { return s.claims.waiting() == 1 }, generous, time.Millisecond)
+	claimAsync(context.Background(), s, "1")
+	require.Eventually(t, func() bool { return a.proposalCount() == 1 }, waitTimeout, time.Millisecond)
+	claimAsync(context.Background(), s, "2")
+	require.Eventually(t, func() bool { return s.claims.pendingCount() == 1 }, waitTimeout, time.Millisecond)
 	_, err := s.Claim(t.Context(), claim("3", "a"))
 	e := requireCode(t, err, verdict.NotRun, verdict.CodeOverloaded)
 	require.Positive(t, e.RetryAfter)
 	close(a.gate)
 }
 
-// TestUnusedGrantIsGivenBack: a caller that goes away, or does not learn of its
-// grant, does not dispatch. Its key must not stay taken.
-func TestUnusedGrantIsGivenBack(t *testing.T) {
-	free := func(t *testing.T, s *Service, a *applier) {
-		require.Eventually(t, func() bool { return a.machine.ClaimCount() == 0 }, generous, time.Millisecond)
+// A caller that stops waiting, or gets an error although its claim was granted, does not
+// dispatch its call. Its key must be freed; otherwise a retry would be refused.
+func TestUnusedGrantIsReleased(t *testing.T) {
+	requireFreed := func(t *testing.T, s *Service, a *fakeProposer) {
+		require.Eventually(t, func() bool { return a.machine.ClaimCount() == 0 }, waitTimeout, time.Millisecond)
 		result, err := s.Claim(context.Background(), claim("k", "b"))
 		require.NoError(t, err)
 		require.Equal(t, state.ClaimGranted, result.Outcome)
 	}
-	t.Run("caller gone", func(t *testing.T) {
-		a := newApplier()
+	t.Run("caller cancelled", func(t *testing.T) {
+		a := newFakeProposer()
 		a.gate = make(chan struct{})
 		s := New(a, Options{})
 		defer s.Close(t.Context())
 		ctx, cancel := context.WithCancel(t.Context())
-		failed := ask(ctx, s, "k")
-		require.Eventually(t, func() bool { return a.arrived() == 1 }, generous, time.Millisecond)
+		claimErr := claimAsync(ctx, s, "k")
+		require.Eventually(t, func() bool { return a.proposalCount() == 1 }, waitTimeout, time.Millisecond)
 		cancel()
-		requireCode(t, <-failed, verdict.NotRun, verdict.CodeCancelled)
+		requireCode(t, <-claimErr, verdict.NotRun, verdict.CodeCancelled)
 		a.gate <- struct{}{}
-		require.Eventually(t, func() bool { return a.arrived() == 2 }, generous, time.Millisecond)
+		require.Eventually(t, func() bool { return a.proposalCount() == 2 }, waitTimeout, time.Millisecond)
 		require.Equal(t, 1, a.machine.ClaimCount())
 		close(a.gate)
-		free(t, s, a)
+		requireFreed(t, s, a)
 	})
-	t.Run("answer lost", func(t *testing.T) {
-		a := newApplier()
-		a.lost = errors.New("connection reset")
+	t.Run("result lost", func(t *testing.T) {
+		a := newFakeProposer()
+		a.errAfterApply = errors.New("connection reset")
 		s := New(a, Options{})
 		defer s.Close(t.Context())
 		_, err := s.Claim(t.Context(), claim("k", "a"))
 		requireCode(t, err, verdict.NotRun, verdict.CodeInternal)
-		free(t, s, a)
+		requireFreed(t, s, a)
 	})
 }
 
-// TestGoneCallerIsNotSent: a caller that went before its batch was sent makes no
-// claim.
-func TestGoneCallerIsNotSent(t *testing.T) {
-	a := newApplier()
+// A claim whose caller stops waiting before its batch is sent must not be proposed. Otherwise
+// its key would stay blocked until the unused grant is released.
+func TestCancelledClaimIsNotProposed(t *testing.T) {
+	a := newFakeProposer()
 	a.gate = make(chan struct{})
 	s := New(a, Options{})
 	defer s.Close(t.Context())
-	first := ask(context.Background(), s, "1")
-	require.Eventually(t, func() bool { return a.arrived() == 1 }, generous, time.Millisecond)
+	first := claimAsync(context.Background(), s, "1")
+	require.Eventually(t, func() bool { return a.proposalCount() == 1 }, waitTimeout, time.Millisecond)
 	ctx, cancel := context.WithCancel(t.Context())
-	second := ask(ctx, s, "2")
-	require.Eventually(t, func() bool { return s.claims.waiting() == 1 }, generous, time.Millisecond)
+	second := claimAsync(ctx, s, "2")
+	require.Eventually(t, func() bool { return s.claims.pendingCount() == 1 }, waitTimeout, time.Millisecond)
 	cancel()
 	require.Error(t, <-second)
 	close(a.gate)
 	require.NoError(t, <-first)
-	require.Eventually(t, func() bool { return s.claims.waiting() == 0 }, generous, time.Millisecond)
-	require.Equal(t, 1, a.arrived())
+	require.Eventually(t, func() bool { return s.claims.pendingCount() == 0 }, waitTimeout, time.Millisecond)
+	require.Equal(t, 1, a.proposalCount())
 	require.Equal(t, 1, a.machine.ClaimCount())
 }
 
-func TestClosedServiceRefuses(t *testing.T) {
-	a := newApplier()
+func TestClosedServiceRefusesClaims(t *testing.T) {
+	a := newFakeProposer()
 	a.gate = make(chan struct{})
 	s := New(a, Options{})
-	failed := ask(context.Background(), s, "1")
-	require.Eventually(t, func() bool { return a.arrived() == 1 }, generous, time.Millisecond)
-	ended, cancel := context.WithCancel(t.Context())
+	claimErr := claimAsync(context.Background(), s, "1")
+	require.Eventually(t, func() bool { return a.proposalCount() == 1 }, waitTimeout, time.Millisecond)
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	s.Close(ended)
-	requireCode(t, <-failed, verdict.NotRun, verdict.CodeCancelled)
+	s.Close(cancelled)
+	requireCode(t, <-claimErr, verdict.NotRun, verdict.CodeCancelled)
 	_, err := s.Claim(t.Context(), claim("2", "a"))
 	requireCode(t, err, verdict.NotRun, verdict.CodeLeaving)
 }
 
-// Without the wait in close this fails: the claim in flight is cut off.
-func TestCloseLetsWhatIsInFlightEnd(t *testing.T) {
-	a := newApplier()
+// Close must wait for the batch in flight. Otherwise its claims would fail although the log
+// applies them.
+func TestCloseWaitsForBatchInFlight(t *testing.T) {
+	a := newFakeProposer()
 	a.gate = make(chan struct{})
 	s := New(a, Options{})
-	failed := ask(context.Background(), s, "1")
-	require.Eventually(t, func() bool { return a.arrived() == 1 }, generous, time.Millisecond)
+	claimErr := claimAsync(context.Background(), s, "1")
+	require.Eventually(t, func() bool { return a.proposalCount() == 1 }, waitTimeout, time.Millisecond)
 	closed := make(chan struct{})
 	go func() {
 		s.Close(t.Context())
@@ -298,10 +300,10 @@
 		s.claims.mu.Lock()
 		defer s.claims.mu.Unlock()
 		return s.claims.closed
-	}, generous, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	_, err := s.Claim(t.Context(), claim("2", "a"))
 	requireCode(t, err, verdict.NotRun, verdict.CodeLeaving)
 	close(a.gate)
-	require.NoError(t, <-failed)
+	require.NoError(t, <-claimErr)
 	<-closed
 }
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -180,7 +180,7 @@
 // them to the watchers, until ctx ends.
 func (h *Host) publishDocuments(ctx context.Context) {
 	for {
-		changed := h.tables.Changed()
+		changed := h.tables.DocumentsChanged()
 		h.syncStore()
 		h.watchers.sendAll(false)
 		select {
@@ -194,7 +194,7 @@
 // syncStore copies the documents that are new in the state machine to the catalog.
 func (h *Host) syncStore() {
 	var docs []wire.Document
-	for _, d := range h.tables.Changes(h.store.Revision()) {
+	for _, d := range h.tables.DocumentsSince(h.store.Revision()) {
 		docs = append(docs, wire.Document{Name: d.Name, Revision: d.Revision, Text: []byte(d.Text)})
 	}
 	h.store.Merge(docs)
@@ -237,7 +237,7 @@
 			continue
 		}
 		proposeCtx, cancel := context.WithTimeout(ctx, serveTimeout)
-		_, _ = h.commands.AdvanceAge(proposeCtx, elapsed, h.cfg.ClaimRetention)
+		_, _ = h.commands.AdvanceClock(proposeCtx, elapsed, h.cfg.ClaimRetention)
 		cancel()
 	}
 }
--- a/internal/logtrace/trace.go
+++ b/internal/logtrace/trace.go
@@ -1,4 +1,4 @@
-// Package logtrace follows one request through the logs of many hosts.
+// Package logtrace traces one request through the merged logs of many hosts.
 package logtrace
 
 import (
@@ -14,48 +14,52 @@
 	"github.com/pkg/errors"
 )
 
-// around is how long before and after the request's lines those about its upstreams are
-// shown: an upstream's state may have changed a few announcements before.
-const around = 3 * time.Second
+// contextWindow is how long before the first and after the last line of a request the lines
+// about its upstreams are shown. The state of an upstream may have changed a few of its
+// announcements before the request.
+const contextWindow = 3 * time.Second
 
-// maxLine bounds a line of a log.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
-// Line is one line of a log.
+// Line is a parsed log line.
 type Line struct {
 	At      time.Time
 	Host    string
 	Level   string
 	Message string
-	// Fields are the other fields in the order of their names, as NAME=VALUE.
+	// Fields are the remaining fields as NAME=VALUE, sorted by name.
 	Fields []string
-	// Request and Upstream are those fields, empty where the line has none.
+	// Request and Upstream are the values of the fields request and upstream, empty if
+	// the line does not have them.
 	Request, Upstream string
-	// configuration is the number that came into force; 0 where the line says another
-	// thing.
-	configuration uint64
+	// configurationNumber is the number of the configuration that came into force; 0 if
+	// the line has another message.
+	configurationNumber uint64
 }
 
-// Read reads the lines of a log. What comes before a line's first brace is passed over,
-// and so are lines that aren't the system's.
+// Read parses a log. It ignores what precedes the first brace of a line, such as a prefix
+// that a log collector adds, and skips lines that are not JSON or have no time or message.
 func Read(r io.Reader) ([]Line, error) {
 	var out []Line
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		text := lines.Text()
 		start := strings.IndexByte(text, '{')
 		if start < 0 {
 			continue
 		}
-		if l, ok := parse(text[start:]); ok {
+		if l, ok := parseLine(text[start:]); ok {
 			out = append(out, l)
 		}
 	}
 	return out, errors.Wrap(lines.Err(), "read log")
 }
 
-func parse(text string) (Line, bool) {
+// parseLine parses the JSON object of a line. It reports false if the line is not one of
+// this system.
+func parseLine(text string) (Line, bool) {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal([]byte(text), &fields) != nil {
 		return Line{}, false
@@ -64,13 +68,13 @@
 	if json.Unmarshal(fields["time"], &l.At) != nil || json.Unmarshal(fields["msg"], &l.Message) != nil {
 		return Line{}, false
 	}
-	// A field that is missing stays empty.
+	// The other fields are optional, so errors are ignored.
 	_ = json.Unmarshal(fields["host"], &l.Host)
 	_ = json.Unmarshal(fields["level"], &l.Level)
 	_ = json.Unmarshal(fields["request"], &l.Request)
 	_ = json.Unmarshal(fields["upstream"], &l.Upstream)
 	if l.Message == "configuration in force" {
-		_ = json.Unmarshal(fields["configuration"], &l.configuration)
+		_ = json.Unmarshal(fields["configuration"], &l.configurationNumber)
 	}
 	for name, value := range fields {
 		switch name {
@@ -83,18 +87,19 @@
 	return l, true
 }
 
-// Trace is what the logs say of a request.
+// Trace is the part of the logs that concerns one request.
 type Trace struct {
-	// Lines are those of the request and, near them, those about its upstreams, in time
-	// order.
+	// Lines are the lines of the request, and lines about its upstreams within
+	// contextWindow of them, sorted by time.
 	Lines []Line
-	// Offsets are by how much a host's clock seems to be ahead of the others, by host.
-	Offsets map[string]time.Duration
+	// ClockOffsets is the estimate of how far a host's clock is ahead of the others, by
+	// host. Hosts with a small offset are left out.
+	ClockOffsets map[string]time.Duration
 }
 
-// Find gathers what the lines say of a request.
+// Find returns the trace of a request; it has no lines if none mentions the request.
 func Find(all []Line, request string) Trace {
-	t := Trace{Offsets: offsets(all)}
+	t := Trace{ClockOffsets: estimateClockOffsets(all)}
 	upstreams := make(map[string]bool)
 	var first, last time.Time
 	for _, l := range all {
@@ -115,51 +120,53 @@
 		return t
 	}
 	for _, l := range all {
-		isNear := l.At.After(first.Add(-around)) && l.At.Before(last.Add(around))
+		isNear := l.At.After(first.Add(-contextWindow)) && l.At.Before(last.Add(contextWindow))
 		if l.Request == request || l.Request == "" && upstreams[l.Upstream] && isNear {
 			t.Lines = append(t.Lines, l)
 		}
 	}
 	slices.SortStableFunc(t.Lines, func(a, b Line) int {
-		return cmp.Compare(t.trueTime(a).UnixNano(), t.trueTime(b).UnixNano())
+		return cmp.Compare(t.correctedTime(a).UnixNano(), t.correctedTime(b).UnixNano())
 	})
 	return t
 }
 
-// trueTime is a line's time less its host's offset.
-func (t Trace) trueTime(l Line) time.Time { return l.At.Add(-t.Offsets[l.Host]) }
+// correctedTime returns the time of a line minus the clock offset of its host.
+func (t Trace) correctedTime(l Line) time.Time { return l.At.Add(-t.ClockOffsets[l.Host]) }
 
-// offsets estimates the clocks from when each configuration came into force: that is
-// within some 100 ms on all hosts, so only larger differences mean something.
-func offsets(all []Line) map[string]time.Duration {
+// estimateClockOffsets compares the times at which hosts logged that a configuration came into
+// force. That happens within about 100 ms on all hosts, so only larger differences are due to
+// the clocks. The offset of a host is its median difference from the median host.
+func estimateClockOffsets(all []Line) map[string]time.Duration {
 	byNumber := make(map[uint64][]Line)
 	for _, l := range all {
-		if l.configuration > 0 {
-			byNumber[l.configuration] = append(byNumber[l.configuration], l)
+		if l.configurationNumber > 0 {
+			byNumber[l.configurationNumber] = append(byNumber[l.configurationNumber], l)
 		}
 	}
-	apart := make(map[string][]time.Duration)
+	differences := make(map[string][]time.Duration)
 	for _, lines := range byNumber {
 		slices.SortFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
-		middle := lines[len(lines)/2].At
+		median := lines[len(lines)/2].At
 		for _, l := range lines {
-			apart[l.Host] = append(apart[l.Host], l.At.Sub(middle))
+			differences[l.Host] = append(differences[l.Host], l.At.Sub(median))
 		}
 	}
 	out := make(map[string]time.Duration)
-	for host, list := range apart {
+	for host, list := range differences {
 		slices.Sort(list)
-		if d := list[len(list)/2]; d.Abs() >= leastOffset {
+		if d := list[len(list)/2]; d.Abs() >= minClockOffset {
 			out[host] = d
 		}
 	}
 	return out
 }
 
-// leastOffset is the least difference that is taken for one of clocks.
-const leastOffset = 300 * time.Millisecond
+// minClockOffset is the smallest difference that is attributed to a host's clock.
+const minClockOffset = 300 * time.Millisecond
 
-// Write prints the trace.
+// Write prints the trace and the clock offsets. Lines about an upstream that do not name
+// the request are marked with ~.
 func (t Trace) Write(w io.Writer) error {
 	var b strings.Builder
 	for _, l := range t.Lines {
@@ -167,15 +174,15 @@
 		if l.Request == "" {
 			mark = "~ "
 		}
-		fmt.Fprintf(&b, "%s  %-18s %s%s  %s\n", t.trueTime(l).Format("15:04:05.000"), l.Host, mark, l.Message, strings.Join(l.Fields, " "))
+		fmt.Fprintf(&b, "%s  %-18s %s%s  %s\n", t.correctedTime(l).Format("15:04:05.000"), l.Host, mark, l.Message, strings.Join(l.Fields, " "))
 	}
-	hosts := make([]string, 0, len(t.Offsets))
-	for host := range t.Offsets {
+	hosts := make([]string, 0, len(t.ClockOffsets))
+	for host := range t.ClockOffsets {
 		hosts = append(hosts, host)
 	}
 	slices.Sort(hosts)
 	for _, host := range hosts {
-		fmt.Fprintf(&b, "clock of %s taken back by %s\n", host, t.Offsets[host].Round(time.Millisecond))
+		fmt.Fprintf(&b, "clock of %s taken back by %s\n", host, t.ClockOffsets[host].Round(time.Millisecond))
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
--- a/internal/logtrace/trace_test.go
+++ b/internal/logtrace/trace_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const logs = `  12.1 entry-1 {"time":"2026-05-07T09:12:50Z","level":"INFO","msg":"configuration in force","host":"entry-1","configuration":5}
+const sampleLogs = `  12.1 entry-1 {"time":"2026-05-07T09:12:50Z","level":"INFO","msg":"configuration in force","host":"entry-1","configuration":5}
 {"time":"2026-05-07T09:12:50.01Z","level":"INFO","msg":"configuration in force","host":"control-1","configuration":5}
 {"time":"2026-05-07T09:12:52Z","level":"INFO","msg":"configuration in force","host":"control-2","configuration":5}
 {"time":"2026-05-07T09:12:53Z","level":"INFO","msg":"request sent","host":"entry-1","request":"r1","upstream":"u1","send":1}
@@ -19,8 +19,10 @@
 {"time":"2026-05-07T09:13:30Z","level":"INFO","msg":"upstream is silent","host":"control-1","upstream":"u1"}
 `
 
-func TestFind(t *testing.T) {
-	all, err := Read(strings.NewReader(logs))
+// The trace of r1 must contain its own lines and the line about its upstream shortly before, in
+// corrected order, but neither the line of r2 nor the upstream line half a minute later.
+func TestFindCorrectsClocksAndAddsUpstreamLines(t *testing.T) {
+	all, err := Read(strings.NewReader(sampleLogs))
 	require.NoError(t, err)
 	require.Len(t, all, 8)
 	trace := Find(all, "r1")
@@ -28,10 +30,10 @@
 	for _, l := range trace.Lines {
 		messages = append(messages, l.Message)
 	}
-	// The clock of control-2 is two seconds ahead: what it saw was before.
+	// The clock of control-2 is two seconds ahead, so its line comes first.
 	require.Equal(t, []string{"upstream is silent", "request sent", "request failed"}, messages)
-	require.InDelta(t, 2*time.Second, trace.Offsets["control-2"], float64(50*time.Millisecond))
-	require.NotContains(t, trace.Offsets, "control-1")
+	require.InDelta(t, 2*time.Second, trace.ClockOffsets["control-2"], float64(50*time.Millisecond))
+	require.NotContains(t, trace.ClockOffsets, "control-1")
 	var out strings.Builder
 	require.NoError(t, trace.Write(&out))
 	require.Contains(t, out.String(), "~ upstream is silent")
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -12,31 +12,31 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// lateReader applies what is still missing at the barrier, as a replica does that
-// lags behind.
-type lateReader struct {
-	machine *state.Machine
-	missing []state.Command
-	err     error
+// laggingReader simulates a replica that is behind: the unapplied commands are committed, and
+// Read applies them before it returns.
+type laggingReader struct {
+	machine   *state.Machine
+	unapplied []state.Command
+	err       error
 }
 
-func (r *lateReader) Read(context.Context) (uint64, error) {
+func (r *laggingReader) Read(context.Context) (uint64, error) {
 	if r.err != nil {
 		return 0, r.err
 	}
-	for _, c := range r.missing {
+	for _, c := range r.unapplied {
 		data, err := state.Encode(c)
 		if err != nil {
 			return 0, err
 		}
-		r.machine.Apply(r.machine.Applied()+1, data)
+		r.machine.Apply(r.machine.AppliedIndex()+1, data)
 	}
-	r.missing = nil
-	return r.machine.Applied(), nil
+	r.unapplied = nil
+	return r.machine.AppliedIndex(), nil
 }
 
-func newService(missing ...state.Command) (*Service, *lateReader) {
-	r := &lateReader{machine: state.New(state.Options{}), missing: missing}
+func newService(unapplied ...state.Command) (*Service, *laggingReader) {
+	r := &laggingReader{machine: state.New(state.Options{}), unapplied: unapplied}
 	return New(r, r.machine), r
 }
 
@@ -44,8 +44,9 @@
 	return state.SubmitDocument{Name: name, Base: base, ChangeID: change, Author: "ann", Text: change}
 }
 
-// TestReadsFollowTheBarrier: each read sees what was committed before it.
-func TestReadsFollowTheBarrier(t *testing.T) {
+// Every read must pass the barrier first. Without it, a read at a replica that is behind would
+// miss documents that were committed before the read.
+func TestReadsSeeEarlierCommits(t *testing.T) {
 	commands := []state.Command{state.Init{ClusterID: "c1"}, submit("d", 0, "x"), submit("d", 2, "y")}
 	for name, read := range map[string]func(*Service) (uint64, error){
 		"document": func(s *Service) (uint64, error) {
@@ -57,7 +58,7 @@
 			return docs[0].Revision, err
 		},
 		"changes": func(s *Service) (uint64, error) {
-			docs, err := s.Changes(t.Context(), 2)
+			docs, err := s.DocumentsSince(t.Context(), 2)
 			return docs[0].Revision, err
 		},
 		"history": func(s *Service) (uint64, error) {
@@ -80,7 +81,9 @@
 	}
 }
 
-func TestFailedBarrierHasNotRun(t *testing.T) {
+// A read changes nothing, so its error must not tell the caller that something may have run,
+// although the error of the barrier says so.
+func TestBarrierErrorsSayNotRun(t *testing.T) {
 	s, r := newService()
 	for code, err := range map[verdict.Code]error{
 		verdict.CodeNoQuorum: verdict.New(verdict.MayHaveRun, verdict.CodeNoQuorum, "cut off"),
@@ -90,7 +93,7 @@
 		calls := []func() error{
 			func() error { _, err := s.Document(t.Context(), "d"); return err },
 			func() error { _, err := s.Documents(t.Context()); return err },
-			func() error { _, err := s.Changes(t.Context(), 0); return err },
+			func() error { _, err := s.DocumentsSince(t.Context(), 0); return err },
 			func() error { _, err := s.History(t.Context(), HistoryRequest{Limit: 1}); return err },
 			func() error { _, err := s.Status(t.Context()); return err },
 		}
@@ -104,15 +107,15 @@
 	require.Zero(t, s.LocalStatus().Index)
 }
 
-func TestUnknownDocumentAndPages(t *testing.T) {
+func TestUnknownDocumentAndPageLimits(t *testing.T) {
 	var commands []state.Command
-	for i := range MaxPage + 1 {
+	for i := range MaxPageSize + 1 {
 		commands = append(commands, submit(fmt.Sprint(i), 0, "x"))
 	}
 	s, _ := newService(commands...)
 	_, err := s.Document(t.Context(), "other")
 	require.Equal(t, verdict.CodeNotFound, verdict.FromError(err).Code)
-	for limit, want := range map[int]int{0: DefaultPage, 7: 7, MaxPage + 1: MaxPage} {
+	for limit, want := range map[int]int{0: DefaultPageSize, 7: 7, MaxPageSize + 1: MaxPageSize} {
 		page, err := s.History(t.Context(), HistoryRequest{Limit: limit, All: true})
 		require.NoError(t, err)
 		require.Len(t, page.Records, want)
@@ -120,7 +123,7 @@
 	}
 	page, err := s.History(t.Context(), HistoryRequest{Documents: []string{"3", "8"}})
 	require.NoError(t, err)
-	require.Len(t, page.Records, 2, "what is not asked for takes no room of the page")
+	require.Len(t, page.Records, 2, "other documents' records do not count towards the limit")
 	require.Equal(t, "8", page.Records[0].Subject)
 	require.Zero(t, page.Next)
 	_, err = s.History(t.Context(), HistoryRequest{Limit: -1})
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -1,19 +1,20 @@
-// Package state holds the replicated tables: documents, claims of non-idempotent
-// calls, the cluster's identity and addresses, and the audit trail.
+// Package state implements the replicated tables: documents, claims of non-idempotent
+// calls, the routing configuration, the cluster's id and addresses, and the audit trail.
 //
-// The tables are a function of the log alone. They read no clock: their age moves
-// on by AdvanceAge commands, and all retention goes by that age. Options must be
-// the same on every replica.
+// The contents of the tables depend on the log alone. The tables read no clock: they have
+// a logical clock, which AdvanceClock commands advance, and everything expires by it.
+// Options must be the same on every replica.
 //
 // # Locks
 //
 // Apply, ApplyMembership, Snapshot and Restore are serialised by Machine.applyMu.
 // Each table has a lock of its own for concurrent readers. A goroutine that holds
-// one lock may only take a later one in the order
+// one lock may only take a lock that comes later in this order:
 //
 //	Machine.applyMu, documents.mu, claims.mu, cluster.mu, configuration.mu, audit.mu
 //
-// Readers take one lock at a time. Nothing is called out to while a lock is held.
+// Readers take one lock at a time. No code of other packages is called while a lock is
+// held, except the filter of History.
 package state
 
 import (
@@ -24,98 +25,100 @@
 	"github.com/sassafraspost/sassafraspost/internal/consensus"
 )
 
-// Age is the age of the tables in milliseconds. It moves only by AdvanceAge.
-type Age uint64
+// LogicalTime is a time of the tables' logical clock, or a duration by it, in milliseconds.
+// The clock starts at zero and advances only by AdvanceClock commands.
+type LogicalTime uint64
 
-// The bounds of one command.
+// The limits of one command.
 const (
-	// MaxAdvance is the most that one AdvanceAge counts.
-	MaxAdvance Age = 60_000
-	// MaxDeadline is the longest deadline of a claim.
-	MaxDeadline Age = 3_600_000
-	// MaxAnswerBytes is the longest body that is recorded; a longer answer leaves
-	// the verdict only.
-	MaxAnswerBytes = 64 << 10
-	// MaxNameBytes bounds names, keys, authors and ids.
+	// MaxAdvance is the most by which one AdvanceClock advances the logical clock.
+	MaxAdvance LogicalTime = 60_000
+	// MaxDeadline is the longest time from a claim to its deadline.
+	MaxDeadline LogicalTime = 3_600_000
+	// MaxResponseBytes is the maximum length of a recorded response body. Of a longer
+	// response only the verdict is recorded.
+	MaxResponseBytes = 64 << 10
+	// MaxNameBytes is the maximum length of names, keys, authors and ids.
 	MaxNameBytes = 512
-	// MaxDocumentBytes bounds the text of a document.
+	// MaxDocumentBytes is the maximum length of a document's text.
 	MaxDocumentBytes = 4 << 20
 )
 
-const day Age = 24 * 3_600_000
+const day LogicalTime = 24 * 3_600_000
 
-// The bounds of the retention that an AdvanceAge states.
+// The limits of the claim retention that an AdvanceClock sets.
 const (
-	MinRetention Age = 60_000
-	MaxRetention     = 30 * day
+	MinRetention LogicalTime = 60_000
+	MaxRetention             = 30 * day
 )
 
-// Options bound what the tables retain. Zero means the default.
+// Options limits what the tables retain. Zero means the default.
 type Options struct {
 	// ClaimRetention is how long a claim is kept after it finished or passed its
-	// deadline, until an AdvanceAge states another span; the default is 24 hours.
-	ClaimRetention Age
-	// Claims bounds open and retained claims altogether, and with them the memory;
-	// the default is 150,000.
+	// deadline, until an AdvanceClock sets another duration. The default is 24 hours.
+	ClaimRetention LogicalTime
+	// Claims is the maximum number of uncompacted claims, open or finished, of all
+	// workspaces. It limits the memory. The default is 150,000.
 	Claims int
-	// ClaimsPerWorkspace bounds those of one workspace, so that it cannot take the
-	// room of the others; the default is 50,000.
+	// ClaimsPerWorkspace is the maximum number of uncompacted claims of one workspace,
+	// so that none can use up the limit of all. The default is 50,000.
 	ClaimsPerWorkspace int
-	// SettleAfter is how long after its end a call's claim is kept whole; then the
-	// answer goes, and the verdict is kept for the retention. The default is 10 minutes.
-	SettleAfter Age
-	// Settled bounds the claims kept in that short form; the default is 500,000.
-	Settled int
-	// AnswerBytes bounds the recorded bodies altogether; an answer beyond it
-	// leaves the verdict only. The default is 32 MiB.
-	AnswerBytes int
-	// OutcomeRetention is how long the outcome of a change is kept for a resend;
-	// the default is 24 hours.
-	OutcomeRetention Age
-	// Outcomes bounds the outcomes kept; the default is 10,000.
+	// CompactAfter is how long a finished claim is kept with its response. After that
+	// the claim is compacted: only its verdict and hashes of its key and its request are
+	// kept, for the rest of the retention. The default is 10 minutes.
+	CompactAfter LogicalTime
+	// CompactClaims is the maximum number of compact claims. The default is 500,000.
+	CompactClaims int
+	// RecordedBytes is the maximum total length of the recorded response bodies. Of a
+	// response that would exceed it only the verdict is recorded. The default is 32 MiB.
+	RecordedBytes int
+	// OutcomeRetention is how long the outcome of a submission is kept to answer a
+	// resend. The default is 24 hours.
+	OutcomeRetention LogicalTime
+	// Outcomes is the maximum number of outcomes kept. The default is 10,000.
 	Outcomes int
-	// AuditRecords bounds the audit trail; the default is 10,000.
+	// AuditRecords is the maximum length of the audit trail. The default is 10,000.
 	AuditRecords int
 }
 
 const (
-	defaultClaims                 = 150_000
-	defaultClaimsPerWorkspace     = 50_000
-	defaultSettleAfter        Age = 600_000
-	defaultSettled                = 500_000
-	defaultAnswerBytes            = 32 << 20
-	defaultOutcomes               = 10_000
-	defaultAuditRecords           = 10_000
+	defaultClaims                         = 150_000
+	defaultClaimsPerWorkspace             = 50_000
+	defaultCompactAfter       LogicalTime = 600_000
+	defaultCompactClaims                  = 500_000
+	defaultRecordedBytes                  = 32 << 20
+	defaultOutcomes                       = 10_000
+	defaultAuditRecords                   = 10_000
 )
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.ClaimRetention, day)
 	setDefault(&o.Claims, defaultClaims)
 	setDefault(&o.ClaimsPerWorkspace, defaultClaimsPerWorkspace)
-	setDefault(&o.SettleAfter, defaultSettleAfter)
-	setDefault(&o.Settled, defaultSettled)
-	setDefault(&o.AnswerBytes, defaultAnswerBytes)
+	setDefault(&o.CompactAfter, defaultCompactAfter)
+	setDefault(&o.CompactClaims, defaultCompactClaims)
+	setDefault(&o.RecordedBytes, defaultRecordedBytes)
 	setDefault(&o.OutcomeRetention, day)
 	setDefault(&o.Outcomes, defaultOutcomes)
 	setDefault(&o.AuditRecords, defaultAuditRecords)
 	return o
 }
 
-func setDefault[T Age | int](v *T, d T) {
+func setDefault[T LogicalTime | int](v *T, d T) {
 	if *v == 0 {
 		*v = d
 	}
 }
 
-// Machine is the replicated tables.
+// Machine is the replicated state machine that holds the tables.
 type Machine struct {
 	options Options
 
-	// applyMu serialises all changes.
+	// applyMu serialises all changes of the tables.
 	applyMu sync.Mutex
-	// applied and age change only under applyMu.
-	applied atomic.Uint64
-	age     atomic.Uint64
+	// appliedIndex and logicalTime change only while applyMu is held.
+	appliedIndex atomic.Uint64
+	logicalTime  atomic.Uint64
 
 	documents     documents
 	claims        claims
@@ -124,7 +127,7 @@
 	audit         audit
 }
 
-// New returns empty tables.
+// New returns a Machine with empty tables.
 func New(o Options) *Machine {
 	m := &Machine{options: o.withDefaults()}
 	m.documents.init(m.options)
@@ -135,21 +138,21 @@
 	return m
 }
 
-// Applied returns the index of the last entry that was applied.
-func (m *Machine) Applied() uint64 { return m.applied.Load() }
+// AppliedIndex returns the index of the last log entry that was applied.
+func (m *Machine) AppliedIndex() uint64 { return m.appliedIndex.Load() }
 
-// Age returns the age of the tables.
-func (m *Machine) Age() Age { return Age(m.age.Load()) }
+// LogicalTime returns the time of the logical clock.
+func (m *Machine) LogicalTime() LogicalTime { return LogicalTime(m.logicalTime.Load()) }
 
-// Apply applies the command of the log entry index. The result is the typed one
-// of the command, or Rejected; it is the same on every replica.
+// Apply applies the command of the log entry at index. It returns the result type of the
+// command, or Rejected. The result is the same on every replica.
 func (m *Machine) Apply(index uint64, data []byte) any {
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
-	if index <= m.applied.Load() {
-		return Rejected{Reason: ReasonApplied}
+	if index <= m.appliedIndex.Load() {
+		return Rejected{Reason: ReasonAlreadyApplied}
 	}
-	defer m.applied.Store(index)
+	defer m.appliedIndex.Store(index)
 	command, rejected := decode(data)
 	if rejected != nil {
 		return *rejected
@@ -157,66 +160,68 @@
 	switch c := command.(type) {
 	case Init:
 		return m.applyInit(index, c)
-	case AdvanceAge:
-		return m.advance(c)
+	case AdvanceClock:
+		return m.advanceClock(c)
 	case SubmitDocument:
 		return m.submit(index, c)
 	case ClaimBatch:
-		return m.claims.claimBatch(c, m.Age())
+		return m.claims.claimBatch(c, m.LogicalTime())
 	case FinishClaims:
-		return m.claims.finishBatch(c, m.Age())
+		return m.claims.finishBatch(c, m.LogicalTime())
 	case SetVoterAddress:
 		return m.setVoterAddress(index, c)
 	case PutConfiguration:
 		return m.putConfiguration(index, c)
 	}
-	return Rejected{Reason: ReasonKind}
+	return Rejected{Reason: ReasonUnknownKind}
 }
 
-// ApplyMembership takes the membership of the log entry index into the tables.
+// ApplyMembership stores the membership of the log entry at index.
 func (m *Machine) ApplyMembership(index uint64, members consensus.Membership) {
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
-	if index <= m.applied.Load() {
+	if index <= m.appliedIndex.Load() {
 		return
 	}
-	defer m.applied.Store(index)
+	defer m.appliedIndex.Store(index)
 	m.cluster.setMembership(members)
 	m.audit.add(AuditRecord{
-		Index:   index,
-		Age:     m.Age(),
-		Action:  ActionMembership,
-		Outcome: "applied",
-		Detail:  describe(members),
+		Index:       index,
+		LogicalTime: m.LogicalTime(),
+		Action:      ActionMembership,
+		Outcome:     "applied",
+		Detail:      describeMembership(members),
 	})
 }
 
-// advance moves the age on. The caller holds applyMu.
-func (m *Machine) advance(c AdvanceAge) AgeResult {
-	age := m.Age() + min(Age(c.Elapsed), MaxAdvance)
-	m.age.Store(uint64(age))
-	m.claims.retain(Age(c.Retention))
-	m.documents.expire(age)
-	return AgeResult{Age: age, Expired: m.claims.expire(age)}
+// advanceClock advances the logical clock and deletes what has expired. The caller holds
+// applyMu.
+func (m *Machine) advanceClock(c AdvanceClock) ClockResult {
+	now := m.LogicalTime() + min(LogicalTime(c.Elapsed), MaxAdvance)
+	m.logicalTime.Store(uint64(now))
+	m.claims.setRetention(LogicalTime(c.Retention))
+	m.documents.expire(now)
+	return ClockResult{LogicalTime: now, Expired: m.claims.expire(now)}
 }
 
-// submit takes a document. The caller holds applyMu.
+// submit applies a SubmitDocument and records it in the audit trail. The caller holds
+// applyMu.
 func (m *Machine) submit(index uint64, c SubmitDocument) any {
 	if !validNames(c.Name, c.ChangeID, c.Author) {
-		return Rejected{Reason: ReasonName}
+		return Rejected{Reason: ReasonInvalidName}
 	}
 	if len(c.Text) > MaxDocumentBytes {
 		return Rejected{Reason: ReasonTooLarge}
 	}
-	result := m.documents.submit(index, m.Age(), c)
+	result := m.documents.submit(index, m.LogicalTime(), c)
 	m.audit.add(AuditRecord{
-		Index:   index,
-		Age:     m.Age(),
-		At:      c.At,
-		Author:  c.Author,
-		Action:  ActionSubmit,
-		Subject: c.Name,
-		Outcome: result.describe(),
+		Index:       index,
+		LogicalTime: m.LogicalTime(),
+		At:          c.At,
+		Author:      c.Author,
+		Action:      ActionSubmit,
+		Subject:     c.Name,
+		Outcome:     result.describe(),
 
 		Revision: result.Revision,
 		ChangeID: c.ChangeID,
@@ -225,46 +230,47 @@
 	return result
 }
 
-// applyInit names the cluster. The caller holds applyMu.
+// applyInit applies an Init and records it in the audit trail. The caller holds applyMu.
 func (m *Machine) applyInit(index uint64, c Init) any {
 	if !validNames(c.ClusterID) || len(c.Author) > MaxNameBytes {
-		return Rejected{Reason: ReasonName}
+		return Rejected{Reason: ReasonInvalidName}
 	}
-	result := m.cluster.name(c.ClusterID)
+	result := m.cluster.setID(c.ClusterID)
 	m.audit.add(AuditRecord{
-		Index:   index,
-		Age:     m.Age(),
-		At:      c.At,
-		Author:  c.Author,
-		Action:  ActionInit,
-		Subject: c.ClusterID,
-		Outcome: acceptance(result.Accepted),
+		Index:       index,
+		LogicalTime: m.LogicalTime(),
+		At:          c.At,
+		Author:      c.Author,
+		Action:      ActionInit,
+		Subject:     c.ClusterID,
+		Outcome:     acceptedOrRefused(result.Accepted),
 	})
 	return result
 }
 
-// setVoterAddress takes an address. The caller holds applyMu.
+// setVoterAddress applies a SetVoterAddress. Only a changed address is recorded in the
+// audit trail. The caller holds applyMu.
 func (m *Machine) setVoterAddress(index uint64, c SetVoterAddress) any {
 	if !validNames(string(c.Replica), c.Host, c.Address) || len(c.Author) > MaxNameBytes {
-		return Rejected{Reason: ReasonName}
+		return Rejected{Reason: ReasonInvalidName}
 	}
 	result := m.cluster.setAddress(VoterAddress{Replica: c.Replica, Host: c.Host, Address: c.Address})
 	if result.Changed {
 		m.audit.add(AuditRecord{
-			Index:   index,
-			Age:     m.Age(),
-			At:      c.At,
-			Author:  c.Author,
-			Action:  ActionVoterAddress,
-			Subject: string(c.Replica),
-			Outcome: acceptance(true),
-			Detail:  c.Host + " at " + c.Address,
+			Index:       index,
+			LogicalTime: m.LogicalTime(),
+			At:          c.At,
+			Author:      c.Author,
+			Action:      ActionVoterAddress,
+			Subject:     string(c.Replica),
+			Outcome:     acceptedOrRefused(true),
+			Detail:      c.Host + " at " + c.Address,
 		})
 	}
 	return result
 }
 
-func acceptance(accepted bool) string {
+func acceptedOrRefused(accepted bool) string {
 	if accepted {
 		return "accepted"
 	}
