--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -28,7 +28,7 @@
 const (
 	DefaultCapacity    = 32
 	DefaultQueueLength = 64
-	DefaultRemember    = 65536
+	DefaultDedupSize   = 65536
 	DefaultRetryAfter  = time.Second
 )
 
@@ -39,14 +39,14 @@
 	Identity wire.Upstream
 	// URL is the base of the upstream, such as "http://127.0.0.1:8000".
 	URL string
-	// Engine tells that the upstream is a model engine that reports load and cache events.
-	Engine bool
+	// IsEngine tells that the upstream is a model engine that reports load and cache events.
+	IsEngine bool
 	// Capacity is how many requests run at once; QueueLength how many wait.
 	Capacity    int
 	QueueLength int
-	// Remember is how many attempts and how many claims are remembered, so that none
+	// DedupSize is how many attempts and how many claims are remembered, so that none
 	// runs twice. Another start has another incarnation and refuses all before it.
-	Remember int
+	DedupSize int
 	// RetryAfter is what a refused caller is told to wait.
 	RetryAfter time.Duration
 	// Recorder, if set, takes the outcomes of non-idempotent calls that no entry host
@@ -98,8 +98,8 @@
 		once:     newTransport(cfg.Capacity, true),
 		counters: newCounters(cfg.Metrics),
 		attempts: make(map[wire.AttemptID]*attempt),
-		seen:     newMemory[wire.AttemptID](cfg.Remember),
-		claims:   newMemory[wire.Claim](cfg.Remember),
+		seen:     newMemory[wire.AttemptID](cfg.DedupSize),
+		claims:   newMemory[wire.Claim](cfg.DedupSize),
 		idle:     make(chan struct{}, 1),
 		unheard:  make(chan struct{}, maxUnheard),
 	}, nil
@@ -114,8 +114,8 @@
 	} else if c.QueueLength == 0 {
 		c.QueueLength = DefaultQueueLength
 	}
-	if c.Remember <= 0 {
-		c.Remember = DefaultRemember
+	if c.DedupSize <= 0 {
+		c.DedupSize = DefaultDedupSize
 	}
 	if c.RetryAfter <= 0 {
 		c.RetryAfter = DefaultRetryAfter
@@ -307,8 +307,8 @@
 	return at
 }
 
-// Ready lets the agent take work, unless it is leaving.
-func (a *Agent) Ready() {
+// MarkReady lets the agent take work, unless it is leaving.
+func (a *Agent) MarkReady() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.state == wire.UpstreamStarting {
@@ -325,15 +325,15 @@
 	a.cfg.Identity.Incarnation = max(a.cfg.Identity.Incarnation, known+1)
 }
 
-// Leave refuses all new work from now on. What was taken goes on.
-func (a *Agent) Leave() {
+// StartDraining refuses all new work from now on. What was taken goes on.
+func (a *Agent) StartDraining() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.state = wire.UpstreamLeaving
 }
 
-// Drained waits until nothing runs or waits. The error is that of ctx.
-func (a *Agent) Drained(ctx context.Context) error {
+// AwaitDrained waits until nothing runs or waits. The error is that of ctx.
+func (a *Agent) AwaitDrained(ctx context.Context) error {
 	for {
 		a.mu.Lock()
 		n := len(a.attempts)
--- a/internal/agent/facts.go
+++ b/internal/agent/facts.go
@@ -95,7 +95,7 @@
 // An answer that fails leaves the last report, whose age grows. A plain service is
 // not asked.
 func (a *Agent) Poll(ctx context.Context, interval time.Duration) {
-	if !a.cfg.Engine {
+	if !a.cfg.IsEngine {
 		return
 	}
 	tick := time.NewTicker(interval)
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -15,18 +15,18 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// DefaultOrderSpan is how old an answer may be, by the agent's own clock since it
+// DefaultMaxOrderAge is how old an answer may be, by the agent's own clock since it
 // asked, when the order in it is carried out.
-const DefaultOrderSpan = 2 * time.Second
+const DefaultMaxOrderAge = 2 * time.Second
 
 // ordersPath is where an engine takes orders.
 const ordersPath = "/orders"
 
 // The reasons that an answer is not carried out.
 var (
-	ErrNotAsked = errors.New("agent: answer to no outstanding question")
-	ErrLate     = errors.New("agent: answer came too late")
-	ErrOldFence = errors.New("agent: fencing number below the highest seen")
+	ErrUnexpectedAnswer  = errors.New("agent: answer to no outstanding question")
+	ErrOrderExpired      = errors.New("agent: answer came too late")
+	ErrStaleFencingToken = errors.New("agent: fencing number below the highest seen")
 )
 
 // Asker asks the control hosts.
@@ -34,8 +34,8 @@
 	Ask(ctx context.Context, q *wire.OrderQuery) (*wire.OrderAnswer, error)
 }
 
-// OrderReport is the body of POST /orders to an engine.
-type OrderReport struct {
+// EngineOrder is the body of POST /orders to an engine.
+type EngineOrder struct {
 	Fence    uint64   `json:"fence"`
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
@@ -65,14 +65,14 @@
 // question is answered once.
 func (g *gate) take(a *wire.OrderAnswer, now time.Duration) error {
 	if !g.outstanding || a.Nonce != g.nonce {
-		return ErrNotAsked
+		return ErrUnexpectedAnswer
 	}
 	g.outstanding = false
 	if g.left(now) <= 0 {
-		return ErrLate
+		return ErrOrderExpired
 	}
 	if a.Fence < g.fence {
-		return ErrOldFence
+		return ErrStaleFencingToken
 	}
 	g.fence = a.Fence
 	return nil
@@ -81,8 +81,8 @@
 // left is how long the answer to the last question may still be carried out.
 func (g *gate) left(now time.Duration) time.Duration { return g.span - (now - g.asked) }
 
-// OrdersConfig is what Orders needs.
-type OrdersConfig struct {
+// OrderPullerConfig is what Orders needs.
+type OrderPullerConfig struct {
 	Upstream, Pool string
 	// Group is the group of ranks that the upstream belongs to, empty if none.
 	Group string
@@ -91,20 +91,20 @@
 	// URL is the base of the engine.
 	URL   string
 	Asker Asker
-	// Starts counts the upstream's starts, as far as they were seen; nil counts none. One that
+	// Restarts counts the upstream's starts, as far as they were seen; nil counts none. One that
 	// has started anew holds no order.
-	Starts func() int
-	// Span is DefaultOrderSpan if zero.
-	Span time.Duration
+	Restarts func() int
+	// MaxAge is DefaultOrderSpan if zero.
+	MaxAge time.Duration
 	// Clock returns a monotonic duration; the default counts from the start.
 	Clock   func() time.Duration
 	Metrics metrics.Registry
 }
 
-// Orders pulls the order to one engine and passes it on. A new one has passed
+// OrderPuller pulls the order to one engine and passes it on. A new one has passed
 // nothing on and knows no fencing number: it asks first. It is used by one goroutine.
-type Orders struct {
-	cfg    OrdersConfig
+type OrderPuller struct {
+	cfg    OrderPullerConfig
 	gate   gate
 	client *http.Client
 	// passed is what the upstream was told in that start of it.
@@ -113,31 +113,31 @@
 	refused metrics.Counter
 }
 
-// NewOrders returns an Orders that has not asked yet.
-func NewOrders(cfg OrdersConfig) *Orders {
-	if cfg.Span <= 0 {
-		cfg.Span = DefaultOrderSpan
+// NewOrderPuller returns an Orders that has not asked yet.
+func NewOrderPuller(cfg OrderPullerConfig) *OrderPuller {
+	if cfg.MaxAge <= 0 {
+		cfg.MaxAge = DefaultMaxOrderAge
 	}
 	if cfg.Clock == nil {
 		start := time.Now()
 		cfg.Clock = func() time.Duration { return time.Since(start) }
 	}
-	if cfg.Starts == nil {
-		cfg.Starts = func() int { return 0 }
+	if cfg.Restarts == nil {
+		cfg.Restarts = func() int { return 0 }
 	}
 	if cfg.Metrics == nil {
 		cfg.Metrics = metrics.NewRegistry()
 	}
-	return &Orders{
+	return &OrderPuller{
 		cfg:     cfg,
-		gate:    gate{span: cfg.Span},
+		gate:    gate{span: cfg.MaxAge},
 		client:  &http.Client{Transport: newTransport(1, true)},
 		refused: metrics.GetOrRegisterCounter("agent.orders.refused", cfg.Metrics),
 	}
 }
 
 // Run pulls each interval until ctx ends.
-func (o *Orders) Run(ctx context.Context, interval time.Duration) {
+func (o *OrderPuller) Run(ctx context.Context, interval time.Duration) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
@@ -151,13 +151,13 @@
 }
 
 // Pull asks once and passes the order on, unless the engine has taken it before.
-func (o *Orders) Pull(ctx context.Context) error {
+func (o *OrderPuller) Pull(ctx context.Context) error {
 	q := &wire.OrderQuery{Upstream: o.cfg.Upstream, Pool: o.cfg.Pool, Group: o.cfg.Group, Seen: o.gate.fence}
 	if _, err := rand.Read(q.Nonce[:]); err != nil {
 		return errors.Wrap(err, "agent: make nonce")
 	}
 	o.gate.ask(q.Nonce, o.cfg.Clock())
-	askCtx, cancel := context.WithTimeout(ctx, o.cfg.Span)
+	askCtx, cancel := context.WithTimeout(ctx, o.cfg.MaxAge)
 	defer cancel()
 	answer, err := o.cfg.Asker.Ask(askCtx, q)
 	if err != nil {
@@ -176,20 +176,20 @@
 	return o.pass(ctx, answer)
 }
 
-func (o *Orders) hasPassed(a *wire.OrderAnswer) bool {
-	return o.passed != nil && o.start == o.cfg.Starts() && o.passed.Fence == a.Fence && reflect.DeepEqual(o.passed.Order, a.Order)
+func (o *OrderPuller) hasPassed(a *wire.OrderAnswer) bool {
+	return o.passed != nil && o.start == o.cfg.Restarts() && o.passed.Fence == a.Fence && reflect.DeepEqual(o.passed.Order, a.Order)
 }
 
-func (o *Orders) pass(ctx context.Context, a *wire.OrderAnswer) error {
+func (o *OrderPuller) pass(ctx context.Context, a *wire.OrderAnswer) error {
 	left := o.gate.left(o.cfg.Clock())
 	if left <= 0 {
 		o.refused.Inc(1)
-		return ErrLate
+		return ErrOrderExpired
 	}
-	start := o.cfg.Starts()
+	start := o.cfg.Restarts()
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
-	body, err := json.Marshal(OrderReport{
+	body, err := json.Marshal(EngineOrder{
 		Fence:    a.Fence,
 		Model:    a.Order.Model,
 		Version:  a.Order.Version,
--- a/internal/agent/orders_core_test.go
+++ b/internal/agent/orders_core_test.go
@@ -21,16 +21,16 @@
 	}{
 		{"in time", 5, wire.OrderAnswer{Nonce: one, Fence: 5}, time.Second, nil},
 		{"higher fence", 5, wire.OrderAnswer{Nonce: one, Fence: 6}, time.Second, nil},
-		{"late", 5, wire.OrderAnswer{Nonce: one, Fence: 9}, 2 * time.Second, ErrLate},
-		{"lower fence", 5, wire.OrderAnswer{Nonce: one, Fence: 4}, 0, ErrOldFence},
-		{"another question", 5, wire.OrderAnswer{Nonce: two, Fence: 9}, 0, ErrNotAsked},
+		{"late", 5, wire.OrderAnswer{Nonce: one, Fence: 9}, 2 * time.Second, ErrOrderExpired},
+		{"lower fence", 5, wire.OrderAnswer{Nonce: one, Fence: 4}, 0, ErrStaleFencingToken},
+		{"another question", 5, wire.OrderAnswer{Nonce: two, Fence: 9}, 0, ErrUnexpectedAnswer},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := gate{span: 2 * time.Second, fence: c.seen}
 			g.ask(one, time.Hour)
 			require.Equal(t, c.want, g.take(&c.answer, time.Hour+c.after))
-			require.Equal(t, ErrNotAsked, g.take(&c.answer, time.Hour+c.after), "a replay is refused")
+			require.Equal(t, ErrUnexpectedAnswer, g.take(&c.answer, time.Hour+c.after), "a replay is refused")
 		})
 	}
 }
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -38,7 +38,7 @@
 	defer srv.Close()
 	var now time.Duration
 	l := &leader{fence: 4, order: &wire.Order{Model: "m", Version: "v1"}}
-	o := agent.NewOrders(agent.OrdersConfig{Upstream: "u", Pool: "p", URL: srv.URL, Asker: l, Clock: func() time.Duration { return now }})
+	o := agent.NewOrderPuller(agent.OrderPullerConfig{Upstream: "u", Pool: "p", URL: srv.URL, Asker: l, Clock: func() time.Duration { return now }})
 	ctx := context.Background()
 
 	require.NoError(t, o.Pull(ctx))
@@ -46,16 +46,16 @@
 	require.Equal(t, 1, engine.Executions().Orders, "the same order is passed on once")
 
 	l.order = &wire.Order{Model: "m", Version: "v0"}
-	l.delay = func() { now += agent.DefaultOrderSpan }
-	require.ErrorIs(t, o.Pull(ctx), agent.ErrLate)
+	l.delay = func() { now += agent.DefaultMaxOrderAge }
+	require.ErrorIs(t, o.Pull(ctx), agent.ErrOrderExpired)
 	l.delay = nil
 	l.fence = 3
-	require.ErrorIs(t, o.Pull(ctx), agent.ErrOldFence)
+	require.ErrorIs(t, o.Pull(ctx), agent.ErrStaleFencingToken)
 	require.Equal(t, "v1", engine.Executions().Order.Version)
 
 	l.fence, l.order = 5, &wire.Order{Model: "m", Version: "v2"}
 	require.NoError(t, o.Pull(ctx))
-	require.Equal(t, agent.OrderReport{Fence: 5, Model: "m", Version: "v2"}, engine.Executions().Order)
+	require.Equal(t, agent.EngineOrder{Fence: 5, Model: "m", Version: "v2"}, engine.Executions().Order)
 }
 
 func TestEngineThatChecksFencesIsToldThem(t *testing.T) {
@@ -64,7 +64,7 @@
 	defer srv.Close()
 	pull := func(fence uint64) error {
 		l := &leader{fence: fence, order: &wire.Order{Version: "v"}}
-		return agent.NewOrders(agent.OrdersConfig{URL: srv.URL, Asker: l}).Pull(context.Background())
+		return agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, Asker: l}).Pull(context.Background())
 	}
 	require.NoError(t, pull(4))
 	require.ErrorContains(t, pull(3), "409", "a restarted agent that was told an old fence")
@@ -75,7 +75,7 @@
 	engine := standin.NewEngine(standin.EngineConfig{Version: "v3", Step: 5 * time.Millisecond, EventGap: 2})
 	srv := httptest.NewServer(engine)
 	defer srv.Close()
-	a, err := agent.New(agent.Config{Identity: wire.Upstream{Name: "u", Incarnation: 1}, URL: srv.URL, Engine: true, Capacity: 3})
+	a, err := agent.New(agent.Config{Identity: wire.Upstream{Name: "u", Incarnation: 1}, URL: srv.URL, IsEngine: true, Capacity: 3})
 	require.NoError(t, err)
 	require.NoError(t, a.PollOnce(context.Background()))
 	u, _ := a.Record()
@@ -98,9 +98,9 @@
 	_, events = a.Record()
 	require.Empty(t, events)
 
-	a.Ready()
-	a.Leave()
-	a.Ready()
+	a.MarkReady()
+	a.StartDraining()
+	a.MarkReady()
 	next, _ := a.Record()
 	require.Equal(t, wire.UpstreamLeaving, next.State, "leaving is for good")
 	require.Greater(t, next.Seq, u.Seq)
@@ -112,10 +112,10 @@
 	first, second := standin.NewEngine(standin.EngineConfig{}), standin.NewEngine(standin.EngineConfig{})
 	srv := httptest.NewServer(first)
 	address := srv.Listener.Addr().String()
-	a, err := agent.New(agent.Config{Identity: wire.Upstream{Name: "u"}, URL: srv.URL, Engine: true})
+	a, err := agent.New(agent.Config{Identity: wire.Upstream{Name: "u"}, URL: srv.URL, IsEngine: true})
 	require.NoError(t, err)
 	l := &leader{fence: 4, order: &wire.Order{Model: "m", Version: "v1"}}
-	o := agent.NewOrders(agent.OrdersConfig{URL: srv.URL, Asker: l, Starts: a.Starts})
+	o := agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, Asker: l, Restarts: a.Restarts})
 	require.NoError(t, a.PollOnce(t.Context()))
 	require.NoError(t, o.Pull(t.Context()))
 	require.NoError(t, o.Pull(t.Context()))
--- a/internal/agent/presence.go
+++ b/internal/agent/presence.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Starts counts how often the upstream was back after it had been found to have ended.
-func (a *Agent) Starts() int {
+// Restarts counts how often the upstream was back after it had been found to have ended.
+func (a *Agent) Restarts() int {
 	a.presence.mu.Lock()
 	defer a.presence.mu.Unlock()
 	return a.presence.starts
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -28,7 +28,7 @@
 type agentRole struct {
 	agent     *agent.Agent
 	announcer *directory.Announcer
-	orders    *agent.Orders
+	orders    *agent.OrderPuller
 	// group is set where the upstream belongs to a group of ranks.
 	group *group.Runner
 	// upstream is where the upstream accepts connections, "ip:port".
@@ -49,7 +49,7 @@
 			Ranks:       groupRanks(set),
 		},
 		URL:      set.UpstreamURL,
-		Engine:   set.Kind == settings.UpstreamModel,
+		IsEngine: set.Kind == settings.UpstreamModel,
 		Capacity: set.Capacity,
 		Recorder: control.NewClient(d.pool, addresses(set.Control)),
 		Metrics:  d.metrics,
@@ -76,11 +76,11 @@
 		Log:      d.log,
 	})
 	if set.Kind == settings.UpstreamModel {
-		r.orders = agent.NewOrders(agent.OrdersConfig{
+		r.orders = agent.NewOrderPuller(agent.OrderPullerConfig{
 			Upstream: d.set.Host.Name,
 			Pool:     set.Pool,
 			Group:    set.Group,
-			Starts:   a.Starts,
+			Restarts: a.Restarts,
 			OnOrder:  func(o *wire.Order) { shape.Store(shapeOf(o)) },
 			URL:      set.UpstreamURL,
 			Asker:    control.NewClient(d.pool, addresses(set.Control)),
@@ -128,7 +128,7 @@
 		conn, err := net.DialTimeout("tcp", r.upstream, upstreamRetry)
 		if err == nil {
 			_ = conn.Close()
-			r.agent.Ready()
+			r.agent.MarkReady()
 			r.announcer.Wake()
 			return
 		}
@@ -143,7 +143,7 @@
 // drain announces that the upstream leaves. The agent refuses new work by itself
 // from the first moment, whether or not the announcement arrives.
 func (r *agentRole) drain(ctx context.Context) error {
-	r.agent.Leave()
+	r.agent.StartDraining()
 	r.announcer.Wake()
-	return r.agent.Drained(ctx)
+	return r.agent.AwaitDrained(ctx)
 }
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -207,7 +207,7 @@
 	}
 	a, err := agent.New(cfg)
 	require.NoError(p.t, err)
-	a.Ready()
+	a.MarkReady()
 	pool := p.host(name, peer.HandlerFunc(func(s *peer.Session, call uint64, m wire.Message) { a.HandlePeer(s, call, m) }))
 	return a, pool
 }
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -263,7 +263,7 @@
 	require.NoError(t, err, "the stream runs")
 	cancel()
 	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Cancelled == 1 }, patience, time.Millisecond)
-	require.NoError(t, a.Drained(context.Background()))
+	require.NoError(t, a.AwaitDrained(context.Background()))
 	require.Equal(t, int64(1), p.counter("agent.cancelled"))
 }
 
@@ -317,12 +317,12 @@
 	running := make(chan reply, 1)
 	go func() { running <- p.complete("a", 100, true) }()
 	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Begun == 1 }, patience, time.Millisecond)
-	a.Leave()
+	a.StartDraining()
 	r := p.complete("b", tokens, true)
 	require.Equal(t, "not-run", r.verdict())
 	require.Contains(t, r.body, verdict.CodeLeaving)
 	require.Zero(t, e.Executions().ByRequest["b"].Begun)
-	require.NoError(t, a.Drained(context.Background()))
+	require.NoError(t, a.AwaitDrained(context.Background()))
 	whole(t, "a", 100, <-running)
 }
 
@@ -449,7 +449,7 @@
 	require.Equal(t, http.StatusConflict, r.status)
 	require.Equal(t, "may-have-run", r.verdict())
 
-	a.Leave()
+	a.StartDraining()
 	require.Equal(t, "not-run", p.book("k4", "ana").verdict())
 	p.upstream("u2", s, nil)
 	p.router.mu.Lock()
@@ -484,7 +484,7 @@
 	require.Equal(t, "may-have-run", p.book("k", "ana").verdict())
 	require.Eventually(t, func() bool { return len(pool.Sessions()) == 0 }, patience, time.Millisecond)
 	close(release)
-	require.NoError(t, a.Drained(context.Background()))
+	require.NoError(t, a.AwaitDrained(context.Background()))
 	require.Equal(t, standin.Executions{Begun: 1, Finished: 1}, s.Executions().ByKey["k"])
 	require.Zero(t, p.counter("agent.refused"), "a call that may not repeat is not cut by a lost session")
 }
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -80,7 +80,7 @@
 
 func (n *Node) buildAgent() (role, error) {
 	n.openPool("")
-	a := &agentRole{n: n, view: registry.NewView(), client: n.platform.Engine(n.set.Agent.Upstream)}
+	a := &agentRole{n: n, view: registry.NewView(), client: n.platform.NewEngine(n.set.Agent.Upstream)}
 	a.follower = newFollower(n, "agent")
 	// The shape of a group is all that an agent needs; an older one will do.
 	a.follower.isCurrent = true
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -94,7 +94,7 @@
 func watchSeeds(ctx context.Context, n *Node, book *control.Book) {
 	for ctx.Err() == nil {
 		pause.For(ctx, reloadInterval)
-		set, err := n.platform.Reload()
+		set, err := n.platform.ReloadSettings()
 		if err != nil {
 			n.log.Warn("settings can't be read again", "error", err.Error())
 			continue
@@ -278,7 +278,7 @@
 }
 
 func (f *follower) apply(answer *wire.ConfigurationAnswer) bool {
-	table, err := f.n.platform.Decode(answer.Data)
+	table, err := f.n.platform.DecodeTable(answer.Data)
 	if err != nil {
 		f.n.log.Error("configuration can't be decoded", "configuration", answer.Number, "error", err.Error())
 		return false
--- a/internal/node/follow_test.go
+++ b/internal/node/follow_test.go
@@ -47,7 +47,7 @@
 	require.NoError(t, err)
 
 	f := &follower{
-		n: &Node{pool: pool, log: slog.New(slog.DiscardHandler), platform: Platform{Decode: decodeLength}}, isCurrent: true, rest: rest,
+		n: &Node{pool: pool, log: slog.New(slog.DiscardHandler), platform: Platform{DecodeTable: decodeLength}}, isCurrent: true, rest: rest,
 		configure: func(*routetable.Table) bool { return true }, started: time.Now(),
 	}
 	began := time.Now()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -50,16 +50,16 @@
 // Platform translates for a process what stands outside the system.
 type Platform struct {
 	Dialect gateway.Dialect
-	// Decode reads a packed configuration.
-	Decode func(packed []byte) (*routetable.Table, error)
+	// DecodeTable reads a packed configuration.
+	DecodeTable func(packed []byte) (*routetable.Table, error)
 	// ControlAPI serves upstreams and operators at a control host.
 	ControlAPI func(h ControlHost, address string, count func(name string)) http.Handler
-	// Engine reaches the engine at an address.
-	Engine func(address netip.AddrPort) rank.Client
+	// NewEngine reaches the engine at an address.
+	NewEngine func(address netip.AddrPort) rank.Client
 	// ReadyPath is where an entry host is asked whether it wants callers.
 	ReadyPath string
-	// Reload reads the settings anew.
-	Reload func() (Settings, error)
+	// ReloadSettings reads the settings anew.
+	ReloadSettings func() (Settings, error)
 }
 
 // Node is one process.
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -29,8 +29,8 @@
 	AnnounceInterval time.Duration
 	// GracePeriod is how long the process has to end.
 	GracePeriod time.Duration
-	// TolerateHosts is how many control hosts may be lost at once.
-	TolerateHosts int
+	// MaxControlHostFailures is how many control hosts may be lost at once.
+	MaxControlHostFailures int
 	// Budget bounds the repeats of all hosts together.
 	Budget retrybudget.Params
 
@@ -86,4 +86,4 @@
 
 // voters returns how many control hosts vote: enough that a majority is left when as
 // many are lost as must be borne.
-func (s *Settings) voters() int { return 2*max(s.TolerateHosts, 1) + 1 }
+func (s *Settings) voters() int { return 2*max(s.MaxControlHostFailures, 1) + 1 }
--- a/test/integration/orders_test.go
+++ b/test/integration/orders_test.go
@@ -23,11 +23,11 @@
 
 	// mu guards orders, by stand-in, without repetitions.
 	mu     sync.Mutex
-	orders map[string][]agent.OrderReport
+	orders map[string][]agent.EngineOrder
 }
 
 func (s *system) watchEngines() *engineWatch {
-	w := &engineWatch{stop: make(chan struct{}), orders: make(map[string][]agent.OrderReport)}
+	w := &engineWatch{stop: make(chan struct{}), orders: make(map[string][]agent.EngineOrder)}
 	for _, h := range s.StandIns {
 		w.wg.Go(func() {
 			ticker := time.NewTicker(observeInterval)
@@ -53,7 +53,7 @@
 	return w
 }
 
-func (w *engineWatch) take(name string, o agent.OrderReport) {
+func (w *engineWatch) take(name string, o agent.EngineOrder) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	list := w.orders[name]
--- a/test/standin/engine.go
+++ b/test/standin/engine.go
@@ -339,7 +339,7 @@
 }
 
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
-	var o agent.OrderReport
+	var o agent.EngineOrder
 	var body bytes.Buffer
 	if _, err := body.ReadFrom(r.Body); err != nil || json.Unmarshal(body.Bytes(), &o) != nil {
 		http.Error(w, "order can't be read", http.StatusBadRequest)
--- a/test/standin/standin.go
+++ b/test/standin/standin.go
@@ -53,7 +53,7 @@
 	Ends map[string]int `json:"ends"`
 	// Orders counts the orders that were carried out; Order is the last one.
 	Orders int               `json:"orders"`
-	Order  agent.OrderReport `json:"order"`
+	Order  agent.EngineOrder `json:"order"`
 }
 
 // counts is shared by both stand-ins. mu guards the rest.
