--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -57,31 +57,31 @@
 
 // Agent stands in front of one upstream.
 type Agent struct {
-	cfg      Config
-	base     *url.URL
-	shared   *http.Transport
-	once     *http.Transport
-	counters counters
-	presence presence
-	// unheard has room for the answers that are kept until they count as heard.
-	unheard chan struct{}
+	cfg       Config
+	baseURL   *url.URL
+	pooled    *http.Transport
+	singleUse *http.Transport
+	counters  counters
+	monitor   upstreamMonitor
+	// undelivered has room for the answers that are kept until they count as heard.
+	undelivered chan struct{}
 
 	// mu guards the rest.
-	mu       sync.Mutex
-	state    wire.UpstreamState
-	seq      uint64
-	attempts map[wire.AttemptID]*attempt
-	running  int
-	queue    waiting
-	arrivals uint64
-	seen     *memory[wire.AttemptID]
-	claims   *memory[wire.Claim]
-	idle     chan struct{}
-	facts    facts
+	mu           sync.Mutex
+	state        wire.UpstreamState
+	seq          uint64
+	attempts     map[wire.AttemptID]*attempt
+	running      int
+	waitQueue    attemptHeap
+	arrivals     uint64
+	seenAttempts *recentSet[wire.AttemptID]
+	seenClaims   *recentSet[wire.Claim]
+	idle         chan struct{}
+	reports      engineReports
 }
 
 type counters struct {
-	accepted, refused, repeated, broken, cancelled, unreported, ended metrics.Counter
+	accepted, refused, duplicates, incomplete, cancelled, unreported, upstreamEnds metrics.Counter
 }
 
 // New returns an Agent in the state UpstreamStarting.
@@ -92,16 +92,16 @@
 	}
 	cfg = cfg.withDefaults()
 	return &Agent{
-		cfg:      cfg,
-		base:     base,
-		shared:   newTransport(cfg.Capacity, false),
-		once:     newTransport(cfg.Capacity, true),
-		counters: newCounters(cfg.Metrics),
-		attempts: make(map[wire.AttemptID]*attempt),
-		seen:     newMemory[wire.AttemptID](cfg.DedupSize),
-		claims:   newMemory[wire.Claim](cfg.DedupSize),
-		idle:     make(chan struct{}, 1),
-		unheard:  make(chan struct{}, maxUnheard),
+		cfg:          cfg,
+		baseURL:      base,
+		pooled:       newTransport(cfg.Capacity, false),
+		singleUse:    newTransport(cfg.Capacity, true),
+		counters:     newCounters(cfg.Metrics),
+		attempts:     make(map[wire.AttemptID]*attempt),
+		seenAttempts: newRecentSet[wire.AttemptID](cfg.DedupSize),
+		seenClaims:   newRecentSet[wire.Claim](cfg.DedupSize),
+		idle:         make(chan struct{}, 1),
+		undelivered:  make(chan struct{}, maxUndelivered),
 	}, nil
 }
 
@@ -128,13 +128,13 @@
 
 func newCounters(r metrics.Registry) counters {
 	return counters{
-		accepted:   metrics.GetOrRegisterCounter("agent.accepted", r),
-		refused:    metrics.GetOrRegisterCounter("agent.refused", r),
-		repeated:   metrics.GetOrRegisterCounter("agent.repeated", r),
-		broken:     metrics.GetOrRegisterCounter("agent.broken", r),
-		cancelled:  metrics.GetOrRegisterCounter("agent.cancelled", r),
-		unreported: metrics.GetOrRegisterCounter("agent.unreported", r),
-		ended:      metrics.GetOrRegisterCounter("agent.ended", r),
+		accepted:     metrics.GetOrRegisterCounter("agent.accepted", r),
+		refused:      metrics.GetOrRegisterCounter("agent.refused", r),
+		duplicates:   metrics.GetOrRegisterCounter("agent.repeated", r),
+		incomplete:   metrics.GetOrRegisterCounter("agent.broken", r),
+		cancelled:    metrics.GetOrRegisterCounter("agent.cancelled", r),
+		unreported:   metrics.GetOrRegisterCounter("agent.unreported", r),
+		upstreamEnds: metrics.GetOrRegisterCounter("agent.ended", r),
 	}
 }
 
@@ -157,18 +157,18 @@
 func (a *Agent) dispatch(s *peer.Session, d *wire.Dispatch) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.seen.add(d.Attempt) {
+	if !a.seenAttempts.add(d.Attempt) {
 		// The first dispatch of the attempt answers for it: a refusal here could call
 		// an attempt not run that runs.
-		a.counters.repeated.Inc(1)
+		a.counters.duplicates.Inc(1)
 		return
 	}
-	if err := a.refusal(d); err != nil {
+	if err := a.checkDispatch(d); err != nil {
 		a.refuse(s, d.Attempt, err)
 		return
 	}
 	if d.Claim != nil {
-		a.claims.add(*d.Claim)
+		a.seenClaims.add(*d.Claim)
 	}
 	a.counters.accepted.Inc(1)
 	at := newAttempt(s, d)
@@ -181,11 +181,11 @@
 	a.enqueue(at)
 }
 
-// refusal returns why d is not taken, or nil. It requires mu.
-func (a *Agent) refusal(d *wire.Dispatch) *verdict.Error {
+// checkDispatch returns why d is not taken, or nil. It requires mu.
+func (a *Agent) checkDispatch(d *wire.Dispatch) *verdict.Error {
 	id := a.cfg.Identity
 	switch {
-	case d.Claim != nil && a.claims.has(*d.Claim):
+	case d.Claim != nil && a.seenClaims.has(*d.Claim):
 		// The call of this key has been taken before, so it may have run.
 		return verdict.New(verdict.MayHaveRun, verdict.CodeConflict, "claim was dispatched before")
 	case d.Upstream != id.Name:
@@ -196,7 +196,7 @@
 		return notRun(verdict.CodeLeaving, "upstream is leaving").After(a.cfg.RetryAfter)
 	case a.state != wire.UpstreamReady:
 		return notRun(verdict.CodeNoUpstream, "upstream is not ready").After(a.cfg.RetryAfter)
-	case a.running >= a.cfg.Capacity && len(a.queue) >= a.cfg.QueueLength:
+	case a.running >= a.cfg.Capacity && len(a.waitQueue) >= a.cfg.QueueLength:
 		return notRun(verdict.CodeOverloaded, "upstream's queue is full").After(a.cfg.RetryAfter)
 	}
 	return nil
@@ -214,7 +214,7 @@
 		Code:          string(e.Code),
 		Text:          e.Text,
 		RetryAfterMS:  uint64(e.RetryAfter / time.Millisecond),
-		UpstreamEnded: endedAt(e),
+		UpstreamEnded: upstreamEndedAt(e),
 	}
 	if s.Post(m) != nil {
 		a.counters.unreported.Inc(1)
@@ -231,9 +231,9 @@
 // enqueue requires mu.
 func (a *Agent) enqueue(at *attempt) {
 	a.arrivals++
-	at.arrival = a.arrivals
-	heap.Push(&a.queue, at)
-	at.stopWait = context.AfterFunc(at.ctx, func() { a.dropWaiting(at) })
+	at.arrivalNumber = a.arrivals
+	heap.Push(&a.waitQueue, at)
+	at.stopWatchingContext = context.AfterFunc(at.ctx, func() { a.dropWaiting(at) })
 }
 
 // dropWaiting refuses an attempt whose time ended, whose caller left or whose
@@ -244,22 +244,22 @@
 	if at.started {
 		return
 	}
-	heap.Remove(&a.queue, at.index)
-	a.forget(at)
-	if at.d.Claim != nil {
-		a.claims.remove(*at.d.Claim)
+	heap.Remove(&a.waitQueue, at.heapIndex)
+	a.removeAttempt(at)
+	if at.dispatch.Claim != nil {
+		a.seenClaims.remove(*at.dispatch.Claim)
 	}
 	code := verdict.CodeCancelled
 	if errors.Is(at.ctx.Err(), context.DeadlineExceeded) {
 		code = verdict.CodeDeadline
 	}
-	a.refuse(at.s, at.d.Attempt, notRun(code, "ended while it waited").After(a.cfg.RetryAfter))
+	a.refuse(at.session, at.dispatch.Attempt, notRun(code, "ended while it waited").After(a.cfg.RetryAfter))
 }
 
-// forget requires mu.
-func (a *Agent) forget(at *attempt) {
-	delete(a.attempts, at.d.Attempt)
-	at.s.Release()
+// removeAttempt requires mu.
+func (a *Agent) removeAttempt(at *attempt) {
+	delete(a.attempts, at.dispatch.Attempt)
+	at.session.Release()
 	at.cancel()
 	if len(a.attempts) == 0 {
 		select {
@@ -269,39 +269,39 @@
 	}
 }
 
-// done ends a running attempt and starts the most urgent one that waits.
-func (a *Agent) done(at *attempt) {
+// finish ends a running attempt and starts the most urgent one that waits.
+func (a *Agent) finish(at *attempt) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.forget(at)
+	a.removeAttempt(at)
 	a.running--
-	if len(a.queue) == 0 {
+	if len(a.waitQueue) == 0 {
 		return
 	}
-	next := heap.Pop(&a.queue).(*attempt)
-	next.stopWait()
+	next := heap.Pop(&a.waitQueue).(*attempt)
+	next.stopWatchingContext()
 	a.start(next)
 }
 
 func (a *Agent) cancel(s *peer.Session, id wire.AttemptID) {
-	if at := a.find(s, id); at != nil {
+	if at := a.attemptOf(s, id); at != nil {
 		a.counters.cancelled.Inc(1)
 		at.cancel()
 	}
 }
 
 func (a *Agent) credit(s *peer.Session, c *wire.Credit) {
-	if at := a.find(s, c.Attempt); at != nil {
+	if at := a.attemptOf(s, c.Attempt); at != nil {
 		at.window.add(c.Bytes)
 	}
 }
 
-// find returns the attempt if it came by s.
-func (a *Agent) find(s *peer.Session, id wire.AttemptID) *attempt {
+// attemptOf returns the attempt if it came by s.
+func (a *Agent) attemptOf(s *peer.Session, id wire.AttemptID) *attempt {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	at := a.attempts[id]
-	if at == nil || at.s != s {
+	if at == nil || at.session != s {
 		return nil
 	}
 	return at
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -11,21 +11,21 @@
 
 // attempt is a dispatch that was taken. Agent.mu guards started, index and arrival.
 type attempt struct {
-	s        *peer.Session
-	d        *wire.Dispatch
-	ctx      context.Context
-	cancel   context.CancelFunc
-	window   *window
-	stopWait func() bool
+	session             *peer.Session
+	dispatch            *wire.Dispatch
+	ctx                 context.Context
+	cancel              context.CancelFunc
+	window              *creditWindow
+	stopWatchingContext func() bool
 
-	started bool
-	arrival uint64
-	index   int
+	started       bool
+	arrivalNumber uint64
+	heapIndex     int
 }
 
 func newAttempt(s *peer.Session, d *wire.Dispatch) *attempt {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(d.TimeoutMS)*time.Millisecond)
-	at := &attempt{s: s, d: d, ctx: ctx, cancel: cancel, window: newWindow(d.Window)}
+	at := &attempt{session: s, dispatch: d, ctx: ctx, cancel: cancel, window: newCreditWindow(d.Window)}
 	go at.watchSession()
 	return at
 }
@@ -36,43 +36,43 @@
 // counts as unknown.
 func (at *attempt) watchSession() {
 	select {
-	case <-at.s.Done():
-		if at.d.Claim == nil {
+	case <-at.session.Done():
+		if at.dispatch.Claim == nil {
 			at.cancel()
 		}
 	case <-at.ctx.Done():
 	}
 }
 
-// waiting is a heap of attempts: the most urgent first, then the earliest.
-type waiting []*attempt
+// attemptHeap is a heap of attempts: the most urgent first, then the earliest.
+type attemptHeap []*attempt
 
 // Len implements heap.Interface.
-func (w waiting) Len() int { return len(w) }
+func (w attemptHeap) Len() int { return len(w) }
 
 // Less implements heap.Interface.
-func (w waiting) Less(i, j int) bool {
-	if w[i].d.Urgency != w[j].d.Urgency {
-		return w[i].d.Urgency < w[j].d.Urgency
+func (w attemptHeap) Less(i, j int) bool {
+	if w[i].dispatch.Urgency != w[j].dispatch.Urgency {
+		return w[i].dispatch.Urgency < w[j].dispatch.Urgency
 	}
-	return w[i].arrival < w[j].arrival
+	return w[i].arrivalNumber < w[j].arrivalNumber
 }
 
 // Swap implements heap.Interface.
-func (w waiting) Swap(i, j int) {
+func (w attemptHeap) Swap(i, j int) {
 	w[i], w[j] = w[j], w[i]
-	w[i].index, w[j].index = i, j
+	w[i].heapIndex, w[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (w *waiting) Push(x any) {
+func (w *attemptHeap) Push(x any) {
 	at := x.(*attempt)
-	at.index = len(*w)
+	at.heapIndex = len(*w)
 	*w = append(*w, at)
 }
 
 // Pop implements heap.Interface.
-func (w *waiting) Pop() any {
+func (w *attemptHeap) Pop() any {
 	last := len(*w) - 1
 	at := (*w)[last]
 	(*w)[last] = nil
@@ -80,36 +80,36 @@
 	return at
 }
 
-// window counts the body bytes that may be sent.
-type window struct {
+// creditWindow counts the body bytes that may be sent.
+type creditWindow struct {
 	// mu guards left.
-	mu    sync.Mutex
-	left  uint64
-	added chan struct{}
+	mu        sync.Mutex
+	available uint64
+	changed   chan struct{}
 }
 
-func newWindow(n uint64) *window {
-	return &window{left: n, added: make(chan struct{}, 1)}
+func newCreditWindow(n uint64) *creditWindow {
+	return &creditWindow{available: n, changed: make(chan struct{}, 1)}
 }
 
-func (w *window) add(n uint64) {
+func (w *creditWindow) add(n uint64) {
 	w.mu.Lock()
-	w.left += n
+	w.available += n
 	w.mu.Unlock()
 	select {
-	case w.added <- struct{}{}:
+	case w.changed <- struct{}{}:
 	default:
 	}
 }
 
 // take waits until some bytes may be sent and takes up to want of them.
-func (w *window) take(ctx context.Context, want int, lost <-chan struct{}) (int, error) {
+func (w *creditWindow) take(ctx context.Context, want int, lost <-chan struct{}) (int, error) {
 	for {
 		if n := w.tryTake(want); n > 0 {
 			return n, nil
 		}
 		select {
-		case <-w.added:
+		case <-w.changed:
 		case <-lost:
 			return 0, peer.ErrClosed
 		case <-ctx.Done():
@@ -118,47 +118,47 @@
 	}
 }
 
-func (w *window) tryTake(want int) int {
+func (w *creditWindow) tryTake(want int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n := min(uint64(want), w.left)
-	w.left -= n
+	n := min(uint64(want), w.available)
+	w.available -= n
 	return int(n)
 }
 
-// memory is a set that forgets its oldest members beyond a bound.
-type memory[K comparable] struct {
-	bound   int
-	order   []K
-	next    int
+// recentSet is a set that forgets its oldest members beyond a bound.
+type recentSet[K comparable] struct {
+	limit   int
+	ring    []K
+	oldest  int
 	members map[K]struct{}
 }
 
-func newMemory[K comparable](bound int) *memory[K] {
-	return &memory[K]{bound: bound, members: make(map[K]struct{})}
+func newRecentSet[K comparable](bound int) *recentSet[K] {
+	return &recentSet[K]{limit: bound, members: make(map[K]struct{})}
 }
 
 // add reports whether k is new.
-func (m *memory[K]) add(k K) bool {
+func (m *recentSet[K]) add(k K) bool {
 	if m.has(k) {
 		return false
 	}
 	m.members[k] = struct{}{}
-	if len(m.order) < m.bound {
-		m.order = append(m.order, k)
+	if len(m.ring) < m.limit {
+		m.ring = append(m.ring, k)
 		return true
 	}
-	delete(m.members, m.order[m.next])
-	m.order[m.next] = k
-	m.next = (m.next + 1) % m.bound
+	delete(m.members, m.ring[m.oldest])
+	m.ring[m.oldest] = k
+	m.oldest = (m.oldest + 1) % m.limit
 	return true
 }
 
-func (m *memory[K]) has(k K) bool {
+func (m *recentSet[K]) has(k K) bool {
 	_, ok := m.members[k]
 	return ok
 }
 
 // remove forgets k early. Its place in the order stays taken until it comes round;
 // a k that was added again meanwhile may be forgotten that much sooner.
-func (m *memory[K]) remove(k K) { delete(m.members, k) }
+func (m *recentSet[K]) remove(k K) { delete(m.members, k) }
--- a/internal/agent/facts.go
+++ b/internal/agent/facts.go
@@ -16,10 +16,10 @@
 	loadPath        = "/load"
 	cacheEventsPath = "/cache-events"
 	pollTimeout     = time.Second
-	// maxEvents bounds the cache events that wait for the next Record; the oldest go
+	// maxPendingEvents bounds the cache events that wait for the next Record; the oldest go
 	// first, which readers see as a gap.
-	maxEvents = 4096
-	maxFacts  = 1 << 20
+	maxPendingEvents = 4096
+	maxReportBytes   = 1 << 20
 )
 
 // LoadReport is an engine's answer to GET /load.
@@ -47,12 +47,12 @@
 	Stored bool   `json:"stored"`
 }
 
-// facts are what the engine last said. Agent.mu guards them.
-type facts struct {
-	load    LoadReport
-	at      time.Time
-	lastSeq uint64
-	events  []wire.CacheEvent
+// engineReports are what the engine last said. Agent.mu guards them.
+type engineReports struct {
+	latestLoad   LoadReport
+	loadTime     time.Time
+	lastEventSeq uint64
+	events       []wire.CacheEvent
 }
 
 // Record returns the upstream's present record for an announcement, and the cache
@@ -64,29 +64,29 @@
 	u := a.cfg.Identity
 	u.Seq = a.seq
 	u.State = a.state
-	u.Load = a.load()
-	if a.facts.load.Version != "" {
-		u.Version = a.facts.load.Version
+	u.Load = a.latestLoad()
+	if a.reports.latestLoad.Version != "" {
+		u.Version = a.reports.latestLoad.Version
 	}
-	events := a.facts.events
-	a.facts.events = nil
+	events := a.reports.events
+	a.reports.events = nil
 	return u, events
 }
 
-// load requires mu.
-func (a *Agent) load() wire.Load {
-	report := a.facts.load
+// latestLoad requires mu.
+func (a *Agent) latestLoad() wire.Load {
+	report := a.reports.latestLoad
 	l := wire.Load{
 		Running:      uint32(a.running),
-		Queued:       uint32(len(a.queue)) + report.Queued,
+		Queued:       uint32(len(a.waitQueue)) + report.Queued,
 		Capacity:     uint32(a.cfg.Capacity),
 		FirstTokenUS: report.FirstTokenUS,
 		Tokens:       report.Tokens,
 		CacheFree:    report.CacheFree,
 		StepUS:       report.StepUS,
 	}
-	if !a.facts.at.IsZero() {
-		l.AgeMS = report.AgeMS + uint32(time.Since(a.facts.at)/time.Millisecond)
+	if !a.reports.loadTime.IsZero() {
+		l.AgeMS = report.AgeMS + uint32(time.Since(a.reports.loadTime)/time.Millisecond)
 	}
 	return l
 }
@@ -115,19 +115,19 @@
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	var load LoadReport
-	if err := a.get(ctx, loadPath, &load); err != nil {
-		a.presence.find(a.base.Host)
+	if err := a.getJSON(ctx, loadPath, &load); err != nil {
+		a.monitor.probe(a.baseURL.Host)
 		return err
 	}
-	a.presence.isBack()
+	a.monitor.markConnected()
 	a.mu.Lock()
-	a.facts.load = load
-	a.facts.at = time.Now()
-	since := a.facts.lastSeq
+	a.reports.latestLoad = load
+	a.reports.loadTime = time.Now()
+	since := a.reports.lastEventSeq
 	a.mu.Unlock()
 
 	var events CacheEventsReport
-	if err := a.get(ctx, cacheEventsPath+"?since="+strconv.FormatUint(since, 10), &events); err != nil {
+	if err := a.getJSON(ctx, cacheEventsPath+"?since="+strconv.FormatUint(since, 10), &events); err != nil {
 		return err
 	}
 	a.keepEvents(events.Events)
@@ -138,16 +138,16 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, e := range events {
-		a.facts.lastSeq = max(a.facts.lastSeq, e.Seq)
-		a.facts.events = append(a.facts.events, wire.CacheEvent{Seq: e.Seq, Prefix: e.Prefix, Stored: e.Stored})
+		a.reports.lastEventSeq = max(a.reports.lastEventSeq, e.Seq)
+		a.reports.events = append(a.reports.events, wire.CacheEvent{Seq: e.Seq, Prefix: e.Prefix, Stored: e.Stored})
 	}
-	if over := len(a.facts.events) - maxEvents; over > 0 {
-		a.facts.events = a.facts.events[over:]
+	if over := len(a.reports.events) - maxPendingEvents; over > 0 {
+		a.reports.events = a.reports.events[over:]
 	}
 }
 
-func (a *Agent) get(ctx context.Context, path string, out any) error {
-	u, err := a.base.Parse(path)
+func (a *Agent) getJSON(ctx context.Context, path string, out any) error {
+	u, err := a.baseURL.Parse(path)
 	if err != nil {
 		return err
 	}
@@ -155,7 +155,7 @@
 	if err != nil {
 		return err
 	}
-	resp, err := a.shared.RoundTrip(req)
+	resp, err := a.pooled.RoundTrip(req)
 	if err != nil {
 		return errors.Wrap(err, "agent: ask engine")
 	}
@@ -163,5 +163,5 @@
 	if resp.StatusCode != http.StatusOK {
 		return errors.Errorf("agent: engine says %s to %s", resp.Status, path)
 	}
-	return json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxFacts)).Decode(out)
+	return json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxReportBytes)).Decode(out)
 }
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -43,43 +43,43 @@
 	Role     string   `json:"role,omitempty"`
 }
 
-// gate decides whether an answer is carried out. Its clock is a monotonic duration
+// answerFilter decides whether an answer is carried out. Its clock is a monotonic duration
 // since any fixed point. It is not safe for use by several goroutines.
-type gate struct {
-	span  time.Duration
-	fence uint64
-	// outstanding tells that nonce was asked at asked and not answered yet.
-	outstanding bool
-	nonce       [16]byte
-	asked       time.Duration
+type answerFilter struct {
+	maxAge       time.Duration
+	highestFence uint64
+	// isOutstanding tells that nonce was asked at asked and not answered yet.
+	isOutstanding bool
+	nonce         [16]byte
+	askedAt       time.Duration
 }
 
-// ask notes a question; an older one is outstanding no more.
-func (g *gate) ask(nonce [16]byte, now time.Duration) {
-	g.outstanding = true
+// startQuery notes a question; an older one is outstanding no more.
+func (g *answerFilter) startQuery(nonce [16]byte, now time.Duration) {
+	g.isOutstanding = true
 	g.nonce = nonce
-	g.asked = now
+	g.askedAt = now
 }
 
-// take returns nil if the answer may be carried out until the end of the span. A
+// accept returns nil if the answer may be carried out until the end of the span. A
 // question is answered once.
-func (g *gate) take(a *wire.OrderAnswer, now time.Duration) error {
-	if !g.outstanding || a.Nonce != g.nonce {
+func (g *answerFilter) accept(a *wire.OrderAnswer, now time.Duration) error {
+	if !g.isOutstanding || a.Nonce != g.nonce {
 		return ErrUnexpectedAnswer
 	}
-	g.outstanding = false
-	if g.left(now) <= 0 {
+	g.isOutstanding = false
+	if g.timeLeft(now) <= 0 {
 		return ErrOrderExpired
 	}
-	if a.Fence < g.fence {
+	if a.Fence < g.highestFence {
 		return ErrStaleFencingToken
 	}
-	g.fence = a.Fence
+	g.highestFence = a.Fence
 	return nil
 }
 
-// left is how long the answer to the last question may still be carried out.
-func (g *gate) left(now time.Duration) time.Duration { return g.span - (now - g.asked) }
+// timeLeft is how long the answer to the last question may still be carried out.
+func (g *answerFilter) timeLeft(now time.Duration) time.Duration { return g.maxAge - (now - g.askedAt) }
 
 // OrderPullerConfig is what Orders needs.
 type OrderPullerConfig struct {
@@ -105,12 +105,12 @@
 // nothing on and knows no fencing number: it asks first. It is used by one goroutine.
 type OrderPuller struct {
 	cfg    OrderPullerConfig
-	gate   gate
+	filter answerFilter
 	client *http.Client
-	// passed is what the upstream was told in that start of it.
-	passed  *wire.OrderAnswer
-	start   int
-	refused metrics.Counter
+	// delivered is what the upstream was told in that start of it.
+	delivered         *wire.OrderAnswer
+	deliveredRestarts int
+	refused           metrics.Counter
 }
 
 // NewOrderPuller returns an Orders that has not asked yet.
@@ -130,7 +130,7 @@
 	}
 	return &OrderPuller{
 		cfg:     cfg,
-		gate:    gate{span: cfg.MaxAge},
+		filter:  answerFilter{maxAge: cfg.MaxAge},
 		client:  &http.Client{Transport: newTransport(1, true)},
 		refused: metrics.GetOrRegisterCounter("agent.orders.refused", cfg.Metrics),
 	}
@@ -152,36 +152,36 @@
 
 // Pull asks once and passes the order on, unless the engine has taken it before.
 func (o *OrderPuller) Pull(ctx context.Context) error {
-	q := &wire.OrderQuery{Upstream: o.cfg.Upstream, Pool: o.cfg.Pool, Group: o.cfg.Group, Seen: o.gate.fence}
+	q := &wire.OrderQuery{Upstream: o.cfg.Upstream, Pool: o.cfg.Pool, Group: o.cfg.Group, Seen: o.filter.highestFence}
 	if _, err := rand.Read(q.Nonce[:]); err != nil {
 		return errors.Wrap(err, "agent: make nonce")
 	}
-	o.gate.ask(q.Nonce, o.cfg.Clock())
+	o.filter.startQuery(q.Nonce, o.cfg.Clock())
 	askCtx, cancel := context.WithTimeout(ctx, o.cfg.MaxAge)
 	defer cancel()
 	answer, err := o.cfg.Asker.Ask(askCtx, q)
 	if err != nil {
 		return err
 	}
-	if err := o.gate.take(answer, o.cfg.Clock()); err != nil {
+	if err := o.filter.accept(answer, o.cfg.Clock()); err != nil {
 		o.refused.Inc(1)
 		return err
 	}
 	if o.cfg.OnOrder != nil {
 		o.cfg.OnOrder(answer.Order)
 	}
-	if answer.Order == nil || o.hasPassed(answer) {
+	if answer.Order == nil || o.isDelivered(answer) {
 		return nil
 	}
-	return o.pass(ctx, answer)
+	return o.deliver(ctx, answer)
 }
 
-func (o *OrderPuller) hasPassed(a *wire.OrderAnswer) bool {
-	return o.passed != nil && o.start == o.cfg.Restarts() && o.passed.Fence == a.Fence && reflect.DeepEqual(o.passed.Order, a.Order)
+func (o *OrderPuller) isDelivered(a *wire.OrderAnswer) bool {
+	return o.delivered != nil && o.deliveredRestarts == o.cfg.Restarts() && o.delivered.Fence == a.Fence && reflect.DeepEqual(o.delivered.Order, a.Order)
 }
 
-func (o *OrderPuller) pass(ctx context.Context, a *wire.OrderAnswer) error {
-	left := o.gate.left(o.cfg.Clock())
+func (o *OrderPuller) deliver(ctx context.Context, a *wire.OrderAnswer) error {
+	left := o.filter.timeLeft(o.cfg.Clock())
 	if left <= 0 {
 		o.refused.Inc(1)
 		return ErrOrderExpired
@@ -211,6 +211,6 @@
 	if resp.StatusCode/100 != 2 {
 		return errors.Errorf("agent: engine says %s to the order", resp.Status)
 	}
-	o.passed, o.start = a, start
+	o.delivered, o.deliveredRestarts = a, start
 	return nil
 }
--- a/internal/agent/orders_core_test.go
+++ b/internal/agent/orders_core_test.go
@@ -10,7 +10,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-func TestGate(t *testing.T) {
+func TestAnswerFilter(t *testing.T) {
 	one, two := [16]byte{1}, [16]byte{2}
 	cases := []struct {
 		name   string
@@ -27,20 +27,20 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := gate{span: 2 * time.Second, fence: c.seen}
-			g.ask(one, time.Hour)
-			require.Equal(t, c.want, g.take(&c.answer, time.Hour+c.after))
-			require.Equal(t, ErrUnexpectedAnswer, g.take(&c.answer, time.Hour+c.after), "a replay is refused")
+			g := answerFilter{maxAge: 2 * time.Second, highestFence: c.seen}
+			g.startQuery(one, time.Hour)
+			require.Equal(t, c.want, g.accept(&c.answer, time.Hour+c.after))
+			require.Equal(t, ErrUnexpectedAnswer, g.accept(&c.answer, time.Hour+c.after), "a replay is refused")
 		})
 	}
 }
 
 // Whatever answers come in whatever order, only a fresh one to the last question
 // with a fence that does not fall is carried out, and each at most once.
-func TestGateTakesNoOldAnswer(t *testing.T) {
+func TestAnswerFilterAcceptsOnlyFreshAnswerToLastQuery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span = 20 * time.Millisecond
-		g := gate{span: span}
+		g := answerFilter{maxAge: span}
 		var now time.Duration
 		var asked []time.Duration
 		taken := make(map[byte]bool)
@@ -49,12 +49,12 @@
 			now += time.Duration(rapid.IntRange(0, 15).Draw(t, "ms")) * time.Millisecond
 			if len(asked) == 0 || rapid.Bool().Draw(t, "ask") {
 				asked = append(asked, now)
-				g.ask([16]byte{byte(len(asked))}, now)
+				g.startQuery([16]byte{byte(len(asked))}, now)
 				continue
 			}
 			n := rapid.IntRange(1, len(asked)).Draw(t, "question")
 			a := &wire.OrderAnswer{Nonce: [16]byte{byte(n)}, Fence: rapid.Uint64Range(0, 5).Draw(t, "fence")}
-			if g.take(a, now) != nil {
+			if g.accept(a, now) != nil {
 				continue
 			}
 			require.Equal(t, len(asked), n, "an answer to an older question")
@@ -66,8 +66,8 @@
 	})
 }
 
-func TestMemoryForgetsTheOldestOnly(t *testing.T) {
-	m := newMemory[int](2)
+func TestRecentSetEvictsOnlyOldest(t *testing.T) {
+	m := newRecentSet[int](2)
 	require.True(t, m.add(1))
 	require.False(t, m.add(1))
 	require.True(t, m.add(2))
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -17,27 +17,27 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// leader answers with its order; before it answers, delay is called.
-type leader struct {
-	fence uint64
-	order *wire.Order
-	delay func()
+// fakeLeader answers with its order; before it answers, delay is called.
+type fakeLeader struct {
+	fence        uint64
+	order        *wire.Order
+	beforeAnswer func()
 }
 
-func (l *leader) Ask(_ context.Context, q *wire.OrderQuery) (*wire.OrderAnswer, error) {
+func (l *fakeLeader) Ask(_ context.Context, q *wire.OrderQuery) (*wire.OrderAnswer, error) {
 	a := &wire.OrderAnswer{Nonce: q.Nonce, Fence: l.fence, Order: l.order}
-	if l.delay != nil {
-		l.delay()
+	if l.beforeAnswer != nil {
+		l.beforeAnswer()
 	}
 	return a, nil
 }
 
-func TestFrozenLeadersOrderIsNotPassedOnThoughTheEngineIgnoresFences(t *testing.T) {
+func TestStaleOrderIsNotDeliveredToEngineThatIgnoresFencing(t *testing.T) {
 	engine := standin.NewEngine(standin.EngineConfig{})
 	srv := httptest.NewServer(engine)
 	defer srv.Close()
 	var now time.Duration
-	l := &leader{fence: 4, order: &wire.Order{Model: "m", Version: "v1"}}
+	l := &fakeLeader{fence: 4, order: &wire.Order{Model: "m", Version: "v1"}}
 	o := agent.NewOrderPuller(agent.OrderPullerConfig{Upstream: "u", Pool: "p", URL: srv.URL, Asker: l, Clock: func() time.Duration { return now }})
 	ctx := context.Background()
 
@@ -46,9 +46,9 @@
 	require.Equal(t, 1, engine.Executions().Orders, "the same order is passed on once")
 
 	l.order = &wire.Order{Model: "m", Version: "v0"}
-	l.delay = func() { now += agent.DefaultMaxOrderAge }
+	l.beforeAnswer = func() { now += agent.DefaultMaxOrderAge }
 	require.ErrorIs(t, o.Pull(ctx), agent.ErrOrderExpired)
-	l.delay = nil
+	l.beforeAnswer = nil
 	l.fence = 3
 	require.ErrorIs(t, o.Pull(ctx), agent.ErrStaleFencingToken)
 	require.Equal(t, "v1", engine.Executions().Order.Version)
@@ -58,12 +58,12 @@
 	require.Equal(t, agent.EngineOrder{Fence: 5, Model: "m", Version: "v2"}, engine.Executions().Order)
 }
 
-func TestEngineThatChecksFencesIsToldThem(t *testing.T) {
+func TestFencingTokenReachesEngineThatChecksIt(t *testing.T) {
 	engine := standin.NewEngine(standin.EngineConfig{ChecksFencing: true})
 	srv := httptest.NewServer(engine)
 	defer srv.Close()
 	pull := func(fence uint64) error {
-		l := &leader{fence: fence, order: &wire.Order{Version: "v"}}
+		l := &fakeLeader{fence: fence, order: &wire.Order{Version: "v"}}
 		return agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, Asker: l}).Pull(context.Background())
 	}
 	require.NoError(t, pull(4))
@@ -71,7 +71,7 @@
 	require.Equal(t, uint64(4), engine.Executions().Order.Fence)
 }
 
-func TestRecordTellsWhatTheEngineReports(t *testing.T) {
+func TestRecordContainsEngineReport(t *testing.T) {
 	engine := standin.NewEngine(standin.EngineConfig{Version: "v3", Step: 5 * time.Millisecond, EventGap: 2})
 	srv := httptest.NewServer(engine)
 	defer srv.Close()
@@ -108,13 +108,13 @@
 
 // An engine that has started anew holds nothing of before: it gets its order again, although
 // the order is the same.
-func TestEngineThatStartsAnewGetsItsOrderAgain(t *testing.T) {
+func TestRestartedEngineReceivesOrderAgain(t *testing.T) {
 	first, second := standin.NewEngine(standin.EngineConfig{}), standin.NewEngine(standin.EngineConfig{})
 	srv := httptest.NewServer(first)
 	address := srv.Listener.Addr().String()
 	a, err := agent.New(agent.Config{Identity: wire.Upstream{Name: "u"}, URL: srv.URL, IsEngine: true})
 	require.NoError(t, err)
-	l := &leader{fence: 4, order: &wire.Order{Model: "m", Version: "v1"}}
+	l := &fakeLeader{fence: 4, order: &wire.Order{Model: "m", Version: "v1"}}
 	o := agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, Asker: l, Restarts: a.Restarts})
 	require.NoError(t, a.PollOnce(t.Context()))
 	require.NoError(t, o.Pull(t.Context()))
--- a/internal/agent/presence.go
+++ b/internal/agent/presence.go
@@ -13,75 +13,75 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// lookTimeout bounds a look whether the upstream is still there. One whose process has ended
+// probeTimeout bounds a look whether the upstream is still there. One whose process has ended
 // refuses at once.
-const lookTimeout = 250 * time.Millisecond
+const probeTimeout = 250 * time.Millisecond
 
-// presence tells whether the upstream has ended. Its zero value has not.
-type presence struct {
+// upstreamMonitor tells whether the upstream has ended. Its zero value has not.
+type upstreamMonitor struct {
 	// mu guards lost, also while the upstream is looked for: all answers that break off by one
 	// end share a look.
 	mu sync.Mutex
-	// lost is when the upstream was found to have ended, in Unix milliseconds; 0 while it is
+	// endedAt is when the upstream was found to have ended, in Unix milliseconds; 0 while it is
 	// there. starts counts how often it was back.
-	lost   int64
-	starts int
+	endedAt  int64
+	restarts int
 }
 
-// find looks for the upstream after an answer broke off. It returns when the upstream ended,
+// probe looks for the upstream after an answer broke off. It returns when the upstream ended,
 // 0 if it has not.
-func (p *presence) find(address string) int64 {
+func (p *upstreamMonitor) probe(address string) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.lost != 0 {
-		return p.lost
+	if p.endedAt != 0 {
+		return p.endedAt
 	}
-	conn, err := net.DialTimeout("tcp", address, lookTimeout)
+	conn, err := net.DialTimeout("tcp", address, probeTimeout)
 	if err == nil {
 		_ = conn.Close()
 		return 0
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		p.lost = time.Now().UnixMilli()
+		p.endedAt = time.Now().UnixMilli()
 	}
-	return p.lost
+	return p.endedAt
 }
 
-// isBack tells that the upstream took a connection.
-func (p *presence) isBack() {
+// markConnected tells that the upstream took a connection.
+func (p *upstreamMonitor) markConnected() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.lost != 0 {
-		p.lost = 0
-		p.starts++
+	if p.endedAt != 0 {
+		p.endedAt = 0
+		p.restarts++
 	}
 }
 
 // Restarts counts how often the upstream was back after it had been found to have ended.
 func (a *Agent) Restarts() int {
-	a.presence.mu.Lock()
-	defer a.presence.mu.Unlock()
-	return a.presence.starts
+	a.monitor.mu.Lock()
+	defer a.monitor.mu.Unlock()
+	return a.monitor.restarts
 }
 
-// findEnd returns when the upstream ended under an attempt whose answer broke off, 0 if it
+// probeEnd returns when the upstream ended under an attempt whose answer broke off, 0 if it
 // did not, or ends since it leaves.
-func (a *Agent) findEnd() int64 {
+func (a *Agent) probeEnd() int64 {
 	a.mu.Lock()
 	isLeaving := a.state == wire.UpstreamLeaving
 	a.mu.Unlock()
 	if isLeaving {
 		return 0
 	}
-	lost := a.presence.find(a.base.Host)
+	lost := a.monitor.probe(a.baseURL.Host)
 	if lost != 0 {
-		a.counters.ended.Inc(1)
+		a.counters.upstreamEnds.Inc(1)
 	}
 	return lost
 }
 
-// endedAt returns when the upstream ended under an attempt, 0 if it did not.
-func endedAt(e *verdict.Error) int64 {
+// upstreamEndedAt returns when the upstream ended under an attempt, 0 if it did not.
+func upstreamEndedAt(e *verdict.Error) int64 {
 	var ended *answer.UpstreamEndedError
 	if errors.As(e, &ended) {
 		return ended.At
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -29,17 +29,17 @@
 	// RequestIDHeader carries the request id to the upstream.
 	RequestIDHeader = "X-Request-Id"
 
-	dialTimeout    = time.Second
-	reportTimeout  = time.Second
-	frameBytes     = 32 << 10
-	maxHeaderBytes = 64 << 10
-	streamType     = "text/event-stream"
-	streamEnd      = "data: [DONE]"
-	tailBytes      = 32
+	dialTimeout         = time.Second
+	reportTimeout       = time.Second
+	frameBytes          = 32 << 10
+	maxHeaderBytes      = 64 << 10
+	eventStreamType     = "text/event-stream"
+	completionStreamEnd = "data: [DONE]"
+	tailBytes           = 32
 )
 
-// frames holds the buffers of relays; a session copies what it sends.
-var frames = sync.Pool{New: func() any { return new([frameBytes]byte) }}
+// frameBuffers holds the buffers of relays; a session copies what it sends.
+var frameBuffers = sync.Pool{New: func() any { return new([frameBytes]byte) }}
 
 // newTransport returns a transport that never sends a request twice where once is
 // set: on a fresh connection the library does not try again.
@@ -57,30 +57,30 @@
 
 // run carries out one attempt and reports how it went.
 func (a *Agent) run(at *attempt) {
-	defer a.done(at)
+	defer a.finish(at)
 	resp, err := a.roundTrip(at)
 	if err != nil {
-		a.fail(at, verdict.Of(err))
+		a.reportFailure(at, verdict.Of(err))
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if err := checkResume(at.d, resp); err != nil {
-		a.fail(at, err)
+	if err := checkResume(at.dispatch, resp); err != nil {
+		a.reportFailure(at, err)
 		return
 	}
-	head := &wire.Head{Attempt: at.d.Attempt, Status: resp.StatusCode, Header: fields(resp.Header)}
+	head := &wire.Head{Attempt: at.dispatch.Attempt, Status: resp.StatusCode, Header: headerFields(resp.Header)}
 	a.send(at, head)
 	a.relay(at, resp)
 }
 
-// fail reports an attempt that gave no answer.
-func (a *Agent) fail(at *attempt, e *verdict.Error) {
-	if e.Verdict == verdict.NotRun && at.d.Claim != nil {
+// reportFailure reports an attempt that gave no answer.
+func (a *Agent) reportFailure(at *attempt, e *verdict.Error) {
+	if e.Verdict == verdict.NotRun && at.dispatch.Claim != nil {
 		a.mu.Lock()
-		a.claims.remove(*at.d.Claim)
+		a.seenClaims.remove(*at.dispatch.Claim)
 		a.mu.Unlock()
 	}
-	a.refuse(at.s, at.d.Attempt, e)
+	a.refuse(at.session, at.dispatch.Attempt, e)
 }
 
 // roundTrip gives the request to the upstream. The error is NotRun only if no
@@ -93,16 +93,16 @@
 	trace := &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
 		connected.Store(true)
 		if !i.Reused {
-			a.presence.isBack()
+			a.monitor.markConnected()
 		}
 	}}
-	req, err := a.newRequest(httptrace.WithClientTrace(at.ctx, trace), at.d)
+	req, err := a.newRequest(httptrace.WithClientTrace(at.ctx, trace), at.dispatch)
 	if err != nil {
 		return nil, notRun(verdict.CodeBadRequest, "request is not usable")
 	}
-	transport := a.shared
-	if at.d.Claim != nil {
-		transport = a.once
+	transport := a.pooled
+	if at.dispatch.Claim != nil {
+		transport = a.singleUse
 	}
 	resp, err := transport.RoundTrip(req)
 	if err == nil {
@@ -114,7 +114,7 @@
 		e.Text = "upstream can't be reached"
 		e.RetryAfter = a.cfg.RetryAfter
 	} else if e.Code == verdict.CodeUpstreamFailed {
-		if lost := a.findEnd(); lost != 0 {
+		if lost := a.probeEnd(); lost != 0 {
 			e.Cause = &answer.UpstreamEndedError{At: lost}
 		}
 	}
@@ -132,11 +132,11 @@
 }
 
 func (a *Agent) newRequest(ctx context.Context, d *wire.Dispatch) (*http.Request, error) {
-	u, err := a.base.Parse(d.Path)
+	u, err := a.baseURL.Parse(d.Path)
 	if err != nil {
 		return nil, err
 	}
-	if u.Host != a.base.Host {
+	if u.Host != a.baseURL.Host {
 		return nil, errors.New("agent: path leads to another host")
 	}
 	req, err := http.NewRequestWithContext(ctx, d.Method, u.String(), bytes.NewReader(d.Body))
@@ -164,24 +164,24 @@
 
 // relay sends the body in frames and then the end.
 func (a *Agent) relay(at *attempt, resp *http.Response) {
-	r := &relay{agent: a, at: at, end: wire.End{Attempt: at.d.Attempt}, digest: xxhash.New()}
-	r.recording.isOn = at.d.Claim != nil && a.cfg.Recorder != nil
-	err := r.copy(resp.Body)
+	r := &relay{agent: a, at: at, end: wire.End{Attempt: at.dispatch.Attempt}, digest: xxhash.New()}
+	r.recording.isEnabled = at.dispatch.Claim != nil && a.cfg.Recorder != nil
+	err := r.relayBody(resp.Body)
 	if err == nil {
-		err = checkWhole(at.d, resp, r.tail)
+		err = checkComplete(at.dispatch, resp, r.tail)
 	}
-	if err != nil && at.ctx.Err() == nil && !isClosed(at.s.Done()) {
-		r.end.UpstreamEnded = a.findEnd()
+	if err != nil && at.ctx.Err() == nil && !isClosed(at.session.Done()) {
+		r.end.UpstreamEnded = a.probeEnd()
 	}
 	r.end.Digest = r.digest.Sum64()
 	if err != nil {
-		a.counters.broken.Inc(1)
+		a.counters.incomplete.Inc(1)
 		r.end.Broken = true
 		r.end.Text = err.Error()
 	}
 	a.send(at, &r.end)
 	if err == nil {
-		a.recordUnheard(at, resp, &r.recording)
+		a.recordIfUndelivered(at, resp, &r.recording)
 	}
 }
 
@@ -195,15 +195,15 @@
 	recording recording
 }
 
-func (r *relay) copy(body io.Reader) error {
-	frame := frames.Get().(*[frameBytes]byte)
-	defer frames.Put(frame)
+func (r *relay) relayBody(body io.Reader) error {
+	frame := frameBuffers.Get().(*[frameBytes]byte)
+	defer frameBuffers.Put(frame)
 	buf := frame[:]
 	for {
 		n, err := body.Read(buf)
 		r.keepTail(buf[:n])
 		r.recording.add(buf[:n])
-		if sendErr := r.sendAll(buf[:n]); sendErr != nil {
+		if sendErr := r.sendFrames(buf[:n]); sendErr != nil {
 			return sendErr
 		}
 		if errors.Is(err, io.EOF) {
@@ -220,11 +220,11 @@
 	r.tail = r.tail[max(0, len(r.tail)-tailBytes):]
 }
 
-func (r *relay) sendAll(data []byte) error {
+func (r *relay) sendFrames(data []byte) error {
 	for len(data) > 0 {
-		n, err := r.at.window.take(r.at.ctx, len(data), r.lost())
+		n, err := r.at.window.take(r.at.ctx, len(data), r.sessionDone())
 		if err != nil {
-			if r.goOn() {
+			if r.mustFinish() {
 				return nil
 			}
 			return err
@@ -232,8 +232,8 @@
 		r.end.Frames++
 		r.end.Bytes += uint64(n)
 		_, _ = r.digest.Write(data[:n])
-		frame := &wire.Frame{Attempt: r.at.d.Attempt, Seq: r.end.Frames, Data: data[:n]}
-		if err := r.at.s.Send(r.at.ctx, frame); err != nil && !r.goOn() {
+		frame := &wire.Frame{Attempt: r.at.dispatch.Attempt, Seq: r.end.Frames, Data: data[:n]}
+		if err := r.at.session.Send(r.at.ctx, frame); err != nil && !r.mustFinish() {
 			return err
 		}
 		data = data[n:]
@@ -241,18 +241,18 @@
 	return nil
 }
 
-func (r *relay) lost() <-chan struct{} { return r.at.s.Done() }
+func (r *relay) sessionDone() <-chan struct{} { return r.at.session.Done() }
 
-// goOn tells that a non-idempotent call is read to its end though nobody hears it.
-func (r *relay) goOn() bool {
-	return r.at.d.Claim != nil && r.at.ctx.Err() == nil
+// mustFinish tells that a non-idempotent call is read to its end though nobody hears it.
+func (r *relay) mustFinish() bool {
+	return r.at.dispatch.Claim != nil && r.at.ctx.Err() == nil
 }
 
-// checkWhole tells whether a body that ended without an error was whole.
-func checkWhole(d *wire.Dispatch, resp *http.Response, tail []byte) error {
-	isStream := strings.HasPrefix(resp.Header.Get("Content-Type"), streamType)
+// checkComplete tells whether a body that ended without an error was whole.
+func checkComplete(d *wire.Dispatch, resp *http.Response, tail []byte) error {
+	isStream := strings.HasPrefix(resp.Header.Get("Content-Type"), eventStreamType)
 	if isStream && isCompletion(d.Path) {
-		if !bytes.HasSuffix(bytes.TrimSpace(tail), []byte(streamEnd)) {
+		if !bytes.HasSuffix(bytes.TrimSpace(tail), []byte(completionStreamEnd)) {
 			return errors.New("stream without its end")
 		}
 		return nil
@@ -272,18 +272,18 @@
 // send queues m on the attempt's session, also where the attempt's own time is over.
 // It waits only while the session's queue is full, and not for long.
 func (a *Agent) send(at *attempt, m wire.Message) {
-	err := at.s.Post(m)
+	err := at.session.Post(m)
 	if errors.Is(err, peer.ErrBusy) {
 		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		defer cancel()
-		err = at.s.Send(ctx, m)
+		err = at.session.Send(ctx, m)
 	}
 	if err != nil {
 		a.counters.unreported.Inc(1)
 	}
 }
 
-func fields(h http.Header) []wire.Field {
+func headerFields(h http.Header) []wire.Field {
 	out := make([]wire.Field, 0, len(h))
 	for name, values := range h {
 		for _, v := range values {
--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -16,8 +16,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// askedKept is how long a demand waits for its grant; a later one is of no use.
-const askedKept = 3 * time.Second
+// grantTimeout is how long a demand waits for its grant; a later one is of no use.
+const grantTimeout = 3 * time.Second
 
 // admitter lets the entry's server use an admission.Controller, and exchanges
 // demands and grants with the other entry hosts of the data centre.
@@ -31,26 +31,26 @@
 
 	// mu guards asked and seq.
 	mu sync.Mutex
-	// asked holds when each demand was sent.
-	asked map[uint64]time.Duration
-	seq   uint64
+	// pendingDemands holds when each demand was sent.
+	pendingDemands map[uint64]time.Duration
+	seq            uint64
 }
 
 func (d *Daemon) newAdmitter(set settings.Entry, store *catalog.Store, hosts []directory.Host, entries func() []directory.Entry) *admitter {
 	a := &admitter{
-		store: store,
-		pool:  d.pool,
-		self:  d.set.Host.Name,
-		hosts: hosts,
-		now:   d.now,
-		asked: make(map[uint64]time.Duration),
+		store:          store,
+		pool:           d.pool,
+		self:           d.set.Host.Name,
+		hosts:          hosts,
+		now:            d.now,
+		pendingDemands: make(map[uint64]time.Duration),
 	}
 	a.controller = admission.New(admission.Config{
 		QueueLimit:  set.QueueLimit,
 		Hosts:       len(hosts),
 		DataCentres: set.DataCentres,
 		Usage:       func(pool string) admission.Usage { return usageOf(entries(), pool) },
-		LiveHosts:   a.live,
+		LiveHosts:   a.liveEntryHosts,
 		Now:         d.now,
 		Rand:        rand.Float64,
 		Metrics:     d.metrics,
@@ -107,8 +107,8 @@
 	return h.Name == a.self || a.pool.Live(h.Address) != nil
 }
 
-// live counts the entry hosts that can be reached, this one included.
-func (a *admitter) live() int {
+// liveEntryHosts counts the entry hosts that can be reached, this one included.
+func (a *admitter) liveEntryHosts() int {
 	n := 0
 	for _, h := range a.hosts {
 		if a.isLive(h) {
@@ -131,13 +131,13 @@
 		case <-update.C:
 			a.controller.Update()
 		case <-report.C:
-			a.report()
+			a.sendDemands()
 		}
 	}
 }
 
-// report sends what this host wants to the owners of the workspaces.
-func (a *admitter) report() {
+// sendDemands sends what this host wants to the owners of the workspaces.
+func (a *admitter) sendDemands() {
 	byOwner := make(map[directory.Host]*wire.Demand)
 	for _, item := range a.controller.Demands() {
 		owner := a.owner(item.Workspace)
@@ -152,7 +152,7 @@
 			a.controller.ApplyGrant(now, a.controller.Allocate(a.self, d))
 			continue
 		}
-		d.Seq = a.remember(now)
+		d.Seq = a.recordDemand(now)
 		if s := a.pool.Live(owner.Address); s != nil {
 			_ = s.Post(d)
 		}
@@ -170,16 +170,16 @@
 	return first
 }
 
-func (a *admitter) remember(now time.Duration) uint64 {
+func (a *admitter) recordDemand(now time.Duration) uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for seq, at := range a.asked {
-		if now-at >= askedKept {
-			delete(a.asked, seq)
+	for seq, at := range a.pendingDemands {
+		if now-at >= grantTimeout {
+			delete(a.pendingDemands, seq)
 		}
 	}
 	a.seq++
-	a.asked[a.seq] = now
+	a.pendingDemands[a.seq] = now
 	return a.seq
 }
 
@@ -189,17 +189,17 @@
 	case *wire.Demand:
 		_ = s.Post(a.controller.Allocate(s.Remote().Host, m))
 	case *wire.Grant:
-		a.granted(m)
+		a.handleGrant(m)
 	default:
 		return false
 	}
 	return true
 }
 
-func (a *admitter) granted(m *wire.Grant) {
+func (a *admitter) handleGrant(m *wire.Grant) {
 	a.mu.Lock()
-	at, ok := a.asked[m.Seq]
-	delete(a.asked, m.Seq)
+	at, ok := a.pendingDemands[m.Seq]
+	delete(a.pendingDemands, m.Seq)
 	a.mu.Unlock()
 	if ok {
 		a.controller.ApplyGrant(at, m)
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	pollInterval  = time.Second
-	orderInterval = 2 * time.Second
-	upstreamRetry = 500 * time.Millisecond
+	pollInterval         = time.Second
+	orderInterval        = 2 * time.Second
+	upstreamDialInterval = 500 * time.Millisecond
 )
 
 // agentRole stands in front of one upstream.
@@ -31,8 +31,8 @@
 	orders    *agent.OrderPuller
 	// group is set where the upstream belongs to a group of ranks.
 	group *group.Runner
-	// upstream is where the upstream accepts connections, "ip:port".
-	upstream string
+	// upstreamAddress is where the upstream accepts connections, "ip:port".
+	upstreamAddress string
 }
 
 func (d *Daemon) buildAgent() (role, error) {
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "upstream-url")
 	}
-	r := &agentRole{agent: a, upstream: base.Host}
+	r := &agentRole{agent: a, upstreamAddress: base.Host}
 	var shape atomic.Pointer[wire.GroupShape]
 	if set.Group != "" {
 		r.group = d.newGroup(set, &shape)
@@ -101,7 +101,7 @@
 	return hosts
 }
 
-func (r *agentRole) up(*peer.Session) {}
+func (r *agentRole) onSessionUp(*peer.Session) {}
 
 func (r *agentRole) handlePeer(s *peer.Session, call uint64, m wire.Message) bool {
 	return r.agent.HandlePeer(s, call, m) || (r.group != nil && r.group.HandlePeer(s, call, m))
@@ -122,10 +122,10 @@
 
 // awaitUpstream lets the agent take work once its upstream accepts connections.
 func (r *agentRole) awaitUpstream(ctx context.Context) {
-	ticker := time.NewTicker(upstreamRetry)
+	ticker := time.NewTicker(upstreamDialInterval)
 	defer ticker.Stop()
 	for {
-		conn, err := net.DialTimeout("tcp", r.upstream, upstreamRetry)
+		conn, err := net.DialTimeout("tcp", r.upstreamAddress, upstreamDialInterval)
 		if err == nil {
 			_ = conn.Close()
 			r.agent.MarkReady()
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -15,9 +15,9 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// recallSuffix names the folder beside the data folder with what is kept over a restart
+// restartCacheSuffix names the folder beside the data folder with what is kept over a restart
 // without being agreed upon.
-const recallSuffix = "-recall"
+const restartCacheSuffix = "-recall"
 
 // operatorReadTimeout bounds how long a submission may take to arrive.
 const operatorReadTimeout = 30 * time.Second
@@ -56,7 +56,7 @@
 		Tick:            set.Tick,
 		SnapshotEntries: uint64(set.SnapshotEntries),
 		ClaimRetention:  set.ClaimRetention,
-		Recall:          control.NewRecall(journal.OS{}, set.DataFolder+recallSuffix),
+		Recall:          control.NewRecall(journal.OS{}, set.DataFolder+restartCacheSuffix),
 		Log:             d.log,
 		Metrics:         d.metrics,
 	})
@@ -91,8 +91,8 @@
 	return out
 }
 
-// up lets control hosts tell each other of requests under which upstreams ended.
-func (r *controlRole) up(s *peer.Session) {
+// onSessionUp lets control hosts tell each other of requests under which upstreams ended.
+func (r *controlRole) onSessionUp(s *peer.Session) {
 	if s.Remote().Replica != "" {
 		_ = s.Post(&wire.Suspicions{All: r.host.Quarantine().All()})
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -27,8 +27,8 @@
 
 // role is one part that a daemon plays.
 type role interface {
-	// up is called once for each session that begins.
-	up(s *peer.Session)
+	// onSessionUp is called once for each session that begins.
+	onSessionUp(s *peer.Session)
 	// handlePeer takes a message if it concerns the role.
 	handlePeer(s *peer.Session, call uint64, m wire.Message) bool
 	// run does the role's background work until ctx ends, which is after drain.
@@ -53,9 +53,9 @@
 	recovered journal.Recovered
 	transport *control.Transport
 
-	roles   []role
-	servers []*server
-	unknown metrics.Counter
+	roles           []role
+	servers         []*server
+	unknownMessages metrics.Counter
 }
 
 // New assembles a daemon. Its listeners are open when it returns; an error names
@@ -68,7 +68,7 @@
 		start:       time.Now(),
 		incarnation: uint64(time.Now().UnixNano()),
 	}
-	d.unknown = metrics.GetOrRegisterCounter("peer.messages.unknown", d.metrics)
+	d.unknownMessages = metrics.GetOrRegisterCounter("peer.messages.unknown", d.metrics)
 	if err := d.build(); err != nil {
 		d.close()
 		return nil, err
@@ -148,7 +148,7 @@
 		d.transport.SessionUp(s)
 	}
 	for _, r := range d.roles {
-		r.up(s)
+		r.onSessionUp(s)
 	}
 }
 
@@ -159,7 +159,7 @@
 			return
 		}
 	}
-	d.unknown.Inc(1)
+	d.unknownMessages.Inc(1)
 }
 
 // serve opens a listener for a handler; Run begins to accept.
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -20,9 +20,9 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// balancerDelay is how long an entry host that shuts down goes on taking callers
+// drainDelay is how long an entry host that shuts down goes on taking callers
 // after it said that it is not ready, so that the platform's balancer moves on.
-const balancerDelay = time.Second
+const drainDelay = time.Second
 
 // sweepInterval is how often requests are forgotten under which upstreams ended long ago.
 const sweepInterval = time.Minute
@@ -36,8 +36,8 @@
 	admitter  *admitter
 	// quarantine knows the requests under which upstreams ended; mates are the other entry
 	// hosts of the data centre, which are told of them too.
-	quarantine *quarantine.Keeper
-	mates      []string
+	quarantine      *quarantine.Keeper
+	otherEntryHosts []string
 }
 
 func (d *Daemon) buildEntry() (role, error) {
@@ -73,10 +73,10 @@
 		Metrics: d.metrics,
 	})
 	r.admitter = d.newAdmitter(set, store, hosts, entries)
-	r.mates = mates
+	r.otherEntryHosts = mates
 	r.quarantine = quarantine.NewKeeper(quarantine.Config{
 		Limits: quarantine.DefaultLimits, Now: d.now, Log: d.log, Metrics: d.metrics,
-		Publish: func(news []quarantine.Suspicion) { r.tell(d.pool.Sessions(), news) },
+		Publish: func(news []quarantine.Suspicion) { r.sendSuspicions(d.pool.Sessions(), news) },
 	})
 	r.server = entry.New(entry.Config{
 		Catalog:      resolver{store},
@@ -113,22 +113,22 @@
 	return hosts, mates
 }
 
-// up asks a control host to be told of requests under which upstreams ended, and tells it and
+// onSessionUp asks a control host to be told of requests under which upstreams ended, and tells it and
 // mates what this host knows.
-func (r *entryRole) up(s *peer.Session) {
+func (r *entryRole) onSessionUp(s *peer.Session) {
 	if s.Remote().Replica != "" {
 		_ = s.Post(&wire.Attach{Role: "callers"})
 	}
 	if all := r.quarantine.All(); len(all) > 0 {
-		r.tell([]*peer.Session{s}, all)
+		r.sendSuspicions([]*peer.Session{s}, all)
 	}
 }
 
-// tell tells the control hosts and mates among these of requests under which upstreams ended.
-func (r *entryRole) tell(sessions []*peer.Session, news []quarantine.Suspicion) {
+// sendSuspicions tells the control hosts and mates among these of requests under which upstreams ended.
+func (r *entryRole) sendSuspicions(sessions []*peer.Session, news []quarantine.Suspicion) {
 	m := &wire.Suspicions{All: news}
 	for _, s := range sessions {
-		if s.Remote().Replica != "" || slices.Contains(r.mates, s.Remote().Address) {
+		if s.Remote().Replica != "" || slices.Contains(r.otherEntryHosts, s.Remote().Address) {
 			// What a full queue refuses comes with the next session.
 			_ = s.Post(m)
 		}
@@ -169,7 +169,7 @@
 func (r *entryRole) drain(ctx context.Context) error {
 	r.server.SetReady(false)
 	select {
-	case <-time.After(balancerDelay):
+	case <-time.After(drainDelay):
 	case <-ctx.Done():
 	}
 	if err := r.server.Drain(ctx); err != nil {
@@ -193,13 +193,13 @@
 		return entry.Pick{}, err
 	}
 	return entry.Pick{Upstream: up, Done: func(o entry.Outcome) {
-		done(routing.Outcome{HasFailed: !o.OK && !isHarmless(o.Code)})
+		done(routing.Outcome{HasFailed: !o.OK && !isNeutralForHealth(o.Code)})
 	}}, nil
 }
 
-// isHarmless reports whether an attempt ended for a reason that says nothing of the
+// isNeutralForHealth reports whether an attempt ended for a reason that says nothing of the
 // upstream's health.
-func isHarmless(code verdict.Code) bool {
+func isNeutralForHealth(code verdict.Code) bool {
 	return code == verdict.CodeCancelled || code == verdict.CodeOverloaded
 }
 
--- a/internal/daemon/group.go
+++ b/internal/daemon/group.go
@@ -40,7 +40,7 @@
 		FirstRank:    uint32(set.FirstRank),
 		Ranks:        ranks,
 		Pool:         d.pool,
-		Members:      func(ctx context.Context) ([]wire.GroupMember, error) { return d.askMembers(ctx, set.Group, entries) },
+		Members:      func(ctx context.Context) ([]wire.GroupMember, error) { return d.queryMembers(ctx, set.Group, entries) },
 		Shape:        shape.Load,
 		Unique:       rand.Uint64,
 		PlanInterval: set.PlanInterval,
@@ -49,8 +49,8 @@
 	})
 }
 
-// askMembers asks the entry hosts, one after another, for the hosts of a group.
-func (d *Daemon) askMembers(ctx context.Context, name string, entries []string) ([]wire.GroupMember, error) {
+// queryMembers asks the entry hosts, one after another, for the hosts of a group.
+func (d *Daemon) queryMembers(ctx context.Context, name string, entries []string) ([]wire.GroupMember, error) {
 	last := errors.New("no entry hosts")
 	for _, address := range entries {
 		s, err := d.pool.Get(ctx, address)
--- a/internal/daemon/resolver_test.go
+++ b/internal/daemon/resolver_test.go
@@ -16,7 +16,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-func newResolver(t *testing.T) resolver {
+func newTestResolver(t *testing.T) resolver {
 	t.Helper()
 	text := fmt.Sprintf(`[service]
 name = entries
@@ -52,8 +52,8 @@
 	return resolver{store}
 }
 
-func TestPlansComeFromTheCallersOwnDocument(t *testing.T) {
-	r := newResolver(t)
+func TestPlanComesFromDocumentOfCallersWorkspace(t *testing.T) {
+	r := newTestResolver(t)
 	token := sha256.Sum256([]byte("token"))
 	cases := map[string]struct {
 		lookup entry.Lookup
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -21,30 +21,30 @@
 )
 
 const (
-	// lookInterval is how often the agent reads its engine's load, and looks whether its
+	// pollInterval is how often the agent reads its engine's load, and looks whether its
 	// rank belongs to another group or epoch.
-	lookInterval = 100 * time.Millisecond
-	// askTimeout bounds a question to another agent, which answers from memory.
-	askTimeout = 300 * time.Millisecond
-	// tellTime is how long after a group has formed its agents are given to tell a control
+	pollInterval = 100 * time.Millisecond
+	// queryTimeout bounds a question to another agent, which answers from memory.
+	queryTimeout = 300 * time.Millisecond
+	// memberReportTime is how long after a group has formed its agents are given to tell a control
 	// host of their ranks, before each of them is asked: several times lookInterval.
-	tellTime = 600 * time.Millisecond
+	memberReportTime = 600 * time.Millisecond
 	// planInterval is how often the first rank of a group plans. Popularity shifts
 	// within seconds; a change takes about half a one.
 	planInterval = 100 * time.Millisecond
-	// armAhead is how many passes ahead a change is armed at most, where orders were seen to
+	// maxArmAhead is how many passes ahead a change is armed at most, where orders were seen to
 	// take that long: ranks that hold make all streams late, and so does a map that is behind
 	// for longer.
-	armAhead = 8
-	// mostAhead bounds that where orders get lost.
-	mostAhead = 16
-	// coordinatorBits is how many of a coordinator's number are drawn at its start; the
+	maxArmAhead = 8
+	// maxExtendedArmAhead bounds that where orders get lost.
+	maxExtendedArmAhead = 16
+	// coordinatorRandomBits is how many of a coordinator's number are drawn at its start; the
 	// rest is its rank.
-	coordinatorBits = 9
-	// ballotStart and ballotUnit let ballots start above those that were used before a
+	coordinatorRandomBits = 9
+	// ballotOriginSeconds and ballotUnit let ballots start above those that were used before a
 	// restart, which nobody remembers: they count tenths of a second from a fixed day.
-	ballotStart = 1_700_000_000
-	ballotUnit  = 100
+	ballotOriginSeconds = 1_700_000_000
+	ballotUnitMillis    = 100
 )
 
 // agentRole stands beside one engine and takes part in its group.
@@ -55,41 +55,41 @@
 	table    atomic.Pointer[routetable.Table]
 
 	// mu guards the fields below.
-	mu     sync.Mutex
-	view   *registry.View
-	runner *group.Runner
-	// whole are the members of the present epoch once all were found: within an epoch
+	mu        sync.Mutex
+	upstreams *registry.View
+	runner    *group.Runner
+	// completeMembers are the members of the present epoch once all were found: within an epoch
 	// ranks stay where they are.
-	whole []wire.GroupMember
-	// since is when the runner began.
-	since time.Time
-	// first is where the agent of the first rank is, empty until it was found.
-	first string
+	completeMembers []wire.GroupMember
+	// runnerStart is when the runner began.
+	runnerStart time.Time
+	// planningAgent is where the agent of the first rank is, empty until it was found.
+	planningAgent string
 
-	// load is the popularity that the last epoch knew. It belongs to the goroutine of run.
-	load placement.Load
+	// expertLoad is the popularity that the last epoch knew. It belongs to the goroutine of run.
+	expertLoad placement.Load
 	// isSlow is what was last said of the engine's pace; it belongs to that goroutine too.
 	isSlow bool
-	// isLost tells that the engine could not be reached the last time, born which start of it
+	// isUnreachable tells that the engine could not be reached the last time, born which start of it
 	// was; they belong to it too.
-	isLost bool
-	born   int64
-	// progress belongs to it as well.
-	progress progress
+	isUnreachable bool
+	born          int64
+	// stalls belongs to it as well.
+	stalls stallDetector
 }
 
 func (n *Node) buildAgent() (role, error) {
 	n.openPool("")
-	a := &agentRole{n: n, view: registry.NewView(), client: n.platform.NewEngine(n.set.Agent.Upstream)}
+	a := &agentRole{n: n, upstreams: registry.NewView(), client: n.platform.NewEngine(n.settings.Agent.Upstream)}
 	a.follower = newFollower(n, "agent")
 	// The shape of a group is all that an agent needs; an older one will do.
 	a.follower.isCurrent = true
-	a.follower.rest = agentRest
-	a.follower.merge = a.merge
-	a.follower.configure = a.configure
-	follow := n.handle
-	n.handle = func(s *peer.Session, call uint64, m wire.Message) {
-		if r := a.current(); r != nil && r.HandlePeer(s, call, m) {
+	a.follower.minFetchInterval = agentFetchInterval
+	a.follower.mergeUpstreams = a.mergeUpstreams
+	a.follower.applyTable = a.applyTable
+	follow := n.handleMessage
+	n.handleMessage = func(s *peer.Session, call uint64, m wire.Message) {
+		if r := a.currentRunner(); r != nil && r.HandlePeer(s, call, m) {
 			return
 		}
 		if _, ok := m.(*wire.GroupQuery); ok {
@@ -101,18 +101,18 @@
 	return a, nil
 }
 
-func (a *agentRole) merge(source string, all []registry.Upstream) {
+func (a *agentRole) mergeUpstreams(source string, all []registry.Upstream) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.view.Merge(source, all)
+	a.upstreams.Merge(source, all)
 }
 
-func (a *agentRole) configure(t *routetable.Table) bool {
+func (a *agentRole) applyTable(t *routetable.Table) bool {
 	a.table.Store(t)
 	return true
 }
 
-func (a *agentRole) current() *group.Runner {
+func (a *agentRole) currentRunner() *group.Runner {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.runner
@@ -122,18 +122,18 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.runner = r
-	a.whole, a.first, a.since = nil, "", time.Now()
+	a.completeMembers, a.planningAgent, a.runnerStart = nil, "", time.Now()
 }
 
 func (a *agentRole) run(ctx context.Context) error {
 	go a.follower.run(ctx)
 	for ctx.Err() == nil {
-		r, err := a.look(ctx)
-		if shape := a.shape(r); err == nil && r.IsOpen && shape != nil {
-			a.serve(ctx, r, shape)
+		r, err := a.pollEngine(ctx)
+		if shape := a.groupShape(r); err == nil && r.IsOpen && shape != nil {
+			a.serveEpoch(ctx, r, shape)
 			continue
 		}
-		pause.For(ctx, lookInterval)
+		pause.For(ctx, pollInterval)
 	}
 	return nil
 }
@@ -142,13 +142,13 @@
 
 func (a *agentRole) keeper() *quarantine.Keeper { return nil }
 
-// shape is what the configuration says of the engine's group, nil if nothing.
-func (a *agentRole) shape(r rank.Report) *wire.GroupShape {
+// groupShape is what the configuration says of the engine's group, nil if nothing.
+func (a *agentRole) groupShape(r rank.Report) *wire.GroupShape {
 	t := a.table.Load()
 	if t == nil || r.Group == "" || r.Size == 0 {
 		return nil
 	}
-	s := t.Service(a.n.set.Agent.Service)
+	s := t.Service(a.n.settings.Agent.Service)
 	if s == nil || s.Engine == nil || s.Engine.Experts.Sets == 0 {
 		return nil
 	}
@@ -159,18 +159,18 @@
 	}
 }
 
-// lateStep is the longest pass with which some stream of the service is on time, 0 if that
+// maxOnTimeStep is the longest pass with which some stream of the service is on time, 0 if that
 // is not known.
-func (a *agentRole) lateStep() time.Duration {
+func (a *agentRole) maxOnTimeStep() time.Duration {
 	t := a.table.Load()
 	if t == nil {
 		return 0
 	}
-	return t.LongestGap(a.n.set.Agent.Service)
+	return t.LongestGap(a.n.settings.Agent.Service)
 }
 
-// serve takes part in one epoch of a group, until the rank belongs to another one.
-func (a *agentRole) serve(ctx context.Context, r rank.Report, shape *wire.GroupShape) {
+// serveEpoch takes part in one epoch of a group, until the rank belongs to another one.
+func (a *agentRole) serveEpoch(ctx context.Context, r rank.Report, shape *wire.GroupShape) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	name := r.Group + "/" + strconv.FormatUint(r.Epoch, 10)
@@ -180,15 +180,15 @@
 		Ranks:        []group.Rank{rank.New(a.client, r.Epoch, int(shape.Layers))},
 		Pool:         a.n.pool,
 		Members:      func(ctx context.Context) ([]wire.GroupMember, error) { return a.members(ctx, name, r), nil },
-		PlanningHost: func(ctx context.Context) (string, bool) { return a.firstHost(ctx, name, r) },
+		PlanningHost: func(ctx context.Context) (string, bool) { return a.findPlanningAgent(ctx, name, r) },
 		Shape:        func() *wire.GroupShape { return shape },
-		Unique:       func() uint64 { return unique(r.Rank) },
-		Start:        ballotNow,
+		Unique:       func() uint64 { return newUniqueNumber(r.Rank) },
+		Start:        initialBallot,
 		First:        rank.InitialMap(r.Size, int(shape.SlotsPerRank), int(shape.Layers), int(shape.Experts)),
-		LinkRate:     a.n.set.LinkRate,
-		Load:         a.load,
-		LateStep:     a.lateStep,
-		PlanInterval: planInterval, ArmAhead: armAhead, MostAhead: mostAhead, Log: a.n.log, Metrics: a.n.metrics,
+		LinkRate:     a.n.settings.LinkRate,
+		Load:         a.expertLoad,
+		LateStep:     a.maxOnTimeStep,
+		PlanInterval: planInterval, ArmAhead: maxArmAhead, MostAhead: maxExtendedArmAhead, Log: a.n.log, Metrics: a.n.metrics,
 	})
 	a.setRunner(runner)
 	defer a.setRunner(nil)
@@ -200,11 +200,11 @@
 	defer func() {
 		cancel()
 		<-ended
-		a.load = runner.Load()
+		a.expertLoad = runner.Load()
 	}()
 	for ctx.Err() == nil {
-		pause.For(ctx, lookInterval)
-		now, err := a.look(ctx)
+		pause.For(ctx, pollInterval)
+		now, err := a.pollEngine(ctx)
 		if err == nil && (now.Group != r.Group || now.Epoch != r.Epoch || now.Rank != r.Rank || now.Born != r.Born || !now.IsOpen) {
 			a.n.log.Info("group does not serve as it did", "group", name, "rank", r.Rank, "epoch_now", now.Epoch,
 				"rank_now", now.Rank, "open", now.IsOpen, "step", now.Step)
@@ -213,58 +213,58 @@
 	}
 }
 
-// look reads the engine's state and tells its load.
-func (a *agentRole) look(ctx context.Context) (rank.Report, error) {
+// pollEngine reads the engine's state and tells its load.
+func (a *agentRole) pollEngine(ctx context.Context) (rank.Report, error) {
 	r, err := a.client.Report(ctx)
-	a.noteReach(r, err)
+	a.logReachability(r, err)
 	if err != nil {
 		return r, err
 	}
-	a.notePace(r)
+	a.logSlowdown(r)
 	if s := a.n.controlSession(); s != nil {
 		_ = s.Post(&wire.EngineLoad{
-			Address: a.n.set.Agent.Upstream.String(), Running: r.Running, Waiting: r.Waiting, Pace: r.Pace,
-			IsOpen: r.IsOpen, IsStanding: a.noteProgress(r, time.Now()), Group: r.Group, Epoch: r.Epoch, Born: r.Born,
+			Address: a.n.settings.Agent.Upstream.String(), Running: r.Running, Waiting: r.Waiting, Pace: r.Pace,
+			IsOpen: r.IsOpen, IsStanding: a.checkProgress(r, time.Now()), Group: r.Group, Epoch: r.Epoch, Born: r.Born,
 			Rank: uint32(r.Rank),
 		})
 	}
 	return r, nil
 }
 
-// noteReach says when the engine can't be reached any more, and when it can again.
-func (a *agentRole) noteReach(r rank.Report, err error) {
+// logReachability says when the engine can't be reached any more, and when it can again.
+func (a *agentRole) logReachability(r rank.Report, err error) {
 	isLost := err != nil
-	if isLost == a.isLost {
+	if isLost == a.isUnreachable {
 		return
 	}
-	a.isLost = isLost
+	a.isUnreachable = isLost
 	if isLost {
-		a.n.log.Warn("engine can't be reached", "upstream", a.n.set.Agent.Upstream.String(), "born", a.born, "error", err.Error())
+		a.n.log.Warn("engine can't be reached", "upstream", a.n.settings.Agent.Upstream.String(), "born", a.born, "error", err.Error())
 		return
 	}
-	a.n.log.Info("engine is reached", "upstream", a.n.set.Agent.Upstream.String(), "born", r.Born, "born_before", a.born,
+	a.n.log.Info("engine is reached", "upstream", a.n.settings.Agent.Upstream.String(), "born", r.Born, "born_before", a.born,
 		"group", r.Group, "epoch", r.Epoch)
 	a.born = r.Born
 }
 
-// slowPace is the pace from which an engine counts as slow: a rank that slow sets the
+// slowThreshold is the pace from which an engine counts as slow: a rank that slow sets the
 // pace of its whole group.
-const slowPace = 1.2
+const slowThreshold = 1.2
 
-// notePace says when the engine becomes slow, and when it is no more.
-func (a *agentRole) notePace(r rank.Report) {
-	isSlow := r.Pace > slowPace
+// logSlowdown says when the engine becomes slow, and when it is no more.
+func (a *agentRole) logSlowdown(r rank.Report) {
+	isSlow := r.Pace > slowThreshold
 	if isSlow != a.isSlow {
 		a.n.log.Warn("pace of the engine has changed", "rank", r.Rank, "pace", r.Pace, "slow", isSlow, "step", r.Step)
 	}
 	a.isSlow = isSlow
 }
 
-// noteProgress reports whether the group stands still with work to do: a rank holds whose
+// checkProgress reports whether the group stands still with work to do: a rank holds whose
 // agent is away, or waits for one that is cut off. It says so when that begins and ends.
-func (a *agentRole) noteProgress(r rank.Report, now time.Time) bool {
-	wasStalled := a.progress.isStalled
-	isStalled := a.progress.observe(r.Step, r.Running+r.Waiting > 0, r.PauseStep == r.Step+1, now)
+func (a *agentRole) checkProgress(r rank.Report, now time.Time) bool {
+	wasStalled := a.stalls.isStalled
+	isStalled := a.stalls.observe(r.Step, r.Running+r.Waiting > 0, r.PauseStep == r.Step+1, now)
 	if isStalled != wasStalled {
 		a.n.log.Warn("progress of the group has changed", "rank", r.Rank, "stalled", isStalled, "step", r.Step,
 			"held", r.PauseStep, "running", r.Running, "waiting", r.Waiting)
@@ -272,52 +272,54 @@
 	return isStalled
 }
 
-// unique returns a coordinator's number, or a participant's incarnation.
-func unique(rank int) uint64 {
-	return uint64(rank)<<coordinatorBits&(1<<16-1) | uint64(rand.IntN(1<<coordinatorBits))
+// newUniqueNumber returns a coordinator's number, or a participant's incarnation.
+func newUniqueNumber(rank int) uint64 {
+	return uint64(rank)<<coordinatorRandomBits&(1<<16-1) | uint64(rand.IntN(1<<coordinatorRandomBits))
 }
 
-func ballotNow() uint64 { return uint64(time.Now().UnixMilli()-ballotStart*1000) / ballotUnit }
+func initialBallot() uint64 {
+	return uint64(time.Now().UnixMilli()-ballotOriginSeconds*1000) / ballotUnitMillis
+}
 
 // members returns the agents of a group's ranks: those that a control host has heard of, or
 // where it does not know all of them, those that answer.
 func (a *agentRole) members(ctx context.Context, name string, r rank.Report) []wire.GroupMember {
 	a.mu.Lock()
-	whole, since := a.whole, a.since
+	whole, since := a.completeMembers, a.runnerStart
 	a.mu.Unlock()
 	if whole != nil {
 		return whole
 	}
-	found := a.askControl(ctx, &wire.GroupQuery{Group: r.Group, Epoch: r.Epoch})
-	if !group.IsWhole(found, uint32(r.Size)) && time.Since(since) > tellTime {
-		found = a.find(ctx, name)
+	found := a.queryControlHost(ctx, &wire.GroupQuery{Group: r.Group, Epoch: r.Epoch})
+	if !group.IsWhole(found, uint32(r.Size)) && time.Since(since) > memberReportTime {
+		found = a.queryAllAgents(ctx, name)
 	}
 	if group.IsWhole(found, uint32(r.Size)) {
 		a.mu.Lock()
-		a.whole = found
+		a.completeMembers = found
 		a.mu.Unlock()
 	}
 	return found
 }
 
-// firstHost returns the agent of a group's first rank, which plans. One that each agent
+// findPlanningAgent returns the agent of a group's first rank, which plans. One that each agent
 // found by asking all the others would make a session between any two of them.
-func (a *agentRole) firstHost(ctx context.Context, name string, r rank.Report) (string, bool) {
+func (a *agentRole) findPlanningAgent(ctx context.Context, name string, r rank.Report) (string, bool) {
 	a.mu.Lock()
-	first := a.first
+	first := a.planningAgent
 	a.mu.Unlock()
 	if first != "" {
 		return first, true
 	}
 	query := &wire.GroupQuery{Group: r.Group, Epoch: r.Epoch, IsFirst: true}
-	found := a.askControl(ctx, query)
+	found := a.queryControlHost(ctx, query)
 	if len(found) == 0 && a.n.controlSession() == nil {
-		found = a.find(ctx, name)
+		found = a.queryAllAgents(ctx, name)
 	}
 	for _, m := range found {
 		if m.FirstRank == 0 {
 			a.mu.Lock()
-			a.first = m.Address
+			a.planningAgent = m.Address
 			a.mu.Unlock()
 			return m.Address, true
 		}
@@ -325,13 +327,13 @@
 	return "", false
 }
 
-// askControl asks the control host that hears of all engines.
-func (a *agentRole) askControl(ctx context.Context, m *wire.GroupQuery) []wire.GroupMember {
+// queryControlHost asks the control host that hears of all engines.
+func (a *agentRole) queryControlHost(ctx context.Context, m *wire.GroupQuery) []wire.GroupMember {
 	s := a.n.controlSession()
 	if s == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	reply, _, err := s.Call(ctx, m)
 	answer, ok := reply.(*wire.GroupAnswer)
@@ -341,13 +343,13 @@
 	return answer.Members
 }
 
-// find asks the agents of the service's upstreams for their ranks in the group.
-func (a *agentRole) find(ctx context.Context, name string) []wire.GroupMember {
-	addresses := a.addresses()
+// queryAllAgents asks the agents of the service's upstreams for their ranks in the group.
+func (a *agentRole) queryAllAgents(ctx context.Context, name string) []wire.GroupMember {
+	addresses := a.agentAddresses()
 	found := make([][]wire.GroupMember, len(addresses))
 	var wg sync.WaitGroup
 	for i, address := range addresses {
-		wg.Go(func() { found[i] = a.ask(ctx, address, name) })
+		wg.Go(func() { found[i] = a.queryAgent(ctx, address, name) })
 	}
 	wg.Wait()
 	var out []wire.GroupMember
@@ -357,18 +359,18 @@
 	return out
 }
 
-// addresses returns where the agents of the service's upstreams are: beside them.
-func (a *agentRole) addresses() []string {
+// agentAddresses returns where the agents of the service's upstreams are: beside them.
+func (a *agentRole) agentAddresses() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	seen := make(map[string]bool)
 	var out []string
-	for _, u := range a.view.All() {
+	for _, u := range a.upstreams.All() {
 		at, err := netip.ParseAddrPort(u.Address)
-		if err != nil || u.Service != a.n.set.Agent.Service || u.State == registry.Gone {
+		if err != nil || u.Service != a.n.settings.Agent.Service || u.State == registry.Gone {
 			continue
 		}
-		if address := a.n.set.peerAddress(at.Addr()); !seen[address] {
+		if address := a.n.settings.peerAddress(at.Addr()); !seen[address] {
 			seen[address] = true
 			out = append(out, address)
 		}
@@ -376,15 +378,15 @@
 	return out
 }
 
-// ask asks one agent, this one included.
-func (a *agentRole) ask(ctx context.Context, address, name string) []wire.GroupMember {
+// queryAgent asks one agent, this one included.
+func (a *agentRole) queryAgent(ctx context.Context, address, name string) []wire.GroupMember {
 	var members []wire.GroupMember
-	if address == a.n.set.peerAddress(a.n.set.IP) {
-		if r := a.current(); r != nil {
+	if address == a.n.settings.peerAddress(a.n.settings.IP) {
+		if r := a.currentRunner(); r != nil {
 			members = r.Own()
 		}
 	} else if s, err := a.n.pool.Get(ctx, address); err == nil {
-		reply, _, err := s.CallWithin(ctx, askTimeout, &wire.GroupQuery{Group: name})
+		reply, _, err := s.CallWithin(ctx, queryTimeout, &wire.GroupQuery{Group: name})
 		if answer, ok := reply.(*wire.GroupAnswer); err == nil && ok {
 			members = answer.Members
 		}
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -20,26 +20,26 @@
 )
 
 const (
-	// silentAnnounces is how many announcements an upstream may miss before it counts as
+	// silenceIntervals is how many announcements an upstream may miss before it counts as
 	// silent: one may be late, one lost.
-	silentAnnounces = 3.5
-	// forgetAfter is when an upstream is forgotten that is not heard any more. It
+	silenceIntervals = 3.5
+	// forgetTimeout is when an upstream is forgotten that is not heard any more. It
 	// outlasts announcements that a partition held up.
-	forgetAfter = 2 * time.Minute
+	forgetTimeout = 2 * time.Minute
 	// closeTimeout bounds the hand-over of the leadership at the end.
 	closeTimeout = 2 * time.Second
 	// snapshotEntries is how many entries are applied between two snapshots: the log stays
 	// small beside the disk.
 	snapshotEntries = 1000
 	segmentBytes    = 4 << 20
-	// recallSuffix names the folder beside the data folder with the list of upstreams.
-	recallSuffix = "-upstreams"
+	// restartCacheSuffix names the folder beside the data folder with the list of upstreams.
+	restartCacheSuffix = "-upstreams"
 	// electionTicks is the least election timeout in ticks: several heartbeats, and many times a round trip between data centres.
 	electionTicks = 12
-	// hearingSpan is how long a lost disk's replica has to be silent before the host's new
+	// replicaSilenceLimit is how long a lost disk's replica has to be silent before the host's new
 	// one takes its place: well above an election, and well below the time in which a host has
 	// to be back in full.
-	hearingSpan = 1200 * time.Millisecond
+	replicaSilenceLimit = 1200 * time.Millisecond
 )
 
 // ControlHost is what upstreams and operators ask of a control host.
@@ -51,66 +51,66 @@
 
 // controlRole holds what must survive.
 type controlRole struct {
-	n    *Node
-	host *control.Host
-	book *control.Book
-	api  *http.Server
+	n            *Node
+	host         *control.Host
+	controlHosts *control.Book
+	api          *http.Server
 }
 
 func (n *Node) buildControl() (role, error) {
-	set := n.set.Control
+	set := n.settings.Control
 	disk := journal.Patient{FS: journal.OS{}, Log: n.log}
 	j, recovered, err := journal.Open(journal.Options{Dir: set.DataFolder, SegmentBytes: segmentBytes, Logger: n.log, FS: disk})
 	if err != nil {
 		return nil, errors.Wrap(err, "data folder")
 	}
-	n.openPool(string(control.ID(n.set.Host, recovered)))
+	n.openPool(string(control.ID(n.settings.Host, recovered)))
 	transport := control.NewTransport(n.metrics)
-	own := n.set.peerAddress(n.set.IP)
+	own := n.settings.peerAddress(n.settings.IP)
 	host, err := control.Open(control.Config{
-		Name: n.set.Host, Journal: j, Recovered: recovered, Transport: transport, Pool: n.pool,
-		Peers: without(n.set.seedPeers(), own), Address: own, Founders: n.founders(own),
-		Voters: n.set.voters(), HearingSpan: hearingSpan, ElectionTicks: electionTicks, SnapshotEntries: snapshotEntries,
+		Name: n.settings.Host, Journal: j, Recovered: recovered, Transport: transport, Pool: n.pool,
+		Peers: excluding(n.settings.seedPeers(), own), Address: own, Founders: n.founders(own),
+		Voters: n.settings.voters(), HearingSpan: replicaSilenceLimit, ElectionTicks: electionTicks, SnapshotEntries: snapshotEntries,
 		Registry: registry.Limits{
-			SilenceTimeout: time.Duration(silentAnnounces * float64(n.set.AnnounceInterval)), ForgetTimeout: forgetAfter,
+			SilenceTimeout: time.Duration(silenceIntervals * float64(n.settings.AnnounceInterval)), ForgetTimeout: forgetTimeout,
 		},
-		Recall: control.NewRecall(journal.OS{}, set.DataFolder+recallSuffix),
+		Recall: control.NewRecall(journal.OS{}, set.DataFolder+restartCacheSuffix),
 		Log:    n.log, Metrics: n.metrics,
 	})
 	if err != nil {
 		return nil, err
 	}
-	n.up = func(s *peer.Session) {
+	n.onSessionUp = func(s *peer.Session) {
 		transport.SessionUp(s)
 		if s.Remote().Replica != "" {
 			host.Meet(s)
 		}
 	}
-	n.handle = func(s *peer.Session, call uint64, m wire.Message) { host.HandlePeer(s, call, m) }
+	n.handleMessage = func(s *peer.Session, call uint64, m wire.Message) { host.HandlePeer(s, call, m) }
 	listener, err := net.Listen("tcp", set.Listen.String())
 	if err != nil {
 		return nil, errors.Wrap(err, "listener for upstreams and operators")
 	}
 	count := func(name string) { metrics.GetOrRegisterCounter("control-api."+name, n.metrics).Inc(1) }
 	api := serve(listener, n.platform.ControlAPI(host, set.Listen.String(), count))
-	return &controlRole{n: n, host: host, book: host.Book(), api: api}, nil
+	return &controlRole{n: n, host: host, controlHosts: host.Book(), api: api}, nil
 }
 
 // founders returns who founds the cluster, nobody where there may be one already.
 func (n *Node) founders(own string) []string {
-	seeds := n.set.seedPeers()
-	if n.set.FirstStart && slices.Contains(seeds, own) {
+	seeds := n.settings.seedPeers()
+	if n.settings.FirstStart && slices.Contains(seeds, own) {
 		return seeds
 	}
 	return nil
 }
 
-func without(list []string, one string) []string {
+func excluding(list []string, one string) []string {
 	return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == one })
 }
 
 func (r *controlRole) run(ctx context.Context) error {
-	go watchSeeds(ctx, r.n, r.book)
+	go watchSeeds(ctx, r.n, r.controlHosts)
 	return r.host.Run(ctx)
 }
 
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// upstreamDial bounds the opening of a connection to an upstream.
-	upstreamDial = 500 * time.Millisecond
+	// upstreamDialTimeout bounds the opening of a connection to an upstream.
+	upstreamDialTimeout = 500 * time.Millisecond
 	// sweepInterval is how often idle connections are looked through.
 	sweepInterval = time.Second
 	// idleTimeout is how long callers may leave a connection idle: longer than any
@@ -25,48 +25,48 @@
 	idleTimeout = 2 * time.Minute
 	// maxHeaderBytes bounds the head of a request.
 	maxHeaderBytes = 64 << 10
-	// leaveTime is how long new connections are taken after the host has said that it
+	// drainDelay is how long new connections are taken after the host has said that it
 	// wants none: the balancer asks each second and believes the second answer.
-	leaveTime = 2500 * time.Millisecond
+	drainDelay = 2500 * time.Millisecond
 )
 
 // entryRole serves callers.
 type entryRole struct {
-	n        *Node
-	gateway  *gateway.Gateway
-	client   *dispatch.Client
-	follower *follower
-	callers  *http.Server
-	ready    *http.Server
-	leaving  atomic.Bool
+	n          *Node
+	gateway    *gateway.Gateway
+	client     *dispatch.Client
+	follower   *follower
+	callers    *http.Server
+	ready      *http.Server
+	isDraining atomic.Bool
 }
 
 func (n *Node) buildEntry() (role, error) {
 	started := time.Now()
 	keeper := quarantine.NewKeeper(quarantine.Config{
-		Limits: quarantine.DefaultLimits, Now: func() time.Duration { return time.Since(started) }, Publish: n.tellSuspicions,
+		Limits: quarantine.DefaultLimits, Now: func() time.Duration { return time.Since(started) }, Publish: n.sendSuspicions,
 		Log: n.log, Metrics: n.metrics,
 	})
-	client := dispatch.New(dispatch.Config{HeaderNames: n.platform.Dialect.UpstreamHeaders, DialTimeout: upstreamDial})
+	client := dispatch.New(dispatch.Config{HeaderNames: n.platform.Dialect.UpstreamHeaders, DialTimeout: upstreamDialTimeout})
 	e := &entryRole{n: n, client: client, gateway: gateway.New(gateway.Config{
-		Dialect: n.platform.Dialect, Client: client, DataCentre: n.set.DataCentre,
-		Budget: n.set.Budget, Fingerprints: quarantine.NewHasher(secret), Quarantine: keeper, Log: n.log, Metrics: n.metrics,
+		Dialect: n.platform.Dialect, Client: client, DataCentre: n.settings.DataCentre,
+		Budget: n.settings.Budget, Fingerprints: quarantine.NewHasher(peerSecret), Quarantine: keeper, Log: n.log, Metrics: n.metrics,
 	})}
 	n.openPool("")
 	f := newFollower(n, "entry")
-	f.merge, f.lose, f.hosts, f.configure = e.gateway.Merge, e.gateway.Lose, e.gateway.SetHosts, e.gateway.SetTable
-	f.loads, f.quarantine = e.gateway.SetLoads, keeper
+	f.mergeUpstreams, f.dropSource, f.setEntryHostCount, f.applyTable = e.gateway.Merge, e.gateway.Lose, e.gateway.SetHosts, e.gateway.SetTable
+	f.setLoads, f.quarantine = e.gateway.SetLoads, keeper
 	e.follower = f
-	callers, err := net.Listen("tcp", n.set.Entry.Listen.String())
+	callers, err := net.Listen("tcp", n.settings.Entry.Listen.String())
 	if err != nil {
 		return nil, errors.Wrap(err, "listener for callers")
 	}
-	ready, err := net.Listen("tcp", n.set.Entry.Ready.String())
+	ready, err := net.Listen("tcp", n.settings.Entry.Ready.String())
 	if err != nil {
 		return nil, errors.Wrap(err, "listener for readiness")
 	}
 	e.callers = &http.Server{
-		Handler: e.gateway, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		Handler: e.gateway, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	go func() { _ = e.callers.Serve(callers) }()
 	mux := http.NewServeMux()
@@ -77,7 +77,7 @@
 
 // serveReady tells whether the host wants callers.
 func (e *entryRole) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if e.leaving.Load() || e.gateway.Table() == nil {
+	if e.isDraining.Load() || e.gateway.Table() == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
@@ -97,9 +97,9 @@
 // drain takes callers until the balancer sends none any more, and lets those that are
 // served end.
 func (e *entryRole) drain(ctx context.Context) {
-	e.leaving.Store(true)
+	e.isDraining.Store(true)
 	e.gateway.StartDraining()
-	pause.For(ctx, leaveTime)
+	pause.For(ctx, drainDelay)
 	if err := e.callers.Shutdown(ctx); err != nil {
 		e.n.log.Warn("requests were cut at the end", "error", err.Error())
 	}
--- a/internal/node/follow_test.go
+++ b/internal/node/follow_test.go
@@ -22,7 +22,7 @@
 }
 
 // In a storm of configurations an agent fetches a few, and has the newest at the end.
-func TestAgentFetchesFewOfManyConfigurations(t *testing.T) {
+func TestAgentFetchRateIsLimitedDuringManyChanges(t *testing.T) {
 	const changes, rest = 40, 200 * time.Millisecond
 	var newest, asked atomic.Uint64
 	mux := http.NewServeMux()
@@ -47,15 +47,15 @@
 	require.NoError(t, err)
 
 	f := &follower{
-		n: &Node{pool: pool, log: slog.New(slog.DiscardHandler), platform: Platform{DecodeTable: decodeLength}}, isCurrent: true, rest: rest,
-		configure: func(*routetable.Table) bool { return true }, started: time.Now(),
+		n: &Node{pool: pool, log: slog.New(slog.DiscardHandler), platform: Platform{DecodeTable: decodeLength}}, isCurrent: true, minFetchInterval: rest,
+		applyTable: func(*routetable.Table) bool { return true }, started: time.Now(),
 	}
 	began := time.Now()
 	for n := range uint64(changes) {
 		newest.Store(n + 1)
-		f.noticed(s, n+1)
+		f.handleNotice(s, n+1)
 		require.Eventually(t, func() bool { return time.Since(began) > time.Duration(n+1)*10*time.Millisecond }, time.Minute, time.Millisecond)
 	}
-	require.Eventually(t, func() bool { return f.number() == changes }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return f.appliedNumber() == changes }, time.Minute, time.Millisecond)
 	require.LessOrEqual(t, asked.Load(), uint64(2+time.Since(began)/rest))
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,27 +24,27 @@
 )
 
 const (
-	// heldLimit is how long the other end of a watched session may be silent: well below the
+	// watchedSilenceLimit is how long the other end of a watched session may be silent: well below the
 	// time within which a host that is reachable again has to be up to date.
-	heldLimit = 1500 * time.Millisecond
+	watchedSilenceLimit = 1500 * time.Millisecond
 	// dialTimeout bounds an attempt to reach a host: many times a round trip between
 	// data centres. A host that was dark at the first packet is dialled anew well before
 	// that packet would be sent again.
 	dialTimeout = 400 * time.Millisecond
 	// pingInterval is the longest silence on a session that nobody watches.
 	pingInterval = 3 * time.Second
-	// headerTimeout bounds the head of a request of another host, an upstream or an
+	// readHeaderTimeout bounds the head of a request of another host, an upstream or an
 	// operator.
-	headerTimeout = 3 * time.Second
-	// secret is what hosts show one another. The platform gives none; its networks keep
+	readHeaderTimeout = 3 * time.Second
+	// peerSecret is what hosts show one another. The platform gives none; its networks keep
 	// strangers away, and this keeps away what dialled a wrong port.
-	secret = "sassafraspost-node"
-	// memoryPart is the part of the process's memory at which the collector works
+	peerSecret = "sassafraspost-node"
+	// memoryLimitFraction is the part of the process's memory at which the collector works
 	// harder; the rest is for stacks, the runtime and bytes on sockets.
-	memoryPart = 0.6
-	// collectAt is the heap's growth in percent between two collections. The heaps here
+	memoryLimitFraction = 0.6
+	// gcPercent is the heap's growth in percent between two collections. The heaps here
 	// are a few MB, where memory is dearer than the time of a collection.
-	collectAt = 60
+	gcPercent = 60
 )
 
 // Platform translates for a process what stands outside the system.
@@ -64,15 +64,15 @@
 
 // Node is one process.
 type Node struct {
-	set      Settings
+	settings Settings
 	platform Platform
 	log      *slog.Logger
 	metrics  metrics.Registry
 	pool     *peer.Pool
-	// handle takes the messages of sessions, up tells of new ones; the role sets both
+	// handleMessage takes the messages of sessions, up tells of new ones; the role sets both
 	// before the sessions begin.
-	handle func(s *peer.Session, call uint64, m wire.Message)
-	up     func(s *peer.Session)
+	handleMessage func(s *peer.Session, call uint64, m wire.Message)
+	onSessionUp   func(s *peer.Session)
 }
 
 // role is what a process does.
@@ -87,10 +87,10 @@
 
 // Run runs the process until ctx ends, which starts the graceful end.
 func Run(ctx context.Context, set Settings, p Platform, log *slog.Logger) error {
-	debug.SetMemoryLimit(int64(float64(set.MemoryMB<<20) * memoryPart))
-	debug.SetGCPercent(collectAt)
+	debug.SetMemoryLimit(int64(float64(set.MemoryMB<<20) * memoryLimitFraction))
+	debug.SetGCPercent(gcPercent)
 	log = log.With("host", set.Host)
-	n := &Node{set: set, platform: p, log: log, metrics: metrics.NewRegistry()}
+	n := &Node{settings: set, platform: p, log: log, metrics: metrics.NewRegistry()}
 	r, err := n.build()
 	if err != nil {
 		return err
@@ -111,20 +111,20 @@
 	case <-ctx.Done():
 	}
 	log.Info("process is asked to end")
-	deadline, cancel := context.WithTimeout(context.Background(), set.GracePeriod-endMargin)
+	deadline, cancel := context.WithTimeout(context.Background(), set.GracePeriod-exitMargin)
 	defer cancel()
 	r.drain(deadline)
 	n.pool.Close()
 	return nil
 }
 
-// endMargin is how long before the end of the grace period a process ends by itself.
-const endMargin = 700 * time.Millisecond
+// exitMargin is how long before the end of the grace period a process ends by itself.
+const exitMargin = 700 * time.Millisecond
 
 func (n *Node) build() (role, error) {
-	n.log.Info("process starts", "version", version.Release, "role", n.set.role(), "data_centre", n.set.DataCentre,
-		"seeds", n.set.seedPeers(), "first_start", n.set.FirstStart)
-	switch n.set.role() {
+	n.log.Info("process starts", "version", version.Release, "role", n.settings.role(), "data_centre", n.settings.DataCentre,
+		"seeds", n.settings.seedPeers(), "first_start", n.settings.FirstStart)
+	switch n.settings.role() {
 	case "entry":
 		return n.buildEntry()
 	case "control":
@@ -138,17 +138,17 @@
 func (n *Node) openPool(replica string) {
 	n.pool = peer.NewPool(peer.Config{
 		Hello: wire.Hello{
-			Host: n.set.Host, DataCentre: n.set.DataCentre, Address: n.set.peerAddress(n.set.IP),
+			Host: n.settings.Host, DataCentre: n.settings.DataCentre, Address: n.settings.peerAddress(n.settings.IP),
 			Incarnation: rand.Uint64(), Replica: replica,
 		},
-		Secret:  secret,
-		Handler: peer.HandlerFunc(func(s *peer.Session, call uint64, m wire.Message) { n.handle(s, call, m) }),
+		Secret:  peerSecret,
+		Handler: peer.HandlerFunc(func(s *peer.Session, call uint64, m wire.Message) { n.handleMessage(s, call, m) }),
 		OnUp: func(s *peer.Session) {
-			if n.up != nil {
-				n.up(s)
+			if n.onSessionUp != nil {
+				n.onSessionUp(s)
 			}
 		},
-		PingInterval: pingInterval, HeldLimit: heldLimit, DialTimeout: dialTimeout, Metrics: n.metrics, Log: n.log,
+		PingInterval: pingInterval, HeldLimit: watchedSilenceLimit, DialTimeout: dialTimeout, Metrics: n.metrics, Log: n.log,
 	})
 }
 
@@ -160,7 +160,7 @@
 
 // serve answers on the listener until the process ends.
 func serve(l net.Listener, h http.Handler) *http.Server {
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
+	srv := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
 	go func() { _ = srv.Serve(l) }()
 	return srv
 }
@@ -168,7 +168,7 @@
 // serveMetrics shows the metrics, and which requests are held. Without a listener the process
 // goes on: they are not worth a request.
 func (n *Node) serveMetrics(r role) {
-	address := net.JoinHostPort(n.set.IP.String(), portText(n.set.MetricsPort))
+	address := net.JoinHostPort(n.settings.IP.String(), portText(n.settings.MetricsPort))
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		n.log.Warn("metrics can't be served", "address", address, "error", err.Error())
--- a/internal/node/progress_test.go
+++ b/internal/node/progress_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestProgress(t *testing.T) {
-	var p progress
+func TestStallDetector(t *testing.T) {
+	var p stallDetector
 	at := time.Unix(1000, 0)
 	look := func(step uint64, hasWork bool, after time.Duration) bool {
 		at = at.Add(after)
@@ -31,8 +31,8 @@
 
 // A group that holds stays stalled when its callers have left it: what is sent there again
 // would wait in vain too.
-func TestGroupThatHoldsIsStalledWithoutWorkToo(t *testing.T) {
-	var p progress
+func TestPausedGroupIsStalledEvenWithoutWork(t *testing.T) {
+	var p stallDetector
 	at := time.Unix(1000, 0)
 	look := func(step uint64, hasWork, isHeld bool, after time.Duration) bool {
 		at = at.Add(after)
