--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,9 +1,8 @@
-// Package agent is the process at an upstream host: it takes dispatches from the
-// entry hosts, runs them against its upstream and sends the answers back.
+// Package agent implements the process on an upstream host that receives dispatched requests
+// from the entry hosts, sends them to its upstream and returns the responses.
 //
-// It refuses work with the verdict NotRun only where the upstream has certainly
-// not been given a byte of it, and marks an answer as whole only where the
-// upstream's answer had its own end.
+// It refuses a request with the verdict NotRun only if no byte of the request can have reached
+// the upstream. It marks a response as complete only if the upstream itself marked its end.
 package agent
 
 import (
@@ -24,7 +23,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	DefaultCapacity    = 32
 	DefaultQueueLength = 64
@@ -32,30 +31,32 @@
 	DefaultRetryAfter  = time.Second
 )
 
-// Config is what an Agent needs. Zero values mean the defaults.
+// Config holds the parameters of an Agent. A zero value selects the default.
 type Config struct {
-	// Identity holds Name, DataCentre, Address, Incarnation, Pool, Version, Role and
-	// Group; the rest is filled in by the agent.
+	// Identity must have Name, DataCentre, Address, Incarnation, Pool, Version, Role and
+	// Group set. The agent fills in the other fields.
 	Identity wire.Upstream
-	// URL is the base of the upstream, such as "http://127.0.0.1:8000".
+	// URL is the base URL of the upstream, such as "http://127.0.0.1:8000".
 	URL string
-	// IsEngine tells that the upstream is a model engine that reports load and cache events.
+	// IsEngine is set if the upstream is a model engine, which reports load and cache events.
 	IsEngine bool
-	// Capacity is how many requests run at once; QueueLength how many wait.
+	// Capacity is the maximum number of requests that run at once. QueueLength is the maximum
+	// number of requests that wait; a negative value means that none may wait.
 	Capacity    int
 	QueueLength int
-	// DedupSize is how many attempts and how many claims are remembered, so that none
-	// runs twice. Another start has another incarnation and refuses all before it.
+	// DedupSize is the number of attempts and the number of claims that are remembered, so
+	// that none of them runs twice. They need not be remembered across restarts: a restarted
+	// agent has a new incarnation and refuses dispatches for the previous one.
 	DedupSize int
-	// RetryAfter is what a refused caller is told to wait.
+	// RetryAfter is how long a refused caller is asked to wait before it retries.
 	RetryAfter time.Duration
-	// Recorder, if set, takes the outcomes of non-idempotent calls that no entry host
-	// hears, so that a resend finds the answer.
+	// Recorder, if set, stores the outcomes of non-idempotent calls that could not be
+	// delivered to an entry host, so that a caller that resends the call gets the response.
 	Recorder answer.Recorder
 	Metrics  metrics.Registry
 }
 
-// Agent stands in front of one upstream.
+// Agent forwards requests to one upstream.
 type Agent struct {
 	cfg       Config
 	baseURL   *url.URL
@@ -63,10 +64,11 @@
 	singleUse *http.Transport
 	counters  counters
 	monitor   upstreamMonitor
-	// undelivered has room for the answers that are kept until they count as heard.
+	// undelivered is a semaphore for the responses that are kept until they count as
+	// delivered.
 	undelivered chan struct{}
 
-	// mu guards the rest.
+	// mu guards the fields below.
 	mu           sync.Mutex
 	state        wire.UpstreamState
 	seq          uint64
@@ -88,7 +90,7 @@
 func New(cfg Config) (*Agent, error) {
 	base, err := url.Parse(cfg.URL)
 	if err != nil || base.Host == "" {
-		return nil, errors.Errorf("agent: upstream URL %q is not usable", cfg.URL)
+		return nil, errors.Errorf("agent: invalid upstream URL %q", cfg.URL)
 	}
 	cfg = cfg.withDefaults()
 	return &Agent{
@@ -138,7 +140,7 @@
 	}
 }
 
-// HandlePeer takes Dispatch, Cancel and Credit; it reports whether m was one of
+// HandlePeer handles Dispatch, Cancel and Credit messages and reports whether m was one of
 // them. It never blocks.
 func (a *Agent) HandlePeer(s *peer.Session, _ uint64, m wire.Message) bool {
 	switch m := m.(type) {
@@ -158,8 +160,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.seenAttempts.add(d.Attempt) {
-		// The first dispatch of the attempt answers for it: a refusal here could call
-		// an attempt not run that runs.
+		// The first dispatch of the attempt gets the response. Refusing the duplicate could
+		// report an attempt as not run while it is running.
 		a.counters.duplicates.Inc(1)
 		return
 	}
@@ -171,22 +173,22 @@
 		a.seenClaims.add(*d.Claim)
 	}
 	a.counters.accepted.Inc(1)
-	at := newAttempt(s, d)
+	accepted := newAttempt(s, d)
 	s.Hold()
-	a.attempts[d.Attempt] = at
+	a.attempts[d.Attempt] = accepted
 	if a.running < a.cfg.Capacity {
-		a.start(at)
+		a.start(accepted)
 		return
 	}
-	a.enqueue(at)
+	a.enqueue(accepted)
 }
 
-// checkDispatch returns why d is not taken, or nil. It requires mu.
+// checkDispatch returns the reason to refuse d, or nil if d is accepted. The caller must hold mu.
 func (a *Agent) checkDispatch(d *wire.Dispatch) *verdict.Error {
 	id := a.cfg.Identity
 	switch {
 	case d.Claim != nil && a.seenClaims.has(*d.Claim):
-		// The call of this key has been taken before, so it may have run.
+		// A call with this idempotency key was accepted before, so it may have run.
 		return verdict.New(verdict.MayHaveRun, verdict.CodeConflict, "claim was dispatched before")
 	case d.Upstream != id.Name:
 		return notRun(verdict.CodeNoUpstream, "another upstream is meant")
@@ -221,14 +223,14 @@
 	}
 }
 
-// start requires mu.
+// start runs an attempt in a new goroutine. The caller must hold mu.
 func (a *Agent) start(at *attempt) {
 	a.running++
 	at.started = true
 	go a.run(at)
 }
 
-// enqueue requires mu.
+// enqueue adds an attempt to the wait queue. The caller must hold mu.
 func (a *Agent) enqueue(at *attempt) {
 	a.arrivals++
 	at.arrivalNumber = a.arrivals
@@ -236,7 +238,7 @@
 	at.stopWatchingContext = context.AfterFunc(at.ctx, func() { a.dropWaiting(at) })
 }
 
-// dropWaiting refuses an attempt whose time ended, whose caller left or whose
+// dropWaiting refuses an attempt whose deadline passed, whose caller disconnected or whose
 // session was lost while it waited.
 func (a *Agent) dropWaiting(at *attempt) {
 	a.mu.Lock()
@@ -256,7 +258,8 @@
 	a.refuse(at.session, at.dispatch.Attempt, notRun(code, "ended while it waited").After(a.cfg.RetryAfter))
 }
 
-// removeAttempt requires mu.
+// removeAttempt releases what an attempt holds and signals idle after the last attempt. The
+// caller must hold mu.
 func (a *Agent) removeAttempt(at *attempt) {
 	delete(a.attempts, at.dispatch.Attempt)
 	at.session.Release()
@@ -269,7 +272,7 @@
 	}
 }
 
-// finish ends a running attempt and starts the most urgent one that waits.
+// finish removes a running attempt and starts the most urgent waiting one.
 func (a *Agent) finish(at *attempt) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -296,7 +299,7 @@
 	}
 }
 
-// attemptOf returns the attempt if it came by s.
+// attemptOf returns the attempt with this ID if it was received over s, nil otherwise.
 func (a *Agent) attemptOf(s *peer.Session, id wire.AttemptID) *attempt {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -307,7 +310,7 @@
 	return at
 }
 
-// MarkReady lets the agent take work, unless it is leaving.
+// MarkReady makes the agent accept work, unless it is draining.
 func (a *Agent) MarkReady() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -316,23 +319,25 @@
 	}
 }
 
-// Raise takes a start number above the one known, which belongs to a later start of
-// the same name: the clock that the number came from was set back. Dispatches to
-// the former number are refused.
+// Raise sets the agent's incarnation above known, the highest one that the directory has seen
+// for an upstream of this name. Incarnations are taken from the clock, so an agent that starts
+// after the clock was set back has a lower one than its predecessor. Dispatches that name the
+// lower incarnation are refused from now on.
 func (a *Agent) Raise(known uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cfg.Identity.Incarnation = max(a.cfg.Identity.Incarnation, known+1)
 }
 
-// StartDraining refuses all new work from now on. What was taken goes on.
+// StartDraining makes the agent refuse all new work. Accepted attempts continue.
 func (a *Agent) StartDraining() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.state = wire.UpstreamLeaving
 }
 
-// AwaitDrained waits until nothing runs or waits. The error is that of ctx.
+// AwaitDrained waits until no attempt is running or waiting. It returns an error only if ctx
+// ends first.
 func (a *Agent) AwaitDrained(ctx context.Context) error {
 	for {
 		a.mu.Lock()
@@ -344,7 +349,7 @@
 		select {
 		case <-a.idle:
 		case <-ctx.Done():
-			return errors.Wrap(ctx.Err(), "agent: "+strconv.Itoa(n)+" attempts still run")
+			return errors.Wrap(ctx.Err(), "agent: "+strconv.Itoa(n)+" attempts are still running")
 		}
 	}
 }
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -9,7 +9,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// attempt is a dispatch that was taken. Agent.mu guards started, index and arrival.
+// attempt is a dispatch that the agent has accepted. Agent.mu guards started, heapIndex and
+// arrivalNumber.
 type attempt struct {
 	session             *peer.Session
 	dispatch            *wire.Dispatch
@@ -30,10 +31,11 @@
 	return at
 }
 
-// watchSession cancels an idempotent attempt whose session is lost: nobody can get
-// its answer, and the caller may get another attempt's. A non-idempotent call goes
-// on, since work cut in the middle helps nobody; its outcome is not reported and
-// counts as unknown.
+// watchSession cancels an idempotent attempt when its session is lost, because its response can
+// no longer be delivered and the caller may get the response of another attempt. A
+// non-idempotent call continues, because a call that is interrupted halfway is of no use. Its
+// outcome can't be reported over the session and counts as unknown unless it is stored through
+// Config.Recorder.
 func (at *attempt) watchSession() {
 	select {
 	case <-at.session.Done():
@@ -44,7 +46,7 @@
 	}
 }
 
-// attemptHeap is a heap of attempts: the most urgent first, then the earliest.
+// attemptHeap is a heap of waiting attempts, ordered by urgency and then by arrival.
 type attemptHeap []*attempt
 
 // Len implements heap.Interface.
@@ -80,9 +82,10 @@
 	return at
 }
 
-// creditWindow counts the body bytes that may be sent.
+// creditWindow is the flow control window of an attempt: the number of body bytes that may be
+// sent until the entry host grants more credit.
 type creditWindow struct {
-	// mu guards left.
+	// mu guards available.
 	mu        sync.Mutex
 	available uint64
 	changed   chan struct{}
@@ -102,7 +105,8 @@
 	}
 }
 
-// take waits until some bytes may be sent and takes up to want of them.
+// take waits until bytes may be sent, then deducts up to want bytes from the window and returns
+// how many. It fails if ctx ends or lost is closed.
 func (w *creditWindow) take(ctx context.Context, want int, lost <-chan struct{}) (int, error) {
 	for {
 		if n := w.tryTake(want); n > 0 {
@@ -126,7 +130,7 @@
 	return int(n)
 }
 
-// recentSet is a set that forgets its oldest members beyond a bound.
+// recentSet is a set of limited size that evicts its oldest member to add a new one.
 type recentSet[K comparable] struct {
 	limit   int
 	ring    []K
@@ -138,7 +142,7 @@
 	return &recentSet[K]{limit: bound, members: make(map[K]struct{})}
 }
 
-// add reports whether k is new.
+// add adds k and reports whether k was not in the set.
 func (m *recentSet[K]) add(k K) bool {
 	if m.has(k) {
 		return false
@@ -159,6 +163,6 @@
 	return ok
 }
 
-// remove forgets k early. Its place in the order stays taken until it comes round;
-// a k that was added again meanwhile may be forgotten that much sooner.
+// remove removes k from members but leaves it in ring until its turn to be evicted. If k is
+// added again before that, this eviction removes it early.
 func (m *recentSet[K]) remove(k K) { delete(m.members, k) }
--- a/internal/agent/facts.go
+++ b/internal/agent/facts.go
@@ -16,13 +16,13 @@
 	loadPath        = "/load"
 	cacheEventsPath = "/cache-events"
 	pollTimeout     = time.Second
-	// maxPendingEvents bounds the cache events that wait for the next Record; the oldest go
-	// first, which readers see as a gap.
+	// maxPendingEvents bounds the number of cache events that are kept for the next Record.
+	// Older events are dropped; receivers notice the gap in the sequence numbers.
 	maxPendingEvents = 4096
 	maxReportBytes   = 1 << 20
 )
 
-// LoadReport is an engine's answer to GET /load.
+// LoadReport is the body of an engine's response to GET /load.
 type LoadReport struct {
 	Running      uint32  `json:"running"`
 	Queued       uint32  `json:"queued"`
@@ -30,24 +30,24 @@
 	Tokens       float32 `json:"tokens_per_second"`
 	CacheFree    float32 `json:"cache_free"`
 	StepUS       uint64  `json:"step_us"`
-	// AgeMS is how old the report is when the engine gives it.
+	// AgeMS is the age of the report at the time of the response, in milliseconds.
 	AgeMS   uint32 `json:"age_ms"`
 	Version string `json:"version"`
 }
 
-// CacheEventsReport is an engine's answer to GET /cache-events.
+// CacheEventsReport is the body of an engine's response to GET /cache-events.
 type CacheEventsReport struct {
 	Events []CacheEventReport `json:"events"`
 }
 
-// CacheEventReport is one event of an engine's prefix cache.
+// CacheEventReport reports that an engine's prefix cache has stored or evicted a prefix.
 type CacheEventReport struct {
 	Seq    uint64 `json:"seq"`
 	Prefix uint64 `json:"prefix"`
 	Stored bool   `json:"stored"`
 }
 
-// engineReports are what the engine last said. Agent.mu guards them.
+// engineReports holds the latest reports of the engine. Agent.mu guards it.
 type engineReports struct {
 	latestLoad   LoadReport
 	loadTime     time.Time
@@ -55,8 +55,8 @@
 	events       []wire.CacheEvent
 }
 
-// Record returns the upstream's present record for an announcement, and the cache
-// events since the last call.
+// Record returns the upstream's current record for an announcement, and the cache events
+// received since the previous call.
 func (a *Agent) Record() (wire.Upstream, []wire.CacheEvent) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,7 +73,8 @@
 	return u, events
 }
 
-// latestLoad requires mu.
+// latestLoad combines the agent's own counts with the engine's latest report. The caller must
+// hold mu.
 func (a *Agent) latestLoad() wire.Load {
 	report := a.reports.latestLoad
 	l := wire.Load{
@@ -91,9 +92,9 @@
 	return l
 }
 
-// Poll asks the engine for its load and cache events each interval until ctx ends.
-// An answer that fails leaves the last report, whose age grows. A plain service is
-// not asked.
+// Poll requests the engine's load and cache events once per interval until ctx ends. If a
+// request fails, the previous report stays in use and its age grows. Poll returns at once if
+// the upstream is a plain service.
 func (a *Agent) Poll(ctx context.Context, interval time.Duration) {
 	if !a.cfg.IsEngine {
 		return
@@ -110,7 +111,7 @@
 	}
 }
 
-// PollOnce asks the engine once.
+// PollOnce requests the engine's load and cache events once.
 func (a *Agent) PollOnce(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -141,27 +142,27 @@
 		a.reports.lastEventSeq = max(a.reports.lastEventSeq, e.Seq)
 		a.reports.events = append(a.reports.events, wire.CacheEvent{Seq: e.Seq, Prefix: e.Prefix, Stored: e.Stored})
 	}
-	if over := len(a.reports.events) - maxPendingEvents; over > 0 {
-		a.reports.events = a.reports.events[over:]
+	if excess := len(a.reports.events) - maxPendingEvents; excess > 0 {
+		a.reports.events = a.reports.events[excess:]
 	}
 }
 
 func (a *Agent) getJSON(ctx context.Context, path string, out any) error {
-	u, err := a.baseURL.Parse(path)
+	target, err := a.baseURL.Parse(path)
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 	if err != nil {
 		return err
 	}
 	resp, err := a.pooled.RoundTrip(req)
 	if err != nil {
-		return errors.Wrap(err, "agent: ask engine")
+		return errors.Wrap(err, "agent: query engine")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return errors.Errorf("agent: engine says %s to %s", resp.Status, path)
+		return errors.Errorf("agent: engine returned status %s for %s", resp.Status, path)
 	}
 	return json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxReportBytes)).Decode(out)
 }
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -15,26 +15,26 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// DefaultMaxOrderAge is how old an answer may be, by the agent's own clock since it
-// asked, when the order in it is carried out.
+// DefaultMaxOrderAge is how old an answer may be when its order is sent to the engine. The age
+// is measured with the agent's own clock, from the time at which the agent sent the query.
 const DefaultMaxOrderAge = 2 * time.Second
 
-// ordersPath is where an engine takes orders.
+// ordersPath is the path at which an engine receives orders.
 const ordersPath = "/orders"
 
-// The reasons that an answer is not carried out.
+// The reasons for ignoring an answer.
 var (
-	ErrUnexpectedAnswer  = errors.New("agent: answer to no outstanding question")
-	ErrOrderExpired      = errors.New("agent: answer came too late")
-	ErrStaleFencingToken = errors.New("agent: fencing number below the highest seen")
+	ErrUnexpectedAnswer  = errors.New("agent: answer without an outstanding query")
+	ErrOrderExpired      = errors.New("agent: order has expired")
+	ErrStaleFencingToken = errors.New("agent: fencing token is lower than the highest one seen")
 )
 
-// Asker asks the control hosts.
+// Asker sends queries to the control hosts.
 type Asker interface {
 	Ask(ctx context.Context, q *wire.OrderQuery) (*wire.OrderAnswer, error)
 }
 
-// EngineOrder is the body of POST /orders to an engine.
+// EngineOrder is the body of POST /orders, which tells an engine what to serve.
 type EngineOrder struct {
 	Fence    uint64   `json:"fence"`
 	Model    string   `json:"model"`
@@ -43,26 +43,27 @@
 	Role     string   `json:"role,omitempty"`
 }
 
-// answerFilter decides whether an answer is carried out. Its clock is a monotonic duration
-// since any fixed point. It is not safe for use by several goroutines.
+// answerFilter decides whether the order in an answer may be sent to the engine. Times are
+// durations since an arbitrary fixed point on a monotonic clock. It is not safe for concurrent
+// use.
 type answerFilter struct {
 	maxAge       time.Duration
 	highestFence uint64
-	// isOutstanding tells that nonce was asked at asked and not answered yet.
+	// isOutstanding is set while the query with nonce, sent at askedAt, has no answer.
 	isOutstanding bool
 	nonce         [16]byte
 	askedAt       time.Duration
 }
 
-// startQuery notes a question; an older one is outstanding no more.
+// startQuery records a new query. Answers to earlier queries are no longer accepted.
 func (g *answerFilter) startQuery(nonce [16]byte, now time.Duration) {
 	g.isOutstanding = true
 	g.nonce = nonce
 	g.askedAt = now
 }
 
-// accept returns nil if the answer may be carried out until the end of the span. A
-// question is answered once.
+// accept returns nil if the order in the answer may be sent to the engine, for as long as
+// timeLeft is positive. It accepts at most one answer to a query.
 func (g *answerFilter) accept(a *wire.OrderAnswer, now time.Duration) error {
 	if !g.isOutstanding || a.Nonce != g.nonce {
 		return ErrUnexpectedAnswer
@@ -78,42 +79,45 @@
 	return nil
 }
 
-// timeLeft is how long the answer to the last question may still be carried out.
+// timeLeft returns how long the answer to the latest query remains valid.
 func (g *answerFilter) timeLeft(now time.Duration) time.Duration { return g.maxAge - (now - g.askedAt) }
 
-// OrderPullerConfig is what Orders needs.
+// OrderPullerConfig holds the parameters of an OrderPuller.
 type OrderPullerConfig struct {
 	Upstream, Pool string
 	// Group is the group of ranks that the upstream belongs to, empty if none.
 	Group string
-	// OnOrder, if set, gets each order that may be carried out, nil where there is none.
+	// OnOrder, if set, is called with the order of each accepted answer, nil if the answer has
+	// none.
 	OnOrder func(*wire.Order)
-	// URL is the base of the engine.
+	// URL is the base URL of the engine.
 	URL   string
 	Asker Asker
-	// Restarts counts the upstream's starts, as far as they were seen; nil counts none. One that
-	// has started anew holds no order.
+	// Restarts returns how many restarts of the engine have been observed; nil means that
+	// restarts are not observed. A restarted engine has lost its order and must get it again.
 	Restarts func() int
-	// MaxAge is DefaultOrderSpan if zero.
+	// MaxAge is the maximum age of an answer; zero means DefaultMaxOrderAge.
 	MaxAge time.Duration
-	// Clock returns a monotonic duration; the default counts from the start.
+	// Clock returns a monotonic time; the default is the time since NewOrderPuller.
 	Clock   func() time.Duration
 	Metrics metrics.Registry
 }
 
-// OrderPuller pulls the order to one engine and passes it on. A new one has passed
-// nothing on and knows no fencing number: it asks first. It is used by one goroutine.
+// OrderPuller queries the control hosts for the order to one engine and sends the order to the
+// engine. It keeps no state across restarts: a new one knows no fencing token and first sends a
+// query. It must be used by one goroutine only.
 type OrderPuller struct {
 	cfg    OrderPullerConfig
 	filter answerFilter
 	client *http.Client
-	// delivered is what the upstream was told in that start of it.
+	// delivered is the last answer whose order was sent to the engine, and deliveredRestarts the
+	// number of restarts that had been observed at that time.
 	delivered         *wire.OrderAnswer
 	deliveredRestarts int
 	refused           metrics.Counter
 }
 
-// NewOrderPuller returns an Orders that has not asked yet.
+// NewOrderPuller returns an OrderPuller that has not sent a query yet.
 func NewOrderPuller(cfg OrderPullerConfig) *OrderPuller {
 	if cfg.MaxAge <= 0 {
 		cfg.MaxAge = DefaultMaxOrderAge
@@ -136,7 +140,7 @@
 	}
 }
 
-// Run pulls each interval until ctx ends.
+// Run calls Pull once per interval until ctx ends.
 func (o *OrderPuller) Run(ctx context.Context, interval time.Duration) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
@@ -150,16 +154,17 @@
 	}
 }
 
-// Pull asks once and passes the order on, unless the engine has taken it before.
+// Pull sends one query and sends the returned order to the engine, unless the engine has
+// already accepted it.
 func (o *OrderPuller) Pull(ctx context.Context) error {
-	q := &wire.OrderQuery{Upstream: o.cfg.Upstream, Pool: o.cfg.Pool, Group: o.cfg.Group, Seen: o.filter.highestFence}
-	if _, err := rand.Read(q.Nonce[:]); err != nil {
+	query := &wire.OrderQuery{Upstream: o.cfg.Upstream, Pool: o.cfg.Pool, Group: o.cfg.Group, Seen: o.filter.highestFence}
+	if _, err := rand.Read(query.Nonce[:]); err != nil {
 		return errors.Wrap(err, "agent: make nonce")
 	}
-	o.filter.startQuery(q.Nonce, o.cfg.Clock())
+	o.filter.startQuery(query.Nonce, o.cfg.Clock())
 	askCtx, cancel := context.WithTimeout(ctx, o.cfg.MaxAge)
 	defer cancel()
-	answer, err := o.cfg.Asker.Ask(askCtx, q)
+	answer, err := o.cfg.Asker.Ask(askCtx, query)
 	if err != nil {
 		return err
 	}
@@ -181,13 +186,13 @@
 }
 
 func (o *OrderPuller) deliver(ctx context.Context, a *wire.OrderAnswer) error {
-	left := o.filter.timeLeft(o.cfg.Clock())
-	if left <= 0 {
+	timeLeft := o.filter.timeLeft(o.cfg.Clock())
+	if timeLeft <= 0 {
 		o.refused.Inc(1)
 		return ErrOrderExpired
 	}
-	start := o.cfg.Restarts()
-	ctx, cancel := context.WithTimeout(ctx, left)
+	restarts := o.cfg.Restarts()
+	ctx, cancel := context.WithTimeout(ctx, timeLeft)
 	defer cancel()
 	body, err := json.Marshal(EngineOrder{
 		Fence:    a.Fence,
@@ -201,16 +206,16 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, o.cfg.URL+ordersPath, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "agent: make order")
+		return errors.Wrap(err, "agent: create order request")
 	}
 	resp, err := o.client.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "agent: pass order on")
+		return errors.Wrap(err, "agent: send order")
 	}
 	_ = resp.Body.Close()
 	if resp.StatusCode/100 != 2 {
-		return errors.Errorf("agent: engine says %s to the order", resp.Status)
+		return errors.Errorf("agent: engine refused the order: %s", resp.Status)
 	}
-	o.delivered, o.deliveredRestarts = a, start
+	o.delivered, o.deliveredRestarts = a, restarts
 	return nil
 }
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -17,7 +17,8 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// fakeLeader answers with its order; before it answers, delay is called.
+// fakeLeader is an Asker that returns its order and fencing token. It calls beforeAnswer, if
+// set, before it answers.
 type fakeLeader struct {
 	fence        uint64
 	order        *wire.Order
@@ -37,24 +38,24 @@
 	srv := httptest.NewServer(engine)
 	defer srv.Close()
 	var now time.Duration
-	l := &fakeLeader{fence: 4, order: &wire.Order{Model: "m", Version: "v1"}}
-	o := agent.NewOrderPuller(agent.OrderPullerConfig{Upstream: "u", Pool: "p", URL: srv.URL, Asker: l, Clock: func() time.Duration { return now }})
+	leader := &fakeLeader{fence: 4, order: &wire.Order{Model: "m", Version: "v1"}}
+	puller := agent.NewOrderPuller(agent.OrderPullerConfig{Upstream: "u", Pool: "p", URL: srv.URL, Asker: leader, Clock: func() time.Duration { return now }})
 	ctx := context.Background()
 
-	require.NoError(t, o.Pull(ctx))
-	require.NoError(t, o.Pull(ctx))
-	require.Equal(t, 1, engine.Executions().Orders, "the same order is passed on once")
+	require.NoError(t, puller.Pull(ctx))
+	require.NoError(t, puller.Pull(ctx))
+	require.Equal(t, 1, engine.Executions().Orders, "an unchanged order must be sent once")
 
-	l.order = &wire.Order{Model: "m", Version: "v0"}
-	l.beforeAnswer = func() { now += agent.DefaultMaxOrderAge }
-	require.ErrorIs(t, o.Pull(ctx), agent.ErrOrderExpired)
-	l.beforeAnswer = nil
-	l.fence = 3
-	require.ErrorIs(t, o.Pull(ctx), agent.ErrStaleFencingToken)
+	leader.order = &wire.Order{Model: "m", Version: "v0"}
+	leader.beforeAnswer = func() { now += agent.DefaultMaxOrderAge }
+	require.ErrorIs(t, puller.Pull(ctx), agent.ErrOrderExpired)
+	leader.beforeAnswer = nil
+	leader.fence = 3
+	require.ErrorIs(t, puller.Pull(ctx), agent.ErrStaleFencingToken)
 	require.Equal(t, "v1", engine.Executions().Order.Version)
 
-	l.fence, l.order = 5, &wire.Order{Model: "m", Version: "v2"}
-	require.NoError(t, o.Pull(ctx))
+	leader.fence, leader.order = 5, &wire.Order{Model: "m", Version: "v2"}
+	require.NoError(t, puller.Pull(ctx))
 	require.Equal(t, agent.EngineOrder{Fence: 5, Model: "m", Version: "v2"}, engine.Executions().Order)
 }
 
@@ -63,11 +64,11 @@
 	srv := httptest.NewServer(engine)
 	defer srv.Close()
 	pull := func(fence uint64) error {
-		l := &fakeLeader{fence: fence, order: &wire.Order{Version: "v"}}
-		return agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, Asker: l}).Pull(context.Background())
+		leader := &fakeLeader{fence: fence, order: &wire.Order{Version: "v"}}
+		return agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, Asker: leader}).Pull(context.Background())
 	}
 	require.NoError(t, pull(4))
-	require.ErrorContains(t, pull(3), "409", "a restarted agent that was told an old fence")
+	require.ErrorContains(t, pull(3), "409", "the engine must refuse an older fencing token from a restarted agent")
 	require.Equal(t, uint64(4), engine.Executions().Order.Fence)
 }
 
@@ -94,45 +95,45 @@
 	_, events := a.Record()
 	hashes := entry.PrefixHashes([]byte(prompt))
 	want := []wire.CacheEvent{{Seq: 1, Prefix: hashes[0], Stored: true}, {Seq: 3, Prefix: hashes[2], Stored: true}}
-	require.Equal(t, want, events, "each event once, and a gap where the engine has one")
+	require.Equal(t, want, events, "each event must appear once, with the same gap in Seq as at the engine")
 	_, events = a.Record()
 	require.Empty(t, events)
 
 	a.MarkReady()
 	a.StartDraining()
 	a.MarkReady()
-	next, _ := a.Record()
-	require.Equal(t, wire.UpstreamLeaving, next.State, "leaving is for good")
-	require.Greater(t, next.Seq, u.Seq)
+	draining, _ := a.Record()
+	require.Equal(t, wire.UpstreamLeaving, draining.State, "MarkReady must not end draining")
+	require.Greater(t, draining.Seq, u.Seq)
 }
 
-// An engine that has started anew holds nothing of before: it gets its order again, although
-// the order is the same.
+// Guards against leaving a restarted engine without an order. The engine has lost the order, so it
+// must be sent again although it has not changed.
 func TestRestartedEngineReceivesOrderAgain(t *testing.T) {
 	first, second := standin.NewEngine(standin.EngineConfig{}), standin.NewEngine(standin.EngineConfig{})
 	srv := httptest.NewServer(first)
 	address := srv.Listener.Addr().String()
 	a, err := agent.New(agent.Config{Identity: wire.Upstream{Name: "u"}, URL: srv.URL, IsEngine: true})
 	require.NoError(t, err)
-	l := &fakeLeader{fence: 4, order: &wire.Order{Model: "m", Version: "v1"}}
-	o := agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, Asker: l, Restarts: a.Restarts})
+	leader := &fakeLeader{fence: 4, order: &wire.Order{Model: "m", Version: "v1"}}
+	puller := agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, Asker: leader, Restarts: a.Restarts})
 	require.NoError(t, a.PollOnce(t.Context()))
-	require.NoError(t, o.Pull(t.Context()))
-	require.NoError(t, o.Pull(t.Context()))
+	require.NoError(t, puller.Pull(t.Context()))
+	require.NoError(t, puller.Pull(t.Context()))
 	require.Equal(t, 1, first.Executions().Orders)
 
 	srv.Close()
 	require.Error(t, a.PollOnce(t.Context()))
-	again, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	require.NoError(t, err)
 	srv = httptest.NewUnstartedServer(second)
 	_ = srv.Listener.Close()
-	srv.Listener = again
+	srv.Listener = listener
 	srv.Start()
 	defer srv.Close()
 	require.NoError(t, a.PollOnce(t.Context()))
-	require.NoError(t, o.Pull(t.Context()))
-	require.NoError(t, o.Pull(t.Context()))
+	require.NoError(t, puller.Pull(t.Context()))
+	require.NoError(t, puller.Pull(t.Context()))
 	require.Equal(t, 1, second.Executions().Orders)
 	require.Equal(t, "v1", second.Executions().Order.Version)
 }
--- a/internal/agent/outcome.go
+++ b/internal/agent/outcome.go
@@ -10,21 +10,23 @@
 )
 
 const (
-	// maxRecordedBytes bounds the body of an answer that is recorded, in bytes.
+	// maxRecordedBytes bounds the size of a response body that is recorded.
 	maxRecordedBytes = 64 << 10
-	// maxUndelivered bounds the answers that are kept for hearSpan.
+	// maxUndelivered bounds the number of responses that are kept for deliveryTimeout.
 	maxUndelivered = 1024
-	// deliveryTimeout is how long after an answer the loss of its session still counts as
-	// not heard: that of a frozen host ends within it.
+	// deliveryTimeout is how long after a response was sent it still counts as undelivered if
+	// its session is lost. The session with an entry host that has frozen is closed within
+	// this time.
 	deliveryTimeout = 5 * time.Second
 )
 
-// recording keeps the answer of a claimed call, so that its outcome can be recorded
-// where no entry host hears it. Without a claim or a recorder it keeps nothing.
+// recording buffers the response body of a call with a claim, so that its outcome can be
+// stored if the response is not delivered to an entry host. It is not enabled if the call has
+// no claim or the agent has no Recorder.
 type recording struct {
 	isEnabled bool
 	body      []byte
-	// isTooLarge tells that the body is over maxRecorded and left out.
+	// isTooLarge is set if the body exceeds maxRecordedBytes. It is then not recorded.
 	isTooLarge bool
 }
 
@@ -39,20 +41,21 @@
 	r.body = append(r.body, data...)
 }
 
-// recordIfUndelivered records a whole answer whose session is lost by its end or soon
-// after. Where the entry host has recorded it too, that one stands.
+// recordIfUndelivered stores the outcome of a complete response if the session over which it was
+// sent is lost within deliveryTimeout. If the entry host has stored an outcome too, the entry
+// host's is kept.
 func (a *Agent) recordIfUndelivered(at *attempt, resp *http.Response, r *recording) {
 	if !r.isEnabled {
 		return
 	}
-	f := &wire.FinishRequest{
+	outcome := &wire.FinishRequest{
 		Workspace: at.dispatch.Claim.Workspace,
 		Key:       at.dispatch.Claim.Key,
 		Attempt:   at.dispatch.Attempt,
 		Verdict:   uint8(verdict.Ran),
 	}
 	if !r.isTooLarge {
-		f.Answer = &wire.Answer{Status: resp.StatusCode, Header: headerFields(resp.Header), Body: r.body}
+		outcome.Answer = &wire.Answer{Status: resp.StatusCode, Header: headerFields(resp.Header), Body: r.body}
 	}
 	select {
 	case a.undelivered <- struct{}{}:
@@ -62,14 +65,14 @@
 	}
 	go func() {
 		defer func() { <-a.undelivered }()
-		span := time.NewTimer(deliveryTimeout)
-		defer span.Stop()
+		timeout := time.NewTimer(deliveryTimeout)
+		defer timeout.Stop()
 		select {
 		case <-at.session.Done():
-			if !answer.Record(a.cfg.Recorder, f, false) {
+			if !answer.Record(a.cfg.Recorder, outcome, false) {
 				a.counters.unreported.Inc(1)
 			}
-		case <-span.C:
+		case <-timeout.C:
 		}
 	}()
 }
--- a/internal/agent/presence.go
+++ b/internal/agent/presence.go
@@ -13,23 +13,24 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// probeTimeout bounds a look whether the upstream is still there. One whose process has ended
-// refuses at once.
+// probeTimeout bounds the connection attempt that checks whether the upstream is running. A
+// host refuses the connection at once if the upstream's process has ended.
 const probeTimeout = 250 * time.Millisecond
 
-// upstreamMonitor tells whether the upstream has ended. Its zero value has not.
+// upstreamMonitor tracks whether the upstream's process has ended. In its zero value the
+// upstream is running.
 type upstreamMonitor struct {
-	// mu guards lost, also while the upstream is looked for: all answers that break off by one
-	// end share a look.
+	// mu guards the fields below. It stays locked during a probe, so that all responses that
+	// are broken off by the same end of the upstream share one probe.
 	mu sync.Mutex
-	// endedAt is when the upstream was found to have ended, in Unix milliseconds; 0 while it is
-	// there. starts counts how often it was back.
+	// endedAt is when a probe found that the upstream had ended, in Unix milliseconds; 0 while
+	// it is running. restarts counts how often it accepted connections again afterwards.
 	endedAt  int64
 	restarts int
 }
 
-// probe looks for the upstream after an answer broke off. It returns when the upstream ended,
-// 0 if it has not.
+// probe checks whether the upstream still accepts connections after a response was broken off
+// or a request to it failed. It returns when the upstream ended, 0 if it has not.
 func (p *upstreamMonitor) probe(address string) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,7 +48,7 @@
 	return p.endedAt
 }
 
-// markConnected tells that the upstream took a connection.
+// markConnected records that the upstream accepted a connection.
 func (p *upstreamMonitor) markConnected() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,15 +58,16 @@
 	}
 }
 
-// Restarts counts how often the upstream was back after it had been found to have ended.
+// Restarts returns how often the upstream accepted connections again after it had ended.
 func (a *Agent) Restarts() int {
 	a.monitor.mu.Lock()
 	defer a.monitor.mu.Unlock()
 	return a.monitor.restarts
 }
 
-// probeEnd returns when the upstream ended under an attempt whose answer broke off, 0 if it
-// did not, or ends since it leaves.
+// probeEnd is called after an attempt's response was broken off. It returns when the upstream
+// ended, or 0 if it is still running. It also returns 0 while the agent is draining, because
+// the upstream is then shut down on purpose.
 func (a *Agent) probeEnd() int64 {
 	a.mu.Lock()
 	isLeaving := a.state == wire.UpstreamLeaving
@@ -73,14 +75,15 @@
 	if isLeaving {
 		return 0
 	}
-	lost := a.monitor.probe(a.baseURL.Host)
-	if lost != 0 {
+	endedAt := a.monitor.probe(a.baseURL.Host)
+	if endedAt != 0 {
 		a.counters.upstreamEnds.Inc(1)
 	}
-	return lost
+	return endedAt
 }
 
-// upstreamEndedAt returns when the upstream ended under an attempt, 0 if it did not.
+// upstreamEndedAt returns when the upstream ended during the attempt that failed with e, 0 if it
+// did not end.
 func upstreamEndedAt(e *verdict.Error) int64 {
 	var ended *answer.UpstreamEndedError
 	if errors.As(e, &ended) {
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	// ResumeHeader asks an engine to go on after that many body bytes; an engine that
-	// does so says it back in its answer.
+	// ResumeHeader asks an engine to continue a response after this many body bytes. An engine
+	// that does so returns the same value in its response.
 	ResumeHeader = "Resume-Offset"
-	// RequestIDHeader carries the request id to the upstream.
+	// RequestIDHeader carries the request ID to the upstream.
 	RequestIDHeader = "X-Request-Id"
 
 	dialTimeout         = time.Second
@@ -38,16 +38,17 @@
 	tailBytes           = 32
 )
 
-// frameBuffers holds the buffers of relays; a session copies what it sends.
+// frameBuffers pools the read buffers of relays. A buffer can be reused as soon as its data is
+// sent, because a session copies the data.
 var frameBuffers = sync.Pool{New: func() any { return new([frameBytes]byte) }}
 
-// newTransport returns a transport that never sends a request twice where once is
-// set: on a fresh connection the library does not try again.
-func newTransport(conns int, once bool) *http.Transport {
+// newTransport returns a transport. With singleUse it opens a new connection for each request, so
+// that a request is never sent twice: net/http retries only on reused connections.
+func newTransport(conns int, singleUse bool) *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
 		DialContext:            dialer.DialContext,
-		DisableKeepAlives:      once,
+		DisableKeepAlives:      singleUse,
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    conns,
 		MaxResponseHeaderBytes: maxHeaderBytes,
@@ -55,7 +56,7 @@
 	}
 }
 
-// run carries out one attempt and reports how it went.
+// run executes one attempt and sends its response, or the error, to the entry host.
 func (a *Agent) run(at *attempt) {
 	defer a.finish(at)
 	resp, err := a.roundTrip(at)
@@ -68,12 +69,13 @@
 		a.reportFailure(at, err)
 		return
 	}
-	head := &wire.Head{Attempt: at.dispatch.Attempt, Status: resp.StatusCode, Header: headerFields(resp.Header)}
-	a.send(at, head)
+	header := &wire.Head{Attempt: at.dispatch.Attempt, Status: resp.StatusCode, Header: headerFields(resp.Header)}
+	a.send(at, header)
 	a.relay(at, resp)
 }
 
-// reportFailure reports an attempt that gave no answer.
+// reportFailure reports an attempt without a response. If the call has certainly not run, its
+// claim is released.
 func (a *Agent) reportFailure(at *attempt, e *verdict.Error) {
 	if e.Verdict == verdict.NotRun && at.dispatch.Claim != nil {
 		a.mu.Lock()
@@ -83,8 +85,8 @@
 	a.refuse(at.session, at.dispatch.Attempt, e)
 }
 
-// roundTrip gives the request to the upstream. The error is NotRun only if no
-// connection was got, so that no byte can have left.
+// roundTrip sends the request to the upstream. The verdict of the error is NotRun only if no
+// connection was established, so that no byte can have been sent.
 func (a *Agent) roundTrip(at *attempt) (*http.Response, error) {
 	if at.ctx.Err() != nil {
 		return nil, notRun(verdict.CodeCancelled, "ended before it began")
@@ -114,8 +116,8 @@
 		e.Text = "upstream can't be reached"
 		e.RetryAfter = a.cfg.RetryAfter
 	} else if e.Code == verdict.CodeUpstreamFailed {
-		if lost := a.probeEnd(); lost != 0 {
-			e.Cause = &answer.UpstreamEndedError{At: lost}
+		if endedAt := a.probeEnd(); endedAt != 0 {
+			e.Cause = &answer.UpstreamEndedError{At: endedAt}
 		}
 	}
 	return nil, e
@@ -137,13 +139,13 @@
 		return nil, err
 	}
 	if u.Host != a.baseURL.Host {
-		return nil, errors.New("agent: path leads to another host")
+		return nil, errors.New("agent: request path selects another host")
 	}
 	req, err := http.NewRequestWithContext(ctx, d.Method, u.String(), bytes.NewReader(d.Body))
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody the library can't send the body a second time.
+	// Without GetBody net/http can't send the body a second time.
 	req.GetBody = nil
 	for _, f := range d.Header {
 		req.Header.Add(f.Name, f.Value)
@@ -162,7 +164,7 @@
 	return verdict.New(verdict.MayHaveRun, verdict.CodeUpstreamFailed, "engine did not resume")
 }
 
-// relay sends the body in frames and then the end.
+// relay sends the response body in frames and then an End message.
 func (a *Agent) relay(at *attempt, resp *http.Response) {
 	r := &relay{agent: a, at: at, end: wire.End{Attempt: at.dispatch.Attempt}, digest: xxhash.New()}
 	r.recording.isEnabled = at.dispatch.Claim != nil && a.cfg.Recorder != nil
@@ -243,12 +245,15 @@
 
 func (r *relay) sessionDone() <-chan struct{} { return r.at.session.Done() }
 
-// mustFinish tells that a non-idempotent call is read to its end though nobody hears it.
+// mustFinish reports whether the response is read to its end although it can't be delivered,
+// which is the case for a non-idempotent call whose deadline has not passed.
 func (r *relay) mustFinish() bool {
 	return r.at.dispatch.Claim != nil && r.at.ctx.Err() == nil
 }
 
-// checkComplete tells whether a body that ended without an error was whole.
+// checkComplete returns an error if a body that was read without an error may be truncated: a
+// completion stream without its final event, or a body whose end is marked by nothing but the
+// close of the connection.
 func checkComplete(d *wire.Dispatch, resp *http.Response, tail []byte) error {
 	isStream := strings.HasPrefix(resp.Header.Get("Content-Type"), eventStreamType)
 	if isStream && isCompletion(d.Path) {
@@ -269,8 +274,8 @@
 	return path == "/v1/completions" || path == "/v1/chat/completions"
 }
 
-// send queues m on the attempt's session, also where the attempt's own time is over.
-// It waits only while the session's queue is full, and not for long.
+// send queues m on the attempt's session, even if the attempt's deadline has passed. It waits
+// only while the session's queue is full, at most for reportTimeout.
 func (a *Agent) send(at *attempt, m wire.Message) {
 	err := at.session.Post(m)
 	if errors.Is(err, peer.ErrBusy) {
