--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -21,33 +21,36 @@
 )
 
 const (
-	// pollInterval is how often the agent reads its engine's load, and looks whether its
-	// rank belongs to another group or epoch.
+	// pollInterval is how often the agent reads its engine's load and checks whether the engine's
+	// rank, group or epoch has changed.
 	pollInterval = 100 * time.Millisecond
-	// queryTimeout bounds a question to another agent, which answers from memory.
+	// queryTimeout bounds a query to a control host or another agent, which answer from memory.
 	queryTimeout = 300 * time.Millisecond
-	// memberReportTime is how long after a group has formed its agents are given to tell a control
-	// host of their ranks, before each of them is asked: several times lookInterval.
+	// memberReportTime is how long the agents of a newly formed group have to report their ranks
+	// to a control host, before each of them is queried. It is several times pollInterval.
 	memberReportTime = 600 * time.Millisecond
-	// planInterval is how often the first rank of a group plans. Popularity shifts
-	// within seconds; a change takes about half a one.
+	// planInterval is how often the agent of a group's first rank plans a change of the expert
+	// map. Expert popularity shifts within seconds, and a change takes about half a second.
 	planInterval = 100 * time.Millisecond
-	// maxArmAhead is how many passes ahead a change is armed at most, where orders were seen to
-	// take that long: ranks that hold make all streams late, and so does a map that is behind
-	// for longer.
+	// maxArmAhead bounds how many steps ahead a map change is armed. The number of steps depends
+	// on how long orders take to reach the engines. If it is too small, ranks pause until the
+	// change is committed; if it is too large, the group uses an outdated map for longer. Both
+	// delay all streams.
 	maxArmAhead = 8
-	// maxExtendedArmAhead bounds that where orders get lost.
+	// maxExtendedArmAhead is the bound that replaces maxArmAhead while orders get lost.
 	maxExtendedArmAhead = 16
-	// coordinatorRandomBits is how many of a coordinator's number are drawn at its start; the
-	// rest is its rank.
+	// coordinatorRandomBits is the number of random low bits in a coordinator's number, drawn
+	// when the coordinator starts. The bits above them hold the rank.
 	coordinatorRandomBits = 9
-	// ballotOriginSeconds and ballotUnit let ballots start above those that were used before a
-	// restart, which nobody remembers: they count tenths of a second from a fixed day.
+	// Ballot counters start at the number of units of ballotUnitMillis since the Unix time
+	// ballotOriginSeconds. They are therefore above the counters used before a restart, which
+	// are not stored.
 	ballotOriginSeconds = 1_700_000_000
 	ballotUnitMillis    = 100
 )
 
-// agentRole stands beside one engine and takes part in its group.
+// agentRole runs on the host of one engine. It reports the engine's load to a control host and
+// takes part in the expert map protocol of the engine's group.
 type agentRole struct {
 	n        *Node
 	follower *follower
@@ -58,36 +61,37 @@
 	mu        sync.Mutex
 	upstreams *registry.View
 	runner    *group.Runner
-	// completeMembers are the members of the present epoch once all were found: within an epoch
-	// ranks stay where they are.
+	// completeMembers are the members of the current epoch, nil until all of them are found. They
+	// don't change, because ranks don't move to other hosts within an epoch.
 	completeMembers []wire.GroupMember
-	// runnerStart is when the runner began.
+	// runnerStart is the time at which the runner was created.
 	runnerStart time.Time
-	// planningAgent is where the agent of the first rank is, empty until it was found.
+	// planningAgent is the address of the agent of the first rank, empty until it is found.
 	planningAgent string
 
-	// expertLoad is the popularity that the last epoch knew. It belongs to the goroutine of run.
+	// expertLoad is the expert popularity at the end of the previous epoch. Only the goroutine of
+	// run uses it and the fields below.
 	expertLoad placement.Load
-	// isSlow is what was last said of the engine's pace; it belongs to that goroutine too.
+	// isSlow tells whether the engine was last logged as slow.
 	isSlow bool
-	// isUnreachable tells that the engine could not be reached the last time, born which start of it
-	// was; they belong to it too.
+	// isUnreachable is set if the last request to the engine failed. born is the start time of the
+	// engine when it last became reachable, in Unix milliseconds.
 	isUnreachable bool
 	born          int64
-	// stalls belongs to it as well.
-	stalls stallDetector
+	stalls        stallDetector
 }
 
 func (n *Node) buildAgent() (role, error) {
 	n.openPool("")
 	a := &agentRole{n: n, upstreams: registry.NewView(), client: n.platform.NewEngine(n.settings.Agent.Upstream)}
 	a.follower = newFollower(n, "agent")
-	// The shape of a group is all that an agent needs; an older one will do.
+	// An agent uses only the group shape in the configuration, so it need not wait for the newest
+	// configuration when it starts.
 	a.follower.isCurrent = true
 	a.follower.minFetchInterval = agentFetchInterval
 	a.follower.mergeUpstreams = a.mergeUpstreams
 	a.follower.applyTable = a.applyTable
-	follow := n.handleMessage
+	handleAsFollower := n.handleMessage
 	n.handleMessage = func(s *peer.Session, call uint64, m wire.Message) {
 		if r := a.currentRunner(); r != nil && r.HandlePeer(s, call, m) {
 			return
@@ -96,7 +100,7 @@
 			_ = s.Reply(call, &wire.GroupAnswer{})
 			return
 		}
-		follow(s, call, m)
+		handleAsFollower(s, call, m)
 	}
 	return a, nil
 }
@@ -142,25 +146,26 @@
 
 func (a *agentRole) keeper() *quarantine.Keeper { return nil }
 
-// groupShape is what the configuration says of the engine's group, nil if nothing.
+// groupShape returns the shape of the engine's group according to the configuration, nil if there
+// is none.
 func (a *agentRole) groupShape(r rank.Report) *wire.GroupShape {
 	t := a.table.Load()
 	if t == nil || r.Group == "" || r.Size == 0 {
 		return nil
 	}
-	s := t.Service(a.n.settings.Agent.Service)
-	if s == nil || s.Engine == nil || s.Engine.Experts.Sets == 0 {
+	service := t.Service(a.n.settings.Agent.Service)
+	if service == nil || service.Engine == nil || service.Engine.Experts.Sets == 0 {
 		return nil
 	}
-	x := s.Engine.Experts
+	experts := service.Engine.Experts
 	return &wire.GroupShape{
-		Ranks: uint32(r.Size), Experts: uint32(x.ExpertsPerSet), Layers: uint32(x.Sets), SlotsPerRank: uint32(x.Slots),
-		Spare: uint32(x.Spare), CopyUS: uint32(x.CopyTime.Microseconds()),
+		Ranks: uint32(r.Size), Experts: uint32(experts.ExpertsPerSet), Layers: uint32(experts.Sets), SlotsPerRank: uint32(experts.Slots),
+		Spare: uint32(experts.Spare), CopyUS: uint32(experts.CopyTime.Microseconds()),
 	}
 }
 
-// maxOnTimeStep is the longest pass with which some stream of the service is on time, 0 if that
-// is not known.
+// maxOnTimeStep returns the longest step time with which at least some streams of the service are
+// still on time, 0 if it is unknown.
 func (a *agentRole) maxOnTimeStep() time.Duration {
 	t := a.table.Load()
 	if t == nil {
@@ -169,7 +174,8 @@
 	return t.LongestGap(a.n.settings.Agent.Service)
 }
 
-// serveEpoch takes part in one epoch of a group, until the rank belongs to another one.
+// serveEpoch takes part in one epoch of a group. It returns when the engine has restarted, has
+// another group, epoch or rank, or its group no longer accepts requests.
 func (a *agentRole) serveEpoch(ctx context.Context, r rank.Report, shape *wire.GroupShape) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -192,28 +198,28 @@
 	})
 	a.setRunner(runner)
 	defer a.setRunner(nil)
-	ended := make(chan struct{})
+	runnerDone := make(chan struct{})
 	go func() {
 		runner.Run(ctx)
-		close(ended)
+		close(runnerDone)
 	}()
 	defer func() {
 		cancel()
-		<-ended
+		<-runnerDone
 		a.expertLoad = runner.Load()
 	}()
 	for ctx.Err() == nil {
 		pause.For(ctx, pollInterval)
-		now, err := a.pollEngine(ctx)
-		if err == nil && (now.Group != r.Group || now.Epoch != r.Epoch || now.Rank != r.Rank || now.Born != r.Born || !now.IsOpen) {
-			a.n.log.Info("group does not serve as it did", "group", name, "rank", r.Rank, "epoch_now", now.Epoch,
-				"rank_now", now.Rank, "open", now.IsOpen, "step", now.Step)
+		latest, err := a.pollEngine(ctx)
+		if err == nil && (latest.Group != r.Group || latest.Epoch != r.Epoch || latest.Rank != r.Rank || latest.Born != r.Born || !latest.IsOpen) {
+			a.n.log.Info("group does not serve as it did", "group", name, "rank", r.Rank, "epoch_now", latest.Epoch,
+				"rank_now", latest.Rank, "open", latest.IsOpen, "step", latest.Step)
 			return
 		}
 	}
 }
 
-// pollEngine reads the engine's state and tells its load.
+// pollEngine reads the engine's state and reports its load to a control host.
 func (a *agentRole) pollEngine(ctx context.Context) (rank.Report, error) {
 	r, err := a.client.Report(ctx)
 	a.logReachability(r, err)
@@ -231,7 +237,7 @@
 	return r, nil
 }
 
-// logReachability says when the engine can't be reached any more, and when it can again.
+// logReachability logs when the engine becomes unreachable or reachable.
 func (a *agentRole) logReachability(r rank.Report, err error) {
 	isLost := err != nil
 	if isLost == a.isUnreachable {
@@ -247,11 +253,11 @@
 	a.born = r.Born
 }
 
-// slowThreshold is the pace from which an engine counts as slow: a rank that slow sets the
-// pace of its whole group.
+// slowThreshold is the slowdown (step time divided by usual step time) above which an engine is
+// logged as slow. Every step of a group takes as long as that of its slowest rank.
 const slowThreshold = 1.2
 
-// logSlowdown says when the engine becomes slow, and when it is no more.
+// logSlowdown logs when the engine becomes slow and when it is no longer slow.
 func (a *agentRole) logSlowdown(r rank.Report) {
 	isSlow := r.Pace > slowThreshold
 	if isSlow != a.isSlow {
@@ -260,8 +266,9 @@
 	a.isSlow = isSlow
 }
 
-// checkProgress reports whether the group stands still with work to do: a rank holds whose
-// agent is away, or waits for one that is cut off. It says so when that begins and ends.
+// checkProgress reports whether the group is stalled, which means that it makes no steps although
+// it has work. Causes are a rank that stays paused because its agent is unreachable, and a rank
+// that waits for one that is isolated. Each begin and end of a stall is logged.
 func (a *agentRole) checkProgress(r rank.Report, now time.Time) bool {
 	wasStalled := a.stalls.isStalled
 	isStalled := a.stalls.observe(r.Step, r.Running+r.Waiting > 0, r.PauseStep == r.Step+1, now)
@@ -272,26 +279,28 @@
 	return isStalled
 }
 
-// newUniqueNumber returns a coordinator's number, or a participant's incarnation.
+// newUniqueNumber returns the ID of a coordinator or the incarnation of a participant: the rank in
+// the high bits and random low bits.
 func newUniqueNumber(rank int) uint64 {
 	return uint64(rank)<<coordinatorRandomBits&(1<<16-1) | uint64(rand.IntN(1<<coordinatorRandomBits))
 }
 
+// initialBallot returns the ballot counter at which a coordinator starts.
 func initialBallot() uint64 {
 	return uint64(time.Now().UnixMilli()-ballotOriginSeconds*1000) / ballotUnitMillis
 }
 
-// members returns the agents of a group's ranks: those that a control host has heard of, or
-// where it does not know all of them, those that answer.
+// members returns the agents of a group's ranks. It queries a control host first. If that doesn't
+// know all of them within memberReportTime, it queries the agents.
 func (a *agentRole) members(ctx context.Context, name string, r rank.Report) []wire.GroupMember {
 	a.mu.Lock()
-	whole, since := a.completeMembers, a.runnerStart
+	complete, runnerStart := a.completeMembers, a.runnerStart
 	a.mu.Unlock()
-	if whole != nil {
-		return whole
+	if complete != nil {
+		return complete
 	}
 	found := a.queryControlHost(ctx, &wire.GroupQuery{Group: r.Group, Epoch: r.Epoch})
-	if !group.IsWhole(found, uint32(r.Size)) && time.Since(since) > memberReportTime {
+	if !group.IsWhole(found, uint32(r.Size)) && time.Since(runnerStart) > memberReportTime {
 		found = a.queryAllAgents(ctx, name)
 	}
 	if group.IsWhole(found, uint32(r.Size)) {
@@ -302,14 +311,15 @@
 	return found
 }
 
-// findPlanningAgent returns the agent of a group's first rank, which plans. One that each agent
-// found by asking all the others would make a session between any two of them.
+// findPlanningAgent returns the address of the agent of a group's first rank, which plans the
+// changes of the map. It queries the other agents only if there is no session with a control
+// host, because that needs a session between every two agents.
 func (a *agentRole) findPlanningAgent(ctx context.Context, name string, r rank.Report) (string, bool) {
 	a.mu.Lock()
-	first := a.planningAgent
+	address := a.planningAgent
 	a.mu.Unlock()
-	if first != "" {
-		return first, true
+	if address != "" {
+		return address, true
 	}
 	query := &wire.GroupQuery{Group: r.Group, Epoch: r.Epoch, IsFirst: true}
 	found := a.queryControlHost(ctx, query)
@@ -327,7 +337,7 @@
 	return "", false
 }
 
-// queryControlHost asks the control host that hears of all engines.
+// queryControlHost queries the control host to which all agents report, see controlSession.
 func (a *agentRole) queryControlHost(ctx context.Context, m *wire.GroupQuery) []wire.GroupMember {
 	s := a.n.controlSession()
 	if s == nil {
@@ -343,7 +353,7 @@
 	return answer.Members
 }
 
-// queryAllAgents asks the agents of the service's upstreams for their ranks in the group.
+// queryAllAgents queries the agents of the service's upstreams for their ranks in the group.
 func (a *agentRole) queryAllAgents(ctx context.Context, name string) []wire.GroupMember {
 	addresses := a.agentAddresses()
 	found := make([][]wire.GroupMember, len(addresses))
@@ -352,33 +362,35 @@
 		wg.Go(func() { found[i] = a.queryAgent(ctx, address, name) })
 	}
 	wg.Wait()
-	var out []wire.GroupMember
+	var members []wire.GroupMember
 	for _, list := range found {
-		out = append(out, list...)
+		members = append(members, list...)
 	}
-	return out
+	return members
 }
 
-// agentAddresses returns where the agents of the service's upstreams are: beside them.
+// agentAddresses returns the peer addresses of the agents of the service's upstreams. An agent runs
+// on the same host as its upstream.
 func (a *agentRole) agentAddresses() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	seen := make(map[string]bool)
-	var out []string
+	var agents []string
 	for _, u := range a.upstreams.All() {
-		at, err := netip.ParseAddrPort(u.Address)
+		upstream, err := netip.ParseAddrPort(u.Address)
 		if err != nil || u.Service != a.n.settings.Agent.Service || u.State == registry.Gone {
 			continue
 		}
-		if address := a.n.settings.peerAddress(at.Addr()); !seen[address] {
+		if address := a.n.settings.peerAddress(upstream.Addr()); !seen[address] {
 			seen[address] = true
-			out = append(out, address)
+			agents = append(agents, address)
 		}
 	}
-	return out
+	return agents
 }
 
-// queryAgent asks one agent, this one included.
+// queryAgent queries one agent for its ranks in the group. If address is this host's own, it asks
+// the local runner.
 func (a *agentRole) queryAgent(ctx context.Context, address, name string) []wire.GroupMember {
 	var members []wire.GroupMember
 	if address == a.n.settings.peerAddress(a.n.settings.IP) {
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -20,36 +20,38 @@
 )
 
 const (
-	// silenceIntervals is how many announcements an upstream may miss before it counts as
-	// silent: one may be late, one lost.
+	// silenceIntervals is the number of announcement intervals after which an upstream that has
+	// not announced itself counts as silent. One announcement may be late and one lost.
 	silenceIntervals = 3.5
-	// forgetTimeout is when an upstream is forgotten that is not heard any more. It
-	// outlasts announcements that a partition held up.
+	// forgetTimeout is how long after its last announcement an upstream is removed from the list.
+	// It is longer than a network partition can delay an announcement.
 	forgetTimeout = 2 * time.Minute
-	// closeTimeout bounds the hand-over of the leadership at the end.
+	// closeTimeout bounds the leadership transfer at shutdown.
 	closeTimeout = 2 * time.Second
-	// snapshotEntries is how many entries are applied between two snapshots: the log stays
-	// small beside the disk.
+	// snapshotEntries is how many log entries are applied between two snapshots. It keeps the log
+	// small compared with the disk.
 	snapshotEntries = 1000
 	segmentBytes    = 4 << 20
-	// restartCacheSuffix names the folder beside the data folder with the list of upstreams.
+	// restartCacheSuffix is appended to the name of the data folder. It names the folder that keeps
+	// the list of upstreams across a restart.
 	restartCacheSuffix = "-upstreams"
-	// electionTicks is the least election timeout in ticks: several heartbeats, and many times a round trip between data centres.
+	// electionTicks is the minimum election timeout in ticks. It covers several heartbeats and many
+	// round trips between data centres.
 	electionTicks = 12
-	// replicaSilenceLimit is how long a lost disk's replica has to be silent before the host's new
-	// one takes its place: well above an election, and well below the time in which a host has
-	// to be back in full.
+	// replicaSilenceLimit is how long the replica on a lost disk must be silent before the host's
+	// new replica replaces it. It is well above the duration of an election and well below the
+	// time within which a host must have fully recovered.
 	replicaSilenceLimit = 1200 * time.Millisecond
 )
 
-// ControlHost is what upstreams and operators ask of a control host.
+// ControlHost is the part of a control host that upstreams and operators use.
 type ControlHost interface {
 	Announce(ctx context.Context, u registry.Upstream) error
 	PutConfiguration(ctx context.Context, number uint64, data []byte, author string) (uint64, error)
 	Configuration(ctx context.Context) (state.Configuration, error)
 }
 
-// controlRole holds what must survive.
+// controlRole runs a replica of the state that must survive the loss of hosts.
 type controlRole struct {
 	n            *Node
 	host         *control.Host
@@ -66,10 +68,10 @@
 	}
 	n.openPool(string(control.ID(n.settings.Host, recovered)))
 	transport := control.NewTransport(n.metrics)
-	own := n.settings.peerAddress(n.settings.IP)
+	ownAddress := n.settings.peerAddress(n.settings.IP)
 	host, err := control.Open(control.Config{
 		Name: n.settings.Host, Journal: j, Recovered: recovered, Transport: transport, Pool: n.pool,
-		Peers: excluding(n.settings.seedPeers(), own), Address: own, Founders: n.founders(own),
+		Peers: excluding(n.settings.seedPeers(), ownAddress), Address: ownAddress, Founders: n.founders(ownAddress),
 		Voters: n.settings.voters(), HearingSpan: replicaSilenceLimit, ElectionTicks: electionTicks, SnapshotEntries: snapshotEntries,
 		Registry: registry.Limits{
 			SilenceTimeout: time.Duration(silenceIntervals * float64(n.settings.AnnounceInterval)), ForgetTimeout: forgetTimeout,
@@ -96,17 +98,18 @@
 	return &controlRole{n: n, host: host, controlHosts: host.Book(), api: api}, nil
 }
 
-// founders returns who founds the cluster, nobody where there may be one already.
-func (n *Node) founders(own string) []string {
+// founders returns the addresses of the hosts that found the cluster together. It returns none
+// if a cluster may already exist.
+func (n *Node) founders(ownAddress string) []string {
 	seeds := n.settings.seedPeers()
-	if n.settings.FirstStart && slices.Contains(seeds, own) {
+	if n.settings.FirstStart && slices.Contains(seeds, ownAddress) {
 		return seeds
 	}
 	return nil
 }
 
-func excluding(list []string, one string) []string {
-	return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == one })
+func excluding(list []string, excluded string) []string {
+	return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == excluded })
 }
 
 func (r *controlRole) run(ctx context.Context) error {
@@ -114,14 +117,14 @@
 	return r.host.Run(ctx)
 }
 
-// drain hands the leadership over. Upstreams and operators are told to ask elsewhere by
-// the listener's end.
+// drain closes the API listener, so that upstreams and operators turn to another control host, and
+// then transfers the leadership.
 func (r *controlRole) drain(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
 	_ = r.api.Shutdown(ctx)
 	if err := r.host.Close(ctx); err != nil {
-		r.n.log.Warn("control host did not close well", "error", err.Error())
+		r.n.log.Warn("control host did not shut down cleanly", "error", err.Error())
 	}
 }
 
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -16,17 +16,19 @@
 )
 
 const (
-	// upstreamDialTimeout bounds the opening of a connection to an upstream.
+	// upstreamDialTimeout bounds the time to open a connection to an upstream.
 	upstreamDialTimeout = 500 * time.Millisecond
-	// sweepInterval is how often idle connections are looked through.
+	// sweepInterval is how often idle connections to upstreams and old quarantine records are
+	// removed.
 	sweepInterval = time.Second
-	// idleTimeout is how long callers may leave a connection idle: longer than any
-	// configuration allows them, so that none is closed under a request.
+	// idleTimeout is how long a connection of a caller may be idle. It is longer than any
+	// configuration allows callers to keep one, so the host never closes a connection on which a
+	// request is arriving.
 	idleTimeout = 2 * time.Minute
-	// maxHeaderBytes bounds the head of a request.
+	// maxHeaderBytes bounds the size of a request's headers.
 	maxHeaderBytes = 64 << 10
-	// drainDelay is how long new connections are taken after the host has said that it
-	// wants none: the balancer asks each second and believes the second answer.
+	// drainDelay is how long new connections are accepted after the readiness check began to fail.
+	// The balancer checks every second and stops sending callers after the second failure.
 	drainDelay = 2500 * time.Millisecond
 )
 
@@ -75,7 +77,8 @@
 	return e, nil
 }
 
-// serveReady tells whether the host wants callers.
+// serveReady answers the balancer's readiness check: 503 while the host is draining or has no
+// configuration.
 func (e *entryRole) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if e.isDraining.Load() || e.gateway.Table() == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -94,14 +97,14 @@
 	return nil
 }
 
-// drain takes callers until the balancer sends none any more, and lets those that are
-// served end.
+// drain accepts callers until the balancer sends no more of them, then waits until the requests in
+// progress have ended.
 func (e *entryRole) drain(ctx context.Context) {
 	e.isDraining.Store(true)
 	e.gateway.StartDraining()
 	pause.For(ctx, drainDelay)
 	if err := e.callers.Shutdown(ctx); err != nil {
-		e.n.log.Warn("requests were cut at the end", "error", err.Error())
+		e.n.log.Warn("requests were aborted at shutdown", "error", err.Error())
 	}
 }
 
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -20,54 +20,58 @@
 )
 
 const (
-	// fetchTimeout bounds one question for a configuration.
+	// fetchTimeout bounds one request for a configuration.
 	fetchTimeout = 600 * time.Millisecond
-	// fetchRetryDelay is the pause after a question that failed.
+	// fetchRetryDelay is the delay before a failed request is retried.
 	fetchRetryDelay = 50 * time.Millisecond
-	// agentFetchInterval is how long an agent waits between two configurations: it needs the shape of
-	// its group only, which rarely changes, and the orders of a change of map would wait
-	// behind configurations on its link.
+	// agentFetchInterval is the least time between two configurations that an agent fetches. An
+	// agent needs only the shape of its group, which rarely changes, and a configuration on its
+	// link delays the orders of a map change.
 	agentFetchInterval = 2 * time.Second
-	// linearizableTimeout is how long a host that starts looks for a control host that can show
-	// that its configuration is the newest. Where none can, as in a data centre that is
-	// cut off, it goes on with the newest that it found.
+	// linearizableTimeout is how long a starting host accepts a configuration only from a control
+	// host that has confirmed with a quorum that it is the newest. After that, for example in an
+	// isolated data centre, the host uses the newest configuration that it can get.
 	linearizableTimeout = 6 * time.Second
-	// reloadInterval is how often the settings are read again without being asked.
+	// reloadInterval is how often the settings are reloaded.
 	reloadInterval = 2 * time.Second
 )
 
 func portText(p uint16) string { return strconv.Itoa(int(p)) }
 
-// follower keeps a host up to date with what the control hosts tell.
+// follower receives configurations, upstreams, engine loads and suspicions from the control hosts.
 type follower struct {
 	n            *Node
 	role         string
 	controlHosts *control.Book
-	// mergeUpstreams takes upstreams, lose tells that a source is gone, hosts how many entry
-	// hosts there are, configure puts a configuration into force.
+	// These functions apply what is received. mergeUpstreams merges a control host's list of
+	// upstreams, dropSource is called when the sessions with a control host are lost,
+	// setEntryHostCount sets the number of entry hosts, and applyTable puts a configuration into
+	// force and reports whether it changed anything.
 	mergeUpstreams    func(source string, all []registry.Upstream)
 	dropSource        func(source string)
 	setEntryHostCount func(entries int)
 	applyTable        func(t *routetable.Table) bool
-	// setLoads takes the loads of engines; nil where they don't matter.
+	// setLoads receives the loads of engines; nil if the role doesn't use them.
 	setLoads func(all []wire.EngineLoad)
-	// quarantine is what is known of requests under which upstreams ended; nil where requests
-	// of callers don't come.
+	// quarantine tracks the requests during which upstreams crashed; nil if the role doesn't serve
+	// callers.
 	quarantine *quarantine.Keeper
 	started    time.Time
-	// minFetchInterval is the least time between two configurations.
+	// minFetchInterval is the minimum time between two fetched configurations.
 	minFetchInterval time.Duration
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// applied is the number of the configuration in force, wanted the highest heard of, at
-	// the session that told of it.
+	// applied is the number of the configuration in force. wanted is the highest number that was
+	// announced, and source the session from which to fetch it.
 	applied, wanted uint64
 	source          *peer.Session
-	// isCurrent is set once a control host has shown that its configuration is newest.
+	// isCurrent is set once the host has received a configuration that counts as the newest, see
+	// linearizableTimeout.
 	isCurrent  bool
 	isFetching bool
-	// loadDecoders are what each control host has told of engines.
+	// loadDecoders holds a decoder of load reports for each session, because compact reports
+	// refer to full ones that were sent earlier in the same session.
 	loadDecoders map[*peer.Session]*engineload.Decoder
 }
 
@@ -81,31 +85,33 @@
 	return f
 }
 
-// run holds sessions with all control hosts until ctx ends.
+// run keeps sessions with all known control hosts until ctx ends.
 func (f *follower) run(ctx context.Context) {
 	go f.reloadSeeds(ctx)
 	control.FollowDialled(ctx, f.n.pool, f.controlHosts)
 }
 
-// reloadSeeds takes in seeds that the settings name later.
+// reloadSeeds adds the seeds that appear in the settings while the host is running.
 func (f *follower) reloadSeeds(ctx context.Context) { watchSeeds(ctx, f.n, f.controlHosts) }
 
-// watchSeeds adds the seeds of the settings to the book, whenever they have changed.
-func watchSeeds(ctx context.Context, n *Node, book *control.Book) {
+// watchSeeds reloads the settings at reloadInterval and adds their seeds to the known control
+// hosts.
+func watchSeeds(ctx context.Context, n *Node, controlHosts *control.Book) {
 	for ctx.Err() == nil {
 		pause.For(ctx, reloadInterval)
 		set, err := n.platform.ReloadSettings()
 		if err != nil {
-			n.log.Warn("settings can't be read again", "error", err.Error())
+			n.log.Warn("can't reload settings", "error", err.Error())
 			continue
 		}
-		if seeds := excluding(set.seedPeers(), n.settings.peerAddress(n.settings.IP)); book.Add(seeds...) {
-			n.log.Info("settings name new seeds", "seeds", seeds)
+		if seeds := excluding(set.seedPeers(), n.settings.peerAddress(n.settings.IP)); controlHosts.Add(seeds...) {
+			n.log.Info("settings contain new seeds", "seeds", seeds)
 		}
 	}
 }
 
-// onSessionUp attaches to a control host.
+// onSessionUp subscribes to a control host when a session with it begins, and removes what belongs
+// to the session when it ends. Sessions with other hosts are ignored.
 func (f *follower) onSessionUp(s *peer.Session) {
 	if s.Remote().Replica == "" {
 		return
@@ -152,9 +158,10 @@
 	}
 }
 
-// sendSuspicions tells all control hosts in touch. The others hear of it with the next session.
-func (n *Node) sendSuspicions(news []quarantine.Suspicion) {
-	m := &wire.Suspicions{All: news}
+// sendSuspicions sends new suspicions to all connected control hosts. A session whose queue is full
+// is closed, because the next session with that host starts by sending all suspicions.
+func (n *Node) sendSuspicions(updates []quarantine.Suspicion) {
+	m := &wire.Suspicions{All: updates}
 	for _, s := range n.pool.Sessions() {
 		if s.Remote().Replica != "" && s.Post(m) != nil {
 			s.Close()
@@ -162,21 +169,22 @@
 	}
 }
 
-// decodeLoads returns the loads that a control host tells.
+// decodeLoads decodes the engine loads in a message and counts those that can't be decoded.
 func (f *follower) decodeLoads(s *peer.Session, m *wire.EngineLoads) []wire.EngineLoad {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	v := f.loadDecoders[s]
-	if v == nil {
-		v = &engineload.Decoder{}
-		f.loadDecoders[s] = v
+	decoder := f.loadDecoders[s]
+	if decoder == nil {
+		decoder = &engineload.Decoder{}
+		f.loadDecoders[s] = decoder
 	}
-	loads, unread := v.Decode(m)
-	metrics.GetOrRegisterCounter("engine-loads.unread", f.n.metrics).Inc(int64(unread))
+	loads, undecoded := decoder.Decode(m)
+	metrics.GetOrRegisterCounter("engine-loads.unread", f.n.metrics).Inc(int64(undecoded))
 	return loads
 }
 
-// handleNotice begins to fetch a configuration that is newer, or the first one.
+// handleNotice starts to fetch a configuration that a control host has announced, if it is newer
+// than the one in force or the host doesn't have a current one yet.
 func (f *follower) handleNotice(s *peer.Session, number uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -191,7 +199,7 @@
 	go f.fetch()
 }
 
-// fetch asks until the host has what it wants.
+// fetch requests configurations until the host has the highest announced one.
 func (f *follower) fetch() {
 	for {
 		f.mu.Lock()
@@ -200,17 +208,18 @@
 			f.mu.Unlock()
 			return
 		}
-		source, isCurrent, held := f.source, f.isCurrent, f.applied
+		source, isCurrent, applied := f.source, f.isCurrent, f.applied
 		f.mu.Unlock()
 		if !source.Alive() {
 			source = f.otherControlSession(source)
 		}
-		if source == nil || !f.fetchFrom(source, held, !isCurrent && time.Since(f.started) < linearizableTimeout) {
+		if source == nil || !f.fetchFrom(source, applied, !isCurrent && time.Since(f.started) < linearizableTimeout) {
 			time.Sleep(fetchRetryDelay)
 			f.switchSource()
 		}
-		if f.appliedNumber() > held {
-			// What is noticed meanwhile is fetched as one.
+		if f.appliedNumber() > applied {
+			// If several configurations are announced during this pause, only the newest is
+			// fetched.
 			time.Sleep(f.minFetchInterval)
 		}
 	}
@@ -223,8 +232,8 @@
 	return f.applied
 }
 
-// controlSession returns the live session with the control host of the lowest address,
-// so that hosts of one kind tell the same one; nil if there is none.
+// controlSession returns the live session with the control host that has the lowest address, nil if
+// there is none. All hosts that are connected to the same control hosts thus choose the same one.
 func (n *Node) controlSession() *peer.Session {
 	var lowest *peer.Session
 	for _, s := range n.pool.Sessions() {
@@ -236,17 +245,18 @@
 	return lowest
 }
 
-// otherControlSession returns a live session with a control host, nil if there is none.
-func (f *follower) otherControlSession(not *peer.Session) *peer.Session {
+// otherControlSession returns a live session with a control host other than the given one, nil if
+// there is none.
+func (f *follower) otherControlSession(excluded *peer.Session) *peer.Session {
 	for _, s := range f.n.pool.Sessions() {
-		if s != not && s.Remote().Replica != "" {
+		if s != excluded && s.Remote().Replica != "" {
 			return s
 		}
 	}
 	return nil
 }
 
-// switchSource asks another control host the next time.
+// switchSource makes another control host, if there is one, the source of the next fetch.
 func (f *follower) switchSource() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -255,19 +265,19 @@
 	}
 }
 
-// fetchFrom puts the configuration of a control host into force. It reports whether the
-// control host answered.
-func (f *follower) fetchFrom(s *peer.Session, held uint64, isLinearizable bool) bool {
+// fetchFrom requests the configuration of a control host and puts it into force if it is newer than
+// applied. It reports whether the control host has the wanted configuration or a newer one.
+func (f *follower) fetchFrom(s *peer.Session, applied uint64, isLinearizable bool) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
-	reply, _, err := s.Call(ctx, &wire.ConfigurationQuery{Above: held, Linearizable: isLinearizable})
+	reply, _, err := s.Call(ctx, &wire.ConfigurationQuery{Above: applied, Linearizable: isLinearizable})
 	answer, ok := reply.(*wire.ConfigurationAnswer)
 	if err != nil || !ok {
-		f.n.log.Info("configuration not fetched", "from", s.Remote().Host, "held", held,
+		f.n.log.Info("configuration not fetched", "from", s.Remote().Host, "held", applied,
 			"linearizable", isLinearizable, "error", fmt.Sprint(err))
 		return false
 	}
-	if answer.Number > held && !f.apply(answer) {
+	if answer.Number > applied && !f.apply(answer) {
 		return false
 	}
 	f.mu.Lock()
@@ -280,7 +290,7 @@
 func (f *follower) apply(answer *wire.ConfigurationAnswer) bool {
 	table, err := f.n.platform.DecodeTable(answer.Data)
 	if err != nil {
-		f.n.log.Error("configuration can't be decoded", "configuration", answer.Number, "error", err.Error())
+		f.n.log.Error("can't decode configuration", "configuration", answer.Number, "error", err.Error())
 		return false
 	}
 	if f.applyTable(table) {
--- a/internal/node/follow_test.go
+++ b/internal/node/follow_test.go
@@ -16,46 +16,47 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// decodeLength reads a configuration that says its number by its length.
+// decodeLength is a fake decoder: the number of the configuration is the length of the data.
 func decodeLength(packed []byte) (*routetable.Table, error) {
 	return &routetable.Table{Number: uint64(len(packed))}, nil
 }
 
-// In a storm of configurations an agent fetches a few, and has the newest at the end.
+// Guards against an agent that fetches every configuration when many are published in a short time.
+// It may fetch one per minFetchInterval and must have the newest one in the end.
 func TestAgentFetchRateIsLimitedDuringManyChanges(t *testing.T) {
-	const changes, rest = 40, 200 * time.Millisecond
-	var newest, asked atomic.Uint64
+	const changes, minFetchInterval = 40, 200 * time.Millisecond
+	var newest, queries atomic.Uint64
 	mux := http.NewServeMux()
 	srv := httptest.NewServer(mux)
 	defer srv.Close()
-	serve := peer.NewPool(peer.Config{
+	controlPool := peer.NewPool(peer.Config{
 		Hello:  wire.Hello{Host: "control", Replica: "r", Address: strings.TrimPrefix(srv.URL, "http://")},
 		Secret: "secret",
 		Handler: peer.HandlerFunc(func(s *peer.Session, call uint64, m wire.Message) {
 			if _, ok := m.(*wire.ConfigurationQuery); ok {
-				asked.Add(1)
+				queries.Add(1)
 				n := newest.Load()
 				_ = s.Reply(call, &wire.ConfigurationAnswer{Number: n, Data: make([]byte, n)})
 			}
 		}),
 	})
-	defer serve.Close()
-	mux.Handle(peer.Path, peer.NewServer(serve))
+	defer controlPool.Close()
+	mux.Handle(peer.Path, peer.NewServer(controlPool))
 	pool := peer.NewPool(peer.Config{Secret: "secret", Handler: peer.HandlerFunc(func(*peer.Session, uint64, wire.Message) {})})
 	defer pool.Close()
 	s, err := pool.Get(t.Context(), strings.TrimPrefix(srv.URL, "http://"))
 	require.NoError(t, err)
 
 	f := &follower{
-		n: &Node{pool: pool, log: slog.New(slog.DiscardHandler), platform: Platform{DecodeTable: decodeLength}}, isCurrent: true, minFetchInterval: rest,
+		n: &Node{pool: pool, log: slog.New(slog.DiscardHandler), platform: Platform{DecodeTable: decodeLength}}, isCurrent: true, minFetchInterval: minFetchInterval,
 		applyTable: func(*routetable.Table) bool { return true }, started: time.Now(),
 	}
-	began := time.Now()
+	start := time.Now()
 	for n := range uint64(changes) {
 		newest.Store(n + 1)
 		f.handleNotice(s, n+1)
-		require.Eventually(t, func() bool { return time.Since(began) > time.Duration(n+1)*10*time.Millisecond }, time.Minute, time.Millisecond)
+		require.Eventually(t, func() bool { return time.Since(start) > time.Duration(n+1)*10*time.Millisecond }, time.Minute, time.Millisecond)
 	}
 	require.Eventually(t, func() bool { return f.appliedNumber() == changes }, time.Minute, time.Millisecond)
-	require.LessOrEqual(t, asked.Load(), uint64(2+time.Since(began)/rest))
+	require.LessOrEqual(t, queries.Load(), uint64(2+time.Since(start)/minFetchInterval))
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,101 +24,104 @@
 )
 
 const (
-	// watchedSilenceLimit is how long the other end of a watched session may be silent: well below the
-	// time within which a host that is reachable again has to be up to date.
+	// watchedSilenceLimit is how long the other end may be silent on a session that something is
+	// waiting for. It is well below the time within which a host that is reachable again must be
+	// up to date.
 	watchedSilenceLimit = 1500 * time.Millisecond
-	// dialTimeout bounds an attempt to reach a host: many times a round trip between
-	// data centres. A host that was dark at the first packet is dialled anew well before
-	// that packet would be sent again.
+	// dialTimeout bounds one attempt to connect to a host. It is many times the round trip between
+	// data centres, and well below TCP's first retransmission: a host that was unreachable when
+	// the first packet was sent is dialled again earlier.
 	dialTimeout = 400 * time.Millisecond
-	// pingInterval is the longest silence on a session that nobody watches.
+	// pingInterval is the longest silence on a session that nothing is waiting for.
 	pingInterval = 3 * time.Second
-	// readHeaderTimeout bounds the head of a request of another host, an upstream or an
-	// operator.
+	// readHeaderTimeout bounds the time to read the headers of a request from another host, an
+	// upstream or an operator.
 	readHeaderTimeout = 3 * time.Second
-	// peerSecret is what hosts show one another. The platform gives none; its networks keep
-	// strangers away, and this keeps away what dialled a wrong port.
+	// peerSecret is the secret with which hosts greet each other. The platform doesn't provide one.
+	// Its private networks keep strangers out; this constant only rejects processes that have
+	// dialled the wrong port.
 	peerSecret = "sassafraspost-node"
-	// memoryLimitFraction is the part of the process's memory at which the collector works
-	// harder; the rest is for stacks, the runtime and bytes on sockets.
+	// memoryLimitFraction is the fraction of the process's memory above which the garbage collector
+	// runs more often. The rest is for stacks, the runtime and socket buffers.
 	memoryLimitFraction = 0.6
-	// gcPercent is the heap's growth in percent between two collections. The heaps here
-	// are a few MB, where memory is dearer than the time of a collection.
+	// gcPercent is the growth of the heap in percent that triggers a collection. The heaps are only
+	// a few MB, so memory is scarcer than the CPU time of a collection.
 	gcPercent = 60
 )
 
-// Platform translates for a process what stands outside the system.
+// Platform adapts a process to the platform on which it runs: its formats, protocols and settings.
 type Platform struct {
 	Dialect gateway.Dialect
-	// DecodeTable reads a packed configuration.
+	// DecodeTable decodes a packed configuration.
 	DecodeTable func(packed []byte) (*routetable.Table, error)
-	// ControlAPI serves upstreams and operators at a control host.
+	// ControlAPI returns the handler for requests of upstreams and operators to a control host.
 	ControlAPI func(h ControlHost, address string, count func(name string)) http.Handler
-	// NewEngine reaches the engine at an address.
+	// NewEngine returns a client of the engine at an address.
 	NewEngine func(address netip.AddrPort) rank.Client
-	// ReadyPath is where an entry host is asked whether it wants callers.
+	// ReadyPath is the path of an entry host's readiness check.
 	ReadyPath string
-	// ReloadSettings reads the settings anew.
+	// ReloadSettings reads the current settings.
 	ReloadSettings func() (Settings, error)
 }
 
-// Node is one process.
+// Node holds what all roles of a process have in common.
 type Node struct {
 	settings Settings
 	platform Platform
 	log      *slog.Logger
 	metrics  metrics.Registry
 	pool     *peer.Pool
-	// handleMessage takes the messages of sessions, up tells of new ones; the role sets both
-	// before the sessions begin.
+	// handleMessage is called for each message of a session, onSessionUp for each new session. The
+	// role sets both before any session begins.
 	handleMessage func(s *peer.Session, call uint64, m wire.Message)
 	onSessionUp   func(s *peer.Session)
 }
 
-// role is what a process does.
+// role is the work of a process: entry host, control host or agent.
 type role interface {
-	// run works until ctx ends. The error is what ended the role by itself.
+	// run works until ctx ends. It returns earlier only if the role has failed.
 	run(ctx context.Context) error
-	// drain ends the role's work in the time that ctx leaves.
+	// drain ends the role's work gracefully before ctx ends.
 	drain(ctx context.Context)
-	// keeper is what the role knows of requests under which upstreams ended; nil if nothing.
+	// keeper returns the role's records of requests during which upstreams crashed, nil if it has
+	// none.
 	keeper() *quarantine.Keeper
 }
 
-// Run runs the process until ctx ends, which starts the graceful end.
-func Run(ctx context.Context, set Settings, p Platform, log *slog.Logger) error {
-	debug.SetMemoryLimit(int64(float64(set.MemoryMB<<20) * memoryLimitFraction))
+// Run runs the process until ctx ends, then shuts it down gracefully.
+func Run(ctx context.Context, settings Settings, p Platform, log *slog.Logger) error {
+	debug.SetMemoryLimit(int64(float64(settings.MemoryMB<<20) * memoryLimitFraction))
 	debug.SetGCPercent(gcPercent)
-	log = log.With("host", set.Host)
-	n := &Node{settings: set, platform: p, log: log, metrics: metrics.NewRegistry()}
+	log = log.With("host", settings.Host)
+	n := &Node{settings: settings, platform: p, log: log, metrics: metrics.NewRegistry()}
 	r, err := n.build()
 	if err != nil {
 		return err
 	}
-	listener, err := net.Listen("tcp", set.peerAddress(set.IP))
+	listener, err := net.Listen("tcp", settings.peerAddress(settings.IP))
 	if err != nil {
 		return errors.Wrap(err, "peer listener")
 	}
 	serve(listener, n.peerHandler())
 	n.serveMetrics(r)
-	ended := make(chan error, 1)
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	roleDone := make(chan error, 1)
+	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	go func() { ended <- r.run(work) }()
+	go func() { roleDone <- r.run(workCtx) }()
 	select {
-	case err = <-ended:
+	case err = <-roleDone:
 		return errors.Wrap(err, "role ended")
 	case <-ctx.Done():
 	}
 	log.Info("process is asked to end")
-	deadline, cancel := context.WithTimeout(context.Background(), set.GracePeriod-exitMargin)
+	deadline, cancel := context.WithTimeout(context.Background(), settings.GracePeriod-exitMargin)
 	defer cancel()
 	r.drain(deadline)
 	n.pool.Close()
 	return nil
 }
 
-// exitMargin is how long before the end of the grace period a process ends by itself.
+// exitMargin is how long before the end of the grace period the process must have shut down.
 const exitMargin = 700 * time.Millisecond
 
 func (n *Node) build() (role, error) {
@@ -134,7 +137,8 @@
 	}
 }
 
-// openPool makes the sessions' pool. Replica names the disk of a control host.
+// openPool creates the pool of sessions with other hosts. replica identifies the disk of a control
+// host; it is empty for the other roles.
 func (n *Node) openPool(replica string) {
 	n.pool = peer.NewPool(peer.Config{
 		Hello: wire.Hello{
@@ -158,26 +162,27 @@
 	return mux
 }
 
-// serve answers on the listener until the process ends.
+// serve starts an HTTP server on the listener. It runs until the process ends or the server is shut
+// down.
 func serve(l net.Listener, h http.Handler) *http.Server {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
 	go func() { _ = srv.Serve(l) }()
 	return srv
 }
 
-// serveMetrics shows the metrics, and which requests are held. Without a listener the process
-// goes on: they are not worth a request.
+// serveMetrics serves the metrics and the list of quarantined requests. If it can't listen, the
+// process continues without them, because serving requests is more important.
 func (n *Node) serveMetrics(r role) {
 	address := net.JoinHostPort(n.settings.IP.String(), portText(n.settings.MetricsPort))
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		n.log.Warn("metrics can't be served", "address", address, "error", err.Error())
+		n.log.Warn("can't serve metrics", "address", address, "error", err.Error())
 		return
 	}
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", telemetry.Handler(n.metrics))
-	if k := r.keeper(); k != nil {
-		h := quarantine.Handler(k)
+	if keeper := r.keeper(); keeper != nil {
+		h := quarantine.Handler(keeper)
 		mux.Handle(quarantine.Path, h)
 		mux.Handle(quarantine.Path+"/", h)
 	}
--- a/internal/node/progress.go
+++ b/internal/node/progress.go
@@ -3,37 +3,39 @@
 import "time"
 
 const (
-	// minStallTime is how long a group with work to do makes no step before it counts as
-	// stalled: several passes at the slowest usual pace.
+	// minStallTime is how long a group with work must make no step before it counts as stalled. It
+	// is the duration of several steps at the slowest usual step time.
 	minStallTime = 300 * time.Millisecond
-	// minStallSteps is how many steps of the present pace it waits at least.
+	// minStallSteps is the minimum duration of a stall in current mean step times.
 	minStallSteps = 5
-	// lastStepWeight is the share of the last step in the pace.
+	// lastStepWeight is the weight of the last step in the moving average of the step time.
 	lastStepWeight = 0.3
 )
 
-// stallDetector tells whether an engine stands still that has work to do, or that would not do it.
+// stallDetector detects an engine that makes no steps although it has work, or that is paused and
+// would not start any work it gets.
 type stallDetector struct {
 	step uint64
-	// lastChange is when the last step was seen to have begun, or work to have come.
+	// lastChange is when a new step was last observed, or the engine was last observed without
+	// work and not paused.
 	lastChange time.Time
-	// meanStepTime is how long steps take, an average over the last ones.
+	// meanStepTime is the moving average of the step time.
 	meanStepTime time.Duration
 	isStalled    bool
 }
 
-// observe takes what the engine reports and returns whether it is stalled. An engine that is
-// held before its next step stands still whether it has work or not: requests that are sent
-// there after its callers have left it would wait as those did.
-func (p *stallDetector) observe(step uint64, hasWork, isHeld bool, now time.Time) bool {
+// observe processes a report of the engine and returns whether the engine is stalled. An engine
+// that is paused before its next step can be stalled without work too: after its callers have given
+// up, requests that are sent to it would wait just as long as theirs did.
+func (p *stallDetector) observe(step uint64, hasWork, isPaused bool, now time.Time) bool {
 	switch {
 	case step != p.step:
-		if n := step - p.step; step > p.step && !p.isStalled && !p.lastChange.IsZero() {
-			took := float64(now.Sub(p.lastChange)) / float64(n)
-			p.meanStepTime += time.Duration(lastStepWeight * (took - float64(p.meanStepTime)))
+		if steps := step - p.step; step > p.step && !p.isStalled && !p.lastChange.IsZero() {
+			stepTime := float64(now.Sub(p.lastChange)) / float64(steps)
+			p.meanStepTime += time.Duration(lastStepWeight * (stepTime - float64(p.meanStepTime)))
 		}
 		p.step, p.lastChange, p.isStalled = step, now, false
-	case !hasWork && !isHeld:
+	case !hasWork && !isPaused:
 		p.lastChange, p.isStalled = now, false
 	default:
 		p.isStalled = now.Sub(p.lastChange) > max(minStallTime, minStallSteps*p.meanStepTime)
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -1,5 +1,5 @@
-// Package node assembles the process of one host from the parts of the product, for a
-// platform that gives it its settings: an entry host, a control host or an agent.
+// Package node assembles the process of one host on a platform that supplies its settings. The host
+// is an entry host, a control host or an agent.
 package node
 
 import (
@@ -9,29 +9,30 @@
 	"github.com/sassafraspost/sassafraspost/internal/retrybudget"
 )
 
-// Settings are those of one process. Exactly one role is set.
+// Settings are the settings of one process. Exactly one of Entry, Control and Agent is set.
 type Settings struct {
-	// Host is this host's name, DataCentre where it is.
+	// Host is the name of this host, DataCentre the data centre that it is in.
 	Host, DataCentre string
 	IP               netip.Addr
-	// PeerPort is where sessions are accepted, MetricsPort where metrics are read; both
-	// are the same on all hosts.
+	// PeerPort is the port for sessions of other hosts, MetricsPort the port for metrics. Both are
+	// the same on all hosts.
 	PeerPort, MetricsPort uint16
-	// Seeds are addresses of control hosts, with the ports that operators call.
+	// Seeds are addresses of control hosts, with the ports of their API for operators.
 	Seeds []netip.AddrPort
-	// FirstStart is set when the whole system starts for the first time.
+	// FirstStart is set if the whole system starts for the first time, so that the control hosts
+	// found a new cluster.
 	FirstStart bool
-	// MemoryMB is what the process may use.
+	// MemoryMB is the memory that the process may use.
 	MemoryMB int
-	// LinkRate is what the host's link carries, in bytes a second; 0 if that is not told.
+	// LinkRate is the capacity of the host's network link in bytes per second, 0 if unknown.
 	LinkRate float64
 	// AnnounceInterval is how often upstreams announce themselves.
 	AnnounceInterval time.Duration
-	// GracePeriod is how long the process has to end.
+	// GracePeriod is how long the process may take to shut down.
 	GracePeriod time.Duration
-	// MaxControlHostFailures is how many control hosts may be lost at once.
+	// MaxControlHostFailures is how many control hosts may fail at the same time.
 	MaxControlHostFailures int
-	// Budget bounds the repeats of all hosts together.
+	// Budget limits the retries of all hosts together.
 	Budget retrybudget.Params
 
 	Entry   *EntrySettings
@@ -39,27 +40,27 @@
 	Agent   *AgentSettings
 }
 
-// EntrySettings are those of an entry host.
+// EntrySettings are the settings of an entry host.
 type EntrySettings struct {
-	// Listen is for callers, Ready for who asks whether the host wants them.
+	// Listen is the listen address for callers, Ready that of the readiness check.
 	Listen, Ready netip.AddrPort
 }
 
-// ControlSettings are those of a control host.
+// ControlSettings are the settings of a control host.
 type ControlSettings struct {
-	// Listen is for upstreams and operators.
+	// Listen is the listen address for upstreams and operators.
 	Listen     netip.AddrPort
 	DataFolder string
 }
 
-// AgentSettings are those of an agent.
+// AgentSettings are the settings of an agent.
 type AgentSettings struct {
-	// Upstream is the engine on this host, Service what it belongs to.
+	// Upstream is the address of the engine on this host, Service the service that it belongs to.
 	Upstream netip.AddrPort
 	Service  string
 }
 
-// role names the role in sessions and logs.
+// role returns the name of the role, as used in logs and in sessions with control hosts.
 func (s *Settings) role() string {
 	switch {
 	case s.Entry != nil:
@@ -70,7 +71,7 @@
 	return "agent"
 }
 
-// peerAddress returns where a host accepts sessions.
+// peerAddress returns the address at which the host with this IP accepts sessions.
 func (s *Settings) peerAddress(ip netip.Addr) string {
 	return netip.AddrPortFrom(ip, s.PeerPort).String()
 }
@@ -84,6 +85,6 @@
 	return out
 }
 
-// voters returns how many control hosts vote: enough that a majority is left when as
-// many are lost as must be borne.
+// voters returns how many control hosts vote, so that a majority is left after
+// MaxControlHostFailures failures.
 func (s *Settings) voters() int { return 2*max(s.MaxControlHostFailures, 1) + 1 }
