--- a/cmd/sassafraspost-node/main.go
+++ b/cmd/sassafraspost-node/main.go
@@ -1,6 +1,6 @@
-// Command sassafraspost-node runs one host of the system on the users' platform, which
-// names its settings file in the environment. It has neither arguments nor the
-// administration API of sassafraspostd, and so needs less memory.
+// Command sassafraspost-node runs one host of the system on the users' platform. The path of its
+// settings file is in an environment variable. It needs less memory than sassafraspostd, because it
+// has no command line and no administration API.
 package main
 
 import (
@@ -29,8 +29,8 @@
 	if err != nil {
 		return err
 	}
-	// The settings are read again at intervals, so the signal needs no more than not to
-	// end the process.
+	// SIGHUP must not end the process. It need not trigger a reload either, because the settings
+	// are reloaded at regular intervals.
 	signal.Ignore(syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/cmd/sassafraspost/main.go
+++ b/cmd/sassafraspost/main.go
@@ -1,4 +1,4 @@
-// Command sassafraspost is the tool of operators and teams: it submits service
+// Command sassafraspost is the command-line tool for operators and teams. It submits service
 // documents, reads them back and shows their status and history.
 package main
 
--- a/cmd/sassafraspostd/main.go
+++ b/cmd/sassafraspostd/main.go
@@ -1,5 +1,5 @@
-// Command sassafraspostd is the daemon: one binary with the roles entry, control
-// and agent, chosen by its settings.
+// Command sassafraspostd is the daemon of a host. Its settings choose which of the roles entry,
+// control and agent it runs.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/version"
 )
 
-// Exit codes.
+// Exit codes: exitSettings reports unusable settings or arguments, exitFailed any other failure.
 const (
 	exitFailed   = 1
 	exitSettings = 2
@@ -37,7 +37,7 @@
 	root.AddCommand(
 		&cobra.Command{
 			Use:   "check-settings",
-			Short: "Check the settings file and name every fault",
+			Short: "Check the settings file and list all errors",
 			Args:  cobra.NoArgs,
 			Run:   func(*cobra.Command, []string) { load(path) },
 		},
--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -16,11 +16,12 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// grantTimeout is how long a demand waits for its grant; a later one is of no use.
+// grantTimeout is how long a demand waits for its grant. A grant that arrives later is ignored.
 const grantTimeout = 3 * time.Second
 
-// admitter lets the entry's server use an admission.Controller, and exchanges
-// demands and grants with the other entry hosts of the data centre.
+// admitter connects the entry server to an admission.Controller. It exchanges the demands for
+// rate-limited workspaces, and the grants that answer them, with the other entry hosts of the data
+// centre.
 type admitter struct {
 	controller *admission.Controller
 	store      *catalog.Store
@@ -29,9 +30,9 @@
 	hosts      []directory.Host
 	now        func() time.Duration
 
-	// mu guards asked and seq.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// pendingDemands holds when each demand was sent.
+	// pendingDemands holds the time at which each unanswered demand was sent, by sequence number.
 	pendingDemands map[uint64]time.Duration
 	seq            uint64
 }
@@ -58,31 +59,31 @@
 	return a
 }
 
-// usageOf sums the load reports of a pool. Upstreams that nobody hears count only
-// where there are no others, as routing uses them only then.
+// usageOf sums the load reports of a pool. Suspect upstreams, from which no announcements arrive,
+// count only if there are no others, because routing uses them only in that case.
 func usageOf(entries []directory.Entry, pool string) admission.Usage {
-	var heard, suspect admission.Usage
+	var announced, suspect admission.Usage
 	for i := range entries {
 		u := &entries[i].Upstream
 		if u.Pool != pool || u.State != wire.UpstreamReady {
 			continue
 		}
-		sum := &heard
+		sum := &announced
 		if entries[i].Suspect {
 			sum = &suspect
 		}
 		sum.Capacity += int(u.Load.Capacity)
 		sum.InUse += int(u.Load.Running + u.Load.Queued)
 	}
-	if heard.Capacity == 0 {
+	if announced.Capacity == 0 {
 		return suspect
 	}
-	return heard
+	return announced
 }
 
 // Admit implements entry.Admission.
 func (a *admitter) Admit(ctx context.Context, r entry.AdmitRequest) (func(), error) {
-	q := admission.Request{
+	request := admission.Request{
 		Service:   r.Service,
 		Workspace: r.Workspace,
 		Pool:      r.Pool,
@@ -92,22 +93,22 @@
 	}
 	if d := a.store.Index().Document(r.Service); d != nil {
 		if w := d.Workspace(r.Workspace); w != nil {
-			q.Share = w.Share
-			q.Limits = admission.Limits{
+			request.Share = w.Share
+			request.Limits = admission.Limits{
 				Requests:   w.MaxRequestsPerSecond,
 				Tokens:     w.MaxTokensPerSecond,
 				Concurrent: w.MaxConcurrent,
 			}
 		}
 	}
-	return a.controller.Admit(ctx, q)
+	return a.controller.Admit(ctx, request)
 }
 
 func (a *admitter) isLive(h directory.Host) bool {
 	return h.Name == a.self || a.pool.Live(h.Address) != nil
 }
 
-// liveEntryHosts counts the entry hosts that can be reached, this one included.
+// liveEntryHosts returns the number of entry hosts that are connected, including this one.
 func (a *admitter) liveEntryHosts() int {
 	n := 0
 	for _, h := range a.hosts {
@@ -118,7 +119,7 @@
 	return n
 }
 
-// run keeps the capacity and the limits up to date until ctx ends.
+// run regularly updates the capacity and sends demands until ctx ends.
 func (a *admitter) run(ctx context.Context) {
 	update := time.NewTicker(admission.CapacityUpdateInterval)
 	defer update.Stop()
@@ -136,7 +137,8 @@
 	}
 }
 
-// sendDemands sends what this host wants to the owners of the workspaces.
+// sendDemands sends this host's demands to the hosts that own the workspaces, which divide the
+// workspaces' limits among the entry hosts.
 func (a *admitter) sendDemands() {
 	byOwner := make(map[directory.Host]*wire.Demand)
 	for _, item := range a.controller.Demands() {
@@ -159,7 +161,7 @@
 	}
 }
 
-// owner is the first host in a workspace's order that can be reached.
+// owner returns the connected host that comes first in the workspace's order of owners.
 func (a *admitter) owner(workspace uint64) directory.Host {
 	var first directory.Host
 	for _, h := range directory.Owners(a.hosts, strconv.FormatUint(workspace, 16)) {
@@ -170,6 +172,7 @@
 	return first
 }
 
+// recordDemand stores when a demand is sent and returns its sequence number.
 func (a *admitter) recordDemand(now time.Duration) uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -183,7 +186,7 @@
 	return a.seq
 }
 
-// handlePeer takes a message if it concerns admission.
+// handlePeer handles Demand and Grant messages and reports whether m was one of them.
 func (a *admitter) handlePeer(s *peer.Session, m wire.Message) bool {
 	switch m := m.(type) {
 	case *wire.Demand:
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -24,14 +24,14 @@
 	upstreamDialInterval = 500 * time.Millisecond
 )
 
-// agentRole stands in front of one upstream.
+// agentRole runs the agent of one upstream.
 type agentRole struct {
 	agent     *agent.Agent
 	announcer *directory.Announcer
 	orders    *agent.OrderPuller
-	// group is set where the upstream belongs to a group of ranks.
+	// group is nil if the upstream does not belong to a group of ranks.
 	group *group.Runner
-	// upstreamAddress is where the upstream accepts connections, "ip:port".
+	// upstreamAddress is the address at which the upstream accepts connections, "ip:port".
 	upstreamAddress string
 }
 
@@ -91,8 +91,8 @@
 	return r, nil
 }
 
-// hostsByAddress names the entry hosts by their addresses, which are all that an
-// agent knows of them.
+// hostsByAddress returns the entry hosts with their addresses as names, because an agent's settings
+// contain only the addresses.
 func hostsByAddress(set settings.Agent) []directory.Host {
 	var hosts []directory.Host
 	for _, a := range addresses(set.Entries) {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// awaitUpstream lets the agent take work once its upstream accepts connections.
+// awaitUpstream marks the agent as ready once its upstream accepts connections.
 func (r *agentRole) awaitUpstream(ctx context.Context) {
 	ticker := time.NewTicker(upstreamDialInterval)
 	defer ticker.Stop()
@@ -140,8 +140,8 @@
 	}
 }
 
-// drain announces that the upstream leaves. The agent refuses new work by itself
-// from the first moment, whether or not the announcement arrives.
+// drain makes the agent refuse new work at once, announces that it is draining, and waits for the
+// accepted attempts. The refusal does not depend on the arrival of the announcement.
 func (r *agentRole) drain(ctx context.Context) error {
 	r.agent.StartDraining()
 	r.announcer.Wake()
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -15,21 +15,21 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// restartCacheSuffix names the folder beside the data folder with what is kept over a restart
-// without being agreed upon.
+// restartCacheSuffix is appended to the name of the data folder. It names the folder with the data
+// that is kept across a restart but is not replicated.
 const restartCacheSuffix = "-recall"
 
-// operatorReadTimeout bounds how long a submission may take to arrive.
+// operatorReadTimeout bounds the time to read an operator's request, including a submitted document.
 const operatorReadTimeout = 30 * time.Second
 
-// controlRole holds the replicated state.
+// controlRole runs a replica of the cluster state and the administration API.
 type controlRole struct {
 	host *control.Host
 	api  *server
 }
 
-// openJournal opens the data folder, before the sessions begin: a host tells the
-// others which disk it has.
+// openJournal opens the data folder. It is called before any session begins, because the greeting
+// of a session identifies the host's disk.
 func (d *Daemon) openJournal() error {
 	j, recovered, err := journal.Open(journal.Options{Dir: d.set.Control.DataFolder, Logger: d.log})
 	if err != nil {
@@ -80,7 +80,7 @@
 	return &controlRole{host: host, api: srv}, err
 }
 
-// otherPeers lists the control hosts but this one.
+// otherPeers returns the addresses of the other control hosts.
 func (d *Daemon) otherPeers() []string {
 	var out []string
 	for _, a := range d.set.Control.Peers {
@@ -91,7 +91,8 @@
 	return out
 }
 
-// onSessionUp lets control hosts tell each other of requests under which upstreams ended.
+// onSessionUp sends this host's suspicions, its records of requests during which upstreams crashed,
+// to another control host.
 func (r *controlRole) onSessionUp(s *peer.Session) {
 	if s.Remote().Replica != "" {
 		_ = s.Post(&wire.Suspicions{All: r.host.Quarantine().All()})
@@ -104,7 +105,7 @@
 
 func (r *controlRole) run(ctx context.Context) error { return r.host.Run(ctx) }
 
-// drain lets the operators' requests end before the replica that serves them.
+// drain waits for the operators' requests in progress before it stops the replica that serves them.
 func (r *controlRole) drain(ctx context.Context) error {
 	if err := r.api.shutdown(ctx); err != nil {
 		return err
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon assembles the roles of one host from its settings and runs them
-// until it is told to stop.
+// Package daemon creates the roles of one host from its settings and runs them until it is told to
+// stop.
 package daemon
 
 import (
@@ -21,20 +21,20 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// flushTimeout bounds how long the end of a process waits for other hosts to read
-// what was sent to them.
+// flushTimeout bounds how long a process that shuts down waits for other hosts to read the messages
+// sent to them.
 const flushTimeout = 3 * time.Second
 
-// role is one part that a daemon plays.
+// role is one of the roles of a daemon: entry host, control host or agent.
 type role interface {
-	// onSessionUp is called once for each session that begins.
+	// onSessionUp is called once for each new session.
 	onSessionUp(s *peer.Session)
-	// handlePeer takes a message if it concerns the role.
+	// handlePeer handles a message from another host and reports whether the role knows its kind.
 	handlePeer(s *peer.Session, call uint64, m wire.Message) bool
-	// run does the role's background work until ctx ends, which is after drain.
-	// An error ends the daemon.
+	// run does the role's background work until ctx ends, which happens after drain. An error
+	// stops the daemon.
 	run(ctx context.Context) error
-	// drain stops new work and waits until what runs has ended, or ctx has.
+	// drain refuses new work and waits until the work in progress or ctx ends.
 	drain(ctx context.Context) error
 }
 
@@ -43,12 +43,13 @@
 	set     *settings.Settings
 	log     *slog.Logger
 	metrics metrics.Registry
-	// start and incarnation place this start of the process.
+	// start is the origin of the monotonic clock. incarnation identifies this start of the process;
+	// later starts have a higher one.
 	start       time.Time
 	incarnation uint64
 
 	pool *peer.Pool
-	// journal, recovered and transport belong to the control role.
+	// journal, recovered and transport are used by the control role only.
 	journal   *journal.Journal
 	recovered journal.Recovered
 	transport *control.Transport
@@ -58,8 +59,8 @@
 	unknownMessages metrics.Counter
 }
 
-// New assembles a daemon. Its listeners are open when it returns; an error names
-// what could not be had.
+// New creates a daemon and opens its listeners. It fails if a listener, file or setting can't be
+// used.
 func New(set *settings.Settings, log *slog.Logger) (*Daemon, error) {
 	d := &Daemon{
 		set:         set,
@@ -109,7 +110,7 @@
 	return err
 }
 
-// now is the host's monotonic clock.
+// now returns the time since the start of the process, from the monotonic clock.
 func (d *Daemon) now() time.Duration { return time.Since(d.start) }
 
 func (d *Daemon) buildPool() error {
@@ -142,7 +143,7 @@
 	return err
 }
 
-// sessionUp takes a session that has begun.
+// sessionUp passes a new session to the transport and the roles.
 func (d *Daemon) sessionUp(s *peer.Session) {
 	if d.transport != nil {
 		d.transport.SessionUp(s)
@@ -152,7 +153,7 @@
 	}
 }
 
-// handlePeer hands a message to the role that it concerns.
+// handlePeer passes a message to the roles until one of them handles it.
 func (d *Daemon) handlePeer(s *peer.Session, call uint64, m wire.Message) {
 	for _, r := range d.roles {
 		if r.handlePeer(s, call, m) {
@@ -162,12 +163,12 @@
 	d.unknownMessages.Inc(1)
 }
 
-// serve opens a listener for a handler; Run begins to accept.
+// serve opens a listener for a handler. Run starts to accept connections.
 func (d *Daemon) serve(name, address string, h http.Handler, t settings.TLS) (*server, error) {
 	return d.serveWith(name, address, &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}, t)
 }
 
-// serveWith opens a listener for a server with bounds of its own.
+// serveWith is like serve, for an http.Server with its own timeouts and limits.
 func (d *Daemon) serveWith(name, address string, h *http.Server, t settings.TLS) (*server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -182,10 +183,10 @@
 	return s, nil
 }
 
-// Run serves until ctx ends, then shuts down gracefully: no request in progress is
-// cut within the settings' grace. The error tells what failed, or what was cut.
+// Run serves until ctx ends, then shuts down gracefully: it aborts requests in progress only after
+// the shutdown grace period of the settings. The error says what failed or was aborted.
 func (d *Daemon) Run(ctx context.Context) error {
-	work, stop := context.WithCancel(context.Background())
+	workCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	failed := make(chan error, len(d.roles)+len(d.servers))
 	for _, s := range d.servers {
@@ -193,7 +194,7 @@
 	}
 	for _, r := range d.roles {
 		go func() {
-			if err := r.run(work); err != nil {
+			if err := r.run(workCtx); err != nil {
 				failed <- err
 			}
 		}()
@@ -201,7 +202,7 @@
 	d.log.Info("started", "roles", d.set.Host.Roles, "data_centre", d.set.Host.DataCentre)
 	select {
 	case err := <-failed:
-		d.log.Error("stopped by a failure", "error", err)
+		d.log.Error("stopped after a failure", "error", err)
 		d.close()
 		return err
 	case <-ctx.Done():
@@ -212,24 +213,24 @@
 	return err
 }
 
-// shutdown drains the roles in the order in which requests pass them: entry hosts
-// stop taking callers before agents and control hosts go.
+// shutdown drains the roles in the reverse order of their creation and then flushes the sessions.
+// The entry role stops taking callers before the control role stops.
 func (d *Daemon) shutdown() error {
 	d.log.Info("shutting down", "grace", d.set.Host.ShutdownGrace)
 	ctx, cancel := context.WithTimeout(context.Background(), d.set.Host.ShutdownGrace)
 	defer cancel()
-	var first error
+	var firstErr error
 	for _, r := range slices.Backward(d.roles) {
-		if err := r.drain(ctx); err != nil && first == nil {
-			first = err
+		if err := r.drain(ctx); err != nil && firstErr == nil {
+			firstErr = err
 		}
 	}
 	flushCtx, cancelFlush := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancelFlush()
 	d.pool.Shutdown(flushCtx)
-	if first != nil {
-		d.log.Error("shutdown cut work", "error", first)
-		return first
+	if firstErr != nil {
+		d.log.Error("shutdown aborted work in progress", "error", firstErr)
+		return firstErr
 	}
 	d.log.Info("shut down")
 	return nil
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -20,22 +20,22 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// drainDelay is how long an entry host that shuts down goes on taking callers
-// after it said that it is not ready, so that the platform's balancer moves on.
+// drainDelay is how long an entry host that shuts down accepts callers after its readiness check
+// began to fail, so that the platform's load balancer has time to stop sending them.
 const drainDelay = time.Second
 
-// sweepInterval is how often requests are forgotten under which upstreams ended long ago.
+// sweepInterval is how often expired quarantine records are removed.
 const sweepInterval = time.Minute
 
-// entryRole serves callers.
+// entryRole accepts the requests of callers and dispatches them to upstreams.
 type entryRole struct {
 	server    *entry.Server
 	callers   *server
 	directory *directory.Service
 	follower  *catalog.Follower
 	admitter  *admitter
-	// quarantine knows the requests under which upstreams ended; mates are the other entry
-	// hosts of the data centre, which are told of them too.
+	// quarantine tracks the requests during which upstreams crashed. otherEntryHosts are the peer
+	// addresses of the other entry hosts of the data centre, which receive its suspicions.
 	quarantine      *quarantine.Keeper
 	otherEntryHosts []string
 }
@@ -52,7 +52,7 @@
 		Rand:             rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		PrefixIndexLimit: set.PrefixCacheSize,
 	})
-	hosts, mates := entryHosts(d.set.Host.Name, set.Entries)
+	hosts, otherEntryHosts := entryHosts(d.set.Host.Name, set.Entries)
 	r.directory = directory.NewService(directory.ServiceConfig{
 		Self:        d.set.Host.Name,
 		Hosts:       hosts,
@@ -67,16 +67,16 @@
 		Store:   store,
 		Pool:    d.pool,
 		Control: addresses(set.Control),
-		Mates:   mates,
+		Mates:   otherEntryHosts,
 		Self:    wire.HostInForce{Host: d.set.Host.Name, DataCentre: d.set.Host.DataCentre, Role: "entry"},
 		Log:     d.log,
 		Metrics: d.metrics,
 	})
 	r.admitter = d.newAdmitter(set, store, hosts, entries)
-	r.otherEntryHosts = mates
+	r.otherEntryHosts = otherEntryHosts
 	r.quarantine = quarantine.NewKeeper(quarantine.Config{
 		Limits: quarantine.DefaultLimits, Now: d.now, Log: d.log, Metrics: d.metrics,
-		Publish: func(news []quarantine.Suspicion) { r.sendSuspicions(d.pool.Sessions(), news) },
+		Publish: func(updates []quarantine.Suspicion) { r.sendSuspicions(d.pool.Sessions(), updates) },
 	})
 	r.server = entry.New(entry.Config{
 		Catalog:      resolver{store},
@@ -103,18 +103,18 @@
 	return r, err
 }
 
-func entryHosts(self string, entries []settings.EntryHost) (hosts []directory.Host, mates []string) {
+func entryHosts(self string, entries []settings.EntryHost) (hosts []directory.Host, others []string) {
 	for _, e := range entries {
 		hosts = append(hosts, directory.Host{Name: e.Name, Address: e.Addr.String()})
 		if e.Name != self {
-			mates = append(mates, e.Addr.String())
+			others = append(others, e.Addr.String())
 		}
 	}
-	return hosts, mates
+	return hosts, others
 }
 
-// onSessionUp asks a control host to be told of requests under which upstreams ended, and tells it and
-// mates what this host knows.
+// onSessionUp subscribes to the suspicions of a control host, and sends this host's suspicions to
+// control hosts and other entry hosts. A suspicion records a request during which upstreams crashed.
 func (r *entryRole) onSessionUp(s *peer.Session) {
 	if s.Remote().Replica != "" {
 		_ = s.Post(&wire.Attach{Role: "callers"})
@@ -124,12 +124,13 @@
 	}
 }
 
-// sendSuspicions tells the control hosts and mates among these of requests under which upstreams ended.
-func (r *entryRole) sendSuspicions(sessions []*peer.Session, news []quarantine.Suspicion) {
-	m := &wire.Suspicions{All: news}
+// sendSuspicions sends suspicions to those sessions that lead to control hosts or other entry hosts.
+func (r *entryRole) sendSuspicions(sessions []*peer.Session, suspicions []quarantine.Suspicion) {
+	m := &wire.Suspicions{All: suspicions}
 	for _, s := range sessions {
 		if s.Remote().Replica != "" || slices.Contains(r.otherEntryHosts, s.Remote().Address) {
-			// What a full queue refuses comes with the next session.
+			// An error is ignored: all suspicions are sent again when the next session
+			// with this host begins.
 			_ = s.Post(m)
 		}
 	}
@@ -163,9 +164,9 @@
 	return nil
 }
 
-// drain first lets the platform's balancer move on, then refuses new requests until
-// all running ones have ended, and closes the listener last: a refusal is an
-// answer too and must not be cut.
+// drain gives the platform's load balancer time to stop sending callers, then refuses new requests
+// until all running ones have ended. It closes the listener last, because a refusal is a response
+// too and must be sent completely.
 func (r *entryRole) drain(ctx context.Context) error {
 	r.server.SetReady(false)
 	select {
@@ -178,12 +179,12 @@
 	return r.callers.shutdown(ctx)
 }
 
-// routerAdapter lets the entry's server use a routing.Router.
+// routerAdapter implements entry.Router with a routing.Router.
 type routerAdapter struct{ router *routing.Router }
 
 // Pick implements entry.Router.
 func (a routerAdapter) Pick(r entry.PickRequest) (entry.Pick, error) {
-	up, done, err := a.router.Pick(&routing.Request{
+	upstream, reportOutcome, err := a.router.Pick(&routing.Request{
 		Pool:     r.Pool,
 		Version:  r.Version,
 		Prefixes: r.Prefixes,
@@ -192,13 +193,13 @@
 	if err != nil {
 		return entry.Pick{}, err
 	}
-	return entry.Pick{Upstream: up, Done: func(o entry.Outcome) {
-		done(routing.Outcome{HasFailed: !o.OK && !isNeutralForHealth(o.Code)})
+	return entry.Pick{Upstream: upstream, Done: func(o entry.Outcome) {
+		reportOutcome(routing.Outcome{HasFailed: !o.OK && !isNeutralForHealth(o.Code)})
 	}}, nil
 }
 
-// isNeutralForHealth reports whether an attempt ended for a reason that says nothing of the
-// upstream's health.
+// isNeutralForHealth reports whether an attempt failed for a reason that says nothing about the
+// health of the upstream.
 func isNeutralForHealth(code verdict.Code) bool {
 	return code == verdict.CodeCancelled || code == verdict.CodeOverloaded
 }
--- a/internal/daemon/group.go
+++ b/internal/daemon/group.go
@@ -12,7 +12,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// groupRanks is how many ranks of a group the host serves, zero without a group.
+// groupRanks returns how many ranks of a group the host serves, zero if it has no group.
 func groupRanks(set settings.Agent) uint32 {
 	if set.Group == "" {
 		return 0
@@ -27,8 +27,8 @@
 	return o.Group
 }
 
-// newGroup assembles an agent's part in its group of ranks. shape holds what the last
-// order said of the group.
+// newGroup creates the runner through which the agent takes part in its group of ranks. shape holds
+// the shape of the group according to the last order.
 func (d *Daemon) newGroup(set settings.Agent, shape *atomic.Pointer[wire.GroupShape]) *group.Runner {
 	var ranks []group.Rank
 	for i := range set.Ranks {
@@ -49,23 +49,24 @@
 	})
 }
 
-// queryMembers asks the entry hosts, one after another, for the hosts of a group.
+// queryMembers requests the members of a group from the entry hosts, one after the other, until one
+// of them answers.
 func (d *Daemon) queryMembers(ctx context.Context, name string, entries []string) ([]wire.GroupMember, error) {
-	last := errors.New("no entry hosts")
+	lastErr := errors.New("no entry hosts")
 	for _, address := range entries {
 		s, err := d.pool.Get(ctx, address)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		reply, _, err := s.Call(ctx, &wire.GroupQuery{Group: name})
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		if a, ok := reply.(*wire.GroupAnswer); ok {
 			return a.Members, nil
 		}
 	}
-	return nil, last
+	return nil, lastErr
 }
--- a/internal/daemon/resolver.go
+++ b/internal/daemon/resolver.go
@@ -7,10 +7,12 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// defaultUrgency is that of RFC 9218, for workspaces without a priority class.
+// defaultUrgency is the urgency of workspaces without a priority class. It is the default of
+// RFC 9218.
 const defaultUrgency = 3
 
-// resolver finds plans in the documents in force.
+// resolver implements entry.Catalog with the service documents in force: it maps a request to its
+// workspace, pool, deadline and urgency.
 type resolver struct{ store *catalog.Store }
 
 // Resolve implements entry.Catalog.
--- a/internal/daemon/resolver_test.go
+++ b/internal/daemon/resolver_test.go
@@ -52,6 +52,8 @@
 	return resolver{store}
 }
 
+// Guards against serving a request without a valid token, model or path, and against taking a call
+// for idempotent that the workspace's document does not declare as such.
 func TestPlanComesFromDocumentOfCallersWorkspace(t *testing.T) {
 	r := newTestResolver(t)
 	token := sha256.Sum256([]byte("token"))
@@ -78,7 +80,8 @@
 		"call that may":   {entry.Lookup{TokenHash: token, Method: "POST", Path: "/slots/search"}, "", func(t *testing.T, p entry.Plan) { require.True(t, p.Idempotent) }},
 		"undescribed":     {entry.Lookup{TokenHash: token, Method: "POST", Path: "/slots/other"}, "", func(t *testing.T, p entry.Plan) { require.False(t, p.Idempotent) }},
 		"undescribed get": {entry.Lookup{TokenHash: token, Method: "GET", Path: "/slots/other"}, "", func(t *testing.T, p entry.Plan) { require.True(t, p.Idempotent) }},
-		// The path comes decoded; what is still escaped belongs to the upstream.
+		// The path has been unescaped once. A remaining escape sequence must not be unescaped
+		// again here, since that is up to the upstream.
 		"escaped twice": {entry.Lookup{TokenHash: token, Method: "POST", Path: "/slots/se%61rch"}, "", func(t *testing.T, p entry.Plan) { require.False(t, p.Idempotent) }},
 	}
 	for name, c := range cases {
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -16,7 +16,7 @@
 
 const readHeaderTimeout = 10 * time.Second
 
-// server is one HTTP listener of the daemon.
+// server is one HTTP server of the daemon with its listener.
 type server struct {
 	name     string
 	listener net.Listener
@@ -36,7 +36,7 @@
 	return s, nil
 }
 
-// run serves until close; it returns nil then.
+// run serves until shutdown or close is called, and then returns nil.
 func (s *server) run() error {
 	var err error
 	if s.http.TLSConfig != nil {
@@ -50,8 +50,8 @@
 	return errors.Wrapf(err, "serve %s", s.name)
 }
 
-// shutdown closes the listener and waits until every request in progress has its
-// whole answer, or ctx ends.
+// shutdown closes the listener and waits until every request in progress has its complete response,
+// or until ctx ends.
 func (s *server) shutdown(ctx context.Context) error {
 	return errors.Wrapf(s.http.Shutdown(ctx), "shut down %s", s.name)
 }
@@ -61,7 +61,7 @@
 	_ = s.listener.Close()
 }
 
-// peerTLS returns the client side of the peer sessions, nil where TLS is off.
+// peerTLS returns the TLS configuration for dialling other hosts, nil if TLS is off.
 func peerTLS(p settings.Peer) (*tls.Config, error) {
 	if !p.TLS.Enabled() {
 		return nil, nil
@@ -72,7 +72,7 @@
 	}
 	pem, err := os.ReadFile(p.CAFile)
 	if err != nil {
-		return nil, errors.Wrap(err, "peer certificates")
+		return nil, errors.Wrap(err, "read CA file of peers")
 	}
 	config.RootCAs = x509.NewCertPool()
 	if !config.RootCAs.AppendCertsFromPEM(pem) {
