--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -56,31 +56,31 @@
 }
 
 // startQuery records a new query. Answers to earlier queries are no longer accepted.
-func (g *answerFilter) startQuery(nonce [16]byte, now time.Duration) {
-	g.isOutstanding = true
-	g.nonce = nonce
-	g.askedAt = now
+func (f *answerFilter) startQuery(nonce [16]byte, now time.Duration) {
+	f.isOutstanding = true
+	f.nonce = nonce
+	f.askedAt = now
 }
 
 // accept returns nil if the order in the answer may be sent to the engine, for as long as
 // timeLeft is positive. It accepts at most one answer to a query.
-func (g *answerFilter) accept(a *wire.OrderAnswer, now time.Duration) error {
-	if !g.isOutstanding || a.Nonce != g.nonce {
+func (f *answerFilter) accept(a *wire.OrderAnswer, now time.Duration) error {
+	if !f.isOutstanding || a.Nonce != f.nonce {
 		return ErrUnexpectedAnswer
 	}
-	g.isOutstanding = false
-	if g.timeLeft(now) <= 0 {
+	f.isOutstanding = false
+	if f.timeLeft(now) <= 0 {
 		return ErrOrderExpired
 	}
-	if a.Fence < g.highestFence {
+	if a.Fence < f.highestFence {
 		return ErrStaleFencingToken
 	}
-	g.highestFence = a.Fence
+	f.highestFence = a.Fence
 	return nil
 }
 
 // timeLeft returns how long the answer to the latest query remains valid.
-func (g *answerFilter) timeLeft(now time.Duration) time.Duration { return g.maxAge - (now - g.askedAt) }
+func (f *answerFilter) timeLeft(now time.Duration) time.Duration { return f.maxAge - (now - f.askedAt) }
 
 // OrderPullerConfig holds the parameters of an OrderPuller.
 type OrderPullerConfig struct {
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -74,8 +74,8 @@
 	a.relay(at, resp)
 }
 
-// reportFailure reports an attempt without a response. If the call has certainly not run, its
-// claim is released.
+// reportFailure reports an attempt without a response. If the call has certainly not run, its claim
+// is forgotten, so that the call can be dispatched again.
 func (a *Agent) reportFailure(at *attempt, e *verdict.Error) {
 	if e.Verdict == verdict.NotRun && at.dispatch.Claim != nil {
 		a.mu.Lock()
@@ -157,6 +157,8 @@
 	return req, nil
 }
 
+// checkResume returns an error if the request asked the engine to resume a response and the engine did
+// not.
 func checkResume(d *wire.Dispatch, resp *http.Response) *verdict.Error {
 	if d.Offset == 0 || resp.Header.Get(ResumeHeader) == strconv.FormatUint(d.Offset, 10) {
 		return nil
@@ -187,6 +189,7 @@
 	}
 }
 
+// relay is the transfer of one response body to the entry host.
 type relay struct {
 	agent  *Agent
 	at     *attempt
@@ -222,6 +225,7 @@
 	r.tail = r.tail[max(0, len(r.tail)-tailBytes):]
 }
 
+// sendFrames sends data as far as the flow control window allows, and waits for credit for the rest.
 func (r *relay) sendFrames(data []byte) error {
 	for len(data) > 0 {
 		n, err := r.at.window.take(r.at.ctx, len(data), r.sessionDone())
