--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -239,12 +239,12 @@
 
 // logReachability logs when the engine becomes unreachable or reachable.
 func (a *agentRole) logReachability(r rank.Report, err error) {
-	isLost := err != nil
-	if isLost == a.isUnreachable {
+	isUnreachable := err != nil
+	if isUnreachable == a.isUnreachable {
 		return
 	}
-	a.isUnreachable = isLost
-	if isLost {
+	a.isUnreachable = isUnreachable
+	if isUnreachable {
 		a.n.log.Warn("engine can't be reached", "upstream", a.n.settings.Agent.Upstream.String(), "born", a.born, "error", err.Error())
 		return
 	}
@@ -279,8 +279,8 @@
 	return isStalled
 }
 
-// newUniqueNumber returns the ID of a coordinator or the incarnation of a participant: the rank in
-// the high bits and random low bits.
+// newUniqueNumber returns the ID of a coordinator or the incarnation of a participant: a number of
+// 16 bits with the rank in the high bits and random low bits.
 func newUniqueNumber(rank int) uint64 {
 	return uint64(rank)<<coordinatorRandomBits&(1<<16-1) | uint64(rand.IntN(1<<coordinatorRandomBits))
 }
@@ -313,7 +313,7 @@
 
 // findPlanningAgent returns the address of the agent of a group's first rank, which plans the
 // changes of the map. It queries the other agents only if there is no session with a control
-// host, because that needs a session between every two agents.
+// host: if every agent did that, there would be a session between every two agents.
 func (a *agentRole) findPlanningAgent(ctx context.Context, name string, r rank.Report) (string, bool) {
 	a.mu.Lock()
 	address := a.planningAgent
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -25,8 +25,8 @@
 	// fetchRetryDelay is the delay before a failed request is retried.
 	fetchRetryDelay = 50 * time.Millisecond
 	// agentFetchInterval is the least time between two configurations that an agent fetches. An
-	// agent needs only the shape of its group, which rarely changes, and a configuration on its
-	// link delays the orders of a map change.
+	// agent needs only the shape of its group, which rarely changes, and the orders of a map change
+	// would have to wait while the host's link transfers a configuration.
 	agentFetchInterval = 2 * time.Second
 	// linearizableTimeout is how long a starting host accepts a configuration only from a control
 	// host that has confirmed with a quorum that it is the newest. After that, for example in an
@@ -46,7 +46,7 @@
 	// These functions apply what is received. mergeUpstreams merges a control host's list of
 	// upstreams, dropSource is called when the sessions with a control host are lost,
 	// setEntryHostCount sets the number of entry hosts, and applyTable puts a configuration into
-	// force and reports whether it changed anything.
+	// force and reports whether it did.
 	mergeUpstreams    func(source string, all []registry.Upstream)
 	dropSource        func(source string)
 	setEntryHostCount func(entries int)
@@ -99,12 +99,12 @@
 func watchSeeds(ctx context.Context, n *Node, controlHosts *control.Book) {
 	for ctx.Err() == nil {
 		pause.For(ctx, reloadInterval)
-		set, err := n.platform.ReloadSettings()
+		settings, err := n.platform.ReloadSettings()
 		if err != nil {
 			n.log.Warn("can't reload settings", "error", err.Error())
 			continue
 		}
-		if seeds := excluding(set.seedPeers(), n.settings.peerAddress(n.settings.IP)); controlHosts.Add(seeds...) {
+		if seeds := excluding(settings.seedPeers(), n.settings.peerAddress(n.settings.IP)); controlHosts.Add(seeds...) {
 			n.log.Info("settings contain new seeds", "seeds", seeds)
 		}
 	}
@@ -133,6 +133,7 @@
 	}()
 }
 
+// handleMessage applies a message from a control host. It ignores other kinds of messages.
 func (f *follower) handleMessage(s *peer.Session, call uint64, m wire.Message) {
 	switch m := m.(type) {
 	case *wire.Upstreams:
--- a/internal/node/progress.go
+++ b/internal/node/progress.go
@@ -27,18 +27,18 @@
 // observe processes a report of the engine and returns whether the engine is stalled. An engine
 // that is paused before its next step can be stalled without work too: after its callers have given
 // up, requests that are sent to it would wait just as long as theirs did.
-func (p *stallDetector) observe(step uint64, hasWork, isPaused bool, now time.Time) bool {
+func (d *stallDetector) observe(step uint64, hasWork, isPaused bool, now time.Time) bool {
 	switch {
-	case step != p.step:
-		if steps := step - p.step; step > p.step && !p.isStalled && !p.lastChange.IsZero() {
-			stepTime := float64(now.Sub(p.lastChange)) / float64(steps)
-			p.meanStepTime += time.Duration(lastStepWeight * (stepTime - float64(p.meanStepTime)))
+	case step != d.step:
+		if steps := step - d.step; step > d.step && !d.isStalled && !d.lastChange.IsZero() {
+			stepTime := float64(now.Sub(d.lastChange)) / float64(steps)
+			d.meanStepTime += time.Duration(lastStepWeight * (stepTime - float64(d.meanStepTime)))
 		}
-		p.step, p.lastChange, p.isStalled = step, now, false
+		d.step, d.lastChange, d.isStalled = step, now, false
 	case !hasWork && !isPaused:
-		p.lastChange, p.isStalled = now, false
+		d.lastChange, d.isStalled = now, false
 	default:
-		p.isStalled = now.Sub(p.lastChange) > max(minStallTime, minStallSteps*p.meanStepTime)
+		d.isStalled = now.Sub(d.lastChange) > max(minStallTime, minStallSteps*d.meanStepTime)
 	}
-	return p.isStalled
+	return d.isStalled
 }
