--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,9 +1,8 @@
-// Package agent is the process at an upstream host: it takes dispatches from the
-// entry hosts, runs them against its upstream and sends the answers back.
+// Package agent implements the process on an upstream host that receives dispatched requests
+// from the entry hosts, sends them to its upstream and returns the responses.
 //
-// It refuses work with the verdict NotRun only where the upstream has certainly
-// not been given a byte of it, and marks an answer as whole only where the
-// upstream's answer had its own end.
+// It refuses a request with the verdict NotRun only if no byte of the request can have reached
+// the upstream. It marks a response as complete only if the upstream itself marked its end.
 package agent
 
 import (
@@ -24,84 +23,87 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	DefaultCapacity    = 32
 	DefaultQueueLength = 64
-	DefaultRemember    = 65536
+	DefaultDedupSize   = 65536
 	DefaultRetryAfter  = time.Second
 )
 
-// Config is what an Agent needs. Zero values mean the defaults.
+// Config holds the parameters of an Agent. A zero value selects the default.
 type Config struct {
-	// Identity holds Name, DataCentre, Address, Incarnation, Pool, Version, Role and
-	// Group; the rest is filled in by the agent.
+	// Identity must have Name, DataCentre, Address, Incarnation, Pool, Version, Role and
+	// Group set. The agent fills in the other fields.
 	Identity wire.Upstream
-	// URL is the base of the upstream, such as "http://127.0.0.1:8000".
+	// URL is the base URL of the upstream, such as "http://127.0.0.1:8000".
 	URL string
-	// Engine tells that the upstream is a model engine that reports load and cache events.
-	Engine bool
-	// Capacity is how many requests run at once; QueueLength how many wait.
+	// IsEngine is set if the upstream is a model engine, which reports load and cache events.
+	IsEngine bool
+	// Capacity is the maximum number of requests that run at once. QueueLength is the maximum
+	// number of requests that wait; a negative value means that none may wait.
 	Capacity    int
 	QueueLength int
-	// Remember is how many attempts and how many claims are remembered, so that none
-	// runs twice. Another start has another incarnation and refuses all before it.
-	Remember int
-	// RetryAfter is what a refused caller is told to wait.
+	// DedupSize is the number of attempts and the number of claims that are remembered, so
+	// that none of them runs twice. They need not be remembered across restarts: a restarted
+	// agent has a new incarnation and refuses dispatches for the previous one.
+	DedupSize int
+	// RetryAfter is how long a refused caller is asked to wait before it retries.
 	RetryAfter time.Duration
-	// Recorder, if set, takes the outcomes of non-idempotent calls that no entry host
-	// hears, so that a resend finds the answer.
+	// Recorder, if set, stores the outcomes of non-idempotent calls that could not be
+	// delivered to an entry host, so that a caller that resends the call gets the response.
 	Recorder answer.Recorder
 	Metrics  metrics.Registry
 }
 
-// Agent stands in front of one upstream.
+// Agent forwards requests to one upstream.
 type Agent struct {
-	cfg      Config
-	base     *url.URL
-	shared   *http.Transport
-	once     *http.Transport
-	counters counters
-	presence presence
-	// unheard has room for the answers that are kept until they count as heard.
-	unheard chan struct{}
+	cfg       Config
+	baseURL   *url.URL
+	pooled    *http.Transport
+	singleUse *http.Transport
+	counters  counters
+	monitor   upstreamMonitor
+	// undelivered is a semaphore for the responses that are kept until they count as
+	// delivered.
+	undelivered chan struct{}
 
-	// mu guards the rest.
-	mu       sync.Mutex
-	state    wire.UpstreamState
-	seq      uint64
-	attempts map[wire.AttemptID]*attempt
-	running  int
-	queue    waiting
-	arrivals uint64
-	seen     *memory[wire.AttemptID]
-	claims   *memory[wire.Claim]
-	idle     chan struct{}
-	facts    facts
+	// mu guards the fields below.
+	mu           sync.Mutex
+	state        wire.UpstreamState
+	seq          uint64
+	attempts     map[wire.AttemptID]*attempt
+	running      int
+	waitQueue    attemptHeap
+	arrivals     uint64
+	seenAttempts *recentSet[wire.AttemptID]
+	seenClaims   *recentSet[wire.Claim]
+	idle         chan struct{}
+	reports      engineReports
 }
 
 type counters struct {
-	accepted, refused, repeated, broken, cancelled, unreported, ended metrics.Counter
+	accepted, refused, duplicates, incomplete, cancelled, unreported, upstreamEnds metrics.Counter
 }
 
 // New returns an Agent in the state UpstreamStarting.
 func New(cfg Config) (*Agent, error) {
 	base, err := url.Parse(cfg.URL)
 	if err != nil || base.Host == "" {
-		return nil, errors.Errorf("agent: upstream URL %q is not usable", cfg.URL)
+		return nil, errors.Errorf("agent: invalid upstream URL %q", cfg.URL)
 	}
 	cfg = cfg.withDefaults()
 	return &Agent{
-		cfg:      cfg,
-		base:     base,
-		shared:   newTransport(cfg.Capacity, false),
-		once:     newTransport(cfg.Capacity, true),
-		counters: newCounters(cfg.Metrics),
-		attempts: make(map[wire.AttemptID]*attempt),
-		seen:     newMemory[wire.AttemptID](cfg.Remember),
-		claims:   newMemory[wire.Claim](cfg.Remember),
-		idle:     make(chan struct{}, 1),
-		unheard:  make(chan struct{}, maxUnheard),
+		cfg:          cfg,
+		baseURL:      base,
+		pooled:       newTransport(cfg.Capacity, false),
+		singleUse:    newTransport(cfg.Capacity, true),
+		counters:     newCounters(cfg.Metrics),
+		attempts:     make(map[wire.AttemptID]*attempt),
+		seenAttempts: newRecentSet[wire.AttemptID](cfg.DedupSize),
+		seenClaims:   newRecentSet[wire.Claim](cfg.DedupSize),
+		idle:         make(chan struct{}, 1),
+		undelivered:  make(chan struct{}, maxUndelivered),
 	}, nil
 }
 
@@ -114,8 +116,8 @@
 	} else if c.QueueLength == 0 {
 		c.QueueLength = DefaultQueueLength
 	}
-	if c.Remember <= 0 {
-		c.Remember = DefaultRemember
+	if c.DedupSize <= 0 {
+		c.DedupSize = DefaultDedupSize
 	}
 	if c.RetryAfter <= 0 {
 		c.RetryAfter = DefaultRetryAfter
@@ -128,17 +130,17 @@
 
 func newCounters(r metrics.Registry) counters {
 	return counters{
-		accepted:   metrics.GetOrRegisterCounter("agent.accepted", r),
-		refused:    metrics.GetOrRegisterCounter("agent.refused", r),
-		repeated:   metrics.GetOrRegisterCounter("agent.repeated", r),
-		broken:     metrics.GetOrRegisterCounter("agent.broken", r),
-		cancelled:  metrics.GetOrRegisterCounter("agent.cancelled", r),
-		unreported: metrics.GetOrRegisterCounter("agent.unreported", r),
-		ended:      metrics.GetOrRegisterCounter("agent.ended", r),
+		accepted:     metrics.GetOrRegisterCounter("agent.accepted", r),
+		refused:      metrics.GetOrRegisterCounter("agent.refused", r),
+		duplicates:   metrics.GetOrRegisterCounter("agent.repeated", r),
+		incomplete:   metrics.GetOrRegisterCounter("agent.broken", r),
+		cancelled:    metrics.GetOrRegisterCounter("agent.cancelled", r),
+		unreported:   metrics.GetOrRegisterCounter("agent.unreported", r),
+		upstreamEnds: metrics.GetOrRegisterCounter("agent.ended", r),
 	}
 }
 
-// HandlePeer takes Dispatch, Cancel and Credit; it reports whether m was one of
+// HandlePeer handles Dispatch, Cancel and Credit messages and reports whether m was one of
 // them. It never blocks.
 func (a *Agent) HandlePeer(s *peer.Session, _ uint64, m wire.Message) bool {
 	switch m := m.(type) {
@@ -157,36 +159,36 @@
 func (a *Agent) dispatch(s *peer.Session, d *wire.Dispatch) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.seen.add(d.Attempt) {
-		// The first dispatch of the attempt answers for it: a refusal here could call
-		// an attempt not run that runs.
-		a.counters.repeated.Inc(1)
+	if !a.seenAttempts.add(d.Attempt) {
+		// The first dispatch of the attempt gets the response. Refusing the duplicate could
+		// report an attempt as not run while it is running.
+		a.counters.duplicates.Inc(1)
 		return
 	}
-	if err := a.refusal(d); err != nil {
+	if err := a.checkDispatch(d); err != nil {
 		a.refuse(s, d.Attempt, err)
 		return
 	}
 	if d.Claim != nil {
-		a.claims.add(*d.Claim)
+		a.seenClaims.add(*d.Claim)
 	}
 	a.counters.accepted.Inc(1)
-	at := newAttempt(s, d)
+	accepted := newAttempt(s, d)
 	s.Hold()
-	a.attempts[d.Attempt] = at
+	a.attempts[d.Attempt] = accepted
 	if a.running < a.cfg.Capacity {
-		a.start(at)
+		a.start(accepted)
 		return
 	}
-	a.enqueue(at)
+	a.enqueue(accepted)
 }
 
-// refusal returns why d is not taken, or nil. It requires mu.
-func (a *Agent) refusal(d *wire.Dispatch) *verdict.Error {
+// checkDispatch returns the reason to refuse d, or nil if d is accepted. The caller must hold mu.
+func (a *Agent) checkDispatch(d *wire.Dispatch) *verdict.Error {
 	id := a.cfg.Identity
 	switch {
-	case d.Claim != nil && a.claims.has(*d.Claim):
-		// The call of this key has been taken before, so it may have run.
+	case d.Claim != nil && a.seenClaims.has(*d.Claim):
+		// A call with this idempotency key was accepted before, so it may have run.
 		return verdict.New(verdict.MayHaveRun, verdict.CodeConflict, "claim was dispatched before")
 	case d.Upstream != id.Name:
 		return notRun(verdict.CodeNoUpstream, "another upstream is meant")
@@ -196,7 +198,7 @@
 		return notRun(verdict.CodeLeaving, "upstream is leaving").WithRetryAfter(a.cfg.RetryAfter)
 	case a.state != wire.UpstreamReady:
 		return notRun(verdict.CodeNoUpstream, "upstream is not ready").WithRetryAfter(a.cfg.RetryAfter)
-	case a.running >= a.cfg.Capacity && len(a.queue) >= a.cfg.QueueLength:
+	case a.running >= a.cfg.Capacity && len(a.waitQueue) >= a.cfg.QueueLength:
 		return notRun(verdict.CodeOverloaded, "upstream's queue is full").WithRetryAfter(a.cfg.RetryAfter)
 	}
 	return nil
@@ -214,29 +216,29 @@
 		Code:          string(e.Code),
 		Text:          e.Text,
 		RetryAfterMS:  uint64(e.RetryAfter / time.Millisecond),
-		UpstreamEnded: endedAt(e),
+		UpstreamEnded: upstreamEndedAt(e),
 	}
 	if s.Post(m) != nil {
 		a.counters.unreported.Inc(1)
 	}
 }
 
-// start requires mu.
+// start runs an attempt in a new goroutine. The caller must hold mu.
 func (a *Agent) start(at *attempt) {
 	a.running++
 	at.started = true
 	go a.run(at)
 }
 
-// enqueue requires mu.
+// enqueue adds an attempt to the wait queue. The caller must hold mu.
 func (a *Agent) enqueue(at *attempt) {
 	a.arrivals++
-	at.arrival = a.arrivals
-	heap.Push(&a.queue, at)
-	at.stopWait = context.AfterFunc(at.ctx, func() { a.dropWaiting(at) })
+	at.arrivalNumber = a.arrivals
+	heap.Push(&a.waitQueue, at)
+	at.stopWatchingContext = context.AfterFunc(at.ctx, func() { a.dropWaiting(at) })
 }
 
-// dropWaiting refuses an attempt whose time ended, whose caller left or whose
+// dropWaiting refuses an attempt whose deadline passed, whose caller disconnected or whose
 // session was lost while it waited.
 func (a *Agent) dropWaiting(at *attempt) {
 	a.mu.Lock()
@@ -244,22 +246,23 @@
 	if at.started {
 		return
 	}
-	heap.Remove(&a.queue, at.index)
-	a.forget(at)
-	if at.d.Claim != nil {
-		a.claims.remove(*at.d.Claim)
+	heap.Remove(&a.waitQueue, at.heapIndex)
+	a.removeAttempt(at)
+	if at.dispatch.Claim != nil {
+		a.seenClaims.remove(*at.dispatch.Claim)
 	}
 	code := verdict.CodeCancelled
 	if errors.Is(at.ctx.Err(), context.DeadlineExceeded) {
 		code = verdict.CodeDeadline
 	}
-	a.refuse(at.s, at.d.Attempt, notRun(code, "ended while it waited").WithRetryAfter(a.cfg.RetryAfter))
+	a.refuse(at.session, at.dispatch.Attempt, notRun(code, "ended while it waited").WithRetryAfter(a.cfg.RetryAfter))
 }
 
-// forget requires mu.
-func (a *Agent) forget(at *attempt) {
-	delete(a.attempts, at.d.Attempt)
-	at.s.Release()
+// removeAttempt releases what an attempt holds and signals idle after the last attempt. The
+// caller must hold mu.
+func (a *Agent) removeAttempt(at *attempt) {
+	delete(a.attempts, at.dispatch.Attempt)
+	at.session.Release()
 	at.cancel()
 	if len(a.attempts) == 0 {
 		select {
@@ -269,46 +272,46 @@
 	}
 }
 
-// done ends a running attempt and starts the most urgent one that waits.
-func (a *Agent) done(at *attempt) {
+// finish removes a running attempt and starts the most urgent waiting one.
+func (a *Agent) finish(at *attempt) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.forget(at)
+	a.removeAttempt(at)
 	a.running--
-	if len(a.queue) == 0 {
+	if len(a.waitQueue) == 0 {
 		return
 	}
-	next := heap.Pop(&a.queue).(*attempt)
-	next.stopWait()
+	next := heap.Pop(&a.waitQueue).(*attempt)
+	next.stopWatchingContext()
 	a.start(next)
 }
 
 func (a *Agent) cancel(s *peer.Session, id wire.AttemptID) {
-	if at := a.find(s, id); at != nil {
+	if at := a.attemptOf(s, id); at != nil {
 		a.counters.cancelled.Inc(1)
 		at.cancel()
 	}
 }
 
 func (a *Agent) credit(s *peer.Session, c *wire.Credit) {
-	if at := a.find(s, c.Attempt); at != nil {
+	if at := a.attemptOf(s, c.Attempt); at != nil {
 		at.window.add(c.Bytes)
 	}
 }
 
-// find returns the attempt if it came by s.
-func (a *Agent) find(s *peer.Session, id wire.AttemptID) *attempt {
+// attemptOf returns the attempt with this ID if it was received over s, nil otherwise.
+func (a *Agent) attemptOf(s *peer.Session, id wire.AttemptID) *attempt {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	at := a.attempts[id]
-	if at == nil || at.s != s {
+	if at == nil || at.session != s {
 		return nil
 	}
 	return at
 }
 
-// Ready lets the agent take work, unless it is leaving.
-func (a *Agent) Ready() {
+// MarkReady makes the agent accept work, unless it is draining.
+func (a *Agent) MarkReady() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.state == wire.UpstreamStarting {
@@ -316,24 +319,26 @@
 	}
 }
 
-// Raise takes a start number above the one known, which belongs to a later start of
-// the same name: the clock that the number came from was set back. Dispatches to
-// the former number are refused.
+// Raise sets the agent's incarnation above known, the highest one that the directory has seen
+// for an upstream of this name. Incarnations are taken from the clock, so an agent that starts
+// after the clock was set back has a lower one than its predecessor. Dispatches that name the
+// lower incarnation are refused from now on.
 func (a *Agent) Raise(known uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cfg.Identity.Incarnation = max(a.cfg.Identity.Incarnation, known+1)
 }
 
-// Leave refuses all new work from now on. What was taken goes on.
-func (a *Agent) Leave() {
+// StartDraining makes the agent refuse all new work. Accepted attempts continue.
+func (a *Agent) StartDraining() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.state = wire.UpstreamLeaving
 }
 
-// Drained waits until nothing runs or waits. The error is that of ctx.
-func (a *Agent) Drained(ctx context.Context) error {
+// AwaitDrained waits until no attempt is running or waiting. It returns an error only if ctx
+// ends first.
+func (a *Agent) AwaitDrained(ctx context.Context) error {
 	for {
 		a.mu.Lock()
 		n := len(a.attempts)
@@ -344,7 +349,7 @@
 		select {
 		case <-a.idle:
 		case <-ctx.Done():
-			return errors.Wrap(ctx.Err(), "agent: "+strconv.Itoa(n)+" attempts still run")
+			return errors.Wrap(ctx.Err(), "agent: "+strconv.Itoa(n)+" attempts are still running")
 		}
 	}
 }
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -15,27 +15,27 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// DefaultOrderSpan is how old an answer may be, by the agent's own clock since it
-// asked, when the order in it is carried out.
-const DefaultOrderSpan = 2 * time.Second
+// DefaultMaxOrderAge is how old an answer may be when its order is sent to the engine. The age
+// is measured with the agent's own clock, from the time at which the agent sent the query.
+const DefaultMaxOrderAge = 2 * time.Second
 
-// ordersPath is where an engine takes orders.
+// ordersPath is the path at which an engine receives orders.
 const ordersPath = "/orders"
 
-// The reasons that an answer is not carried out.
+// The reasons for ignoring an answer.
 var (
-	ErrNotAsked = errors.New("agent: answer to no outstanding question")
-	ErrLate     = errors.New("agent: answer came too late")
-	ErrOldFence = errors.New("agent: fencing number below the highest seen")
+	ErrUnexpectedAnswer  = errors.New("agent: answer without an outstanding query")
+	ErrOrderExpired      = errors.New("agent: order has expired")
+	ErrStaleFencingToken = errors.New("agent: fencing token is lower than the highest one seen")
 )
 
-// Asker asks the control hosts.
+// Asker sends queries to the control hosts.
 type Asker interface {
 	Ask(ctx context.Context, q *wire.OrderQuery) (*wire.OrderAnswer, error)
 }
 
-// OrderReport is the body of POST /orders to an engine.
-type OrderReport struct {
+// EngineOrder is the body of POST /orders, which tells an engine what to serve.
+type EngineOrder struct {
 	Fence    uint64   `json:"fence"`
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
@@ -43,101 +43,105 @@
 	Role     string   `json:"role,omitempty"`
 }
 
-// gate decides whether an answer is carried out. Its clock is a monotonic duration
-// since any fixed point. It is not safe for use by several goroutines.
-type gate struct {
-	span  time.Duration
-	fence uint64
-	// outstanding tells that nonce was asked at asked and not answered yet.
-	outstanding bool
-	nonce       [16]byte
-	asked       time.Duration
+// answerFilter decides whether the order in an answer may be sent to the engine. Times are
+// durations since an arbitrary fixed point on a monotonic clock. It is not safe for concurrent
+// use.
+type answerFilter struct {
+	maxAge       time.Duration
+	highestFence uint64
+	// isOutstanding is set while the query with nonce, sent at askedAt, has no answer.
+	isOutstanding bool
+	nonce         [16]byte
+	askedAt       time.Duration
 }
 
-// ask notes a question; an older one is outstanding no more.
-func (g *gate) ask(nonce [16]byte, now time.Duration) {
-	g.outstanding = true
-	g.nonce = nonce
-	g.asked = now
+// startQuery records a new query. Answers to earlier queries are no longer accepted.
+func (f *answerFilter) startQuery(nonce [16]byte, now time.Duration) {
+	f.isOutstanding = true
+	f.nonce = nonce
+	f.askedAt = now
 }
 
-// take returns nil if the answer may be carried out until the end of the span. A
-// question is answered once.
-func (g *gate) take(a *wire.OrderAnswer, now time.Duration) error {
-	if !g.outstanding || a.Nonce != g.nonce {
-		return ErrNotAsked
+// accept returns nil if the order in the answer may be sent to the engine, for as long as
+// timeLeft is positive. It accepts at most one answer to a query.
+func (f *answerFilter) accept(a *wire.OrderAnswer, now time.Duration) error {
+	if !f.isOutstanding || a.Nonce != f.nonce {
+		return ErrUnexpectedAnswer
 	}
-	g.outstanding = false
-	if g.left(now) <= 0 {
-		return ErrLate
+	f.isOutstanding = false
+	if f.timeLeft(now) <= 0 {
+		return ErrOrderExpired
 	}
-	if a.Fence < g.fence {
-		return ErrOldFence
+	if a.Fence < f.highestFence {
+		return ErrStaleFencingToken
 	}
-	g.fence = a.Fence
+	f.highestFence = a.Fence
 	return nil
 }
 
-// left is how long the answer to the last question may still be carried out.
-func (g *gate) left(now time.Duration) time.Duration { return g.span - (now - g.asked) }
+// timeLeft returns how long the answer to the latest query remains valid.
+func (f *answerFilter) timeLeft(now time.Duration) time.Duration { return f.maxAge - (now - f.askedAt) }
 
-// OrdersConfig is what Orders needs.
-type OrdersConfig struct {
+// OrderPullerConfig holds the parameters of an OrderPuller.
+type OrderPullerConfig struct {
 	Upstream, Pool string
 	// Group is the group of ranks that the upstream belongs to, empty if none.
 	Group string
-	// OnOrder, if set, gets each order that may be carried out, nil where there is none.
+	// OnOrder, if set, is called with the order of each accepted answer, nil if the answer has
+	// none.
 	OnOrder func(*wire.Order)
-	// URL is the base of the engine.
+	// URL is the base URL of the engine.
 	URL   string
 	Asker Asker
-	// Starts counts the upstream's starts, as far as they were seen; nil counts none. One that
-	// has started anew holds no order.
-	Starts func() int
-	// Span is DefaultOrderSpan if zero.
-	Span time.Duration
-	// Clock returns a monotonic duration; the default counts from the start.
+	// Restarts returns how many restarts of the engine have been observed; nil means that
+	// restarts are not observed. A restarted engine has lost its order and must get it again.
+	Restarts func() int
+	// MaxAge is the maximum age of an answer; zero means DefaultMaxOrderAge.
+	MaxAge time.Duration
+	// Clock returns a monotonic time; the default is the time since NewOrderPuller.
 	Clock   func() time.Duration
 	Metrics metrics.Registry
 }
 
-// Orders pulls the order to one engine and passes it on. A new one has passed
-// nothing on and knows no fencing number: it asks first. It is used by one goroutine.
-type Orders struct {
-	cfg    OrdersConfig
-	gate   gate
+// OrderPuller queries the control hosts for the order to one engine and sends the order to the
+// engine. It keeps no state across restarts: a new one knows no fencing token and first sends a
+// query. It must be used by one goroutine only.
+type OrderPuller struct {
+	cfg    OrderPullerConfig
+	filter answerFilter
 	client *http.Client
-	// passed is what the upstream was told in that start of it.
-	passed  *wire.OrderAnswer
-	start   int
-	refused metrics.Counter
+	// delivered is the last answer whose order was sent to the engine, and deliveredRestarts the
+	// number of restarts that had been observed at that time.
+	delivered         *wire.OrderAnswer
+	deliveredRestarts int
+	refused           metrics.Counter
 }
 
-// NewOrders returns an Orders that has not asked yet.
-func NewOrders(cfg OrdersConfig) *Orders {
-	if cfg.Span <= 0 {
-		cfg.Span = DefaultOrderSpan
+// NewOrderPuller returns an OrderPuller that has not sent a query yet.
+func NewOrderPuller(cfg OrderPullerConfig) *OrderPuller {
+	if cfg.MaxAge <= 0 {
+		cfg.MaxAge = DefaultMaxOrderAge
 	}
 	if cfg.Clock == nil {
 		start := time.Now()
 		cfg.Clock = func() time.Duration { return time.Since(start) }
 	}
-	if cfg.Starts == nil {
-		cfg.Starts = func() int { return 0 }
+	if cfg.Restarts == nil {
+		cfg.Restarts = func() int { return 0 }
 	}
 	if cfg.Metrics == nil {
 		cfg.Metrics = metrics.NewRegistry()
 	}
-	return &Orders{
+	return &OrderPuller{
 		cfg:     cfg,
-		gate:    gate{span: cfg.Span},
+		filter:  answerFilter{maxAge: cfg.MaxAge},
 		client:  &http.Client{Transport: newTransport(1, true)},
 		refused: metrics.GetOrRegisterCounter("agent.orders.refused", cfg.Metrics),
 	}
 }
 
-// Run pulls each interval until ctx ends.
-func (o *Orders) Run(ctx context.Context, interval time.Duration) {
+// Run calls Pull once per interval until ctx ends.
+func (o *OrderPuller) Run(ctx context.Context, interval time.Duration) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
@@ -150,46 +154,47 @@
 	}
 }
 
-// Pull asks once and passes the order on, unless the engine has taken it before.
-func (o *Orders) Pull(ctx context.Context) error {
-	q := &wire.OrderQuery{Upstream: o.cfg.Upstream, Pool: o.cfg.Pool, Group: o.cfg.Group, Seen: o.gate.fence}
-	if _, err := rand.Read(q.Nonce[:]); err != nil {
+// Pull sends one query and sends the returned order to the engine, unless the engine has
+// already accepted it.
+func (o *OrderPuller) Pull(ctx context.Context) error {
+	query := &wire.OrderQuery{Upstream: o.cfg.Upstream, Pool: o.cfg.Pool, Group: o.cfg.Group, Seen: o.filter.highestFence}
+	if _, err := rand.Read(query.Nonce[:]); err != nil {
 		return errors.Wrap(err, "agent: make nonce")
 	}
-	o.gate.ask(q.Nonce, o.cfg.Clock())
-	askCtx, cancel := context.WithTimeout(ctx, o.cfg.Span)
+	o.filter.startQuery(query.Nonce, o.cfg.Clock())
+	askCtx, cancel := context.WithTimeout(ctx, o.cfg.MaxAge)
 	defer cancel()
-	answer, err := o.cfg.Asker.Ask(askCtx, q)
+	answer, err := o.cfg.Asker.Ask(askCtx, query)
 	if err != nil {
 		return err
 	}
-	if err := o.gate.take(answer, o.cfg.Clock()); err != nil {
+	if err := o.filter.accept(answer, o.cfg.Clock()); err != nil {
 		o.refused.Inc(1)
 		return err
 	}
 	if o.cfg.OnOrder != nil {
 		o.cfg.OnOrder(answer.Order)
 	}
-	if answer.Order == nil || o.hasPassed(answer) {
+	if answer.Order == nil || o.isDelivered(answer) {
 		return nil
 	}
-	return o.pass(ctx, answer)
+	return o.deliver(ctx, answer)
 }
 
-func (o *Orders) hasPassed(a *wire.OrderAnswer) bool {
-	return o.passed != nil && o.start == o.cfg.Starts() && o.passed.Fence == a.Fence && reflect.DeepEqual(o.passed.Order, a.Order)
+func (o *OrderPuller) isDelivered(a *wire.OrderAnswer) bool {
+	return o.delivered != nil && o.deliveredRestarts == o.cfg.Restarts() && o.delivered.Fence == a.Fence && reflect.DeepEqual(o.delivered.Order, a.Order)
 }
 
-func (o *Orders) pass(ctx context.Context, a *wire.OrderAnswer) error {
-	left := o.gate.left(o.cfg.Clock())
-	if left <= 0 {
+func (o *OrderPuller) deliver(ctx context.Context, a *wire.OrderAnswer) error {
+	timeLeft := o.filter.timeLeft(o.cfg.Clock())
+	if timeLeft <= 0 {
 		o.refused.Inc(1)
-		return ErrLate
+		return ErrOrderExpired
 	}
-	start := o.cfg.Starts()
-	ctx, cancel := context.WithTimeout(ctx, left)
+	restarts := o.cfg.Restarts()
+	ctx, cancel := context.WithTimeout(ctx, timeLeft)
 	defer cancel()
-	body, err := json.Marshal(OrderReport{
+	body, err := json.Marshal(EngineOrder{
 		Fence:    a.Fence,
 		Model:    a.Order.Model,
 		Version:  a.Order.Version,
@@ -201,16 +206,16 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, o.cfg.URL+ordersPath, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "agent: make order")
+		return errors.Wrap(err, "agent: create order request")
 	}
 	resp, err := o.client.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "agent: pass order on")
+		return errors.Wrap(err, "agent: send order")
 	}
 	_ = resp.Body.Close()
 	if resp.StatusCode/100 != 2 {
-		return errors.Errorf("agent: engine says %s to the order", resp.Status)
+		return errors.Errorf("agent: engine refused the order: %s", resp.Status)
 	}
-	o.passed, o.start = a, start
+	o.delivered, o.deliveredRestarts = a, restarts
 	return nil
 }
--- a/internal/agent/outcome.go
+++ b/internal/agent/outcome.go
@@ -10,66 +10,69 @@
 )
 
 const (
-	// maxRecorded bounds the body of an answer that is recorded, in bytes.
-	maxRecorded = 64 << 10
-	// maxUnheard bounds the answers that are kept for hearSpan.
-	maxUnheard = 1024
-	// hearSpan is how long after an answer the loss of its session still counts as
-	// not heard: that of a frozen host ends within it.
-	hearSpan = 5 * time.Second
+	// maxRecordedBytes bounds the size of a response body that is recorded.
+	maxRecordedBytes = 64 << 10
+	// maxUndelivered bounds the number of responses that are kept for deliveryTimeout.
+	maxUndelivered = 1024
+	// deliveryTimeout is how long after a response was sent it still counts as undelivered if
+	// its session is lost. The session with an entry host that has frozen is closed within
+	// this time.
+	deliveryTimeout = 5 * time.Second
 )
 
-// recording keeps the answer of a claimed call, so that its outcome can be recorded
-// where no entry host hears it. Without a claim or a recorder it keeps nothing.
+// recording buffers the response body of a call with a claim, so that its outcome can be
+// stored if the response is not delivered to an entry host. It is not enabled if the call has
+// no claim or the agent has no Recorder.
 type recording struct {
-	isOn bool
-	body []byte
-	// isLarge tells that the body is over maxRecorded and left out.
-	isLarge bool
+	isEnabled bool
+	body      []byte
+	// isTooLarge is set if the body exceeds maxRecordedBytes. It is then not recorded.
+	isTooLarge bool
 }
 
 func (r *recording) add(data []byte) {
-	if !r.isOn || r.isLarge {
+	if !r.isEnabled || r.isTooLarge {
 		return
 	}
-	if len(r.body)+len(data) > maxRecorded {
-		r.isLarge, r.body = true, nil
+	if len(r.body)+len(data) > maxRecordedBytes {
+		r.isTooLarge, r.body = true, nil
 		return
 	}
 	r.body = append(r.body, data...)
 }
 
-// recordUnheard records a whole answer whose session is lost by its end or soon
-// after. Where the entry host has recorded it too, that one stands.
-func (a *Agent) recordUnheard(at *attempt, resp *http.Response, r *recording) {
-	if !r.isOn {
+// recordIfUndelivered stores the outcome of a complete response if the session over which it was
+// sent is lost within deliveryTimeout. If the entry host has stored an outcome too, the entry
+// host's is kept.
+func (a *Agent) recordIfUndelivered(at *attempt, resp *http.Response, r *recording) {
+	if !r.isEnabled {
 		return
 	}
-	f := &wire.FinishRequest{
-		Workspace: at.d.Claim.Workspace,
-		Key:       at.d.Claim.Key,
-		Attempt:   at.d.Attempt,
+	outcome := &wire.FinishRequest{
+		Workspace: at.dispatch.Claim.Workspace,
+		Key:       at.dispatch.Claim.Key,
+		Attempt:   at.dispatch.Attempt,
 		Verdict:   uint8(verdict.Ran),
 	}
-	if !r.isLarge {
-		f.Answer = &wire.Answer{Status: resp.StatusCode, Header: fields(resp.Header), Body: r.body}
+	if !r.isTooLarge {
+		outcome.Answer = &wire.Answer{Status: resp.StatusCode, Header: headerFields(resp.Header), Body: r.body}
 	}
 	select {
-	case a.unheard <- struct{}{}:
+	case a.undelivered <- struct{}{}:
 	default:
 		a.counters.unreported.Inc(1)
 		return
 	}
 	go func() {
-		defer func() { <-a.unheard }()
-		span := time.NewTimer(hearSpan)
-		defer span.Stop()
+		defer func() { <-a.undelivered }()
+		timeout := time.NewTimer(deliveryTimeout)
+		defer timeout.Stop()
 		select {
-		case <-at.s.Done():
-			if !answer.Record(a.cfg.Recorder, f, false) {
+		case <-at.session.Done():
+			if !answer.Record(a.cfg.Recorder, outcome, false) {
 				a.counters.unreported.Inc(1)
 			}
-		case <-span.C:
+		case <-timeout.C:
 		}
 	}()
 }
--- /dev/null
+++ b/internal/agent/upstream_monitor.go
@@ -0,0 +1,103 @@
+package agent
+
+import (
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"github.com/sassafraspost/sassafraspost/internal/answer"
+	"github.com/sassafraspost/sassafraspost/internal/verdict"
+	"github.com/sassafraspost/sassafraspost/internal/wire"
+)
+
+// probeTimeout bounds the connection attempt that checks whether the upstream is running. A
+// host refuses the connection at once if the upstream's process has ended.
+const probeTimeout = 250 * time.Millisecond
+
+// upstreamMonitor tracks whether the upstream's process has ended. In its zero value the
+// upstream is running.
+type upstreamMonitor struct {
+	// mu guards the fields below. It stays locked during a probe, so that all responses that
+	// are broken off by the same end of the upstream share one probe.
+	mu sync.Mutex
+	// endedAt is when a probe found that the upstream had ended, in Unix milliseconds; 0 while
+	// it is running. restarts counts how often it accepted connections again afterwards.
+	endedAt  int64
+	restarts int
+}
+
+// probe checks whether the upstream still accepts connections after a response was broken off
+// or a request to it failed. It returns when the upstream ended, 0 if it has not.
+func (p *upstreamMonitor) probe(address string) int64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.endedAt != 0 {
+		return p.endedAt
+	}
+	conn, err := net.DialTimeout("tcp", address, probeTimeout)
+	if err == nil {
+		_ = conn.Close()
+		return 0
+	}
+	if errors.Is(err, syscall.ECONNREFUSED) {
+		p.endedAt = time.Now().UnixMilli()
+	}
+	return p.endedAt
+}
+
+// markConnected records that the upstream accepted a connection.
+func (p *upstreamMonitor) markConnected() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.endedAt != 0 {
+		p.endedAt = 0
+		p.restarts++
+	}
+}
+
+// Restarts returns how often the upstream accepted connections again after it had ended.
+func (a *Agent) Restarts() int {
+	a.monitor.mu.Lock()
+	defer a.monitor.mu.Unlock()
+	return a.monitor.restarts
+}
+
+// probeEnd is called after an attempt's response was broken off. It returns when the upstream
+// ended, or 0 if it is still running. It also returns 0 while the agent is draining, because
+// the upstream is then shut down on purpose.
+func (a *Agent) probeEnd() int64 {
+	a.mu.Lock()
+	isLeaving := a.state == wire.UpstreamLeaving
+	a.mu.Unlock()
+	if isLeaving {
+		return 0
+	}
+	endedAt := a.monitor.probe(a.baseURL.Host)
+	if endedAt != 0 {
+		a.counters.upstreamEnds.Inc(1)
+	}
+	return endedAt
+}
+
+// upstreamEndedAt returns when the upstream ended during the attempt that failed with e, 0 if it
+// did not end.
+func upstreamEndedAt(e *verdict.Error) int64 {
+	var ended *answer.UpstreamEndedError
+	if errors.As(e, &ended) {
+		return ended.At
+	}
+	return 0
+}
+
+// isClosed reports whether a channel is closed.
+func isClosed(c <-chan struct{}) bool {
+	select {
+	case <-c:
+		return true
+	default:
+		return false
+	}
+}
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	pollInterval  = time.Second
-	orderInterval = 2 * time.Second
-	upstreamRetry = 500 * time.Millisecond
+	pollInterval         = time.Second
+	orderInterval        = 2 * time.Second
+	upstreamDialInterval = 500 * time.Millisecond
 )
 
-// agentRole stands in front of one upstream.
+// agentRole runs the agent of one upstream.
 type agentRole struct {
 	agent     *agent.Agent
 	announcer *directory.Announcer
-	orders    *agent.Orders
-	// group is set where the upstream belongs to a group of ranks.
+	orders    *agent.OrderPuller
+	// group is nil if the upstream does not belong to a group of ranks.
 	group *group.Runner
-	// upstream is where the upstream accepts connections, "ip:port".
-	upstream string
+	// upstreamAddress is the address at which the upstream accepts connections, "ip:port".
+	upstreamAddress string
 }
 
 func (d *Daemon) buildAgent() (role, error) {
@@ -49,7 +49,7 @@
 			Ranks:       groupRanks(set),
 		},
 		URL:      set.UpstreamURL,
-		Engine:   set.Kind == settings.UpstreamModel,
+		IsEngine: set.Kind == settings.UpstreamModel,
 		Capacity: set.Capacity,
 		Recorder: control.NewClient(d.pool, addresses(set.Control)),
 		Metrics:  d.metrics,
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "upstream-url")
 	}
-	r := &agentRole{agent: a, upstream: base.Host}
+	r := &agentRole{agent: a, upstreamAddress: base.Host}
 	var shape atomic.Pointer[wire.GroupShape]
 	if set.Group != "" {
 		r.group = d.newGroup(set, &shape)
@@ -76,11 +76,11 @@
 		Log:      d.log,
 	})
 	if set.Kind == settings.UpstreamModel {
-		r.orders = agent.NewOrders(agent.OrdersConfig{
+		r.orders = agent.NewOrderPuller(agent.OrderPullerConfig{
 			Upstream: d.set.Host.Name,
 			Pool:     set.Pool,
 			Group:    set.Group,
-			Starts:   a.Starts,
+			Restarts: a.Restarts,
 			OnOrder:  func(o *wire.Order) { shape.Store(shapeOf(o)) },
 			URL:      set.UpstreamURL,
 			Asker:    control.NewClient(d.pool, addresses(set.Control)),
@@ -91,8 +91,8 @@
 	return r, nil
 }
 
-// hostsByAddress names the entry hosts by their addresses, which are all that an
-// agent knows of them.
+// hostsByAddress returns the entry hosts with their addresses as names, because an agent's settings
+// contain only the addresses.
 func hostsByAddress(set settings.Agent) []directory.Host {
 	var hosts []directory.Host
 	for _, a := range addresses(set.Entries) {
@@ -101,7 +101,7 @@
 	return hosts
 }
 
-func (r *agentRole) up(*peer.Session) {}
+func (r *agentRole) onSessionUp(*peer.Session) {}
 
 func (r *agentRole) handlePeer(s *peer.Session, call uint64, m wire.Message) bool {
 	return r.agent.HandlePeer(s, call, m) || (r.group != nil && r.group.HandlePeer(s, call, m))
@@ -120,15 +120,15 @@
 	return nil
 }
 
-// awaitUpstream lets the agent take work once its upstream accepts connections.
+// awaitUpstream marks the agent as ready once its upstream accepts connections.
 func (r *agentRole) awaitUpstream(ctx context.Context) {
-	ticker := time.NewTicker(upstreamRetry)
+	ticker := time.NewTicker(upstreamDialInterval)
 	defer ticker.Stop()
 	for {
-		conn, err := net.DialTimeout("tcp", r.upstream, upstreamRetry)
+		conn, err := net.DialTimeout("tcp", r.upstreamAddress, upstreamDialInterval)
 		if err == nil {
 			_ = conn.Close()
-			r.agent.Ready()
+			r.agent.MarkReady()
 			r.announcer.AnnounceNow()
 			return
 		}
@@ -140,10 +140,10 @@
 	}
 }
 
-// drain announces that the upstream leaves. The agent refuses new work by itself
-// from the first moment, whether or not the announcement arrives.
+// drain makes the agent refuse new work at once, announces that it is draining, and waits for the
+// accepted attempts. The refusal does not depend on the arrival of the announcement.
 func (r *agentRole) drain(ctx context.Context) error {
-	r.agent.Leave()
+	r.agent.StartDraining()
 	r.announcer.AnnounceNow()
-	return r.agent.Drained(ctx)
+	return r.agent.AwaitDrained(ctx)
 }
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -211,7 +211,7 @@
 	}
 	a, err := agent.New(cfg)
 	require.NoError(p.t, err)
-	a.Ready()
+	a.MarkReady()
 	pool := p.addHost(name, peer.HandlerFunc(func(s *peer.Session, call uint64, m wire.Message) { a.HandlePeer(s, call, m) }))
 	return a, pool
 }
--- a/internal/entry/server_test.go
+++ b/internal/entry/server_test.go
@@ -270,7 +270,7 @@
 	require.NoError(t, err, "the stream has begun")
 	cancel()
 	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Cancelled == 1 }, testTimeout, time.Millisecond)
-	require.NoError(t, a.Drained(context.Background()))
+	require.NoError(t, a.AwaitDrained(context.Background()))
 	require.Equal(t, int64(1), p.counter("agent.cancelled"))
 }
 
@@ -324,12 +324,12 @@
 	running := make(chan response, 1)
 	go func() { running <- p.complete("a", 100, true) }()
 	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Begun == 1 }, testTimeout, time.Millisecond)
-	a.Leave()
+	a.StartDraining()
 	r := p.complete("b", tokens, true)
 	require.Equal(t, "not-run", r.verdict())
 	require.Contains(t, r.body, verdict.CodeLeaving)
 	require.Zero(t, e.Executions().ByRequest["b"].Begun)
-	require.NoError(t, a.Drained(context.Background()))
+	require.NoError(t, a.AwaitDrained(context.Background()))
 	requireWholeStream(t, "a", 100, <-running)
 }
 
@@ -456,7 +456,7 @@
 	require.Equal(t, http.StatusConflict, r.status)
 	require.Equal(t, "may-have-run", r.verdict())
 
-	a.Leave()
+	a.StartDraining()
 	require.Equal(t, "not-run", p.book("k4", "ana").verdict())
 	p.addUpstream("u2", s, nil)
 	p.router.mu.Lock()
@@ -491,7 +491,7 @@
 	require.Equal(t, "may-have-run", p.book("k", "ana").verdict())
 	require.Eventually(t, func() bool { return len(pool.Sessions()) == 0 }, testTimeout, time.Millisecond)
 	close(release)
-	require.NoError(t, a.Drained(context.Background()))
+	require.NoError(t, a.AwaitDrained(context.Background()))
 	require.Equal(t, standin.Executions{Begun: 1, Finished: 1}, s.Executions().ByKey["k"])
 	require.Zero(t, p.counter("agent.refused"), "a lost session does not cancel a non-idempotent call")
 }
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -20,108 +20,111 @@
 )
 
 const (
-	// silentAnnounces is how many announcements an upstream may miss before it counts as
-	// silent: one may be late, one lost.
-	silentAnnounces = 3.5
-	// forgetAfter is when an upstream is forgotten that is not heard any more. It
-	// outlasts announcements that a partition held up.
-	forgetAfter = 2 * time.Minute
-	// closeTimeout bounds the hand-over of the leadership at the end.
+	// silenceIntervals is the number of announcement intervals after which an upstream that has
+	// not announced itself counts as silent. One announcement may be late and one lost.
+	silenceIntervals = 3.5
+	// forgetTimeout is how long after its last announcement an upstream is removed from the list.
+	// It is longer than a network partition can delay an announcement.
+	forgetTimeout = 2 * time.Minute
+	// closeTimeout bounds the leadership transfer at shutdown.
 	closeTimeout = 2 * time.Second
-	// snapshotEntries is how many entries are applied between two snapshots: the log stays
-	// small beside the disk.
+	// snapshotEntries is how many log entries are applied between two snapshots. It keeps the log
+	// small compared with the disk.
 	snapshotEntries = 1000
 	segmentBytes    = 4 << 20
-	// recallSuffix names the folder beside the data folder with the list of upstreams.
-	recallSuffix = "-upstreams"
-	// electionTicks is the least election timeout in ticks: several heartbeats, and many times a round trip between data centres.
+	// restartCacheSuffix is appended to the name of the data folder. It names the folder that keeps
+	// the list of upstreams across a restart.
+	restartCacheSuffix = "-upstreams"
+	// electionTicks is the minimum election timeout in ticks. It covers several heartbeats and many
+	// round trips between data centres.
 	electionTicks = 12
-	// hearingSpan is how long a lost disk's replica has to be silent before the host's new
-	// one takes its place: well above an election, and well below the time in which a host has
-	// to be back in full.
-	hearingSpan = 1200 * time.Millisecond
+	// replicaSilenceLimit is how long the replica on a lost disk must be silent before the host's
+	// new replica replaces it. It is well above the duration of an election and well below the
+	// time within which a host must have fully recovered.
+	replicaSilenceLimit = 1200 * time.Millisecond
 )
 
-// ControlHost is what upstreams and operators ask of a control host.
+// ControlHost is the part of a control host that upstreams and operators use.
 type ControlHost interface {
 	Announce(ctx context.Context, u registry.Upstream) error
 	PutConfiguration(ctx context.Context, number uint64, data []byte, author string) (uint64, error)
 	Configuration(ctx context.Context) (state.Configuration, error)
 }
 
-// controlRole holds what must survive.
+// controlRole runs a replica of the state that must survive the loss of hosts.
 type controlRole struct {
-	n    *Node
-	host *control.Host
-	book *control.AddressBook
-	api  *http.Server
+	n            *Node
+	host         *control.Host
+	controlHosts *control.AddressBook
+	api          *http.Server
 }
 
 func (n *Node) buildControl() (role, error) {
-	set := n.set.Control
+	set := n.settings.Control
 	disk := journal.Patient{FS: journal.OS{}, Log: n.log}
 	j, recovered, err := journal.Open(journal.Options{Dir: set.DataFolder, SegmentBytes: segmentBytes, Logger: n.log, FS: disk})
 	if err != nil {
 		return nil, errors.Wrap(err, "data folder")
 	}
-	n.openPool(string(control.ID(n.set.Host, recovered)))
+	n.openPool(string(control.ID(n.settings.Host, recovered)))
 	transport := control.NewTransport(n.metrics)
-	own := n.set.peerAddress(n.set.IP)
+	ownAddress := n.settings.peerAddress(n.settings.IP)
 	host, err := control.Open(control.Config{
-		Name: n.set.Host, Journal: j, Recovered: recovered, Transport: transport, Pool: n.pool,
-		Peers: without(n.set.seedPeers(), own), Address: own, InitialVoters: n.founders(own),
-		Voters: n.set.voters(), ReplicaSilenceTimeout: hearingSpan, ElectionTicks: electionTicks, SnapshotEntries: snapshotEntries,
+		Name: n.settings.Host, Journal: j, Recovered: recovered, Transport: transport, Pool: n.pool,
+		Peers: excluding(n.settings.seedPeers(), ownAddress), Address: ownAddress, InitialVoters: n.founders(ownAddress),
+		Voters: n.settings.voters(), ReplicaSilenceTimeout: replicaSilenceLimit, ElectionTicks: electionTicks, SnapshotEntries: snapshotEntries,
 		Registry: registry.Limits{
-			SilenceTimeout: time.Duration(silentAnnounces * float64(n.set.AnnounceInterval)), ForgetTimeout: forgetAfter,
+			SilenceTimeout: time.Duration(silenceIntervals * float64(n.settings.AnnounceInterval)), ForgetTimeout: forgetTimeout,
 		},
-		RestartCache: control.NewRestartCache(journal.OS{}, set.DataFolder+recallSuffix),
+		RestartCache: control.NewRestartCache(journal.OS{}, set.DataFolder+restartCacheSuffix),
 		Log:          n.log, Metrics: n.metrics,
 	})
 	if err != nil {
 		return nil, err
 	}
-	n.up = func(s *peer.Session) {
+	n.onSessionUp = func(s *peer.Session) {
 		transport.SessionUp(s)
 		if s.Remote().Replica != "" {
 			host.ControlHostConnected(s)
 		}
 	}
-	n.handle = func(s *peer.Session, call uint64, m wire.Message) { host.HandlePeer(s, call, m) }
+	n.handleMessage = func(s *peer.Session, call uint64, m wire.Message) { host.HandlePeer(s, call, m) }
 	listener, err := net.Listen("tcp", set.Listen.String())
 	if err != nil {
 		return nil, errors.Wrap(err, "listener for upstreams and operators")
 	}
 	count := func(name string) { metrics.GetOrRegisterCounter("control-api."+name, n.metrics).Inc(1) }
 	api := serve(listener, n.platform.ControlAPI(host, set.Listen.String(), count))
-	return &controlRole{n: n, host: host, book: host.AddressBook(), api: api}, nil
+	return &controlRole{n: n, host: host, controlHosts: host.AddressBook(), api: api}, nil
 }
 
-// founders returns who founds the cluster, nobody where there may be one already.
-func (n *Node) founders(own string) []string {
-	seeds := n.set.seedPeers()
-	if n.set.FirstStart && slices.Contains(seeds, own) {
+// founders returns the addresses of the hosts that found the cluster together. It returns none
+// if a cluster may already exist.
+func (n *Node) founders(ownAddress string) []string {
+	seeds := n.settings.seedPeers()
+	if n.settings.FirstStart && slices.Contains(seeds, ownAddress) {
 		return seeds
 	}
 	return nil
 }
 
-func without(list []string, one string) []string {
-	return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == one })
+func excluding(list []string, excluded string) []string {
+	return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == excluded })
 }
 
 func (r *controlRole) run(ctx context.Context) error {
-	go watchSeeds(ctx, r.n, r.book)
+	go watchSeeds(ctx, r.n, r.controlHosts)
 	return r.host.Run(ctx)
 }
 
-// drain hands the leadership over. Upstreams and operators are told to ask elsewhere by
-// the listener's end.
+// drain closes the API listener, so that upstreams and operators turn to another control host, and
+// then transfers the leadership.
 func (r *controlRole) drain(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
 	_ = r.api.Shutdown(ctx)
 	if err := r.host.Close(ctx); err != nil {
-		r.n.log.Warn("control host did not close well", "error", err.Error())
+		r.n.log.Warn("control host did not shut down cleanly", "error", err.Error())
 	}
 }
 
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -20,93 +20,99 @@
 )
 
 const (
-	// fetchTimeout bounds one question for a configuration.
+	// fetchTimeout bounds one request for a configuration.
 	fetchTimeout = 600 * time.Millisecond
-	// fetchDelay is the pause after a question that failed.
-	fetchDelay = 50 * time.Millisecond
-	// agentRest is how long an agent waits between two configurations: it needs the shape of
-	// its group only, which rarely changes, and the orders of a change of map would wait
-	// behind configurations on its link.
-	agentRest = 2 * time.Second
-	// trustAfter is how long a host that starts looks for a control host that can show
-	// that its configuration is the newest. Where none can, as in a data centre that is
-	// cut off, it goes on with the newest that it found.
-	trustAfter = 6 * time.Second
-	// reloadInterval is how often the settings are read again without being asked.
+	// fetchRetryDelay is the delay before a failed request is retried.
+	fetchRetryDelay = 50 * time.Millisecond
+	// agentFetchInterval is the least time between two configurations that an agent fetches. An
+	// agent needs only the shape of its group, which rarely changes, and the orders of a map change
+	// would have to wait while the host's link transfers a configuration.
+	agentFetchInterval = 2 * time.Second
+	// linearizableTimeout is how long a starting host accepts a configuration only from a control
+	// host that has confirmed with a quorum that it is the newest. After that, for example in an
+	// isolated data centre, the host uses the newest configuration that it can get.
+	linearizableTimeout = 6 * time.Second
+	// reloadInterval is how often the settings are reloaded.
 	reloadInterval = 2 * time.Second
 )
 
 func portText(p uint16) string { return strconv.Itoa(int(p)) }
 
-// follower keeps a host up to date with what the control hosts tell.
+// follower receives configurations, upstreams, engine loads and suspicions from the control hosts.
 type follower struct {
-	n    *Node
-	role string
-	book *control.AddressBook
-	// merge takes upstreams, lose tells that a source is gone, hosts how many entry
-	// hosts there are, configure puts a configuration into force.
-	merge     func(source string, all []registry.Upstream)
-	lose      func(source string)
-	hosts     func(entries int)
-	configure func(t *routetable.Table) bool
-	// loads takes the loads of engines; nil where they don't matter.
-	loads func(all []wire.EngineLoad)
-	// quarantine is what is known of requests under which upstreams ended; nil where requests
-	// of callers don't come.
+	n            *Node
+	role         string
+	controlHosts *control.AddressBook
+	// These functions apply what is received. mergeUpstreams merges a control host's list of
+	// upstreams, dropSource is called when the sessions with a control host are lost,
+	// setEntryHostCount sets the number of entry hosts, and applyTable puts a configuration into
+	// force and reports whether it did.
+	mergeUpstreams    func(source string, all []registry.Upstream)
+	dropSource        func(source string)
+	setEntryHostCount func(entries int)
+	applyTable        func(t *routetable.Table) bool
+	// setLoads receives the loads of engines; nil if the role doesn't use them.
+	setLoads func(all []wire.EngineLoad)
+	// quarantine tracks the requests during which upstreams crashed; nil if the role doesn't serve
+	// callers.
 	quarantine *quarantine.Keeper
 	started    time.Time
-	// rest is the least time between two configurations.
-	rest time.Duration
+	// minFetchInterval is the minimum time between two fetched configurations.
+	minFetchInterval time.Duration
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// held is the number of the configuration in force, wanted the highest heard of, at
-	// the session that told of it.
-	held, wanted uint64
-	source       *peer.Session
-	// isCurrent is set once a control host has shown that its configuration is newest.
-	isCurrent bool
-	isBusy    bool
-	// views are what each control host has told of engines.
-	views map[*peer.Session]*engineload.Decoder
+	// applied is the number of the configuration in force. wanted is the highest number that was
+	// announced, and source the session from which to fetch it.
+	applied, wanted uint64
+	source          *peer.Session
+	// isCurrent is set once the host has received a configuration that counts as the newest, see
+	// linearizableTimeout.
+	isCurrent  bool
+	isFetching bool
+	// loadDecoders holds a decoder of load reports for each session, because compact reports
+	// refer to full ones that were sent earlier in the same session.
+	loadDecoders map[*peer.Session]*engineload.Decoder
 }
 
 func newFollower(n *Node, role string) *follower {
 	f := &follower{
-		n: n, role: role, book: control.NewAddressBook(n.set.seedPeers()...), started: time.Now(),
-		views: make(map[*peer.Session]*engineload.Decoder),
+		n: n, role: role, controlHosts: control.NewAddressBook(n.settings.seedPeers()...), started: time.Now(),
+		loadDecoders: make(map[*peer.Session]*engineload.Decoder),
 	}
-	n.up = f.up
-	n.handle = f.handle
+	n.onSessionUp = f.onSessionUp
+	n.handleMessage = f.handleMessage
 	return f
 }
 
-// run holds sessions with all control hosts until ctx ends.
+// run keeps sessions with all known control hosts until ctx ends.
 func (f *follower) run(ctx context.Context) {
-	go f.reload(ctx)
-	control.KeepFollowerConnected(ctx, f.n.pool, f.book)
+	go f.reloadSeeds(ctx)
+	control.KeepFollowerConnected(ctx, f.n.pool, f.controlHosts)
 }
 
-// reload takes in seeds that the settings name later.
-func (f *follower) reload(ctx context.Context) { watchSeeds(ctx, f.n, f.book) }
+// reloadSeeds adds the seeds that appear in the settings while the host is running.
+func (f *follower) reloadSeeds(ctx context.Context) { watchSeeds(ctx, f.n, f.controlHosts) }
 
-// watchSeeds adds the seeds of the settings to the book, whenever they have changed.
-func watchSeeds(ctx context.Context, n *Node, book *control.AddressBook) {
+// watchSeeds reloads the settings at reloadInterval and adds their seeds to the known control
+// hosts.
+func watchSeeds(ctx context.Context, n *Node, controlHosts *control.AddressBook) {
 	for ctx.Err() == nil {
 		pause.For(ctx, reloadInterval)
-		set, err := n.platform.Reload()
+		settings, err := n.platform.ReloadSettings()
 		if err != nil {
-			n.log.Warn("settings can't be read again", "error", err.Error())
+			n.log.Warn("can't reload settings", "error", err.Error())
 			continue
 		}
-		if seeds := without(set.seedPeers(), n.set.peerAddress(n.set.IP)); book.Add(seeds...) {
-			n.log.Info("settings name new seeds", "seeds", seeds)
+		if seeds := excluding(settings.seedPeers(), n.settings.peerAddress(n.settings.IP)); controlHosts.Add(seeds...) {
+			n.log.Info("settings contain new seeds", "seeds", seeds)
 		}
 	}
 }
 
-// up attaches to a control host.
-func (f *follower) up(s *peer.Session) {
+// onSessionUp subscribes to a control host when a session with it begins, and removes what belongs
+// to the session when it ends. Sessions with other hosts are ignored.
+func (f *follower) onSessionUp(s *peer.Session) {
 	if s.Remote().Replica == "" {
 		return
 	}
@@ -119,32 +125,33 @@
 		<-s.Done()
 		f.n.log.Info("control host lost", "control_host", s.Remote().Host, "quiet_ms", s.Quiet().Milliseconds())
 		f.mu.Lock()
-		delete(f.views, s)
+		delete(f.loadDecoders, s)
 		f.mu.Unlock()
-		if f.lose != nil && f.n.pool.Live(s.Remote().Address) == nil {
-			f.lose(s.Remote().Host)
+		if f.dropSource != nil && f.n.pool.Live(s.Remote().Address) == nil {
+			f.dropSource(s.Remote().Host)
 		}
 	}()
 }
 
-func (f *follower) handle(s *peer.Session, call uint64, m wire.Message) {
+// handleMessage applies a message from a control host. It ignores other kinds of messages.
+func (f *follower) handleMessage(s *peer.Session, call uint64, m wire.Message) {
 	switch m := m.(type) {
 	case *wire.Upstreams:
-		f.merge(s.Remote().Host, m.All)
+		f.mergeUpstreams(s.Remote().Host, m.All)
 		if call != 0 {
 			_ = s.Reply(call, &wire.Ack{})
 		}
 	case *wire.Hosts:
-		f.book.Add(m.Control...)
-		if f.hosts != nil {
-			f.hosts(m.Entries)
+		f.controlHosts.Add(m.Control...)
+		if f.setEntryHostCount != nil {
+			f.setEntryHostCount(m.Entries)
 		}
 	case *wire.EngineLoads:
-		if f.loads != nil {
-			f.loads(f.read(s, m))
+		if f.setLoads != nil {
+			f.setLoads(f.decodeLoads(s, m))
 		}
 	case *wire.ConfigurationNotice:
-		f.noticed(s, m.Number)
+		f.handleNotice(s, m.Number)
 	case *wire.Suspicions:
 		if f.quarantine != nil {
 			f.quarantine.Merge(m.All)
@@ -152,9 +159,10 @@
 	}
 }
 
-// tellSuspicions tells all control hosts in touch. The others hear of it with the next session.
-func (n *Node) tellSuspicions(news []quarantine.Suspicion) {
-	m := &wire.Suspicions{All: news}
+// sendSuspicions sends new suspicions to all connected control hosts. A session whose queue is full
+// is closed, because the next session with that host starts by sending all suspicions.
+func (n *Node) sendSuspicions(updates []quarantine.Suspicion) {
+	m := &wire.Suspicions{All: updates}
 	for _, s := range n.pool.Sessions() {
 		if s.Remote().Replica != "" && s.Post(m) != nil {
 			s.Close()
@@ -162,69 +170,71 @@
 	}
 }
 
-// read returns the loads that a control host tells.
-func (f *follower) read(s *peer.Session, m *wire.EngineLoads) []wire.EngineLoad {
+// decodeLoads decodes the engine loads in a message and counts those that can't be decoded.
+func (f *follower) decodeLoads(s *peer.Session, m *wire.EngineLoads) []wire.EngineLoad {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	v := f.views[s]
-	if v == nil {
-		v = &engineload.Decoder{}
-		f.views[s] = v
+	decoder := f.loadDecoders[s]
+	if decoder == nil {
+		decoder = &engineload.Decoder{}
+		f.loadDecoders[s] = decoder
 	}
-	loads, unread := v.Decode(m)
-	metrics.GetOrRegisterCounter("engine-loads.unread", f.n.metrics).Inc(int64(unread))
+	loads, undecoded := decoder.Decode(m)
+	metrics.GetOrRegisterCounter("engine-loads.unread", f.n.metrics).Inc(int64(undecoded))
 	return loads
 }
 
-// noticed begins to fetch a configuration that is newer, or the first one.
-func (f *follower) noticed(s *peer.Session, number uint64) {
+// handleNotice starts to fetch a configuration that a control host has announced, if it is newer
+// than the one in force or the host doesn't have a current one yet.
+func (f *follower) handleNotice(s *peer.Session, number uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if number >= f.wanted {
 		f.wanted = number
 		f.source = s
 	}
-	if f.isBusy || f.isCurrent && f.wanted <= f.held {
+	if f.isFetching || f.isCurrent && f.wanted <= f.applied {
 		return
 	}
-	f.isBusy = true
+	f.isFetching = true
 	go f.fetch()
 }
 
-// fetch asks until the host has what it wants.
+// fetch requests configurations until the host has the highest announced one.
 func (f *follower) fetch() {
 	for {
 		f.mu.Lock()
-		if f.isCurrent && f.wanted <= f.held {
-			f.isBusy = false
+		if f.isCurrent && f.wanted <= f.applied {
+			f.isFetching = false
 			f.mu.Unlock()
 			return
 		}
-		source, isCurrent, held := f.source, f.isCurrent, f.held
+		source, isCurrent, applied := f.source, f.isCurrent, f.applied
 		f.mu.Unlock()
 		if !source.Alive() {
-			source = f.another(source)
+			source = f.otherControlSession(source)
 		}
-		if source == nil || !f.ask(source, held, !isCurrent && time.Since(f.started) < trustAfter) {
-			time.Sleep(fetchDelay)
-			f.turn()
+		if source == nil || !f.fetchFrom(source, applied, !isCurrent && time.Since(f.started) < linearizableTimeout) {
+			time.Sleep(fetchRetryDelay)
+			f.switchSource()
 		}
-		if f.number() > held {
-			// What is noticed meanwhile is fetched as one.
-			time.Sleep(f.rest)
+		if f.appliedNumber() > applied {
+			// If several configurations are announced during this pause, only the newest is
+			// fetched.
+			time.Sleep(f.minFetchInterval)
 		}
 	}
 }
 
-// number returns the number of the configuration in force.
-func (f *follower) number() uint64 {
+// appliedNumber returns the number of the configuration in force.
+func (f *follower) appliedNumber() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.held
+	return f.applied
 }
 
-// controlSession returns the live session with the control host of the lowest address,
-// so that hosts of one kind tell the same one; nil if there is none.
+// controlSession returns the live session with the control host that has the lowest address, nil if
+// there is none. All hosts that are connected to the same control hosts thus choose the same one.
 func (n *Node) controlSession() *peer.Session {
 	var lowest *peer.Session
 	for _, s := range n.pool.Sessions() {
@@ -236,54 +246,55 @@
 	return lowest
 }
 
-// another returns a live session with a control host, nil if there is none.
-func (f *follower) another(not *peer.Session) *peer.Session {
+// otherControlSession returns a live session with a control host other than the given one, nil if
+// there is none.
+func (f *follower) otherControlSession(excluded *peer.Session) *peer.Session {
 	for _, s := range f.n.pool.Sessions() {
-		if s != not && s.Remote().Replica != "" {
+		if s != excluded && s.Remote().Replica != "" {
 			return s
 		}
 	}
 	return nil
 }
 
-// turn asks another control host the next time.
-func (f *follower) turn() {
+// switchSource makes another control host, if there is one, the source of the next fetch.
+func (f *follower) switchSource() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if s := f.another(f.source); s != nil {
+	if s := f.otherControlSession(f.source); s != nil {
 		f.source = s
 	}
 }
 
-// ask puts the configuration of a control host into force. It reports whether the
-// control host answered.
-func (f *follower) ask(s *peer.Session, held uint64, isLinearizable bool) bool {
+// fetchFrom requests the configuration of a control host and puts it into force if it is newer than
+// applied. It reports whether the control host has the wanted configuration or a newer one.
+func (f *follower) fetchFrom(s *peer.Session, applied uint64, isLinearizable bool) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
-	reply, _, err := s.Call(ctx, &wire.ConfigurationQuery{Above: held, Linearizable: isLinearizable})
+	reply, _, err := s.Call(ctx, &wire.ConfigurationQuery{Above: applied, Linearizable: isLinearizable})
 	answer, ok := reply.(*wire.ConfigurationAnswer)
 	if err != nil || !ok {
-		f.n.log.Info("configuration not fetched", "from", s.Remote().Host, "held", held,
+		f.n.log.Info("configuration not fetched", "from", s.Remote().Host, "held", applied,
 			"linearizable", isLinearizable, "error", fmt.Sprint(err))
 		return false
 	}
-	if answer.Number > held && !f.apply(answer) {
+	if answer.Number > applied && !f.apply(answer) {
 		return false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.isCurrent = true
-	f.held = max(f.held, answer.Number)
+	f.applied = max(f.applied, answer.Number)
 	return answer.Number >= f.wanted
 }
 
 func (f *follower) apply(answer *wire.ConfigurationAnswer) bool {
-	table, err := f.n.platform.Decode(answer.Data)
+	table, err := f.n.platform.DecodeTable(answer.Data)
 	if err != nil {
-		f.n.log.Error("configuration can't be decoded", "configuration", answer.Number, "error", err.Error())
+		f.n.log.Error("can't decode configuration", "configuration", answer.Number, "error", err.Error())
 		return false
 	}
-	if f.configure(table) {
+	if f.applyTable(table) {
 		f.n.log.Info("configuration in force", "configuration", table.Number, "routes", len(table.Routes))
 	}
 	return true
