--- a/cmd/sassafraspost-node/main.go
+++ b/cmd/sassafraspost-node/main.go
@@ -34,7 +34,7 @@
 	signal.Ignore(syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	log, flush := telemetry.NewBoundedLogger(os.Stdout, slog.LevelInfo)
+	log, flush := telemetry.NewNonBlockingLogger(os.Stdout, slog.LevelInfo)
 	defer flush()
 	return node.Run(ctx, set, platform.Parts(path), log)
 }
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -220,7 +220,7 @@
 		{errors.New("broken"), 500, oas.ProblemVerdictMayHaveRun, ""},
 		{context.DeadlineExceeded, 500, oas.ProblemVerdictMayHaveRun, ""},
 		{verdict.New(verdict.NotRun, verdict.CodeKeyReused, "other text"), 422, oas.ProblemVerdictNotRun, ""},
-		{&document.ConflictError{Conflicts: []document.Conflict{{What: "workspace"}}}, 422, oas.ProblemVerdictNotRun, ""},
+		{&document.ConflictError{Conflicts: []document.Conflict{{Kind: "workspace"}}}, 422, oas.ProblemVerdictNotRun, ""},
 	}
 	for _, c := range cases {
 		a := put(t, serve(t, &fake{err: c.err}, nil), "team", "4", "text/plain", example(t, "entries"))
--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -270,7 +270,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := document.CheckTogether(append(others, doc)); err != nil {
+	if err := document.CheckConflicts(append(others, doc)); err != nil {
 		return nil, err
 	}
 	return &oas.Checked{Name: doc.Service.Name, Digest: doc.Digest.String()}, nil
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -142,7 +142,7 @@
 		texts = append(texts, text)
 		docs = append(docs, doc)
 	}
-	if err := document.CheckTogether(docs); err != nil {
+	if err := document.CheckConflicts(docs); err != nil {
 		return err
 	}
 	for i, doc := range docs {
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -90,7 +90,7 @@
 			docs = append(docs, parsed)
 		}
 	}
-	return document.CheckTogether(append(docs, submitted))
+	return document.CheckConflicts(append(docs, submitted))
 }
 
 // Init implements adminapi.Commands. It fails unless every control host in the settings
--- a/internal/daemon/resolver.go
+++ b/internal/daemon/resolver.go
@@ -42,7 +42,7 @@
 	if m == nil {
 		return p, refuse(verdict.CodeNotFound, "no such model in the document of this workspace")
 	}
-	if !b.Workspace.Models.Has(m.Name) {
+	if !b.Workspace.Models.Allows(m.Name) {
 		return p, refuse(verdict.CodeForbidden, "workspace may not use this model")
 	}
 	p.Kind = entry.KindModel
@@ -59,7 +59,7 @@
 	if s == nil {
 		return p, refuse(verdict.CodeNotFound, "no service at this path")
 	}
-	if !b.Workspace.Services.Has(s.Name) {
+	if !b.Workspace.Services.Allows(s.Name) {
 		return p, refuse(verdict.CodeForbidden, "workspace may not call this service")
 	}
 	p.Kind = entry.KindPlain
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -173,20 +173,20 @@
 	// Tokens are the SHA-256 of the callers' bearer tokens. Default: none.
 	Tokens []inifile.SHA256
 	// Models are those that the workspace may ask for. Default: the document's.
-	Models Selection
+	Models AllowList
 	// Services are those that the workspace may call. Default: the document's.
-	Services Selection
+	Services AllowList
 }
 
-// Selection is a choice among the names of a document.
-type Selection struct {
+// AllowList is a choice among the names of a document.
+type AllowList struct {
 	// All is set by * and by default.
 	All   bool
 	Names []string
 }
 
-// Has reports whether the selection holds the name.
-func (s Selection) Has(name string) bool {
+// Allows reports whether the selection holds the name.
+func (s AllowList) Allows(name string) bool {
 	if s.All {
 		return true
 	}
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -26,14 +26,14 @@
 func TestExamples(t *testing.T) {
 	entries := parse(t, string(example(t, "entries")))
 	outlooks := parse(t, string(example(t, "outlooks")))
-	require.NoError(t, CheckTogether([]*Document{entries, outlooks}))
+	require.NoError(t, CheckConflicts([]*Document{entries, outlooks}))
 
 	require.Equal(t, Digest(sha256.Sum256(example(t, "entries"))), entries.Digest)
 	require.Equal(t, 10*time.Second, entries.Priority("season").Deadline)
 	require.Equal(t, "marshals", entries.WorkspaceByToken(sha256.Sum256([]byte("example-marshal-token"))).Name)
 	require.Nil(t, entries.WorkspaceByToken(sha256.Sum256([]byte("other"))))
-	require.True(t, entries.Workspace("clubs").Models.Has("drafter"))
-	require.False(t, outlooks.Workspace("apps").Services.Has("dispatch"))
+	require.True(t, entries.Workspace("clubs").Models.Allows("drafter"))
+	require.False(t, outlooks.Workspace("apps").Services.Allows("dispatch"))
 	require.Equal(t, "outlook", outlooks.Model("outlook").Pool)
 }
 
@@ -171,9 +171,9 @@
 	base := "[service]\nname = one\n[model \"m\"]\nversion = 1\n[plain-service \"s\"]\npath-prefix = /s\n" +
 		"[workspace \"w\"]\ntoken-sha256 = " + strings.Repeat("ab", 32) + "\n"
 	one := parse(t, base)
-	require.NoError(t, CheckTogether([]*Document{one}))
+	require.NoError(t, CheckConflicts([]*Document{one}))
 	two := parse(t, strings.NewReplacer("one", "two", "/s", "/s/t").Replace(base))
-	err := CheckTogether([]*Document{one, two})
+	err := CheckConflicts([]*Document{one, two})
 	var conflict *ConflictError
 	require.ErrorAs(t, err, &conflict)
 	for _, want := range []string{
@@ -201,7 +201,7 @@
 			return
 		}
 		require.Equal(t, DigestOf(text), d.Digest)
-		require.NoError(t, CheckTogether([]*Document{d}))
+		require.NoError(t, CheckConflicts([]*Document{d}))
 		d.CallFor("POST", string(text))
 	})
 }
--- a/internal/document/parse.go
+++ b/internal/document/parse.go
@@ -75,33 +75,33 @@
 func (p *parser) parseService() {
 	s := p.file.Section("service")
 	p.doc.Service = Service{
-		Name: inifile.Need(s, "name", inifile.Name),
-		Kind: inifile.Get(s, "kind", KindMixed, inifile.OneOf(KindModel, KindService, KindMixed)),
+		Name: inifile.Required(s, "name", inifile.Name),
+		Kind: inifile.Optional(s, "kind", KindMixed, inifile.OneOf(KindModel, KindService, KindMixed)),
 	}
 }
 
 func (p *parser) parseObjective() {
 	s := p.file.Section("objective")
 	p.doc.Objective = Objective{
-		SkewWeight:      inifile.Get(s, "skew-weight", 1, inifile.Number(0)),
-		RebalanceWeight: inifile.Get(s, "rebalance-weight", 1, inifile.Number(0)),
-		Deadline:        inifile.Get(s, "deadline", 30*time.Second, inifile.Duration),
+		SkewWeight:      inifile.Optional(s, "skew-weight", 1, inifile.Number(0)),
+		RebalanceWeight: inifile.Optional(s, "rebalance-weight", 1, inifile.Number(0)),
+		Deadline:        inifile.Optional(s, "deadline", 30*time.Second, inifile.Duration),
 	}
 }
 
 func (p *parser) parseModels() {
-	for _, s := range p.file.Named("model") {
+	for _, s := range p.file.NamedSections("model") {
 		m := &Model{
 			Name:          s.Name(),
-			Pool:          inifile.Get(s, "pool", s.Name(), inifile.Name),
-			Version:       inifile.Need(s, "version", inifile.Name),
-			Adapters:      inifile.Get(s, "adapters", nil, inifile.List(inifile.Name)),
-			Role:          inifile.Get(s, "role", RoleUnified, inifile.OneOf(RoleUnified, RolePrefill, RoleDecode)),
-			ChecksFencing: inifile.Get(s, "checks-fencing", false, inifile.Bool),
-			Resumable:     inifile.Get(s, "resumable", false, inifile.Bool),
+			Pool:          inifile.Optional(s, "pool", s.Name(), inifile.Name),
+			Version:       inifile.Required(s, "version", inifile.Name),
+			Adapters:      inifile.Optional(s, "adapters", nil, inifile.List(inifile.Name)),
+			Role:          inifile.Optional(s, "role", RoleUnified, inifile.OneOf(RoleUnified, RolePrefill, RoleDecode)),
+			ChecksFencing: inifile.Optional(s, "checks-fencing", false, inifile.Bool),
+			Resumable:     inifile.Optional(s, "resumable", false, inifile.Bool),
 		}
 		if p.doc.Service.Kind == KindService {
-			s.Fail("", "a service of kind %s has no models", KindService)
+			s.Errorf("", "a service of kind %s has no models", KindService)
 		}
 		p.doc.Models = append(p.doc.Models, m)
 		p.doc.models[m.Name] = m
@@ -109,17 +109,17 @@
 }
 
 func (p *parser) parseGroups() {
-	for _, s := range p.file.Named("group") {
+	for _, s := range p.file.NamedSections("group") {
 		g := &Group{
 			Name:         s.Name(),
-			Model:        inifile.Need(s, "model", inifile.Name),
-			Ranks:        inifile.Need(s, "ranks", inifile.Int(1, MaxRanks)),
-			Experts:      inifile.Need(s, "experts", inifile.Int(1, MaxExperts)),
-			Layers:       inifile.Need(s, "layers", inifile.Int(1, MaxLayers)),
-			SlotsPerRank: inifile.Need(s, "slots-per-rank", inifile.Int(1, MaxSlotsPerRank)),
+			Model:        inifile.Required(s, "model", inifile.Name),
+			Ranks:        inifile.Required(s, "ranks", inifile.Int(1, MaxRanks)),
+			Experts:      inifile.Required(s, "experts", inifile.Int(1, MaxExperts)),
+			Layers:       inifile.Required(s, "layers", inifile.Int(1, MaxLayers)),
+			SlotsPerRank: inifile.Required(s, "slots-per-rank", inifile.Int(1, MaxSlotsPerRank)),
 		}
 		if g.Ranks > 0 && g.SlotsPerRank > 0 && g.Ranks*g.SlotsPerRank < g.Experts {
-			s.Fail("slots-per-rank", "%d ranks with %d slots cannot hold %d experts", g.Ranks, g.SlotsPerRank, g.Experts)
+			s.Errorf("slots-per-rank", "%d ranks with %d slots cannot hold %d experts", g.Ranks, g.SlotsPerRank, g.Experts)
 		}
 		p.groups = append(p.groups, s)
 		p.doc.Groups = append(p.doc.Groups, g)
@@ -129,17 +129,17 @@
 
 func (p *parser) parseServices() {
 	owners := map[string]string{}
-	for _, s := range p.file.Named("plain-service") {
+	for _, s := range p.file.NamedSections("plain-service") {
 		v := &PlainService{
 			Name:       s.Name(),
-			Pool:       inifile.Get(s, "pool", s.Name(), inifile.Name),
-			PathPrefix: inifile.Need(s, "path-prefix", pathPrefix),
+			Pool:       inifile.Optional(s, "pool", s.Name(), inifile.Name),
+			PathPrefix: inifile.Required(s, "path-prefix", pathPrefix),
 		}
 		if owner, ok := owners[v.PathPrefix]; ok && v.PathPrefix != "" {
-			s.Fail("path-prefix", "is the prefix of plain service %q too", owner)
+			s.Errorf("path-prefix", "is the prefix of plain service %q too", owner)
 		}
 		if p.doc.Service.Kind == KindModel {
-			s.Fail("", "a service of kind %s has no plain services", KindModel)
+			s.Errorf("", "a service of kind %s has no plain services", KindModel)
 		}
 		owners[v.PathPrefix] = v.Name
 		p.doc.Services = append(p.doc.Services, v)
@@ -173,14 +173,14 @@
 }
 
 func (p *parser) parseCalls() {
-	for _, s := range p.file.Named("call") {
+	for _, s := range p.file.NamedSections("call") {
 		c := &Call{
 			Name:    s.Name(),
-			Service: inifile.Need(s, "service", inifile.Name),
-			Method:  inifile.Need(s, "method", inifile.OneOf(methods...)),
-			Path:    inifile.Need(s, "path", pathPattern),
+			Service: inifile.Required(s, "service", inifile.Name),
+			Method:  inifile.Required(s, "method", inifile.OneOf(methods...)),
+			Path:    inifile.Required(s, "path", pathPattern),
 		}
-		c.Idempotent = inifile.Get(s, "idempotent", slices.Contains(idempotentMethods, c.Method), inifile.Bool)
+		c.Idempotent = inifile.Optional(s, "idempotent", slices.Contains(idempotentMethods, c.Method), inifile.Bool)
 		c.segments = split(c.Path)
 		p.calls = append(p.calls, s)
 		p.doc.Calls = append(p.doc.Calls, c)
@@ -214,11 +214,11 @@
 }
 
 func (p *parser) parsePriorities() {
-	for _, s := range p.file.Named("priority") {
+	for _, s := range p.file.NamedSections("priority") {
 		c := &Priority{
 			Name:     s.Name(),
-			Rank:     inifile.Need(s, "rank", inifile.Int(0, LowestPriority)),
-			Deadline: inifile.Get(s, "deadline", p.doc.Objective.Deadline, inifile.Duration),
+			Rank:     inifile.Required(s, "rank", inifile.Int(0, LowestPriority)),
+			Deadline: inifile.Optional(s, "deadline", p.doc.Objective.Deadline, inifile.Duration),
 		}
 		p.doc.Priorities = append(p.doc.Priorities, c)
 		p.doc.priorities[c.Name] = c
@@ -226,17 +226,17 @@
 }
 
 func (p *parser) parseWorkspaces() {
-	for _, s := range p.file.Named("workspace") {
+	for _, s := range p.file.NamedSections("workspace") {
 		w := &Workspace{
 			Name:                 s.Name(),
-			Share:                inifile.Get(s, "share", 1, inifile.Number(minShare)),
-			MaxRequestsPerSecond: inifile.Get(s, "max-requests-per-second", 0, inifile.Number(0)),
-			MaxConcurrent:        inifile.Get(s, "max-concurrent", 0, inifile.Int(0, maxConcurrent)),
-			MaxTokensPerSecond:   inifile.Get(s, "max-tokens-per-second", 0, inifile.Number(0)),
-			Priority:             inifile.Get(s, "priority", "", inifile.Name),
-			Tokens:               inifile.Get(s, "token-sha256", nil, inifile.List(inifile.ParseSHA256)),
-			Models:               inifile.Get(s, "models", Selection{All: true}, selection),
-			Services:             inifile.Get(s, "services", Selection{All: true}, selection),
+			Share:                inifile.Optional(s, "share", 1, inifile.Number(minShare)),
+			MaxRequestsPerSecond: inifile.Optional(s, "max-requests-per-second", 0, inifile.Number(0)),
+			MaxConcurrent:        inifile.Optional(s, "max-concurrent", 0, inifile.Int(0, maxConcurrent)),
+			MaxTokensPerSecond:   inifile.Optional(s, "max-tokens-per-second", 0, inifile.Number(0)),
+			Priority:             inifile.Optional(s, "priority", "", inifile.Name),
+			Tokens:               inifile.Optional(s, "token-sha256", nil, inifile.List(inifile.ParseSHA256)),
+			Models:               inifile.Optional(s, "models", AllowList{All: true}, selection),
+			Services:             inifile.Optional(s, "services", AllowList{All: true}, selection),
 		}
 		p.workspaces = append(p.workspaces, s)
 		p.doc.Workspaces = append(p.doc.Workspaces, w)
@@ -248,17 +248,17 @@
 func (p *parser) bindTokens(s *inifile.Section, w *Workspace) {
 	for _, token := range w.Tokens {
 		if owner, ok := p.doc.tokens[token]; ok {
-			s.Fail("token-sha256", "%s is a token of workspace %q too", token, owner.Name)
+			s.Errorf("token-sha256", "%s is a token of workspace %q too", token, owner.Name)
 			continue
 		}
 		p.doc.tokens[token] = w
 	}
 }
 
-func selection(text string) (Selection, error) {
+func selection(text string) (AllowList, error) {
 	if text == "*" {
-		return Selection{All: true}, nil
+		return AllowList{All: true}, nil
 	}
 	names, err := inifile.List(inifile.Name)(text)
-	return Selection{Names: names}, err
+	return AllowList{Names: names}, err
 }
--- a/internal/document/references.go
+++ b/internal/document/references.go
@@ -8,7 +8,7 @@
 func (p *parser) checkReferences() {
 	for i, g := range p.doc.Groups {
 		if g.Model != "" && p.doc.Model(g.Model) == nil {
-			p.groups[i].Fail("model", "unknown model %q", g.Model)
+			p.groups[i].Errorf("model", "unknown model %q", g.Model)
 		}
 	}
 	for i, c := range p.doc.Calls {
@@ -26,18 +26,18 @@
 	}
 	service := p.doc.PlainService(c.Service)
 	if service == nil {
-		s.Fail("service", "unknown plain service %q", c.Service)
+		s.Errorf("service", "unknown plain service %q", c.Service)
 		return
 	}
 	if c.Path == "" || service.PathPrefix == "" {
 		return
 	}
 	if !under(c.Path, service.PathPrefix) {
-		s.Fail("path", "%q does not lie under the prefix %q of its service", c.Path, service.PathPrefix)
+		s.Errorf("path", "%q does not lie under the prefix %q of its service", c.Path, service.PathPrefix)
 		return
 	}
 	if owner := p.doc.PlainServiceFor(c.Path); owner != service {
-		s.Fail("path", "%q lies under the longer prefix of plain service %q", c.Path, owner.Name)
+		s.Errorf("path", "%q lies under the longer prefix of plain service %q", c.Path, owner.Name)
 	}
 }
 
@@ -49,7 +49,7 @@
 	for i, c := range p.doc.Calls {
 		at := endpoint{c.Method, c.Path}
 		if owner, ok := owners[at]; ok && c.Path != "" {
-			p.calls[i].Fail("path", "call %q has the same method and path", owner)
+			p.calls[i].Errorf("path", "call %q has the same method and path", owner)
 			continue
 		}
 		owners[at] = c.Name
@@ -58,16 +58,16 @@
 
 func (p *parser) checkWorkspace(s *inifile.Section, w *Workspace) {
 	if w.Priority != "" && p.doc.Priority(w.Priority) == nil {
-		s.Fail("priority", "unknown priority %q", w.Priority)
+		s.Errorf("priority", "unknown priority %q", w.Priority)
 	}
 	for _, name := range w.Models.Names {
 		if p.doc.Model(name) == nil {
-			s.Fail("models", "unknown model %q", name)
+			s.Errorf("models", "unknown model %q", name)
 		}
 	}
 	for _, name := range w.Services.Names {
 		if p.doc.PlainService(name) == nil {
-			s.Fail("services", "unknown plain service %q", name)
+			s.Errorf("services", "unknown plain service %q", name)
 		}
 	}
 }
--- a/internal/document/together.go
+++ b/internal/document/together.go
@@ -7,8 +7,8 @@
 
 // Conflict is a name or path that two documents claim.
 type Conflict struct {
-	// What is the kind of the name, such as "workspace".
-	What string
+	// Kind is the kind of the name, such as "workspace".
+	Kind string
 	// Value is the name or path as the later document spells it.
 	Value string
 	// Owner is the document that came first in the list.
@@ -19,7 +19,7 @@
 
 // String returns the conflict on one line.
 func (c Conflict) String() string {
-	return c.Claimant + ": " + c.What + " " + c.Value + " belongs to document " + c.Owner
+	return c.Claimant + ": " + c.Kind + " " + c.Value + " belongs to document " + c.Owner
 }
 
 // ConflictError holds every conflict between documents.
@@ -37,17 +37,17 @@
 // claim is a name that a document takes for itself.
 type claim struct{ what, value string }
 
-// CheckTogether looks for names that more than one of the documents takes: those
+// CheckConflicts looks for names that more than one of the documents takes: those
 // of the service, workspaces, their tokens, models, groups, pools, plain services
 // and path prefixes, of which none may lie under one of another document. Earlier
 // documents own what they name. The error is a *ConflictError.
-func CheckTogether(docs []*Document) error {
+func CheckConflicts(docs []*Document) error {
 	var conflicts []Conflict
 	owners := map[claim]string{}
 	for i, d := range docs {
 		for _, c := range d.claims() {
 			if owner, ok := owners[c]; ok {
-				conflicts = append(conflicts, Conflict{What: c.what, Value: c.value, Owner: owner, Claimant: d.Service.Name})
+				conflicts = append(conflicts, Conflict{Kind: c.what, Value: c.value, Owner: owner, Claimant: d.Service.Name})
 			}
 		}
 		for _, c := range d.claims() {
@@ -98,7 +98,7 @@
 		for _, other := range earlier {
 			if other.overlaps(s.PathPrefix) {
 				conflicts = append(conflicts, Conflict{
-					What: "path-prefix", Value: s.PathPrefix,
+					Kind: "path-prefix", Value: s.PathPrefix,
 					Owner: other.Service.Name, Claimant: d.Service.Name,
 				})
 			}
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -20,7 +20,7 @@
 
 func newCounters(reg metrics.Registry) counters {
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("gateway."+name, reg) }
-	latency := func(name string) *telemetry.Latency { return telemetry.GetLatency("gateway."+name, reg) }
+	latency := func(name string) *telemetry.Latency { return telemetry.GetOrRegisterLatency("gateway."+name, reg) }
 	return counters{
 		registry:    reg,
 		budgetEmpty: counter("retries.budget-empty"), queued: counter("queue.entered"), queueWait: latency("queue"), streamsCut: counter("streams.cut"),
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -95,9 +95,9 @@
 	return &Section{file: f, header: header, read: map[string]bool{}}
 }
 
-// Named returns the sections [kind "NAME"] in the order of the text. A name that
+// NamedSections returns the sections [kind "NAME"] in the order of the text. A name that
 // is not well formed is a fault.
-func (f *File) Named(kind string) []*Section {
+func (f *File) NamedSections(kind string) []*Section {
 	var found []*Section
 	for _, s := range f.sections {
 		quoted, ok := strings.CutPrefix(s.header, kind+" ")
@@ -107,13 +107,13 @@
 		s.known = true
 		s.name = strings.Trim(strings.TrimSpace(quoted), `"`)
 		if quoted != `"`+s.name+`"` {
-			s.Fail("", `header is not of the form [%s "NAME"]`, kind)
-			s.Ignore()
+			s.Errorf("", `header is not of the form [%s "NAME"]`, kind)
+			s.IgnoreKeys()
 			continue
 		}
 		if _, err := Name(s.name); err != nil {
-			s.Fail("", "%s", err)
-			s.Ignore()
+			s.Errorf("", "%s", err)
+			s.IgnoreKeys()
 			continue
 		}
 		found = append(found, s)
@@ -140,12 +140,12 @@
 
 func (f *File) failUnread(s *Section) {
 	if !s.known {
-		s.Fail("", "unknown section")
+		s.Errorf("", "unknown section")
 		return
 	}
 	for _, key := range s.raw.Keys() {
 		if !s.read[key.Name()] {
-			s.Fail(key.Name(), "unknown key")
+			s.Errorf(key.Name(), "unknown key")
 		}
 	}
 }
@@ -158,14 +158,14 @@
 	f.err.Problems = append(f.err.Problems, p)
 }
 
-// Present reports whether the text holds the section.
-func (s *Section) Present() bool { return s.raw != nil }
+// Exists reports whether the text holds the section.
+func (s *Section) Exists() bool { return s.raw != nil }
 
 // Name returns NAME of a section [kind "NAME"].
 func (s *Section) Name() string { return s.name }
 
-// Fail records a fault of a key, or of the section where key is empty.
-func (s *Section) Fail(key, format string, args ...any) {
+// Errorf records a fault of a key, or of the section where key is empty.
+func (s *Section) Errorf(key, format string, args ...any) {
 	s.file.fail(Problem{
 		Section: s.header,
 		Key:     key,
@@ -174,8 +174,8 @@
 	})
 }
 
-// Ignore marks every key as read, for a section whose faults were already told.
-func (s *Section) Ignore() {
+// IgnoreKeys marks every key as read, for a section whose faults were already told.
+func (s *Section) IgnoreKeys() {
 	if s.raw == nil {
 		return
 	}
@@ -194,29 +194,29 @@
 	return value, value != ""
 }
 
-// Get reads an optional key. A key that is missing, empty or faulty reads as def.
-func Get[T any](s *Section, key string, def T, parse func(string) (T, error)) T {
+// Optional reads an optional key. A key that is missing, empty or faulty reads as def.
+func Optional[T any](s *Section, key string, def T, parse func(string) (T, error)) T {
 	text, ok := s.lookup(key)
 	if !ok {
 		return def
 	}
 	value, err := parse(text)
 	if err != nil {
-		s.Fail(key, "%s", err)
+		s.Errorf(key, "%s", err)
 		return def
 	}
 	return value
 }
 
-// Need reads a key that must be there. A key that is missing, empty or faulty is
+// Required reads a key that must be there. A key that is missing, empty or faulty is
 // a fault and reads as the zero value.
-func Need[T any](s *Section, key string, parse func(string) (T, error)) T {
+func Required[T any](s *Section, key string, parse func(string) (T, error)) T {
 	var zero T
 	if _, ok := s.lookup(key); !ok {
-		s.Fail(key, "is required")
+		s.Errorf(key, "is required")
 		return zero
 	}
-	return Get(s, key, zero, parse)
+	return Optional(s, key, zero, parse)
 }
 
 // List turns the parser of one element into the parser of a list, in which
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -28,23 +28,23 @@
 func TestValuesAreTakenAsTheyStand(t *testing.T) {
 	f, err := Parse("test", []byte("[a]\npath = /x#y ; comment\nother = %(path)s\n[a.b]\n"), 100)
 	require.NoError(t, err)
-	require.Equal(t, "/x#y", Get(f.Section("a"), "path", "", String))
-	require.Equal(t, "%(path)s", Get(f.Section("a"), "other", "", String))
-	require.Empty(t, Get(f.Section("a.b"), "path", "", String))
+	require.Equal(t, "/x#y", Optional(f.Section("a"), "path", "", String))
+	require.Equal(t, "%(path)s", Optional(f.Section("a"), "other", "", String))
+	require.Empty(t, Optional(f.Section("a.b"), "path", "", String))
 	require.NoError(t, f.Err())
 }
 
 func TestRepeatedSection(t *testing.T) {
 	f, err := Parse("test", []byte("[a]\nx = 1\n[a]\ny = 2\n"), 100)
 	require.NoError(t, err)
-	f.Section("a").Ignore()
+	f.Section("a").IgnoreKeys()
 	require.EqualError(t, f.Err(), "test: [a]: section stands twice (line 3)")
 }
 
 func TestProblemsAreBounded(t *testing.T) {
 	f, err := Parse("test", []byte("[a]\n"+strings.Repeat("x = 1\n", MaxProblems+10)), 100000)
 	require.NoError(t, err)
-	f.Section("a").Ignore()
+	f.Section("a").IgnoreKeys()
 	var faults *Error
 	require.ErrorAs(t, f.Err(), &faults)
 	require.Len(t, faults.Problems, MaxProblems+1)
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -66,7 +66,7 @@
 		dialsLate:       metrics.GetOrRegisterCounter("peer.dials.late", reg),
 		accepted:        metrics.GetOrRegisterCounter("peer.accepted", reg),
 		gaveUp:          metrics.GetOrRegisterCounter("peer.gave-up", reg),
-		wait:            telemetry.GetLatency("peer.queue-wait", reg),
+		wait:            telemetry.GetOrRegisterLatency("peer.queue-wait", reg),
 		registry:        reg,
 		byKind:          make(map[wire.Kind]counts),
 	}
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -56,26 +56,26 @@
 	if s.HasRole(r) {
 		return true
 	}
-	section.Ignore()
-	if section.Present() && len(s.Host.Roles) > 0 {
-		section.Fail("", "the host does not have the role %s", r)
+	section.IgnoreKeys()
+	if section.Exists() && len(s.Host.Roles) > 0 {
+		section.Errorf("", "the host does not have the role %s", r)
 	}
 	return false
 }
 
 func parseHost(s *inifile.Section) Host {
 	return Host{
-		Name:          inifile.Need(s, "name", inifile.Name),
-		DataCentre:    inifile.Need(s, "data-centre", inifile.Name),
-		Roles:         inifile.Need(s, "roles", inifile.List(inifile.OneOf(RoleEntry, RoleControl, RoleAgent))),
-		ShutdownGrace: inifile.Get(s, "shutdown-grace", 30*time.Second, inifile.Duration),
+		Name:          inifile.Required(s, "name", inifile.Name),
+		DataCentre:    inifile.Required(s, "data-centre", inifile.Name),
+		Roles:         inifile.Required(s, "roles", inifile.List(inifile.OneOf(RoleEntry, RoleControl, RoleAgent))),
+		ShutdownGrace: inifile.Optional(s, "shutdown-grace", 30*time.Second, inifile.Duration),
 	}
 }
 
 func parseLog(s *inifile.Section) Log {
 	return Log{
-		Format: inifile.Get(s, "format", LogJSON, inifile.OneOf(LogJSON, LogText)),
-		Level:  inifile.Get(s, "level", slog.LevelInfo, level),
+		Format: inifile.Optional(s, "format", LogJSON, inifile.OneOf(LogJSON, LogText)),
+		Level:  inifile.Optional(s, "level", slog.LevelInfo, level),
 	}
 }
 
@@ -95,39 +95,39 @@
 
 func parsePeer(s *inifile.Section) Peer {
 	p := Peer{
-		Listen: inifile.Need(s, "listen", inifile.AddrPort),
+		Listen: inifile.Required(s, "listen", inifile.AddrPort),
 		Secret: parseSecret(s),
 		TLS:    parseTLS(s, "tls-certificate", "tls-key"),
-		CAFile: inifile.Get(s, "tls-ca", "", inifile.String),
+		CAFile: inifile.Optional(s, "tls-ca", "", inifile.String),
 	}
-	p.Advertise = inifile.Get(s, "advertise", p.Listen, inifile.AddrPort)
+	p.Advertise = inifile.Optional(s, "advertise", p.Listen, inifile.AddrPort)
 	if p.Advertise.IsValid() && p.Advertise.Addr().IsUnspecified() {
-		s.Fail("advertise", "%s is not an address that others can reach", p.Advertise)
+		s.Errorf("advertise", "%s is not an address that others can reach", p.Advertise)
 	}
 	if p.CAFile != "" && !p.TLS.Enabled() {
-		s.Fail("tls-ca", "has no effect without tls-certificate")
+		s.Errorf("tls-ca", "has no effect without tls-certificate")
 	}
 	return p
 }
 
 func parseSecret(s *inifile.Section) Secret {
-	secret := inifile.Get(s, "secret", "", inifile.String)
-	file := inifile.Get(s, "secret-file", "", inifile.String)
+	secret := inifile.Optional(s, "secret", "", inifile.String)
+	file := inifile.Optional(s, "secret-file", "", inifile.String)
 	switch {
 	case secret != "" && file != "":
-		s.Fail("secret-file", "only one of secret and secret-file may be set")
+		s.Errorf("secret-file", "only one of secret and secret-file may be set")
 		return ""
 	case file != "":
-		secret = inifile.Get(s, "secret-file", "", readSecret)
+		secret = inifile.Optional(s, "secret-file", "", readSecret)
 		if secret == "" {
 			return ""
 		}
 	case secret == "":
-		s.Fail("secret", "one of secret and secret-file is required")
+		s.Errorf("secret", "one of secret and secret-file is required")
 		return ""
 	}
-	if len(secret) < MinSecret {
-		s.Fail("secret", "is shorter than %d characters", MinSecret)
+	if len(secret) < MinSecretLength {
+		s.Errorf("secret", "is shorter than %d characters", MinSecretLength)
 	}
 	return Secret(secret)
 }
@@ -146,30 +146,30 @@
 
 func parseTLS(s *inifile.Section, certificate, key string) TLS {
 	t := TLS{
-		CertificateFile: inifile.Get(s, certificate, "", inifile.String),
-		KeyFile:         inifile.Get(s, key, "", inifile.String),
+		CertificateFile: inifile.Optional(s, certificate, "", inifile.String),
+		KeyFile:         inifile.Optional(s, key, "", inifile.String),
 	}
 	if (t.CertificateFile == "") != (t.KeyFile == "") {
-		s.Fail(certificate, "%s and %s must be set together", certificate, key)
+		s.Errorf(certificate, "%s and %s must be set together", certificate, key)
 	}
 	return t
 }
 
 func optionalAddr(s *inifile.Section, key string) netip.AddrPort {
-	return inifile.Get(s, key, netip.AddrPort{}, inifile.AddrPort)
+	return inifile.Optional(s, key, netip.AddrPort{}, inifile.AddrPort)
 }
 
 func needAddrs(s *inifile.Section, key string) []netip.AddrPort {
-	return inifile.Need(s, key, inifile.List(inifile.AddrPort))
+	return inifile.Required(s, key, inifile.List(inifile.AddrPort))
 }
 
 func parseControl(s *inifile.Section) Control {
 	return Control{
-		DataFolder:      inifile.Need(s, "data-folder", inifile.String),
-		Tick:            inifile.Get(s, "tick", 100*time.Millisecond, inifile.Duration),
-		SnapshotEntries: inifile.Get(s, "snapshot-entries", 4096, inifile.Int(1, maxCount)),
-		ClaimRetention:  inifile.Get(s, "claim-retention", 24*time.Hour, inifile.Duration),
-		APIListen:       inifile.Need(s, "api-listen", inifile.AddrPort),
+		DataFolder:      inifile.Required(s, "data-folder", inifile.String),
+		Tick:            inifile.Optional(s, "tick", 100*time.Millisecond, inifile.Duration),
+		SnapshotEntries: inifile.Optional(s, "snapshot-entries", 4096, inifile.Int(1, maxCount)),
+		ClaimRetention:  inifile.Optional(s, "claim-retention", 24*time.Hour, inifile.Duration),
+		APIListen:       inifile.Required(s, "api-listen", inifile.AddrPort),
 		APITLS:          parseTLS(s, "api-tls-certificate", "api-tls-key"),
 		Peers:           needAddrs(s, "peers"),
 	}
@@ -177,19 +177,19 @@
 
 func parseEntry(s *inifile.Section) Entry {
 	return Entry{
-		Listen:          inifile.Need(s, "listen", inifile.AddrPort),
+		Listen:          inifile.Required(s, "listen", inifile.AddrPort),
 		TLS:             parseTLS(s, "tls-certificate", "tls-key"),
 		Control:         needAddrs(s, "control"),
-		Entries:         inifile.Need(s, "entries", entryHosts),
-		MaxBody:         inifile.Get(s, "max-body", inifile.MiB, inifile.Size),
-		MaxHeader:       inifile.Get(s, "max-header", 32*inifile.KiB, inifile.Size),
-		QueueLimit:      inifile.Get(s, "queue-limit", 1024, inifile.Int(1, maxCount)),
-		RequestTimeout:  inifile.Get(s, "request-timeout", 2*time.Minute, inifile.Duration),
-		IdleTimeout:     inifile.Get(s, "idle-timeout", time.Minute, inifile.Duration),
-		MaxSessions:     inifile.Get(s, "max-sessions", 10000, inifile.Int(1, maxCount)),
-		DataCentres:     inifile.Get(s, "data-centres", 1, inifile.Int(1, 64)),
-		PrefixCacheSize: inifile.Get(s, "prefix-cache-size", 100000, inifile.Int(1, maxCount)),
-		RetryBudget:     inifile.Get(s, "retry-budget", 0.1, inifile.Number(0)),
+		Entries:         inifile.Required(s, "entries", entryHosts),
+		MaxBody:         inifile.Optional(s, "max-body", inifile.MiB, inifile.Size),
+		MaxHeader:       inifile.Optional(s, "max-header", 32*inifile.KiB, inifile.Size),
+		QueueLimit:      inifile.Optional(s, "queue-limit", 1024, inifile.Int(1, maxCount)),
+		RequestTimeout:  inifile.Optional(s, "request-timeout", 2*time.Minute, inifile.Duration),
+		IdleTimeout:     inifile.Optional(s, "idle-timeout", time.Minute, inifile.Duration),
+		MaxSessions:     inifile.Optional(s, "max-sessions", 10000, inifile.Int(1, maxCount)),
+		DataCentres:     inifile.Optional(s, "data-centres", 1, inifile.Int(1, 64)),
+		PrefixCacheSize: inifile.Optional(s, "prefix-cache-size", 100000, inifile.Int(1, maxCount)),
+		RetryBudget:     inifile.Optional(s, "retry-budget", 0.1, inifile.Number(0)),
 	}
 }
 
@@ -229,17 +229,17 @@
 
 func parseAgent(s *inifile.Section) Agent {
 	a := Agent{
-		UpstreamURL:      inifile.Need(s, "upstream-url", upstreamURL),
-		Kind:             inifile.Need(s, "kind", inifile.OneOf(UpstreamModel, UpstreamService)),
-		Pool:             inifile.Need(s, "pool", inifile.Name),
+		UpstreamURL:      inifile.Required(s, "upstream-url", upstreamURL),
+		Kind:             inifile.Required(s, "kind", inifile.OneOf(UpstreamModel, UpstreamService)),
+		Pool:             inifile.Required(s, "pool", inifile.Name),
 		Entries:          needAddrs(s, "entries"),
 		Control:          needAddrs(s, "control"),
-		Capacity:         inifile.Get(s, "capacity", 64, inifile.Int(1, maxCount)),
-		Group:            inifile.Get(s, "group", "", inifile.Name),
-		FirstRank:        inifile.Get(s, "first-rank", 0, inifile.Int(0, maxRanks-1)),
-		Ranks:            inifile.Get(s, "ranks", 0, inifile.Int(1, maxRanks)),
-		AnnounceInterval: inifile.Get(s, "announce-interval", time.Second, inifile.Duration),
-		PlanInterval:     inifile.Get(s, "plan-interval", 10*time.Second, inifile.Duration),
+		Capacity:         inifile.Optional(s, "capacity", 64, inifile.Int(1, maxCount)),
+		Group:            inifile.Optional(s, "group", "", inifile.Name),
+		FirstRank:        inifile.Optional(s, "first-rank", 0, inifile.Int(0, maxRanks-1)),
+		Ranks:            inifile.Optional(s, "ranks", 0, inifile.Int(1, maxRanks)),
+		AnnounceInterval: inifile.Optional(s, "announce-interval", time.Second, inifile.Duration),
+		PlanInterval:     inifile.Optional(s, "plan-interval", 10*time.Second, inifile.Duration),
 	}
 	checkRanks(s, &a)
 	return a
@@ -248,18 +248,18 @@
 func checkRanks(s *inifile.Section, a *Agent) {
 	if a.Group == "" {
 		if a.Ranks != 0 || a.FirstRank != 0 {
-			s.Fail("ranks", "ranks are served by a group only")
+			s.Errorf("ranks", "ranks are served by a group only")
 		}
 		return
 	}
 	if a.Kind == UpstreamService {
-		s.Fail("group", "a plain service has no group")
+		s.Errorf("group", "a plain service has no group")
 	}
 	if a.Ranks == 0 {
 		a.Ranks = 1
 	}
 	if a.FirstRank+a.Ranks > maxRanks {
-		s.Fail("ranks", "ranks beyond %d", maxRanks-1)
+		s.Errorf("ranks", "ranks beyond %d", maxRanks-1)
 	}
 }
 
@@ -280,19 +280,19 @@
 func parseOperators(f *inifile.File) []Operator {
 	var operators []Operator
 	owners := map[inifile.SHA256]string{}
-	for _, s := range f.Named("operator") {
+	for _, s := range f.NamedSections("operator") {
 		op := Operator{
 			Name:      s.Name(),
-			TokenHash: inifile.Need(s, "token-sha256", inifile.ParseSHA256),
-			Admin:     inifile.Get(s, "admin", false, inifile.Bool),
+			TokenHash: inifile.Required(s, "token-sha256", inifile.ParseSHA256),
+			Admin:     inifile.Optional(s, "admin", false, inifile.Bool),
 		}
-		if all := inifile.Get(s, "documents", "", inifile.String); all == "*" {
+		if all := inifile.Optional(s, "documents", "", inifile.String); all == "*" {
 			op.AllDocuments = true
 		} else {
-			op.Documents = inifile.Get(s, "documents", nil, inifile.List(inifile.Name))
+			op.Documents = inifile.Optional(s, "documents", nil, inifile.List(inifile.Name))
 		}
 		if owner, ok := owners[op.TokenHash]; ok && op.TokenHash != (inifile.SHA256{}) {
-			s.Fail("token-sha256", "is the token of operator %q too", owner)
+			s.Errorf("token-sha256", "is the token of operator %q too", owner)
 		}
 		owners[op.TokenHash] = s.Name()
 		operators = append(operators, op)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,8 +17,8 @@
 // MaxSize bounds the settings file.
 const MaxSize = 1 << 20
 
-// MinSecret is the least length of the shared secret, in bytes.
-const MinSecret = 16
+// MinSecretLength is the least length of the shared secret, in bytes.
+const MinSecretLength = 16
 
 // Role is a part that a daemon plays.
 type Role string
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -22,11 +22,11 @@
 	flushTimeout = 200 * time.Millisecond
 )
 
-// NewBoundedLogger returns a logger of JSON lines that never waits for its reader: lines
+// NewNonBlockingLogger returns a logger of JSON lines that never waits for its reader: lines
 // go through a queue to one goroutine, and each kind of line has a limit a second. Lines
 // that were left out are counted: "suppressed" by the limit in the next line of the
 // kind, "dropped" by the queue. Flush waits a little for what is queued.
-func NewBoundedLogger(w io.Writer, level slog.Level) (log *slog.Logger, flush func()) {
+func NewNonBlockingLogger(w io.Writer, level slog.Level) (log *slog.Logger, flush func()) {
 	q := &queueWriter{lines: make(chan []byte, boundedQueue), done: make(chan struct{})}
 	go q.run(w)
 	h := slog.NewJSONHandler(q, &slog.HandlerOptions{Level: level})
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -19,7 +19,7 @@
 	r, w, err := os.Pipe()
 	require.NoError(t, err)
 	defer func() { _ = r.Close() }()
-	log, flush := NewBoundedLogger(w, slog.LevelInfo)
+	log, flush := NewNonBlockingLogger(w, slog.LevelInfo)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -56,7 +56,7 @@
 // With the queue half full, what is left of it is for failures.
 func TestFailuresGoBeforeSuccesses(t *testing.T) {
 	r, w := io.Pipe()
-	log, flush := NewBoundedLogger(w, slog.LevelInfo)
+	log, flush := NewNonBlockingLogger(w, slog.LevelInfo)
 	for i := range 4 * boundedQueue {
 		log.Info(fmt.Sprint("success ", i))
 	}
@@ -76,8 +76,8 @@
 
 func TestLatencyInTheText(t *testing.T) {
 	reg := metrics.NewRegistry()
-	l := GetLatency("gateway.answer", reg)
-	require.Same(t, l, GetLatency("gateway.answer", reg))
+	l := GetOrRegisterLatency("gateway.answer", reg)
+	require.Same(t, l, GetOrRegisterLatency("gateway.answer", reg))
 	for i := 1; i <= 100; i++ {
 		l.Add(time.Duration(i) * time.Millisecond)
 	}
@@ -87,7 +87,7 @@
 }
 
 func BenchmarkBoundedLine(b *testing.B) {
-	log, flush := NewBoundedLogger(io.Discard, slog.LevelInfo)
+	log, flush := NewNonBlockingLogger(io.Discard, slog.LevelInfo)
 	defer flush()
 	for b.Loop() {
 		log.Info("request sent", "request", "9c41d07be2a35f68", "upstream", "i-7f3a91c2", "send", 1, "left_ms", 8000)
--- a/internal/telemetry/latency.go
+++ b/internal/telemetry/latency.go
@@ -27,8 +27,8 @@
 	sum time.Duration
 }
 
-// GetLatency returns the histogram of that name, and makes it where there is none.
-func GetLatency(name string, reg metrics.Registry) *Latency {
+// GetOrRegisterLatency returns the histogram of that name, and makes it where there is none.
+func GetOrRegisterLatency(name string, reg metrics.Registry) *Latency {
 	return reg.GetOrRegister(name, newLatency).(*Latency)
 }
 
