--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -237,11 +237,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &bounded{
-		next:     server,
-		problems: problems,
-		timeout:  c.Timeout,
-		requests: make(chan struct{}, c.MaxConcurrent),
-		bodies:   make(chan struct{}, c.MaxBodies),
+	return &limitedHandler{
+		next:         server,
+		problems:     problems,
+		timeout:      c.Timeout,
+		requestSlots: make(chan struct{}, c.MaxConcurrent),
+		bodySlots:    make(chan struct{}, c.MaxBodies),
 	}, nil
 }
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -24,8 +24,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// fake answers as its fields say and keeps the last submission.
-type fake struct {
+// fakeBackend answers as its fields say and keeps the last submission.
+type fakeBackend struct {
 	submitted []SubmitRequest
 	result    SubmitResult
 	err       error
@@ -37,30 +37,32 @@
 	released   []ReleaseRequest
 }
 
-func (f *fake) Submit(_ context.Context, req SubmitRequest) (SubmitResult, error) {
+func (f *fakeBackend) Submit(_ context.Context, req SubmitRequest) (SubmitResult, error) {
 	f.submitted = append(f.submitted, req)
 	return f.result, f.err
 }
 
-func (f *fake) Init(_ context.Context, req InitRequest) (Cluster, error) {
+func (f *fakeBackend) Init(_ context.Context, req InitRequest) (Cluster, error) {
 	return Cluster{ID: "c1 by " + req.Author, Replicas: []Replica{{ID: "a/1", Host: "a", Voter: true}}}, f.err
 }
 
-func (f *fake) Release(_ context.Context, req ReleaseRequest) (bool, error) {
+func (f *fakeBackend) Release(_ context.Context, req ReleaseRequest) (bool, error) {
 	f.released = append(f.released, req)
 	return true, f.err
 }
 
-func (f *fake) Quarantine(context.Context) ([]quarantine.Entry, error) { return f.quarantine, f.err }
+func (f *fakeBackend) Quarantine(context.Context) ([]quarantine.Entry, error) {
+	return f.quarantine, f.err
+}
 
-func (f *fake) Document(_ context.Context, name string) (Document, error) {
+func (f *fakeBackend) Document(_ context.Context, name string) (Document, error) {
 	if doc, ok := f.docs[name]; ok {
 		return doc, nil
 	}
 	return Document{}, verdict.New(verdict.NotRun, verdict.CodeNotFound, "no document "+name)
 }
 
-func (f *fake) Documents(context.Context) ([]DocumentSummary, error) {
+func (f *fakeBackend) Documents(context.Context) ([]DocumentSummary, error) {
 	var list []DocumentSummary
 	for name, doc := range f.docs {
 		list = append(list, DocumentSummary{Name: name, Revision: doc.Revision, Author: doc.Author})
@@ -68,18 +70,18 @@
 	return list, f.err
 }
 
-func (f *fake) Status(_ context.Context, name string) (Status, error) {
+func (f *fakeBackend) Status(_ context.Context, name string) (Status, error) {
 	return Status{Name: name, Revision: 4, InForce: 7, Behind: []HostRevision{{Host: "e2", Revision: 3}}}, f.err
 }
 
-func (f *fake) History(_ context.Context, req HistoryRequest) (HistoryPage, error) {
+func (f *fakeBackend) History(_ context.Context, req HistoryRequest) (HistoryPage, error) {
 	f.history = req
 	return HistoryPage{Changes: f.changes, Next: "p2"}, f.err
 }
 
-func (f *fake) Cluster(context.Context) (Cluster, error) { return Cluster{}, f.err }
+func (f *fakeBackend) Cluster(context.Context) (Cluster, error) { return Cluster{}, f.err }
 
-func example(t *testing.T, name string) string {
+func readExample(t *testing.T, name string) string {
 	text, err := os.ReadFile("../../examples/" + name + ".ini")
 	require.NoError(t, err)
 	return string(text)
@@ -90,7 +92,7 @@
 	{Name: "team", TokenHash: auth.HashToken("team"), Documents: []string{"entries"}},
 })
 
-func serve(t *testing.T, f *fake, change func(*Config)) string {
+func serve(t *testing.T, f *fakeBackend, change func(*Config)) string {
 	c := Config{Commands: f, Queries: f, Operators: operators}
 	if change != nil {
 		change(&c)
@@ -102,14 +104,14 @@
 	return server.URL
 }
 
-type answer struct {
+type response struct {
 	status  int
 	header  http.Header
 	problem oas.Problem
 	body    string
 }
 
-func put(t *testing.T, url, token, ifMatch, contentType, body string) answer {
+func put(t *testing.T, url, token, ifMatch, contentType, body string) response {
 	req, err := http.NewRequest(http.MethodPut, url+"/v1/documents/entries", strings.NewReader(body))
 	require.NoError(t, err)
 	req.Header.Set("Authorization", "Bearer "+token)
@@ -119,7 +121,7 @@
 	return do(t, req)
 }
 
-func get(t *testing.T, url, token string) answer {
+func get(t *testing.T, url, token string) response {
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	require.NoError(t, err)
 	if token != "" {
@@ -128,13 +130,13 @@
 	return do(t, req)
 }
 
-func do(t *testing.T, req *http.Request) answer {
+func do(t *testing.T, req *http.Request) response {
 	resp, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	a := answer{status: resp.StatusCode, header: resp.Header, body: string(text)}
+	a := response{status: resp.StatusCode, header: resp.Header, body: string(text)}
 	if resp.StatusCode >= 400 {
 		require.Equal(t, "application/problem+json", resp.Header.Get("Content-Type"), a.body)
 		require.NoError(t, a.problem.UnmarshalJSON(text), a.body)
@@ -143,10 +145,10 @@
 	return a
 }
 
-func TestSubmitPassesTheTextAsItIs(t *testing.T) {
-	f := &fake{result: SubmitResult{Revision: 4, Repeated: true}}
+func TestSubmitPassesTextUnchanged(t *testing.T) {
+	f := &fakeBackend{result: SubmitResult{Revision: 4, Repeated: true}}
 	url := serve(t, f, nil)
-	text := example(t, "entries") + "\r\n# \u00e9 \t \n\n"
+	text := readExample(t, "entries") + "\r\n# \u00e9 \t \n\n"
 	a := put(t, url, "team", `"3"`, "text/plain; charset=utf-8", text)
 	require.Equal(t, http.StatusOK, a.status, a.body)
 	require.Equal(t, `"4"`, a.header.Get("ETag"))
@@ -159,8 +161,8 @@
 	require.Equal(t, []SubmitRequest{want, want}, f.submitted)
 }
 
-func TestRefusedSubmissionsHaveNotRun(t *testing.T) {
-	valid := example(t, "entries")
+func TestRefusedSubmissionsAreNotRun(t *testing.T) {
+	valid := readExample(t, "entries")
 	cases := map[string]struct {
 		token, ifMatch, contentType, body string
 		status                            int
@@ -173,12 +175,12 @@
 		"any revision": {"team", "*", "text/plain", valid, 400, verdict.CodeBadRequest},
 		"other form":   {"team", "1", "text/html", valid, 400, verdict.CodeBadRequest},
 		"not JSON":     {"team", "1", "application/json", "{", 400, verdict.CodeBadRequest},
-		"other name":   {"team", "1", "text/plain", example(t, "outlooks"), 422, CodeInvalidDocument},
+		"other name":   {"team", "1", "text/plain", readExample(t, "outlooks"), 422, CodeInvalidDocument},
 		"long text":    {"team", "1", "text/plain", strings.Repeat("#", document.MaxSize+1), 413, verdict.CodeTooLarge},
-		"long body":    {"team", "1", "text/plain", strings.Repeat("#", maxBody+1), 413, verdict.CodeTooLarge},
-		"long JSON":    {"team", "1", "application/json", strings.Repeat(" ", maxBody+1), 413, verdict.CodeTooLarge},
+		"long body":    {"team", "1", "text/plain", strings.Repeat("#", maxBodyBytes+1), 413, verdict.CodeTooLarge},
+		"long JSON":    {"team", "1", "application/json", strings.Repeat(" ", maxBodyBytes+1), 413, verdict.CodeTooLarge},
 	}
-	f := &fake{}
+	f := &fakeBackend{}
 	registry := metrics.NewRegistry()
 	url := serve(t, f, func(c *Config) { c.Metrics = registry })
 	for name, c := range cases {
@@ -191,8 +193,8 @@
 	require.EqualValues(t, 3, metrics.GetOrRegisterCounter("adminapi.problem.too-large", registry).Count())
 }
 
-func TestEveryFaultComesBack(t *testing.T) {
-	a := put(t, serve(t, &fake{}, nil), "team", "1", "text/plain", "[service]\nkind = odd\n[objective]\nskew-weight = x\n")
+func TestProblemListsEveryDocumentFault(t *testing.T) {
+	a := put(t, serve(t, &fakeBackend{}, nil), "team", "1", "text/plain", "[service]\nkind = odd\n[objective]\nskew-weight = x\n")
 	require.Equal(t, http.StatusUnprocessableEntity, a.status)
 	require.Len(t, a.problem.Errors, 3)
 	require.Equal(t, oas.Fault{
@@ -201,14 +203,14 @@
 	}, a.problem.Errors[2])
 }
 
-func TestConflictNamesTheWinner(t *testing.T) {
-	f := &fake{result: SubmitResult{Conflict: &Conflict{Revision: 5, Author: "other", ChangeID: "change-02"}}}
-	a := put(t, serve(t, f, nil), "team", "4", "text/plain", example(t, "entries"))
+func TestConflictReportsTheAcceptedChange(t *testing.T) {
+	f := &fakeBackend{result: SubmitResult{Conflict: &Conflict{Revision: 5, Author: "other", ChangeID: "change-02"}}}
+	a := put(t, serve(t, f, nil), "team", "4", "text/plain", readExample(t, "entries"))
 	require.Equal(t, http.StatusConflict, a.status)
 	require.Equal(t, oas.NewOptConflict(oas.Conflict{Revision: 5, Author: "other", ChangeID: "change-02"}), a.problem.Conflict)
 }
 
-func TestErrorsOfCommandsKeepTheirVerdict(t *testing.T) {
+func TestCommandErrorsKeepTheirVerdict(t *testing.T) {
 	cases := []struct {
 		err     error
 		status  int
@@ -223,18 +225,18 @@
 		{&document.ConflictError{Conflicts: []document.Conflict{{Kind: "workspace"}}}, 422, oas.ProblemVerdictNotRun, ""},
 	}
 	for _, c := range cases {
-		a := put(t, serve(t, &fake{err: c.err}, nil), "team", "4", "text/plain", example(t, "entries"))
+		a := put(t, serve(t, &fakeBackend{err: c.err}, nil), "team", "4", "text/plain", readExample(t, "entries"))
 		require.Equal(t, c.status, a.status, c.err)
 		require.Equal(t, c.verdict, a.problem.Verdict, c.err)
 		require.Equal(t, c.after, a.header.Get("Retry-After"), c.err)
 	}
 }
 
-func TestReadsAreLimitedToTheOperatorsOwn(t *testing.T) {
-	f := &fake{
+func TestOperatorsReadOnlyTheirDocuments(t *testing.T) {
+	f := &fakeBackend{
 		docs: map[string]Document{
-			"entries":  {Name: "entries", Revision: 2, Text: []byte(example(t, "entries"))},
-			"outlooks": {Name: "outlooks", Revision: 3, Text: []byte(example(t, "outlooks"))},
+			"entries":  {Name: "entries", Revision: 2, Text: []byte(readExample(t, "entries"))},
+			"outlooks": {Name: "outlooks", Revision: 3, Text: []byte(readExample(t, "outlooks"))},
 		},
 		changes: []Change{{Index: 9, Action: "init"}, {Index: 8, Document: "outlooks"}, {Index: 7, Document: "entries", Outcome: "conflict", Author: "ann"}},
 	}
@@ -242,7 +244,7 @@
 	var doc oas.Document
 	a := get(t, url+"/v1/documents/entries", "team")
 	require.NoError(t, doc.UnmarshalJSON([]byte(a.body)))
-	require.Equal(t, example(t, "entries"), doc.Text)
+	require.Equal(t, readExample(t, "entries"), doc.Text)
 	require.Equal(t, `"2"`, a.header.Get("ETag"))
 
 	for path, status := range map[string]int{
@@ -264,27 +266,27 @@
 	require.True(t, f.history.All)
 }
 
-func TestCheckLooksAtTheOtherDocuments(t *testing.T) {
-	f := &fake{docs: map[string]Document{
-		"entries":  {Name: "entries", Text: []byte(example(t, "entries"))},
-		"outlooks": {Name: "outlooks", Text: []byte(example(t, "outlooks"))},
+func TestCheckReportsConflictsWithOtherDocuments(t *testing.T) {
+	f := &fakeBackend{docs: map[string]Document{
+		"entries":  {Name: "entries", Text: []byte(readExample(t, "entries"))},
+		"outlooks": {Name: "outlooks", Text: []byte(readExample(t, "outlooks"))},
 	}}
 	url := serve(t, f, nil)
-	check := func(text string) answer {
+	check := func(text string) response {
 		req, err := http.NewRequest(http.MethodPost, url+"/v1/check", strings.NewReader(text))
 		require.NoError(t, err)
 		req.Header.Set("Authorization", "Bearer team")
 		req.Header.Set("Content-Type", "text/plain")
 		return do(t, req)
 	}
-	require.Equal(t, 200, check(example(t, "entries")).status)
-	a := check(strings.ReplaceAll(example(t, "entries"), "/slots", "/cards/own"))
+	require.Equal(t, 200, check(readExample(t, "entries")).status)
+	a := check(strings.ReplaceAll(readExample(t, "entries"), "/slots", "/cards/own"))
 	require.Equal(t, 422, a.status)
 	require.Contains(t, a.problem.Errors[0].Text, "path-prefix /cards/own belongs to document outlooks")
 }
 
-func TestOnlyAnAdminStartsACluster(t *testing.T) {
-	url := serve(t, &fake{}, nil)
+func TestOnlyAdminsInitializeTheCluster(t *testing.T) {
+	url := serve(t, &fakeBackend{}, nil)
 	for token, status := range map[string]int{"team": 403, "admin": 200, "": 401} {
 		req, err := http.NewRequest(http.MethodPost, url+"/v1/init", nil)
 		require.NoError(t, err)
@@ -293,15 +295,15 @@
 	}
 }
 
-// slow keeps the first query from ending until it is released.
-type slow struct {
-	fake
+// blockingQueries keeps the first query from ending until it is released.
+type blockingQueries struct {
+	fakeBackend
 	calls   atomic.Int32
 	entered chan struct{}
 	release chan struct{}
 }
 
-func (s *slow) Cluster(context.Context) (Cluster, error) {
+func (s *blockingQueries) Cluster(context.Context) (Cluster, error) {
 	if s.calls.Add(1) == 1 {
 		close(s.entered)
 		<-s.release
@@ -309,12 +311,12 @@
 	return Cluster{}, nil
 }
 
-func TestRequestsInProgressAreBounded(t *testing.T) {
-	s := &slow{entered: make(chan struct{}), release: make(chan struct{})}
-	url := serve(t, &s.fake, func(c *Config) { c.Queries = s; c.MaxConcurrent = 1 })
+func TestConcurrentRequestsAreLimited(t *testing.T) {
+	s := &blockingQueries{entered: make(chan struct{}), release: make(chan struct{})}
+	url := serve(t, &s.fakeBackend, func(c *Config) { c.Queries = s; c.MaxConcurrent = 1 })
 	release := sync.OnceFunc(func() { close(s.release) })
 	t.Cleanup(release)
-	first := make(chan answer, 1)
+	first := make(chan response, 1)
 	go func() { first <- get(t, url+"/v1/cluster", "team") }()
 	<-s.entered
 	a := get(t, url+"/v1/cluster", "team")
@@ -325,15 +327,15 @@
 	require.Equal(t, http.StatusOK, (<-first).status)
 }
 
-// held keeps the first submission from ending until it is released.
-type held struct {
-	fake
+// blockingCommands keeps the first submission from ending until it is released.
+type blockingCommands struct {
+	fakeBackend
 	calls   atomic.Int32
 	entered chan struct{}
 	release chan struct{}
 }
 
-func (h *held) Submit(context.Context, SubmitRequest) (SubmitResult, error) {
+func (h *blockingCommands) Submit(context.Context, SubmitRequest) (SubmitResult, error) {
 	if h.calls.Add(1) == 1 {
 		close(h.entered)
 		<-h.release
@@ -341,19 +343,19 @@
 	return SubmitResult{Revision: 1}, nil
 }
 
-func TestBodiesInProgressAreBounded(t *testing.T) {
-	h := &held{entered: make(chan struct{}), release: make(chan struct{})}
-	url := serve(t, &h.fake, func(c *Config) {
+func TestConcurrentRequestBodiesAreLimited(t *testing.T) {
+	h := &blockingCommands{entered: make(chan struct{}), release: make(chan struct{})}
+	url := serve(t, &h.fakeBackend, func(c *Config) {
 		c.Commands = h
 		c.MaxBodies = 1
 		c.Timeout = time.Second
 	})
 	release := sync.OnceFunc(func() { close(h.release) })
 	t.Cleanup(release)
-	first := make(chan answer, 1)
-	go func() { first <- put(t, url, "team", "0", "text/plain", example(t, "entries")) }()
+	first := make(chan response, 1)
+	go func() { first <- put(t, url, "team", "0", "text/plain", readExample(t, "entries")) }()
 	<-h.entered
-	a := put(t, url, "team", "0", "text/plain", example(t, "entries"))
+	a := put(t, url, "team", "0", "text/plain", readExample(t, "entries"))
 	require.Equal(t, http.StatusServiceUnavailable, a.status)
 	require.Equal(t, oas.ProblemVerdictNotRun, a.problem.Verdict)
 	require.EqualValues(t, 1, h.calls.Load())
--- a/internal/adminapi/bound.go
+++ b/internal/adminapi/bound.go
@@ -9,33 +9,33 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// maxBody leaves room for a text of the greatest size in JSON's escapes.
-const maxBody = 2*document.MaxSize + 1<<16
+// maxBodyBytes leaves room for a text of the greatest size in JSON's escapes.
+const maxBodyBytes = 2*document.MaxSize + 1<<16
 
-// overloadRetry is how long an operator waits when too many requests are in
+// overloadRetryDelay is how long an operator waits when too many requests are in
 // progress.
-const overloadRetry = time.Second
+const overloadRetryDelay = time.Second
 
-// bounded limits what requests take: their number, their time and their bodies.
-type bounded struct {
+// limitedHandler limits what requests take: their number, their time and their bodies.
+type limitedHandler struct {
 	next     http.Handler
 	problems *problems
 	timeout  time.Duration
-	// requests has a slot for each request in progress, bodies one for each request
+	// requestSlots has a slot for each request in progress, bodies one for each request
 	// with a body.
-	requests chan struct{}
-	bodies   chan struct{}
+	requestSlots chan struct{}
+	bodySlots    chan struct{}
 }
 
 // ServeHTTP refuses a request where all slots are taken.
-func (b *bounded) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *limitedHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
-	case b.requests <- struct{}{}:
+	case b.requestSlots <- struct{}{}:
 	default:
 		b.refuse(w, r)
 		return
 	}
-	defer func() { <-b.requests }()
+	defer func() { <-b.requestSlots }()
 	ctx, cancel := context.WithTimeout(r.Context(), b.timeout)
 	defer cancel()
 	r = r.WithContext(ctx)
@@ -47,19 +47,19 @@
 }
 
 // serveBody waits for a slot as long as the request may take.
-func (b *bounded) serveBody(w http.ResponseWriter, r *http.Request) {
+func (b *limitedHandler) serveBody(w http.ResponseWriter, r *http.Request) {
 	select {
-	case b.bodies <- struct{}{}:
+	case b.bodySlots <- struct{}{}:
 	case <-r.Context().Done():
 		b.refuse(w, r)
 		return
 	}
-	defer func() { <-b.bodies }()
-	r.Body = http.MaxBytesReader(w, r.Body, maxBody)
+	defer func() { <-b.bodySlots }()
+	r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
 	b.next.ServeHTTP(w, r)
 }
 
-func (b *bounded) refuse(w http.ResponseWriter, r *http.Request) {
+func (b *limitedHandler) refuse(w http.ResponseWriter, r *http.Request) {
 	busy := verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many requests in progress")
-	b.problems.serve(w, r, busy.WithRetryAfter(overloadRetry))
+	b.problems.serve(w, r, busy.WithRetryAfter(overloadRetryDelay))
 }
--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -26,7 +26,7 @@
 
 // NewError returns the problem response for an error.
 func (h *handler) NewError(_ context.Context, err error) *oas.ProblemStatusCodeWithHeaders {
-	return h.problems.problem(err)
+	return h.problems.newResponse(err)
 }
 
 // PutDocument submits a document.
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := checkNamed(text, params.Name); err != nil {
+	if err := checkSubmitted(text, params.Name); err != nil {
 		return nil, err
 	}
 	result, err := h.commands.Submit(ctx, SubmitRequest{
@@ -69,8 +69,8 @@
 	}, nil
 }
 
-// checkNamed checks a text that is submitted under a name.
-func checkNamed(text []byte, name string) error {
+// checkSubmitted checks a text that is submitted under a name.
+func checkSubmitted(text []byte, name string) error {
 	doc, err := document.Parse(text)
 	if err != nil {
 		return err
@@ -198,10 +198,10 @@
 	if err != nil {
 		return nil, err
 	}
-	history := &oas.History{Changes: []oas.Change{}, Next: optional(page.Next)}
+	history := &oas.History{Changes: []oas.Change{}, Next: optionalString(page.Next)}
 	for _, c := range page.Changes {
 		if maySee(identity, c) {
-			history.Changes = append(history.Changes, change(c))
+			history.Changes = append(history.Changes, toChange(c))
 		}
 	}
 	return history, nil
@@ -231,25 +231,25 @@
 	return identity.MayRead(c.Document)
 }
 
-func change(c Change) oas.Change {
+func toChange(c Change) oas.Change {
 	out := oas.Change{
 		Index:   c.Index,
 		Time:    c.Time,
 		Action:  c.Action,
 		Author:  c.Author,
 		Outcome: c.Outcome,
-		Detail:  optional(c.Detail),
+		Detail:  optionalString(c.Detail),
 	}
 	if c.Document != "" {
 		out.Document = oas.NewOptString(c.Document)
 		out.Revision = oas.NewOptUint64(c.Revision)
-		out.ChangeID = optional(c.ChangeID)
+		out.ChangeID = optionalString(c.ChangeID)
 		out.Digest = oas.NewOptString(c.Digest.String())
 	}
 	return out
 }
 
-func optional(s string) oas.OptString {
+func optionalString(s string) oas.OptString {
 	if s == "" {
 		return oas.OptString{}
 	}
@@ -266,7 +266,7 @@
 	if err != nil {
 		return nil, err
 	}
-	others, err := h.others(ctx, doc.Service.Name)
+	others, err := h.otherDocuments(ctx, doc.Service.Name)
 	if err != nil {
 		return nil, err
 	}
@@ -276,8 +276,8 @@
 	return &oas.Checked{Name: doc.Service.Name, Digest: doc.Digest.String()}, nil
 }
 
-// others returns the accepted documents but the one of this name.
-func (h *handler) others(ctx context.Context, name string) ([]*document.Document, error) {
+// otherDocuments returns the accepted documents but the one of this name.
+func (h *handler) otherDocuments(ctx context.Context, name string) ([]*document.Document, error) {
 	all, err := h.queries.Documents(ctx)
 	if err != nil {
 		return nil, err
@@ -310,7 +310,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return clusterOf(cluster), nil
+	return toCluster(cluster), nil
 }
 
 // GetCluster returns the replicas.
@@ -319,17 +319,17 @@
 	if err != nil {
 		return nil, err
 	}
-	return clusterOf(cluster), nil
+	return toCluster(cluster), nil
 }
 
-func clusterOf(c Cluster) *oas.Cluster {
+func toCluster(c Cluster) *oas.Cluster {
 	replicas := make([]oas.Replica, len(c.Replicas))
 	for i, r := range c.Replicas {
 		replicas[i] = oas.Replica(r)
 	}
 	return &oas.Cluster{
 		ID:        c.ID,
-		Leader:    optional(c.Leader),
+		Leader:    optionalString(c.Leader),
 		Term:      c.Term,
 		Commit:    c.Commit,
 		HasQuorum: c.HasQuorum,
--- a/internal/adminapi/problem.go
+++ b/internal/adminapi/problem.go
@@ -37,7 +37,7 @@
 // problems turns errors into problem responses and counts them by code.
 type problems struct{ registry metrics.Registry }
 
-var statuses = map[verdict.Code]int{
+var statusByCode = map[verdict.Code]int{
 	verdict.CodeBadRequest:     http.StatusBadRequest,
 	verdict.CodeUnauthorized:   http.StatusUnauthorized,
 	verdict.CodeForbidden:      http.StatusForbidden,
@@ -57,15 +57,15 @@
 }
 
 func statusOf(code verdict.Code) int {
-	if status, ok := statuses[code]; ok {
+	if status, ok := statusByCode[code]; ok {
 		return status
 	}
 	return http.StatusInternalServerError
 }
 
-// problem returns the response for an error of the handler or of the generated
+// newResponse returns the response for an error of the handler or of the generated
 // server.
-func (p *problems) problem(err error) *oas.ProblemStatusCodeWithHeaders {
+func (p *problems) newResponse(err error) *oas.ProblemStatusCodeWithHeaders {
 	failure := classify(err)
 	metrics.GetOrRegisterCounter("adminapi.problem."+string(failure.Code), p.registry).Inc(1)
 	status := statusOf(failure.Code)
@@ -76,10 +76,10 @@
 		Detail:  oas.NewOptString(failure.Text),
 		Verdict: oas.ProblemVerdict(failure.Verdict.String()),
 		Code:    string(failure.Code),
-		Errors:  faultsOf(err),
+		Errors:  documentFaults(err),
 	}}
 	if failure.RetryAfter > 0 {
-		response.RetryAfter = oas.NewOptInt(seconds(failure.RetryAfter))
+		response.RetryAfter = oas.NewOptInt(ceilSeconds(failure.RetryAfter))
 		response.Response.RetryAfter = response.RetryAfter
 	}
 	if status == http.StatusUnauthorized {
@@ -92,8 +92,8 @@
 	return response
 }
 
-// seconds rounds up, so that nobody asks too early.
-func seconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
+// ceilSeconds rounds up, so that nobody asks too early.
+func ceilSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
 
 // classify finds what an error says about execution. What the generated server
 // refuses has not run, since the handler was never called.
@@ -126,8 +126,8 @@
 	return verdict.FromError(err)
 }
 
-// faultsOf lists the faults of a document.
-func faultsOf(err error) []oas.Fault {
+// documentFaults lists the faults of a document.
+func documentFaults(err error) []oas.Fault {
 	var invalid *inifile.Error
 	if errors.As(err, &invalid) {
 		return iniFaults(invalid)
@@ -162,7 +162,7 @@
 
 // serve writes an error outside the generated server.
 func (p *problems) serve(w http.ResponseWriter, _ *http.Request, err error) {
-	response := p.problem(err)
+	response := p.newResponse(err)
 	header := w.Header()
 	header.Set("Content-Type", "application/problem+json")
 	if after, ok := response.RetryAfter.Get(); ok {
--- a/internal/adminapi/quarantine.go
+++ b/internal/adminapi/quarantine.go
@@ -19,12 +19,12 @@
 	}
 	out := &oas.Quarantine{Requests: []oas.SuspectRequest{}}
 	for _, e := range all {
-		out.Requests = append(out.Requests, suspectRequest(e))
+		out.Requests = append(out.Requests, toSuspectRequest(e))
 	}
 	return out, nil
 }
 
-func suspectRequest(e quarantine.Entry) oas.SuspectRequest {
+func toSuspectRequest(e quarantine.Entry) oas.SuspectRequest {
 	out := oas.SuspectRequest{
 		Fingerprint: e.Fingerprint.String(),
 		Workspace:   e.Workspace,
--- a/internal/adminapi/quarantine_test.go
+++ b/internal/adminapi/quarantine_test.go
@@ -12,8 +12,8 @@
 )
 
 // Requests of all workspaces are shown to who may see all, and released by admins alone.
-func TestQuarantine(t *testing.T) {
-	f := &fake{quarantine: []quarantine.Entry{{
+func TestQuarantinePermissions(t *testing.T) {
+	f := &fakeBackend{quarantine: []quarantine.Entry{{
 		Fingerprint: quarantine.Fingerprint{1}, Workspace: "clubs", Verdict: quarantine.Suspect,
 		Crashes: []quarantine.EntryCrash{{Incarnation: quarantine.Incarnation{Upstream: "u"}, Request: "r", Age: 3 * time.Second}},
 	}}}
@@ -22,7 +22,7 @@
 	a := get(t, url, "admin")
 	require.JSONEq(t, `{"requests":[{"fingerprint":"01000000000000000000000000000000","workspace":"clubs","verdict":"suspect",
 		"forSeconds":0,"ends":[{"upstream":"u","request":"r","ageSeconds":3}]}]}`, a.body)
-	release := func(fingerprint, token string) answer {
+	release := func(fingerprint, token string) response {
 		req, err := http.NewRequest(http.MethodDelete, url+"/"+fingerprint, nil)
 		require.NoError(t, err)
 		req.Header.Set("Authorization", "Bearer "+token)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -47,7 +47,7 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
-			return o.check()
+			return o.validate()
 		},
 	}
 	flags := root.PersistentFlags()
@@ -64,7 +64,7 @@
 	return root
 }
 
-func (o *options) check() error {
+func (o *options) validate() error {
 	if o.output != formatText && o.output != formatJSON {
 		return errors.Errorf("--output %q is neither text nor json", o.output)
 	}
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -22,16 +22,16 @@
 	timeout time.Duration
 }
 
-// repeat says what the loss of an answer allows.
-type repeat uint8
+// retryPolicy says what the loss of an answer allows.
+type retryPolicy uint8
 
 const (
-	// repeatRead marks a request that changes nothing.
-	repeatRead repeat = iota
-	// repeatNamed marks a change with an id, which the servers make only once.
-	repeatNamed
-	// repeatNever marks a change that is sent again only where it has not run.
-	repeatNever
+	// retryRead marks a request that changes nothing.
+	retryRead retryPolicy = iota
+	// retryIdempotent marks a change with an id, which the servers make only once.
+	retryIdempotent
+	// retryIfNotRun marks a change that is sent again only where it has not run.
+	retryIfNotRun
 )
 
 // bearer gives the token to the generated client.
@@ -111,10 +111,10 @@
 	return transport, nil
 }
 
-// call sends a request to one server after the other. An answer that another
+// callServers sends a request to one server after the other. An answer that another
 // server could not better ends the search. Where none does, the error says
 // whether any attempt may have run.
-func call[T any](ctx context.Context, c *client, r repeat, send func(context.Context, *oas.Client) (T, error)) (T, error) {
+func callServers[T any](ctx context.Context, c *client, r retryPolicy, send func(context.Context, *oas.Client) (T, error)) (T, error) {
 	var zero T
 	var last error
 	code := ExitNotRun
@@ -126,31 +126,31 @@
 			return answer, nil
 		}
 		last = errors.Wrap(err, c.names[i])
-		if isFinal(err) && (code != ExitUnknown || settles(err)) {
+		if isSameFromAnyServer(err) && (code != ExitUnknown || decidesEarlierAttempts(err)) {
 			return zero, last
 		}
-		if r != repeatRead && mayHaveRun(err) {
+		if r != retryRead && mayHaveRun(err) {
 			code = ExitUnknown
 		}
-		if ctx.Err() != nil || (r == repeatNever && code == ExitUnknown) {
+		if ctx.Err() != nil || (r == retryIfNotRun && code == ExitUnknown) {
 			break
 		}
 	}
-	return zero, &outcome{code: code, cause: last}
+	return zero, &exitError{code: code, cause: last}
 }
 
-// isFinal reports whether an answer would be the same from any server.
-func isFinal(err error) bool {
+// isSameFromAnyServer reports whether an answer would be the same from any server.
+func isSameFromAnyServer(err error) bool {
 	var problem *oas.ProblemStatusCodeWithHeaders
 	return errors.As(err, &problem) &&
 		problem.StatusCode < http.StatusInternalServerError &&
 		problem.StatusCode != http.StatusTooManyRequests
 }
 
-// settles reports whether an answer also tells what became of an earlier attempt
+// decidesEarlierAttempts reports whether an answer also tells what became of an earlier attempt
 // at the same change. A server that knows the change says so before anything else
 // about it; a server that does not take the token says nothing about it.
-func settles(err error) bool {
+func decidesEarlierAttempts(err error) bool {
 	var problem *oas.ProblemStatusCodeWithHeaders
 	return errors.As(err, &problem) &&
 		(problem.StatusCode == http.StatusConflict || problem.StatusCode == http.StatusUnprocessableEntity)
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -14,13 +14,13 @@
 	"github.com/sassafraspost/sassafraspost/internal/version"
 )
 
-// ask sends a request to the control hosts and prints the answer.
-func ask[T encoder](cmd *cobra.Command, o *options, r repeat, send func(context.Context, *oas.Client) (T, error), text func(io.Writer, T)) error {
+// callAndPrint sends a request to the control hosts and prints the answer.
+func callAndPrint[T jsonResponse](cmd *cobra.Command, o *options, r retryPolicy, send func(context.Context, *oas.Client) (T, error), text func(io.Writer, T)) error {
 	c, err := newClient(o)
 	if err != nil {
 		return err
 	}
-	answer, err := call(cmd.Context(), c, r, send)
+	answer, err := callServers(cmd.Context(), c, r, send)
 	if err != nil {
 		return err
 	}
@@ -40,7 +40,7 @@
 				}
 				return &answer.Response, nil
 			}
-			return ask(cmd, o, repeatRead, send, func(w io.Writer, d *oas.Document) {
+			return callAndPrint(cmd, o, retryRead, send, func(w io.Writer, d *oas.Document) {
 				fmt.Fprint(w, d.Text)
 				o.out.note("revision %d of %s, change %s", d.Revision, d.Author, d.ChangeID)
 			})
@@ -55,7 +55,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			send := func(ctx context.Context, s *oas.Client) (*oas.DocumentList, error) { return s.ListDocuments(ctx) }
-			return ask(cmd, o, repeatRead, send, func(w io.Writer, l *oas.DocumentList) {
+			return callAndPrint(cmd, o, retryRead, send, func(w io.Writer, l *oas.DocumentList) {
 				var rows []string
 				for _, d := range l.Documents {
 					rows = append(rows, fmt.Sprintf("%s\t%d\t%s", d.Name, d.Revision, d.Author))
@@ -75,7 +75,7 @@
 			send := func(ctx context.Context, s *oas.Client) (*oas.Status, error) {
 				return s.GetStatus(ctx, oas.GetStatusParams{Name: args[0]})
 			}
-			return ask(cmd, o, repeatRead, send, printStatus)
+			return callAndPrint(cmd, o, retryRead, send, printStatus)
 		},
 	}
 }
@@ -108,7 +108,7 @@
 				params.Document = oas.NewOptString(name)
 			}
 			send := func(ctx context.Context, s *oas.Client) (*oas.History, error) { return s.GetHistory(ctx, params) }
-			return ask(cmd, o, repeatRead, send, func(w io.Writer, h *oas.History) {
+			return callAndPrint(cmd, o, retryRead, send, func(w io.Writer, h *oas.History) {
 				printHistory(w, h)
 				if next, ok := h.Next.Get(); ok {
 					o.out.note("more with --page %s", next)
@@ -149,7 +149,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			send := func(ctx context.Context, s *oas.Client) (*oas.Cluster, error) { return s.InitCluster(ctx) }
-			return ask(cmd, o, repeatNever, send, printCluster)
+			return callAndPrint(cmd, o, retryIfNotRun, send, printCluster)
 		},
 	}
 }
@@ -161,7 +161,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			send := func(ctx context.Context, s *oas.Client) (*oas.Cluster, error) { return s.GetCluster(ctx) }
-			return ask(cmd, o, repeatRead, send, printCluster)
+			return callAndPrint(cmd, o, retryRead, send, printCluster)
 		},
 	}
 }
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -60,20 +60,20 @@
 	return b.String()
 }
 
-// outcome is an error that has its exit code already.
-type outcome struct {
+// exitError is an error that has its exit code already.
+type exitError struct {
 	code  ExitCode
 	cause error
 }
 
-func (o *outcome) Error() string { return o.cause.Error() }
-func (o *outcome) Unwrap() error { return o.cause }
+func (o *exitError) Error() string { return o.cause.Error() }
+func (o *exitError) Unwrap() error { return o.cause }
 
 // exitCode returns the code of an error. What is not known is wrong usage, which
 // is how cobra's own errors arrive.
 func exitCode(err error) ExitCode {
 	var (
-		known    *outcome
+		known    *exitError
 		problem  *oas.ProblemStatusCodeWithHeaders
 		invalid  *inifile.Error
 		together *document.ConflictError
@@ -86,12 +86,12 @@
 	case errors.As(err, &invalid), errors.As(err, &together):
 		return ExitInvalid
 	case errors.As(err, &problem):
-		return exitOfProblem(problem)
+		return exitCodeOfProblem(problem)
 	}
 	return ExitUsage
 }
 
-func exitOfProblem(p *oas.ProblemStatusCodeWithHeaders) ExitCode {
+func exitCodeOfProblem(p *oas.ProblemStatusCodeWithHeaders) ExitCode {
 	switch p.StatusCode {
 	case http.StatusUnauthorized, http.StatusForbidden:
 		return ExitUnauthorized
--- a/internal/cli/observe.go
+++ b/internal/cli/observe.go
@@ -76,13 +76,13 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			table := o.fetchStats(cmd.Context(), args, match)
 			if len(table.hosts) == 0 {
-				return &outcome{ExitNotRun, table.missing()}
+				return &exitError{ExitNotRun, table.missingHosts()}
 			}
 			if err := table.print(o.out, isSummary); err != nil {
 				return err
 			}
 			if len(table.failures) > 0 {
-				return &outcome{ExitPartial, table.missing()}
+				return &exitError{ExitPartial, table.missingHosts()}
 			}
 			return nil
 		},
@@ -92,8 +92,8 @@
 	return cmd
 }
 
-// stats is a table of metrics by host.
-type stats struct {
+// statsTable is a table of metrics by host.
+type statsTable struct {
 	// hosts are those that answered, failures say why the others did not.
 	hosts    []string
 	failures []error
@@ -101,15 +101,15 @@
 	values map[string]map[string]string
 }
 
-// fetchAtOnce is how many hosts are asked at a time.
-const fetchAtOnce = 32
+// maxConcurrentFetches is how many hosts are asked at a time.
+const maxConcurrentFetches = 32
 
 // fetchStats reads the metrics at each address, "ip:port" of the metrics listener.
-func (o *options) fetchStats(ctx context.Context, addresses []string, match string) *stats {
+func (o *options) fetchStats(ctx context.Context, addresses []string, match string) *statsTable {
 	bodies := make([]string, len(addresses))
 	failures := make([]error, len(addresses))
 	var all errgroup.Group
-	all.SetLimit(fetchAtOnce)
+	all.SetLimit(maxConcurrentFetches)
 	for i, address := range addresses {
 		all.Go(func() error {
 			bodies[i], failures[i] = o.fetchMetrics(ctx, address)
@@ -117,20 +117,20 @@
 		})
 	}
 	_ = all.Wait()
-	s := &stats{values: make(map[string]map[string]string)}
+	s := &statsTable{values: make(map[string]map[string]string)}
 	for i, address := range addresses {
 		if failures[i] != nil {
 			s.failures = append(s.failures, failures[i])
 			continue
 		}
 		s.hosts = append(s.hosts, address)
-		s.read(address, bodies[i], match)
+		s.addHost(address, bodies[i], match)
 	}
 	return s
 }
 
-// missing says which hosts did not answer, and why.
-func (s *stats) missing() error {
+// missingHosts says which hosts did not answer, and why.
+func (s *statsTable) missingHosts() error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d of %d hosts did not answer", len(s.failures), len(s.failures)+len(s.hosts))
 	for _, err := range s.failures {
@@ -139,8 +139,8 @@
 	return errors.New(b.String())
 }
 
-// read takes in the metrics of one host whose names contain match.
-func (s *stats) read(address, body, match string) {
+// addHost takes in the metrics of one host whose names contain match.
+func (s *statsTable) addHost(address, body, match string) {
 	lines := bufio.NewScanner(strings.NewReader(body))
 	for lines.Scan() {
 		name, value, ok := strings.Cut(lines.Text(), " ")
@@ -174,7 +174,7 @@
 }
 
 // print writes the table, or its summary.
-func (s *stats) print(p *printer, isSummary bool) error {
+func (s *statsTable) print(p *printer, isSummary bool) error {
 	switch {
 	case isSummary:
 		return s.writeSummary(p)
@@ -185,24 +185,24 @@
 }
 
 // writeJSON writes an object by metric and host.
-func (s *stats) writeJSON(w io.Writer) error {
+func (s *statsTable) writeJSON(w io.Writer) error {
 	out := make(map[string]map[string]string, len(s.values))
 	for name, byHost := range s.values {
-		out[shortName(name)] = byHost
+		out[trimMetricPrefix(name)] = byHost
 	}
 	return errors.Wrap(json.NewEncoder(w).Encode(out), "output")
 }
 
-// shortName is the name of a metric without the product's own.
-func shortName(metric string) string { return strings.TrimPrefix(metric, "sassafraspost_") }
+// trimMetricPrefix is the name of a metric without the product's own.
+func trimMetricPrefix(metric string) string { return strings.TrimPrefix(metric, "sassafraspost_") }
 
 // write prints the table, a row a metric.
-func (s *stats) write(w io.Writer) error {
+func (s *statsTable) write(w io.Writer) error {
 	names := slices.Sorted(maps.Keys(s.values))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintf(t, "metric\t%s\n", strings.Join(s.hosts, "\t"))
 	for _, name := range names {
-		row := []string{shortName(name)}
+		row := []string{trimMetricPrefix(name)}
 		for _, host := range s.hosts {
 			row = append(row, s.values[name][host])
 		}
--- a/internal/cli/observe_test.go
+++ b/internal/cli/observe_test.go
@@ -16,7 +16,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/telemetry"
 )
 
-func TestStatsShowsHostsSideBySide(t *testing.T) {
+func TestStatsPrintsOneColumnPerHost(t *testing.T) {
 	var addresses []string
 	for i := range 2 {
 		reg := metrics.NewRegistry()
@@ -36,8 +36,8 @@
 }
 
 // Three hundred hosts are one table of a row a metric, which names those that stand out.
-func TestStatsOfAFleetNameTheHostsThatStandOut(t *testing.T) {
-	s := &stats{values: map[string]map[string]string{"sassafraspost_a": {}, "text": {"h1": "x"}}}
+func TestStatsSummaryNamesHighestHosts(t *testing.T) {
+	s := &statsTable{values: map[string]map[string]string{"sassafraspost_a": {}, "text": {"h1": "x"}}}
 	for i := range 300 {
 		s.values["sassafraspost_a"][fmt.Sprintf("h%d", i)] = strconv.Itoa(i % 10)
 	}
@@ -47,8 +47,8 @@
 	require.Equal(t, "a", all[0].Metric)
 	require.Equal(t, 300, all[0].Hosts)
 	require.InDelta(t, 300*4.5-7+1000, all[0].Sum, 0)
-	require.Equal(t, hostValue{Host: "h7", Value: 1000}, all[0].Most[0])
-	require.Len(t, all[0].Most, worstHosts)
+	require.Equal(t, hostValue{Host: "h7", Value: 1000}, all[0].Highest[0])
+	require.Len(t, all[0].Highest, maxNamedHosts)
 
 	reg := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter("gateway.queue.entered", reg).Inc(7)
@@ -61,7 +61,7 @@
 }
 
 // A host that is down is named, and hides nothing of the others.
-func TestStatsOfAFleetWithHostsDown(t *testing.T) {
+func TestStatsReportsUnreachableHosts(t *testing.T) {
 	reg := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter("gateway.queue.entered", reg).Inc(7)
 	up := httptest.NewServer(telemetry.Handler(reg))
@@ -93,7 +93,7 @@
 	require.JSONEq(t, `{"gateway_queue_entered":{"`+address+`":"7"}}`, out.String())
 }
 
-func TestTraceReadsFiles(t *testing.T) {
+func TestTraceReadsLogFiles(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "log")
 	line := `{"time":"2026-05-07T09:12:53Z","level":"WARN","msg":"request failed","host":"entry-1","request":"r1","status":503}`
 	require.NoError(t, os.WriteFile(name, []byte(line+"\n"), 0o600))
--- a/internal/cli/print.go
+++ b/internal/cli/print.go
@@ -24,11 +24,11 @@
 	format string
 }
 
-// encoder is any answer of the generated client.
-type encoder interface{ MarshalJSON() ([]byte, error) }
+// jsonResponse is any answer of the generated client.
+type jsonResponse interface{ MarshalJSON() ([]byte, error) }
 
 // result writes an answer: as JSON, or as text does it.
-func (p *printer) result(answer encoder, text func(io.Writer)) error {
+func (p *printer) result(answer jsonResponse, text func(io.Writer)) error {
 	if p.format != formatJSON {
 		text(p.stdout)
 		return nil
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -32,10 +32,10 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if *metrics != "" {
-				return askMetrics(cmd, o, http.MethodGet, *metrics+quarantine.Path, &oas.Quarantine{}, printQuarantine)
+				return callMetricsListener(cmd, o, http.MethodGet, *metrics+quarantine.Path, &oas.Quarantine{}, printQuarantine)
 			}
 			send := func(ctx context.Context, s *oas.Client) (*oas.Quarantine, error) { return s.ListQuarantine(ctx) }
-			return ask(cmd, o, repeatRead, send, printQuarantine)
+			return callAndPrint(cmd, o, retryRead, send, printQuarantine)
 		},
 	}
 }
@@ -50,24 +50,24 @@
 				return err
 			}
 			if *metrics != "" {
-				return askMetrics(cmd, o, http.MethodDelete, *metrics+quarantine.Path+"/"+args[0], &oas.Released{}, printReleased)
+				return callMetricsListener(cmd, o, http.MethodDelete, *metrics+quarantine.Path+"/"+args[0], &oas.Released{}, printReleased)
 			}
 			send := func(ctx context.Context, s *oas.Client) (*oas.Released, error) {
 				return s.ReleaseRequest(ctx, oas.ReleaseRequestParams{Fingerprint: args[0]})
 			}
-			return ask(cmd, o, repeatNamed, send, printReleased)
+			return callAndPrint(cmd, o, retryIdempotent, send, printReleased)
 		},
 	}
 }
 
-// decoder is an answer that a metrics listener gives in the form of the administration API.
-type decoder interface {
-	encoder
+// decodableResponse is an answer that a metrics listener gives in the form of the administration API.
+type decodableResponse interface {
+	jsonResponse
 	UnmarshalJSON([]byte) error
 }
 
-// askMetrics asks a metrics listener and prints its answer.
-func askMetrics[T decoder](cmd *cobra.Command, o *options, method, target string, answer T, text func(io.Writer, T)) error {
+// callMetricsListener asks a metrics listener and prints its answer.
+func callMetricsListener[T decodableResponse](cmd *cobra.Command, o *options, method, target string, answer T, text func(io.Writer, T)) error {
 	ctx, cancel := context.WithTimeout(cmd.Context(), o.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+target, nil)
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -40,7 +40,7 @@
 so that the change is made once; after exit code 5 send it again with --change-id.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if err := s.read(args[0]); err != nil {
+			if err := s.load(args[0]); err != nil {
 				return err
 			}
 			return s.run(cmd.Context(), o)
@@ -51,8 +51,8 @@
 	return cmd
 }
 
-// read checks the file, so that faults need no server.
-func (s *submission) read(path string) error {
+// load checks the file, so that faults need no server.
+func (s *submission) load(path string) error {
 	text, doc, err := readDocument(path)
 	if err != nil {
 		return err
@@ -73,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	answer, err := call(ctx, c, repeatNamed, s.send)
+	answer, err := callServers(ctx, c, retryIdempotent, s.send)
 	if code := exitCode(err); code == ExitUnknown || code == ExitNotRun {
 		o.out.note("to send it again: --base %d --change-id %s", s.base, s.changeID)
 	}
@@ -126,12 +126,12 @@
 without a server. With --server each one is also checked against the accepted ones.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return check(cmd, o, args)
+			return checkFiles(cmd, o, args)
 		},
 	}
 }
 
-func check(cmd *cobra.Command, o *options, paths []string) error {
+func checkFiles(cmd *cobra.Command, o *options, paths []string) error {
 	var texts [][]byte
 	var docs []*document.Document
 	for _, path := range paths {
@@ -146,14 +146,14 @@
 		return err
 	}
 	for i, doc := range docs {
-		if err := checkOne(cmd, o, texts[i], doc); err != nil {
+		if err := checkDocument(cmd, o, texts[i], doc); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func checkOne(cmd *cobra.Command, o *options, text []byte, doc *document.Document) error {
+func checkDocument(cmd *cobra.Command, o *options, text []byte, doc *document.Document) error {
 	printChecked := func(w io.Writer, c *oas.Checked) { fmt.Fprintf(w, "%s: valid, digest %s\n", c.Name, c.Digest) }
 	if len(o.servers) == 0 {
 		answer := &oas.Checked{Name: doc.Service.Name, Digest: doc.Digest.String()}
@@ -162,5 +162,5 @@
 	send := func(ctx context.Context, s *oas.Client) (*oas.Checked, error) {
 		return s.CheckDocument(ctx, &oas.CheckDocumentReqTextPlain{Data: bytes.NewReader(text)})
 	}
-	return ask(cmd, o, repeatRead, send, printChecked)
+	return callAndPrint(cmd, o, retryRead, send, printChecked)
 }
--- a/internal/cli/summary.go
+++ b/internal/cli/summary.go
@@ -13,8 +13,8 @@
 	"github.com/pkg/errors"
 )
 
-// worstHosts is how many hosts a summary names for each metric.
-const worstHosts = 5
+// maxNamedHosts is how many hosts a summary names for each metric.
+const maxNamedHosts = 5
 
 // hostValue is a metric at one host.
 type hostValue struct {
@@ -22,19 +22,19 @@
 	Value float64 `json:"value"`
 }
 
-// summary is one metric over many hosts.
-type summary struct {
+// metricSummary is one metric over many hosts.
+type metricSummary struct {
 	Metric string  `json:"metric"`
 	Hosts  int     `json:"hosts"`
 	Sum    float64 `json:"sum"`
 	Median float64 `json:"median"`
-	// Most are the hosts with the highest values, the highest first.
-	Most []hostValue `json:"most"`
+	// Highest are the hosts with the highest values, the highest first.
+	Highest []hostValue `json:"most"`
 }
 
 // summaries returns the metrics that are numbers, by name.
-func (s *stats) summaries() []summary {
-	var out []summary
+func (s *statsTable) summaries() []metricSummary {
+	var out []metricSummary
 	for _, name := range slices.Sorted(maps.Keys(s.values)) {
 		var all []hostValue
 		for host, text := range s.values[name] {
@@ -43,17 +43,17 @@
 			}
 		}
 		if len(all) > 0 {
-			out = append(out, summarise(shortName(name), all))
+			out = append(out, summarise(trimMetricPrefix(name), all))
 		}
 	}
 	return out
 }
 
-func summarise(name string, all []hostValue) summary {
+func summarise(name string, all []hostValue) metricSummary {
 	slices.SortFunc(all, func(a, b hostValue) int {
 		return cmp.Or(cmp.Compare(b.Value, a.Value), cmp.Compare(a.Host, b.Host))
 	})
-	out := summary{Metric: name, Hosts: len(all), Median: all[len(all)/2].Value, Most: all[:min(len(all), worstHosts)]}
+	out := metricSummary{Metric: name, Hosts: len(all), Median: all[len(all)/2].Value, Highest: all[:min(len(all), maxNamedHosts)]}
 	for _, v := range all {
 		out.Sum += v.Value
 	}
@@ -61,7 +61,7 @@
 }
 
 // writeSummary prints a row a metric.
-func (s *stats) writeSummary(p *printer) error {
+func (s *statsTable) writeSummary(p *printer) error {
 	all := s.summaries()
 	if p.format == formatJSON {
 		return errors.Wrap(json.NewEncoder(p.stdout).Encode(all), "output")
@@ -70,7 +70,7 @@
 	_, _ = fmt.Fprintln(t, "metric\thosts\tsum\tmedian\tmost")
 	for _, m := range all {
 		var most []string
-		for _, v := range m.Most {
+		for _, v := range m.Highest {
 			most = append(most, fmt.Sprintf("%s=%g", v.Host, v.Value))
 		}
 		_, _ = fmt.Fprintf(t, "%s\t%d\t%g\t%g\t%s\n", m.Metric, m.Hosts, m.Sum, m.Median, strings.Join(most, " "))
--- a/internal/document/bench_test.go
+++ b/internal/document/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fill repeats a numbered piece up to the greatest size of a document.
-func fill(head, piece string) []byte {
+// repeatToMaxSize repeats a numbered piece up to the greatest size of a document.
+func repeatToMaxSize(head, piece string) []byte {
 	var b strings.Builder
 	b.WriteString(head)
 	for i := 0; ; i++ {
@@ -25,11 +25,11 @@
 func BenchmarkParse(b *testing.B) {
 	head := "[service]\nname = a\n"
 	cases := map[string][]byte{
-		"workspaces":      fill(head, "[workspace \"w%[1]d\"]\nshare = 1\ntoken-sha256 = %064[1]x\n"),
-		"unknown-keys":    fill(head, "k%d=1\n"),
-		"repeated-keys":   fill(head, "k=%d\n"),
-		"sections":        fill(head, "[s%d]\n"),
-		"repeated-header": fill(head, "[s]\na%d=1\n"),
+		"workspaces":      repeatToMaxSize(head, "[workspace \"w%[1]d\"]\nshare = 1\ntoken-sha256 = %064[1]x\n"),
+		"unknown-keys":    repeatToMaxSize(head, "k%d=1\n"),
+		"repeated-keys":   repeatToMaxSize(head, "k=%d\n"),
+		"sections":        repeatToMaxSize(head, "[s%d]\n"),
+		"repeated-header": repeatToMaxSize(head, "[s]\na%d=1\n"),
 	}
 	for name, text := range cases {
 		b.Run(name, func(b *testing.B) {
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -11,24 +11,24 @@
 	"pgregory.net/rapid"
 )
 
-func example(t testing.TB, name string) []byte {
+func readExample(t testing.TB, name string) []byte {
 	text, err := os.ReadFile("../../examples/" + name + ".ini")
 	require.NoError(t, err)
 	return text
 }
 
-func parse(t testing.TB, text string) *Document {
+func mustParse(t testing.TB, text string) *Document {
 	d, err := Parse([]byte(text))
 	require.NoError(t, err)
 	return d
 }
 
-func TestExamples(t *testing.T) {
-	entries := parse(t, string(example(t, "entries")))
-	outlooks := parse(t, string(example(t, "outlooks")))
+func TestExampleDocumentsAreValid(t *testing.T) {
+	entries := mustParse(t, string(readExample(t, "entries")))
+	outlooks := mustParse(t, string(readExample(t, "outlooks")))
 	require.NoError(t, CheckConflicts([]*Document{entries, outlooks}))
 
-	require.Equal(t, Digest(sha256.Sum256(example(t, "entries"))), entries.Digest)
+	require.Equal(t, Digest(sha256.Sum256(readExample(t, "entries"))), entries.Digest)
 	require.Equal(t, 10*time.Second, entries.Priority("season").Deadline)
 	require.Equal(t, "marshals", entries.WorkspaceByToken(sha256.Sum256([]byte("example-marshal-token"))).Name)
 	require.Nil(t, entries.WorkspaceByToken(sha256.Sum256([]byte("other"))))
@@ -37,8 +37,8 @@
 	require.Equal(t, "outlook", outlooks.Model("outlook").Pool)
 }
 
-func TestCallFor(t *testing.T) {
-	d := parse(t, string(example(t, "entries")))
+func TestCallForMatchesMethodAndPath(t *testing.T) {
+	d := mustParse(t, string(readExample(t, "entries")))
 	require.Equal(t, "book", d.CallFor("POST", "/slots/7/bookings").Name)
 	require.Equal(t, "pay", d.CallFor("POST", "/slots/payments/7/parts").Name)
 	require.Equal(t, "read", d.CallFor("GET", "/slots/7").Name)
@@ -48,8 +48,8 @@
 	require.Nil(t, d.CallFor("GET", "/v1/models"))
 }
 
-func TestMostLiteralCallWins(t *testing.T) {
-	d := parse(t, `
+func TestCallWithMostLiteralSegmentsWins(t *testing.T) {
+	d := mustParse(t, `
 [service]
 name = a
 [plain-service "s"]
@@ -75,8 +75,8 @@
 }
 
 // No spelling of a path may turn a call that must not repeat into another one.
-func TestEverySpellingOfAPathFindsTheSameCall(t *testing.T) {
-	d := parse(t, string(example(t, "entries")))
+func TestEquivalentPathsMatchTheSameCall(t *testing.T) {
+	d := mustParse(t, string(readExample(t, "entries")))
 	rapid.Check(t, func(t *rapid.T) {
 		filler := rapid.SampledFrom([]string{"/", "//", "/./", "/x/../", "/./x/.././"})
 		spelling := filler.Draw(t, "a") + "slots" + filler.Draw(t, "b") + "7" +
@@ -88,7 +88,7 @@
 	})
 }
 
-func TestEveryFaultIsToldAtOnce(t *testing.T) {
+func TestParseReportsAllProblems(t *testing.T) {
 	_, err := Parse([]byte(`[service]
 name = a b
 [objective]
@@ -147,7 +147,7 @@
 	require.Len(t, strings.Split(err.Error(), "\n"), 18)
 }
 
-func TestConflictsWithin(t *testing.T) {
+func TestParseReportsConflictsWithinOneDocument(t *testing.T) {
 	token := strings.Repeat("ab", 32)
 	cases := map[string]string{
 		"is the prefix of plain service \"a\" too":  "[plain-service \"a\"]\npath-prefix = /a\n[plain-service \"b\"]\npath-prefix = /a\n",
@@ -167,12 +167,12 @@
 	}
 }
 
-func TestCheckTogether(t *testing.T) {
+func TestCheckConflictsReportsEveryConflict(t *testing.T) {
 	base := "[service]\nname = one\n[model \"m\"]\nversion = 1\n[plain-service \"s\"]\npath-prefix = /s\n" +
 		"[workspace \"w\"]\ntoken-sha256 = " + strings.Repeat("ab", 32) + "\n"
-	one := parse(t, base)
+	one := mustParse(t, base)
 	require.NoError(t, CheckConflicts([]*Document{one}))
-	two := parse(t, strings.NewReplacer("one", "two", "/s", "/s/t").Replace(base))
+	two := mustParse(t, strings.NewReplacer("one", "two", "/s", "/s/t").Replace(base))
 	err := CheckConflicts([]*Document{one, two})
 	var conflict *ConflictError
 	require.ErrorAs(t, err, &conflict)
@@ -184,7 +184,7 @@
 	}
 }
 
-func TestTextIsBounded(t *testing.T) {
+func TestParseRefusesTooLongOrNonUTF8Text(t *testing.T) {
 	_, err := Parse([]byte(strings.Repeat("#", MaxSize+1)))
 	require.ErrorContains(t, err, "exceeds the limit")
 	_, err = Parse([]byte("[service]\nname = a\n# \xff\n"))
@@ -192,7 +192,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(example(f, "entries"))
+	f.Add(readExample(f, "entries"))
 	f.Add([]byte("[call \"a\"]\npath = /**\n[group \"\"]\n[\n]=\n"))
 	f.Add([]byte("\"\"\"a\"\"\" = \"\"\"b\n\"\"\"\n`x` = `y`\n- = 1"))
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/document/lookup.go
+++ b/internal/document/lookup.go
@@ -33,7 +33,7 @@
 	requestPath = CleanPath(requestPath)
 	var best *PlainService
 	for _, s := range d.Services {
-		if under(requestPath, s.PathPrefix) && (best == nil || len(s.PathPrefix) > len(best.PathPrefix)) {
+		if hasPathPrefix(requestPath, s.PathPrefix) && (best == nil || len(s.PathPrefix) > len(best.PathPrefix)) {
 			best = s
 		}
 	}
@@ -52,10 +52,10 @@
 	if service == nil {
 		return nil
 	}
-	segments := split(requestPath)
+	segments := splitPath(requestPath)
 	var best *Call
 	for _, c := range d.Calls {
-		if c.Service == service.Name && c.matches(method, segments) && c.beats(best) {
+		if c.Service == service.Name && c.matches(method, segments) && c.isMoreSpecificThan(best) {
 			best = c
 		}
 	}
@@ -85,18 +85,18 @@
 	return len(segments) == len(c.segments)
 }
 
-func (c *Call) beats(other *Call) bool {
+func (c *Call) isMoreSpecificThan(other *Call) bool {
 	if other == nil {
 		return true
 	}
-	a, b := c.literals(), other.literals()
+	a, b := c.countLiterals(), other.countLiterals()
 	if a != b {
 		return a > b
 	}
 	return other.Idempotent && !c.Idempotent
 }
 
-func (c *Call) literals() int {
+func (c *Call) countLiterals() int {
 	n := 0
 	for _, s := range c.segments {
 		if s != anySegment && s != anySegments {
@@ -111,9 +111,9 @@
 // the path, or it may run another call than the one that was looked up.
 func CleanPath(p string) string { return path.Clean("/" + p) }
 
-func under(p, prefix string) bool {
+func hasPathPrefix(p, prefix string) bool {
 	rest, ok := strings.CutPrefix(p, prefix)
 	return ok && (rest == "" || rest[0] == '/')
 }
 
-func split(p string) []string { return strings.Split(strings.TrimPrefix(p, "/"), "/") }
+func splitPath(p string) []string { return strings.Split(strings.TrimPrefix(p, "/"), "/") }
--- a/internal/document/parse.go
+++ b/internal/document/parse.go
@@ -133,7 +133,7 @@
 		v := &PlainService{
 			Name:       s.Name(),
 			Pool:       inifile.Optional(s, "pool", s.Name(), inifile.Name),
-			PathPrefix: inifile.Required(s, "path-prefix", pathPrefix),
+			PathPrefix: inifile.Required(s, "path-prefix", parsePathPrefix),
 		}
 		if owner, ok := owners[v.PathPrefix]; ok && v.PathPrefix != "" {
 			s.Errorf("path-prefix", "is the prefix of plain service %q too", owner)
@@ -147,7 +147,7 @@
 	}
 }
 
-func pathPrefix(text string) (string, error) {
+func parsePathPrefix(text string) (string, error) {
 	if err := checkPath(text); err != nil {
 		return "", err
 	}
@@ -155,7 +155,7 @@
 		return "", errors.Errorf("%q is a prefix and takes no *", text)
 	}
 	for _, reserved := range reservedPrefixes {
-		if text == reserved || (reserved != "/" && under(text, reserved)) {
+		if text == reserved || (reserved != "/" && hasPathPrefix(text, reserved)) {
 			return "", errors.Errorf("%q belongs to the system", text)
 		}
 	}
@@ -178,10 +178,10 @@
 			Name:    s.Name(),
 			Service: inifile.Required(s, "service", inifile.Name),
 			Method:  inifile.Required(s, "method", inifile.OneOf(methods...)),
-			Path:    inifile.Required(s, "path", pathPattern),
+			Path:    inifile.Required(s, "path", parsePathPattern),
 		}
 		c.Idempotent = inifile.Optional(s, "idempotent", slices.Contains(idempotentMethods, c.Method), inifile.Bool)
-		c.segments = split(c.Path)
+		c.segments = splitPath(c.Path)
 		p.calls = append(p.calls, s)
 		p.doc.Calls = append(p.doc.Calls, c)
 	}
@@ -197,11 +197,11 @@
 	http.MethodGet, http.MethodHead, http.MethodPut, http.MethodDelete, http.MethodOptions,
 }
 
-func pathPattern(text string) (string, error) {
+func parsePathPattern(text string) (string, error) {
 	if err := checkPath(text); err != nil {
 		return "", err
 	}
-	segments := split(text)
+	segments := splitPath(text)
 	for i, s := range segments {
 		switch {
 		case s == anySegments && i < len(segments)-1:
@@ -235,8 +235,8 @@
 			MaxTokensPerSecond:   inifile.Optional(s, "max-tokens-per-second", 0, inifile.Number(0)),
 			Priority:             inifile.Optional(s, "priority", "", inifile.Name),
 			Tokens:               inifile.Optional(s, "token-sha256", nil, inifile.List(inifile.ParseSHA256)),
-			Models:               inifile.Optional(s, "models", AllowList{All: true}, selection),
-			Services:             inifile.Optional(s, "services", AllowList{All: true}, selection),
+			Models:               inifile.Optional(s, "models", AllowList{All: true}, parseAllowList),
+			Services:             inifile.Optional(s, "services", AllowList{All: true}, parseAllowList),
 		}
 		p.workspaces = append(p.workspaces, s)
 		p.doc.Workspaces = append(p.doc.Workspaces, w)
@@ -255,7 +255,7 @@
 	}
 }
 
-func selection(text string) (AllowList, error) {
+func parseAllowList(text string) (AllowList, error) {
 	if text == "*" {
 		return AllowList{All: true}, nil
 	}
--- a/internal/document/references.go
+++ b/internal/document/references.go
@@ -32,7 +32,7 @@
 	if c.Path == "" || service.PathPrefix == "" {
 		return
 	}
-	if !under(c.Path, service.PathPrefix) {
+	if !hasPathPrefix(c.Path, service.PathPrefix) {
 		s.Errorf("path", "%q does not lie under the prefix %q of its service", c.Path, service.PathPrefix)
 		return
 	}
--- a/internal/document/together.go
+++ b/internal/document/together.go
@@ -34,8 +34,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// claim is a name that a document takes for itself.
-type claim struct{ what, value string }
+// uniqueName is a name that a document takes for itself.
+type uniqueName struct{ kind, value string }
 
 // CheckConflicts looks for names that more than one of the documents takes: those
 // of the service, workspaces, their tokens, models, groups, pools, plain services
@@ -43,14 +43,14 @@
 // documents own what they name. The error is a *ConflictError.
 func CheckConflicts(docs []*Document) error {
 	var conflicts []Conflict
-	owners := map[claim]string{}
+	owners := map[uniqueName]string{}
 	for i, d := range docs {
-		for _, c := range d.claims() {
+		for _, c := range d.uniqueNames() {
 			if owner, ok := owners[c]; ok {
-				conflicts = append(conflicts, Conflict{Kind: c.what, Value: c.value, Owner: owner, Claimant: d.Service.Name})
+				conflicts = append(conflicts, Conflict{Kind: c.kind, Value: c.value, Owner: owner, Claimant: d.Service.Name})
 			}
 		}
-		for _, c := range d.claims() {
+		for _, c := range d.uniqueNames() {
 			if _, ok := owners[c]; !ok {
 				owners[c] = d.Service.Name
 			}
@@ -63,11 +63,11 @@
 	return &ConflictError{Conflicts: conflicts}
 }
 
-// claims lists each name once, in the order of the text.
-func (d *Document) claims() []claim {
-	list := []claim{{"service", d.Service.Name}}
+// uniqueNames lists each name once, in the order of the text.
+func (d *Document) uniqueNames() []uniqueName {
+	list := []uniqueName{{"service", d.Service.Name}}
 	add := func(what, value string) {
-		c := claim{what, value}
+		c := uniqueName{what, value}
 		if what != "pool" || !slices.Contains(list, c) {
 			list = append(list, c)
 		}
@@ -96,7 +96,7 @@
 	var conflicts []Conflict
 	for _, s := range d.Services {
 		for _, other := range earlier {
-			if other.overlaps(s.PathPrefix) {
+			if other.hasOverlappingPrefix(s.PathPrefix) {
 				conflicts = append(conflicts, Conflict{
 					Kind: "path-prefix", Value: s.PathPrefix,
 					Owner: other.Service.Name, Claimant: d.Service.Name,
@@ -107,9 +107,9 @@
 	return conflicts
 }
 
-func (d *Document) overlaps(prefix string) bool {
+func (d *Document) hasOverlappingPrefix(prefix string) bool {
 	for _, s := range d.Services {
-		if under(prefix, s.PathPrefix) || under(s.PathPrefix, prefix) {
+		if hasPathPrefix(prefix, s.PathPrefix) || hasPathPrefix(s.PathPrefix, prefix) {
 			return true
 		}
 	}
--- a/internal/inifile/errors.go
+++ b/internal/inifile/errors.go
@@ -20,14 +20,14 @@
 
 // String returns the problem on one line.
 func (p Problem) String() string {
-	text := p.place() + p.Text
+	text := p.location() + p.Text
 	if p.Line > 0 {
 		text += fmt.Sprintf(" (line %d)", p.Line)
 	}
 	return text
 }
 
-func (p Problem) place() string {
+func (p Problem) location() string {
 	switch {
 	case p.Section == "" && p.Key == "":
 		return ""
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -32,9 +32,9 @@
 	header string
 	name   string
 	raw    *ini.Section
-	known  bool
-	// read holds the keys that a reader asked for.
-	read map[string]bool
+	isRead bool
+	// readKeys holds the keys that a reader asked for.
+	readKeys map[string]bool
 }
 
 // Parse reads text. A text longer than limit bytes, or one that is not INI, gives
@@ -42,24 +42,24 @@
 func Parse(source string, text []byte, limit int) (*File, error) {
 	f := &File{err: Error{Source: source}}
 	if len(text) > limit {
-		f.fail(Problem{Text: fmt.Sprintf("text of %d bytes exceeds the limit of %d", len(text), limit)})
+		f.addProblem(Problem{Text: fmt.Sprintf("text of %d bytes exceeds the limit of %d", len(text), limit)})
 		return nil, f.Err()
 	}
 	if !utf8.Valid(text) {
-		f.fail(Problem{Text: "text is not UTF-8"})
+		f.addProblem(Problem{Text: "text is not UTF-8"})
 		return nil, f.Err()
 	}
 	f.lines = indexLines(text)
 	parsed, err := ini.LoadSources(options, text)
 	if err != nil {
-		f.fail(Problem{Text: err.Error(), Line: f.lines.lineOfError(err)})
+		f.addProblem(Problem{Text: err.Error(), Line: f.lines.lineOfError(err)})
 		return nil, f.Err()
 	}
 	for _, raw := range parsed.Sections() {
 		f.addSection(raw)
 	}
-	for _, p := range f.lines.repeated {
-		f.fail(p)
+	for _, p := range f.lines.duplicates {
+		f.addProblem(p)
 	}
 	return f, nil
 }
@@ -76,11 +76,11 @@
 	header := raw.Name()
 	if header == ini.DefaultSection {
 		for _, key := range raw.Keys() {
-			f.fail(Problem{Key: key.Name(), Line: f.lines.key("", key.Name()), Text: "stands outside any section"})
+			f.addProblem(Problem{Key: key.Name(), Line: f.lines.lineOf("", key.Name()), Text: "stands outside any section"})
 		}
 		return
 	}
-	f.sections = append(f.sections, &Section{file: f, header: header, raw: raw, read: map[string]bool{}})
+	f.sections = append(f.sections, &Section{file: f, header: header, raw: raw, readKeys: map[string]bool{}})
 }
 
 // Section returns the section with this header. A section that the text lacks
@@ -88,11 +88,11 @@
 func (f *File) Section(header string) *Section {
 	for _, s := range f.sections {
 		if s.header == header {
-			s.known = true
+			s.isRead = true
 			return s
 		}
 	}
-	return &Section{file: f, header: header, read: map[string]bool{}}
+	return &Section{file: f, header: header, readKeys: map[string]bool{}}
 }
 
 // NamedSections returns the sections [kind "NAME"] in the order of the text. A name that
@@ -104,7 +104,7 @@
 		if !ok {
 			continue
 		}
-		s.known = true
+		s.isRead = true
 		s.name = strings.Trim(strings.TrimSpace(quoted), `"`)
 		if quoted != `"`+s.name+`"` {
 			s.Errorf("", `header is not of the form [%s "NAME"]`, kind)
@@ -125,7 +125,7 @@
 // keys that nothing asked for among them, or nil. It is called once, at the end.
 func (f *File) Err() error {
 	for _, s := range f.sections {
-		f.failUnread(s)
+		f.reportUnread(s)
 	}
 	if len(f.err.Problems) == 0 {
 		return nil
@@ -138,19 +138,19 @@
 	return &f.err
 }
 
-func (f *File) failUnread(s *Section) {
-	if !s.known {
+func (f *File) reportUnread(s *Section) {
+	if !s.isRead {
 		s.Errorf("", "unknown section")
 		return
 	}
 	for _, key := range s.raw.Keys() {
-		if !s.read[key.Name()] {
+		if !s.readKeys[key.Name()] {
 			s.Errorf(key.Name(), "unknown key")
 		}
 	}
 }
 
-func (f *File) fail(p Problem) {
+func (f *File) addProblem(p Problem) {
 	if len(f.err.Problems) >= MaxProblems {
 		f.dropped++
 		return
@@ -166,10 +166,10 @@
 
 // Errorf records a fault of a key, or of the section where key is empty.
 func (s *Section) Errorf(key, format string, args ...any) {
-	s.file.fail(Problem{
+	s.file.addProblem(Problem{
 		Section: s.header,
 		Key:     key,
-		Line:    s.file.lines.key(s.header, key),
+		Line:    s.file.lines.lineOf(s.header, key),
 		Text:    fmt.Sprintf(format, args...),
 	})
 }
@@ -180,13 +180,13 @@
 		return
 	}
 	for _, key := range s.raw.Keys() {
-		s.read[key.Name()] = true
+		s.readKeys[key.Name()] = true
 	}
 }
 
 // lookup returns the text of a key and whether it is there and not empty.
 func (s *Section) lookup(key string) (string, bool) {
-	s.read[key] = true
+	s.readKeys[key] = true
 	if s.raw == nil || !s.raw.HasKey(key) {
 		return "", false
 	}
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestValues(t *testing.T) {
+func TestValueParsersRefuseInvalidText(t *testing.T) {
 	size, err := Size("64 KiB")
 	require.NoError(t, err)
 	require.Equal(t, 64*KiB, size)
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestValuesAreTakenAsTheyStand(t *testing.T) {
+func TestValuesAreNotInterpolatedOrInherited(t *testing.T) {
 	f, err := Parse("test", []byte("[a]\npath = /x#y ; comment\nother = %(path)s\n[a.b]\n"), 100)
 	require.NoError(t, err)
 	require.Equal(t, "/x#y", Optional(f.Section("a"), "path", "", String))
@@ -34,14 +34,14 @@
 	require.NoError(t, f.Err())
 }
 
-func TestRepeatedSection(t *testing.T) {
+func TestRepeatedSectionIsAProblem(t *testing.T) {
 	f, err := Parse("test", []byte("[a]\nx = 1\n[a]\ny = 2\n"), 100)
 	require.NoError(t, err)
 	f.Section("a").IgnoreKeys()
 	require.EqualError(t, f.Err(), "test: [a]: section stands twice (line 3)")
 }
 
-func TestProblemsAreBounded(t *testing.T) {
+func TestNumberOfProblemsIsLimited(t *testing.T) {
 	f, err := Parse("test", []byte("[a]\n"+strings.Repeat("x = 1\n", MaxProblems+10)), 100000)
 	require.NoError(t, err)
 	f.Section("a").IgnoreKeys()
--- a/internal/inifile/lines.go
+++ b/internal/inifile/lines.go
@@ -12,9 +12,9 @@
 // lineIndex holds where headers and keys stand, which the INI library does not
 // tell. It reads headers and keys only.
 type lineIndex struct {
-	text     []string
-	lines    map[position]int
-	repeated []Problem
+	text       []string
+	lines      map[position]int
+	duplicates []Problem
 }
 
 func indexLines(text []byte) lineIndex {
@@ -28,18 +28,18 @@
 		switch {
 		case line == "" || line[0] == '#' || line[0] == ';':
 		case line[0] == '[':
-			section = header(line)
-			x.note(position{section: section}, i+1)
+			section = headerOf(line)
+			x.record(position{section: section}, i+1)
 		default:
 			key, _, _ := strings.Cut(line, "=")
-			x.note(position{section: section, key: strings.TrimSpace(key)}, i+1)
+			x.record(position{section: section, key: strings.TrimSpace(key)}, i+1)
 		}
 	}
 	return x
 }
 
-// header returns what stands between the brackets.
-func header(line string) string {
+// headerOf returns what stands between the brackets.
+func headerOf(line string) string {
 	line = line[1:]
 	if end := strings.LastIndexByte(line, ']'); end >= 0 {
 		line = line[:end]
@@ -47,7 +47,7 @@
 	return strings.TrimSpace(line)
 }
 
-func (x *lineIndex) note(p position, line int) {
+func (x *lineIndex) record(p position, line int) {
 	if _, ok := x.lines[p]; !ok {
 		x.lines[p] = line
 		return
@@ -56,12 +56,12 @@
 	if p.key == "" {
 		text = "section stands twice"
 	}
-	x.repeated = append(x.repeated, Problem{Section: p.section, Key: p.key, Line: line, Text: text})
+	x.duplicates = append(x.duplicates, Problem{Section: p.section, Key: p.key, Line: line, Text: text})
 }
 
-// key returns the line of a key, that of its section where the key is missing,
+// lineOf returns the line of a key, that of its section where the key is missing,
 // or zero.
-func (x *lineIndex) key(section, key string) int {
+func (x *lineIndex) lineOf(section, key string) int {
 	if line, ok := x.lines[position{section, key}]; ok {
 		return line
 	}
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -33,14 +33,14 @@
 		Peer:    parsePeer(f.Section("peer")),
 		Metrics: Metrics{Listen: optionalAddr(f.Section("metrics"), "listen")},
 	}
-	if role(f, s, RoleControl) {
+	if hasRole(f, s, RoleControl) {
 		s.Control = parseControl(f.Section("control"))
 		s.Operators = parseOperators(f)
 	}
-	if role(f, s, RoleEntry) {
+	if hasRole(f, s, RoleEntry) {
 		s.Entry = parseEntry(f.Section("entry"))
 	}
-	if role(f, s, RoleAgent) {
+	if hasRole(f, s, RoleAgent) {
 		s.Agent = parseAgent(f.Section("agent"))
 	}
 	if err := f.Err(); err != nil {
@@ -49,9 +49,9 @@
 	return s, nil
 }
 
-// role reports whether the section of a role is to be read. A section without its
+// hasRole reports whether the section of a role is to be read. A section without its
 // role would be ignored in silence, so it is a fault.
-func role(f *inifile.File, s *Settings, r Role) bool {
+func hasRole(f *inifile.File, s *Settings, r Role) bool {
 	section := f.Section(string(r))
 	if s.HasRole(r) {
 		return true
@@ -75,11 +75,11 @@
 func parseLog(s *inifile.Section) Log {
 	return Log{
 		Format: inifile.Optional(s, "format", LogJSON, inifile.OneOf(LogJSON, LogText)),
-		Level:  inifile.Optional(s, "level", slog.LevelInfo, level),
+		Level:  inifile.Optional(s, "level", slog.LevelInfo, parseLevel),
 	}
 }
 
-func level(text string) (slog.Level, error) {
+func parseLevel(text string) (slog.Level, error) {
 	switch text {
 	case "debug":
 		return slog.LevelDebug, nil
@@ -159,7 +159,7 @@
 	return inifile.Optional(s, key, netip.AddrPort{}, inifile.AddrPort)
 }
 
-func needAddrs(s *inifile.Section, key string) []netip.AddrPort {
+func requiredAddrs(s *inifile.Section, key string) []netip.AddrPort {
 	return inifile.Required(s, key, inifile.List(inifile.AddrPort))
 }
 
@@ -171,7 +171,7 @@
 		ClaimRetention:  inifile.Optional(s, "claim-retention", 24*time.Hour, inifile.Duration),
 		APIListen:       inifile.Required(s, "api-listen", inifile.AddrPort),
 		APITLS:          parseTLS(s, "api-tls-certificate", "api-tls-key"),
-		Peers:           needAddrs(s, "peers"),
+		Peers:           requiredAddrs(s, "peers"),
 	}
 }
 
@@ -179,8 +179,8 @@
 	return Entry{
 		Listen:          inifile.Required(s, "listen", inifile.AddrPort),
 		TLS:             parseTLS(s, "tls-certificate", "tls-key"),
-		Control:         needAddrs(s, "control"),
-		Entries:         inifile.Required(s, "entries", entryHosts),
+		Control:         requiredAddrs(s, "control"),
+		Entries:         inifile.Required(s, "entries", parseEntryHosts),
 		MaxBody:         inifile.Optional(s, "max-body", inifile.MiB, inifile.Size),
 		MaxHeader:       inifile.Optional(s, "max-header", 32*inifile.KiB, inifile.Size),
 		QueueLimit:      inifile.Optional(s, "queue-limit", 1024, inifile.Int(1, maxCount)),
@@ -193,9 +193,9 @@
 	}
 }
 
-// entryHosts reads a list of name=ip:port; neither name nor address may repeat.
-func entryHosts(text string) ([]EntryHost, error) {
-	hosts, err := inifile.List(entryHost)(text)
+// parseEntryHosts reads a list of name=ip:port; neither name nor address may repeat.
+func parseEntryHosts(text string) ([]EntryHost, error) {
+	hosts, err := inifile.List(parseEntryHost)(text)
 	if err != nil {
 		return nil, err
 	}
@@ -211,7 +211,7 @@
 	return hosts, nil
 }
 
-func entryHost(text string) (EntryHost, error) {
+func parseEntryHost(text string) (EntryHost, error) {
 	name, addr, ok := strings.Cut(text, "=")
 	if !ok {
 		return EntryHost{}, errors.Errorf("%q is not of the form name=ip:port", text)
@@ -229,11 +229,11 @@
 
 func parseAgent(s *inifile.Section) Agent {
 	a := Agent{
-		UpstreamURL:      inifile.Required(s, "upstream-url", upstreamURL),
+		UpstreamURL:      inifile.Required(s, "upstream-url", parseUpstreamURL),
 		Kind:             inifile.Required(s, "kind", inifile.OneOf(UpstreamModel, UpstreamService)),
 		Pool:             inifile.Required(s, "pool", inifile.Name),
-		Entries:          needAddrs(s, "entries"),
-		Control:          needAddrs(s, "control"),
+		Entries:          requiredAddrs(s, "entries"),
+		Control:          requiredAddrs(s, "control"),
 		Capacity:         inifile.Optional(s, "capacity", 64, inifile.Int(1, maxCount)),
 		Group:            inifile.Optional(s, "group", "", inifile.Name),
 		FirstRank:        inifile.Optional(s, "first-rank", 0, inifile.Int(0, maxRanks-1)),
@@ -263,7 +263,7 @@
 	}
 }
 
-func upstreamURL(text string) (string, error) {
+func parseUpstreamURL(text string) (string, error) {
 	u, err := url.Parse(text)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") {
 		return "", errors.Errorf("%q is not an http or https URL", text)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -30,7 +30,7 @@
 control = 127.0.0.1:2
 `
 
-func TestExamplesLoad(t *testing.T) {
+func TestExampleSettingsAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../settings/*.example.ini")
 	require.NoError(t, err)
 	require.Len(t, paths, 3)
@@ -53,7 +53,7 @@
 	require.NotContains(t, fmt.Sprintf("%v %+v %#v", s, s, s), "0123456789abcdef")
 }
 
-func TestControlExampleIsTyped(t *testing.T) {
+func TestControlExampleValues(t *testing.T) {
 	s, err := Load("../../settings/control.example.ini")
 	require.NoError(t, err)
 	require.Equal(t, netip.MustParseAddrPort("127.0.0.1:9001"), s.Control.APIListen)
@@ -63,7 +63,7 @@
 	require.Equal(t, []string{"entries"}, s.Operators[1].Documents)
 }
 
-func TestEveryFaultIsToldAtOnce(t *testing.T) {
+func TestParseReportsAllProblems(t *testing.T) {
 	_, err := Parse([]byte(`stray = 1
 [host]
 name = e1
@@ -100,7 +100,7 @@
 settings: [extra]: unknown section (line 19)`), err.Error())
 }
 
-func TestRefused(t *testing.T) {
+func TestParseRefusesInvalidSettings(t *testing.T) {
 	hash := strings.Repeat("ab", 32)
 	control := strings.Replace(minimalAgent, "roles = agent", "roles = agent, control", 1) +
 		"[control]\ndata-folder = d\napi-listen = 127.0.0.1:4\npeers = 127.0.0.1:1\n"
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestSecretFile(t *testing.T) {
+func TestSecretIsReadFromFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "secret")
 	require.NoError(t, os.WriteFile(path, []byte("0123456789abcdef\n"), 0o600))
 	s, err := Parse([]byte(strings.Replace(minimalAgent, "secret = 0123456789abcdef", "secret-file = "+path, 1)))
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// boundedQueue is how many lines wait for a reader that is slow; what does not fit is
+	// logQueueLength is how many lines wait for a reader that is slow; what does not fit is
 	// dropped and counted.
-	boundedQueue = 512
-	// linesPerSecond bounds the lines of one kind; the rest is counted in the next line
+	logQueueLength = 512
+	// maxLinesPerSecond bounds the lines of one kind; the rest is counted in the next line
 	// of that kind.
-	linesPerSecond = 20
-	// failuresPerSecond is the bound for warnings and errors.
-	failuresPerSecond = 100
+	maxLinesPerSecond = 20
+	// maxFailuresPerSecond is the bound for warnings and errors.
+	maxFailuresPerSecond = 100
 	// flushTimeout bounds the wait for the reader at the end of the process.
 	flushTimeout = 200 * time.Millisecond
 )
@@ -27,24 +27,24 @@
 // that were left out are counted: "suppressed" by the limit in the next line of the
 // kind, "dropped" by the queue. Flush waits a little for what is queued.
 func NewNonBlockingLogger(w io.Writer, level slog.Level) (log *slog.Logger, flush func()) {
-	q := &queueWriter{lines: make(chan []byte, boundedQueue), done: make(chan struct{})}
+	q := &queueWriter{lines: make(chan []byte, logQueueLength), done: make(chan struct{})}
 	go q.run(w)
 	h := slog.NewJSONHandler(q, &slog.HandlerOptions{Level: level})
-	return slog.New(&boundedHandler{Handler: h, queue: q, limits: &limits{kinds: make(map[string]*kindLimit)}}), q.flush
+	return slog.New(&rateLimitedHandler{Handler: h, queue: q, limiter: &rateLimiter{counts: make(map[string]*messageCount)}}), q.flush
 }
 
 // queueWriter passes lines on without waiting.
 type queueWriter struct {
-	lines   chan []byte
-	done    chan struct{}
-	closing sync.Once
-	isEnded atomic.Bool
-	dropped atomic.Int64
+	lines    chan []byte
+	done     chan struct{}
+	closing  sync.Once
+	isClosed atomic.Bool
+	dropped  atomic.Int64
 }
 
 // Write implements io.Writer; a line is one call.
 func (q *queueWriter) Write(line []byte) (int, error) {
-	if q.isEnded.Load() {
+	if q.isClosed.Load() {
 		return len(line), nil
 	}
 	select {
@@ -67,7 +67,7 @@
 
 func (q *queueWriter) flush() {
 	q.closing.Do(func() {
-		q.isEnded.Store(true)
+		q.isClosed.Store(true)
 		timer := time.NewTimer(flushTimeout)
 		defer timer.Stop()
 		select {
@@ -82,28 +82,28 @@
 	})
 }
 
-// limits holds the limit of each kind of line. A kind is a message's text, of which the
+// rateLimiter holds the limit of each kind of line. A kind is a message's text, of which the
 // program has a fixed number.
-type limits struct {
+type rateLimiter struct {
 	// mu guards kinds.
-	mu    sync.Mutex
-	kinds map[string]*kindLimit
+	mu     sync.Mutex
+	counts map[string]*messageCount
 }
 
-type kindLimit struct {
+type messageCount struct {
 	second     int64
 	lines      int
 	suppressed int
 }
 
-// take reports whether a line may be written, and how many of its kind were not.
-func (l *limits) take(kind string, most int, at time.Time) (suppressed int, ok bool) {
+// allow reports whether a line may be written, and how many of its kind were not.
+func (l *rateLimiter) allow(kind string, most int, at time.Time) (suppressed int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.kinds[kind]
+	k := l.counts[kind]
 	if k == nil {
-		k = &kindLimit{}
-		l.kinds[kind] = k
+		k = &messageCount{}
+		l.counts[kind] = k
 	}
 	if s := at.Unix(); s != k.second {
 		k.second, k.lines = s, 0
@@ -117,25 +117,25 @@
 	return suppressed, true
 }
 
-// boundedHandler applies the limits.
-type boundedHandler struct {
+// rateLimitedHandler applies the limits.
+type rateLimitedHandler struct {
 	slog.Handler
-	queue  *queueWriter
-	limits *limits
+	queue   *queueWriter
+	limiter *rateLimiter
 }
 
 // Handle implements slog.Handler.
-func (h *boundedHandler) Handle(ctx context.Context, r slog.Record) error {
-	most := linesPerSecond
+func (h *rateLimitedHandler) Handle(ctx context.Context, r slog.Record) error {
+	most := maxLinesPerSecond
 	if r.Level >= slog.LevelWarn {
-		most = failuresPerSecond
+		most = maxFailuresPerSecond
 	}
-	if r.Level < slog.LevelWarn && len(h.queue.lines) > boundedQueue/2 {
+	if r.Level < slog.LevelWarn && len(h.queue.lines) > logQueueLength/2 {
 		// The second half of the queue is for failures.
 		h.queue.dropped.Add(1)
 		return nil
 	}
-	suppressed, ok := h.limits.take(r.Message, most, r.Time)
+	suppressed, ok := h.limiter.allow(r.Message, most, r.Time)
 	if !ok {
 		return nil
 	}
@@ -149,11 +149,11 @@
 }
 
 // WithAttrs implements slog.Handler.
-func (h *boundedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &boundedHandler{Handler: h.Handler.WithAttrs(attrs), queue: h.queue, limits: h.limits}
+func (h *rateLimitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &rateLimitedHandler{Handler: h.Handler.WithAttrs(attrs), queue: h.queue, limiter: h.limiter}
 }
 
 // WithGroup implements slog.Handler.
-func (h *boundedHandler) WithGroup(name string) slog.Handler {
-	return &boundedHandler{Handler: h.Handler.WithGroup(name), queue: h.queue, limits: h.limits}
+func (h *rateLimitedHandler) WithGroup(name string) slog.Handler {
+	return &rateLimitedHandler{Handler: h.Handler.WithGroup(name), queue: h.queue, limiter: h.limiter}
 }
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -15,7 +15,7 @@
 )
 
 // Nobody reads the pipe: lines are dropped, and whoever logs goes on at once.
-func TestBlockedReaderHoldsNobody(t *testing.T) {
+func TestBlockedReaderDoesNotBlockLogging(t *testing.T) {
 	r, w, err := os.Pipe()
 	require.NoError(t, err)
 	defer func() { _ = r.Close() }()
@@ -36,28 +36,28 @@
 	_ = w.Close()
 }
 
-func TestLimitCountsWhatItLeavesOut(t *testing.T) {
-	l := &limits{kinds: map[string]*kindLimit{}}
+func TestRateLimiterCountsSuppressedLines(t *testing.T) {
+	l := &rateLimiter{counts: map[string]*messageCount{}}
 	at := time.Unix(100, 0)
 	written := 0
 	for range 50 {
-		if _, ok := l.take("sent", linesPerSecond, at); ok {
+		if _, ok := l.allow("sent", maxLinesPerSecond, at); ok {
 			written++
 		}
 	}
-	require.Equal(t, linesPerSecond, written)
-	_, ok := l.take("failed", linesPerSecond, at)
+	require.Equal(t, maxLinesPerSecond, written)
+	_, ok := l.allow("failed", maxLinesPerSecond, at)
 	require.True(t, ok, "each kind has its own limit")
-	suppressed, ok := l.take("sent", linesPerSecond, at.Add(time.Second))
+	suppressed, ok := l.allow("sent", maxLinesPerSecond, at.Add(time.Second))
 	require.True(t, ok)
-	require.Equal(t, 50-linesPerSecond, suppressed)
+	require.Equal(t, 50-maxLinesPerSecond, suppressed)
 }
 
 // With the queue half full, what is left of it is for failures.
-func TestFailuresGoBeforeSuccesses(t *testing.T) {
+func TestFailuresAreLoggedWhenQueueIsHalfFull(t *testing.T) {
 	r, w := io.Pipe()
 	log, flush := NewNonBlockingLogger(w, slog.LevelInfo)
-	for i := range 4 * boundedQueue {
+	for i := range 4 * logQueueLength {
 		log.Info(fmt.Sprint("success ", i))
 	}
 	log.Warn("failure")
@@ -74,7 +74,7 @@
 	require.True(t, strings.Contains(out.String(), `"dropped":`))
 }
 
-func TestLatencyInTheText(t *testing.T) {
+func TestTextIncludesLatencyQuantiles(t *testing.T) {
 	reg := metrics.NewRegistry()
 	l := GetOrRegisterLatency("gateway.answer", reg)
 	require.Same(t, l, GetOrRegisterLatency("gateway.answer", reg))
@@ -86,7 +86,7 @@
 	require.Contains(t, text, `sassafraspost_gateway_answer_seconds{quantile="0.5"} 0.05`)
 }
 
-func BenchmarkBoundedLine(b *testing.B) {
+func BenchmarkNonBlockingLogger(b *testing.B) {
 	log, flush := NewNonBlockingLogger(io.Discard, slog.LevelInfo)
 	defer flush()
 	for b.Loop() {
--- a/internal/telemetry/latency.go
+++ b/internal/telemetry/latency.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// latencyMost is the longest time that is told apart from longer ones.
-	latencyMost = time.Minute
-	// latencyDigits is how many digits of a time are kept; with two a histogram takes
+	// maxLatency is the longest time that is told apart from longer ones.
+	maxLatency = time.Minute
+	// significantDigits is how many digits of a time are kept; with two a histogram takes
 	// some 20 KB.
-	latencyDigits = 2
+	significantDigits = 2
 )
 
 // Latency is a histogram of times, exact to two digits. It may be used concurrently.
@@ -21,8 +21,8 @@
 	// NilHistogram makes it one of the registry's kinds; nothing of it is used.
 	metrics.NilHistogram
 
-	mu sync.Mutex
-	h  *hdrhistogram.Histogram
+	mu        sync.Mutex
+	histogram *hdrhistogram.Histogram
 	// sum is of all times.
 	sum time.Duration
 }
@@ -33,7 +33,7 @@
 }
 
 func newLatency() *Latency {
-	return &Latency{h: hdrhistogram.New(1, latencyMost.Microseconds(), latencyDigits)}
+	return &Latency{histogram: hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)}
 }
 
 // Add counts a time; those over a minute count as one.
@@ -42,7 +42,7 @@
 	defer l.mu.Unlock()
 	l.sum += d
 	// What is in range is always taken.
-	_ = l.h.RecordValue(min(max(d, time.Microsecond), latencyMost).Microseconds())
+	_ = l.histogram.RecordValue(min(max(d, time.Microsecond), maxLatency).Microseconds())
 }
 
 // AddSince counts the time since then.
@@ -53,8 +53,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, q := range quantiles {
-		us := l.h.ValueAtQuantile(100 * q)
+		us := l.histogram.ValueAtQuantile(100 * q)
 		values = append(values, (time.Duration(us) * time.Microsecond).Seconds())
 	}
-	return values, l.sum.Seconds(), l.h.TotalCount()
+	return values, l.sum.Seconds(), l.histogram.TotalCount()
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -40,17 +40,17 @@
 func Text(reg metrics.Registry) string {
 	var lines []string
 	reg.Each(func(name string, metric any) {
-		lines = append(lines, format(clean(name), metric))
+		lines = append(lines, formatMetric(metricName(name), metric))
 	})
 	slices.Sort(lines)
 	return strings.Join(lines, "")
 }
 
-func clean(name string) string {
+func metricName(name string) string {
 	return namePrefix + strings.NewReplacer(".", "_", "-", "_", "/", "_").Replace(name)
 }
 
-func format(name string, metric any) string {
+func formatMetric(name string, metric any) string {
 	switch m := metric.(type) {
 	case metrics.Counter:
 		return fmt.Sprintf("# TYPE %s counter\n%s %d\n", name, name, m.Count())
@@ -62,22 +62,22 @@
 		return fmt.Sprintf("# TYPE %s counter\n%s %d\n", name, name, m.Count())
 	case *Latency:
 		values, sum, count := m.snapshot()
-		return latencySummary(name+"_seconds", values, sum, count)
+		return formatFloatSummary(name+"_seconds", values, sum, count)
 	case metrics.Histogram:
 		s := m.Snapshot()
-		return summary(name, s.Percentiles(quantiles), s.Sum(), s.Count())
+		return formatSummary(name, s.Percentiles(quantiles), s.Sum(), s.Count())
 	case metrics.Timer:
 		s := m.Snapshot()
-		return summary(name, s.Percentiles(quantiles), s.Sum(), s.Count())
+		return formatSummary(name, s.Percentiles(quantiles), s.Sum(), s.Count())
 	}
 	return ""
 }
 
-func summary(name string, values []float64, sum, count int64) string {
-	return latencySummary(name, values, float64(sum), count)
+func formatSummary(name string, values []float64, sum, count int64) string {
+	return formatFloatSummary(name, values, float64(sum), count)
 }
 
-func latencySummary(name string, values []float64, sum float64, count int64) string {
+func formatFloatSummary(name string, values []float64, sum float64, count int64) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# TYPE %s summary\n", name)
 	for i, q := range quantiles {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestTextIsWhatAScraperReads(t *testing.T) {
+func TestTextFormat(t *testing.T) {
 	reg := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter("entry.requests", reg).Inc(3)
 	metrics.GetOrRegisterGauge("replica.commit", reg).Update(9)
--- a/internal/version/version_test.go
+++ b/internal/version/version_test.go
@@ -7,6 +7,6 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestReleaseIsSemantic(t *testing.T) {
+func TestReleaseIsASemanticVersion(t *testing.T) {
 	require.Regexp(t, regexp.MustCompile(`^\d+\.\d+\.\d+$`), Release)
 }
