--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -1,6 +1,5 @@
-// Package adminapi serves the administration API of a control host: it
-// authenticates operators, bounds and checks what they send, and passes it on to
-// the commands, which change state, and the queries, which read it.
+// Package adminapi serves the administration API of a control host. It authenticates operators,
+// limits and checks their requests, and calls Commands to change state and Queries to read it.
 package adminapi
 
 import (
@@ -16,33 +15,35 @@
 	"github.com/sassafraspost/sassafraspost/internal/quarantine"
 )
 
-// Commands change the replicated state. Errors are *verdict.Error; what is wrong
-// with a document may also come as *inifile.Error or *document.ConflictError.
-// Implementations on followers forward to the leader.
+// Commands change the replicated state. Errors are *verdict.Error. Errors in a document may
+// also be *inifile.Error or *document.ConflictError. Implementations on followers forward to
+// the leader.
 type Commands interface {
-	// Submit returns once the document is accepted for good, or refused.
+	// Submit returns once the document is committed, or refused.
 	Submit(ctx context.Context, req SubmitRequest) (SubmitResult, error)
 	// Init starts a new cluster.
 	Init(ctx context.Context, req InitRequest) (Cluster, error)
-	// Release lets a request go under which upstreams ended, at all hosts in touch. It needs
-	// no quorum, and reports whether anything was held against the request.
+	// Release takes a request out of quarantine and clears the suspicions against it, at all
+	// hosts that can be reached. It needs no quorum. It reports whether the request was
+	// suspected or quarantined.
 	Release(ctx context.Context, req ReleaseRequest) (bool, error)
 }
 
-// Queries read the state of this control host. Errors are *verdict.Error, with
-// CodeNotFound for a document that nobody has submitted.
+// Queries read the state of this control host. Errors are *verdict.Error, with CodeNotFound for
+// a document that nobody has submitted.
 type Queries interface {
 	// Document returns the last accepted revision.
 	Document(ctx context.Context, name string) (Document, error)
 	// Documents lists every document by name.
 	Documents(ctx context.Context) ([]DocumentSummary, error)
-	// Status tells where the last accepted revision is in force.
+	// Status returns which hosts use the last accepted revision.
 	Status(ctx context.Context, name string) (Status, error)
 	// History returns a page of the audit trail, the latest change first.
 	History(ctx context.Context, req HistoryRequest) (HistoryPage, error)
 	// Cluster returns the replicas.
 	Cluster(ctx context.Context) (Cluster, error)
-	// Quarantine lists the requests under which upstreams ended, without a quorum.
+	// Quarantine lists the requests that are suspected of crashing upstreams. It needs no
+	// quorum.
 	Quarantine(ctx context.Context) ([]quarantine.Entry, error)
 }
 
@@ -51,25 +52,27 @@
 	Name string
 	// Base is the revision that the change is based on; zero for a new document.
 	Base uint64
-	// ChangeID names the change; a resend bears the same one.
+	// ChangeID identifies the change. A retry has the same one, so that the change is made
+	// once.
 	ChangeID string
 	// Author is the operator's name.
 	Author string
-	// Text is what was submitted, byte for byte.
+	// Text is the submitted text, byte for byte.
 	Text []byte
 }
 
 // SubmitResult is the outcome of a submission.
 type SubmitResult struct {
-	// Revision is the accepted one.
+	// Revision is the accepted revision.
 	Revision uint64
-	// Repeated tells that the change had been accepted before.
+	// Repeated is set if an earlier submission with the same ChangeID has been accepted.
 	Repeated bool
-	// Conflict is the change that won instead of this one; nil when accepted.
+	// Conflict is set if another change has replaced the Base revision. It is nil if the
+	// submission is accepted.
 	Conflict *Conflict
 }
 
-// Conflict is the change that made the present revision.
+// Conflict is the change that made the current revision.
 type Conflict struct {
 	Revision uint64
 	Author   string
@@ -79,7 +82,7 @@
 // InitRequest asks for a new cluster.
 type InitRequest struct{ Author string }
 
-// ReleaseRequest lets a request go.
+// ReleaseRequest asks to take a request out of quarantine.
 type ReleaseRequest struct {
 	Fingerprint quarantine.Fingerprint
 	// Author is the operator's name.
@@ -103,28 +106,28 @@
 	Author   string
 }
 
-// Status tells where a document's last accepted revision is in force.
+// Status says which hosts use a document's last accepted revision.
 type Status struct {
 	Name     string
 	Revision uint64
-	// InForce is the number of hosts that have the revision in force.
+	// InForce is the number of hosts that use the revision.
 	InForce int
-	// Behind are hosts heard lately with an older revision.
+	// Behind are hosts that have reported recently that they use an older revision.
 	Behind []HostRevision
-	// NotHeard are hosts that have not been heard lately.
+	// NotHeard are hosts that have not reported recently.
 	NotHeard []string
-	// DataCentres are the same by data centre, in the order of the names.
+	// DataCentres are the same numbers by data centre, sorted by name.
 	DataCentres []DataCentreStatus
 }
 
-// DataCentreStatus is how many hosts of a data centre have a revision in force, were heard
-// lately with an older one, and were not heard lately.
+// DataCentreStatus is the number of hosts of a data centre that use a revision, that have
+// reported an older one recently, and that have not reported recently.
 type DataCentreStatus struct {
 	Name                      string
 	InForce, Behind, NotHeard int
 }
 
-// HostRevision is the revision in force on a host.
+// HostRevision is the revision that a host uses.
 type HostRevision struct {
 	Host     string
 	Revision uint64
@@ -132,9 +135,9 @@
 
 // HistoryRequest asks for a page of the audit trail.
 type HistoryRequest struct {
-	// Page is Next of the page before; empty for the latest changes.
+	// Page is HistoryPage.Next of the previous page. It is empty for the latest changes.
 	Page string
-	// All asks for every change; else only those of Documents are wanted.
+	// All asks for all changes. Otherwise only changes of Documents are returned.
 	All       bool
 	Documents []string
 }
@@ -142,7 +145,7 @@
 // HistoryPage is a page of the audit trail.
 type HistoryPage struct {
 	Changes []Change
-	// Next names the next page; empty on the last one.
+	// Next identifies the next page. It is empty on the last page.
 	Next string
 }
 
@@ -150,19 +153,20 @@
 type Change struct {
 	// Index is the position in the replicated log.
 	Index uint64
-	// Time is the clock of the control host that took the change. It orders nothing.
+	// Time is the clock of the control host that received the change. It does not define the
+	// order of changes.
 	Time   time.Time
 	Action string
-	// Author is empty for what the control hosts do by themselves.
+	// Author is empty for changes that the control hosts make themselves.
 	Author string
-	// Outcome is what the change came to: accepted, conflict, change-id-reused, each
-	// followed by "(repeated)" for a resend, or applied for a membership.
+	// Outcome is accepted, conflict or change-id-reused for a submission, followed by
+	// "(repeated)" for a retry. It is applied for a change of the cluster's membership.
 	Outcome string
-	// Detail tells more of a change of the cluster; it may be empty.
+	// Detail describes a change of the cluster. It may be empty.
 	Detail string
-	// Document is empty for changes of the cluster; Revision, ChangeID and Digest
-	// go with it. Revision is the accepted one, or the one in force where the change
-	// was refused; Digest is that of the text which was sent.
+	// Document is empty for changes of the cluster, and so are Revision, ChangeID and Digest.
+	// Revision is the accepted revision or, if the change was refused, the current one. Digest
+	// is the digest of the submitted text.
 	Document string
 	Revision uint64
 	ChangeID string
@@ -171,9 +175,9 @@
 
 // Cluster is the set of replicas as a control host knows it.
 type Cluster struct {
-	// ID is empty before init.
+	// ID is empty before Init.
 	ID string
-	// Leader is the replica that leads; empty where none is known.
+	// Leader is the replica that leads. It is empty if no leader is known.
 	Leader    string
 	Term      uint64
 	Commit    uint64
@@ -195,21 +199,21 @@
 	DefaultMaxBodies     = 4
 )
 
-// Config is what New needs.
+// Config holds the settings and dependencies of the API.
 type Config struct {
 	Commands Commands
 	Queries  Queries
-	// Operators tells who may do what. Required.
+	// Operators holds the operators' tokens and permissions. Required.
 	Operators *auth.Table
-	// Timeout bounds each request. Default DefaultTimeout.
+	// Timeout limits the duration of each request. Default DefaultTimeout.
 	Timeout time.Duration
-	// MaxConcurrent bounds the requests in progress; more are refused. Default
+	// MaxConcurrent limits the requests in progress. Further requests are refused. Default
 	// DefaultMaxConcurrent.
 	MaxConcurrent int
-	// MaxBodies bounds the requests with a body in progress, and so the memory that
-	// documents take while they are checked; more wait. Default DefaultMaxBodies.
+	// MaxBodies limits the requests with a body in progress, and so the memory used by
+	// documents while they are checked. Further requests wait. Default DefaultMaxBodies.
 	MaxBodies int
-	// Metrics counts problems by code. Default: a registry of its own.
+	// Metrics counts problem responses by code. Default: a new registry.
 	Metrics metrics.Registry
 }
 
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -24,7 +24,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// fakeBackend answers as its fields say and keeps the last submission.
+// fakeBackend implements Commands and Queries. It returns the values of its fields and records
+// submissions, releases and the last history request.
 type fakeBackend struct {
 	submitted []SubmitRequest
 	result    SubmitResult
@@ -295,7 +296,7 @@
 	}
 }
 
-// blockingQueries keeps the first query from ending until it is released.
+// blockingQueries blocks the first call of Cluster until release is closed.
 type blockingQueries struct {
 	fakeBackend
 	calls   atomic.Int32
@@ -327,7 +328,7 @@
 	require.Equal(t, http.StatusOK, (<-first).status)
 }
 
-// blockingCommands keeps the first submission from ending until it is released.
+// blockingCommands blocks the first call of Submit until release is closed.
 type blockingCommands struct {
 	fakeBackend
 	calls   atomic.Int32
--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -15,7 +15,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// handler implements the generated interface. It holds no state of its own.
+// handler implements the generated oas.Handler. It is stateless.
 type handler struct {
 	commands Commands
 	queries  Queries
@@ -69,7 +69,8 @@
 	}, nil
 }
 
-// checkSubmitted checks a text that is submitted under a name.
+// checkSubmitted checks that the text is a valid document and declares the name under which it
+// is submitted.
 func checkSubmitted(text []byte, name string) error {
 	doc, err := document.Parse(text)
 	if err != nil {
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// textOf reads the text of a body in either of its forms.
+// textOf reads the text from a request body, which is either plain text or JSON.
 func textOf(req any) ([]byte, error) {
 	var text []byte
 	var err error
@@ -160,7 +161,7 @@
 	return &oas.DocumentList{Documents: list}, nil
 }
 
-// GetStatus tells where the last accepted revision is in force.
+// GetStatus returns which hosts use the last accepted revision.
 func (h *handler) GetStatus(ctx context.Context, params oas.GetStatusParams) (*oas.Status, error) {
 	if err := mayRead(ctx, params.Name); err != nil {
 		return nil, err
@@ -173,9 +174,9 @@
 	for i, host := range s.Behind {
 		behind[i] = oas.HostRevision(host)
 	}
-	centres := make([]oas.DataCentreStatus, len(s.DataCentres))
+	dataCentres := make([]oas.DataCentreStatus, len(s.DataCentres))
 	for i, c := range s.DataCentres {
-		centres[i] = oas.DataCentreStatus(c)
+		dataCentres[i] = oas.DataCentreStatus(c)
 	}
 	return &oas.Status{
 		Name:        s.Name,
@@ -183,7 +184,7 @@
 		InForce:     s.InForce,
 		Behind:      behind,
 		NotHeard:    append([]string{}, s.NotHeard...),
-		DataCentres: centres,
+		DataCentres: dataCentres,
 	}, nil
 }
 
@@ -209,11 +210,11 @@
 
 func historyRequest(identity auth.Identity, params oas.GetHistoryParams) (HistoryRequest, error) {
 	req := HistoryRequest{Page: params.Page.Or("")}
-	name, one := params.Document.Get()
+	name, hasDocument := params.Document.Get()
 	switch {
-	case one && !identity.MayRead(name):
+	case hasDocument && !identity.MayRead(name):
 		return req, forbidden("the document is not the operator's own")
-	case one:
+	case hasDocument:
 		req.Documents = []string{name}
 	case identity.Admin || identity.AllDocuments:
 		req.All = true
@@ -223,7 +224,8 @@
 	return req, nil
 }
 
-// maySee keeps changes of the cluster to those who see every document.
+// maySee reports whether the operator may see the change. Changes of the cluster are visible
+// only to operators who may read every document.
 func maySee(identity auth.Identity, c Change) bool {
 	if c.Document == "" {
 		return identity.Admin || identity.AllDocuments
@@ -256,7 +258,7 @@
 	return oas.NewOptString(s)
 }
 
-// CheckDocument checks a text by itself and against the accepted documents.
+// CheckDocument checks a text by itself and for conflicts with the accepted documents.
 func (h *handler) CheckDocument(ctx context.Context, req oas.CheckDocumentReq) (*oas.Checked, error) {
 	text, err := textOf(req)
 	if err != nil {
@@ -276,7 +278,7 @@
 	return &oas.Checked{Name: doc.Service.Name, Digest: doc.Digest.String()}, nil
 }
 
-// otherDocuments returns the accepted documents but the one of this name.
+// otherDocuments returns the accepted documents except the one of this name.
 func (h *handler) otherDocuments(ctx context.Context, name string) ([]*document.Document, error) {
 	all, err := h.queries.Documents(ctx)
 	if err != nil {
--- a/internal/adminapi/problem.go
+++ b/internal/adminapi/problem.go
@@ -17,24 +17,25 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// CodeInvalidDocument says that a document has faults.
+// CodeInvalidDocument means that a document is invalid.
 const CodeInvalidDocument verdict.Code = "invalid-document"
 
-// typePrefix makes a code into the type of a problem.
+// typePrefix followed by a code is the type URI of a problem (RFC 9457).
 const typePrefix = "urn:sassafraspost:problem:"
 
-// conflictError is a submission that lost.
+// conflictError is the error of a submission whose base is no longer the current revision.
+// winner is the change that made the current one.
 type conflictError struct{ winner Conflict }
 
 func (e *conflictError) Error() string { return "another change came first" }
 
-// bodyError is a body that did not arrive whole. Nothing has run by then.
+// bodyError means that a request body could not be read completely. The request has not run.
 type bodyError struct{ cause error }
 
 func (e *bodyError) Error() string { return "body: " + e.cause.Error() }
 func (e *bodyError) Unwrap() error { return e.cause }
 
-// problems turns errors into problem responses and counts them by code.
+// problems converts errors to problem responses (RFC 9457) and counts them by code.
 type problems struct{ registry metrics.Registry }
 
 var statusByCode = map[verdict.Code]int{
@@ -63,23 +64,23 @@
 	return http.StatusInternalServerError
 }
 
-// newResponse returns the response for an error of the handler or of the generated
+// newResponse returns the problem response for an error of the handler or of the generated
 // server.
 func (p *problems) newResponse(err error) *oas.ProblemStatusCodeWithHeaders {
-	failure := classify(err)
-	metrics.GetOrRegisterCounter("adminapi.problem."+string(failure.Code), p.registry).Inc(1)
-	status := statusOf(failure.Code)
+	verdictErr := classify(err)
+	metrics.GetOrRegisterCounter("adminapi.problem."+string(verdictErr.Code), p.registry).Inc(1)
+	status := statusOf(verdictErr.Code)
 	response := &oas.ProblemStatusCodeWithHeaders{StatusCode: status, Response: oas.Problem{
-		Type:    typePrefix + string(failure.Code),
+		Type:    typePrefix + string(verdictErr.Code),
 		Title:   http.StatusText(status),
 		Status:  status,
-		Detail:  oas.NewOptString(failure.Text),
-		Verdict: oas.ProblemVerdict(failure.Verdict.String()),
-		Code:    string(failure.Code),
+		Detail:  oas.NewOptString(verdictErr.Text),
+		Verdict: oas.ProblemVerdict(verdictErr.Verdict.String()),
+		Code:    string(verdictErr.Code),
 		Errors:  documentFaults(err),
 	}}
-	if failure.RetryAfter > 0 {
-		response.RetryAfter = oas.NewOptInt(ceilSeconds(failure.RetryAfter))
+	if verdictErr.RetryAfter > 0 {
+		response.RetryAfter = oas.NewOptInt(ceilSeconds(verdictErr.RetryAfter))
 		response.Response.RetryAfter = response.RetryAfter
 	}
 	if status == http.StatusUnauthorized {
@@ -92,52 +93,52 @@
 	return response
 }
 
-// ceilSeconds rounds up, so that nobody asks too early.
+// ceilSeconds rounds up, so that nobody retries too early.
 func ceilSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
 
-// classify finds what an error says about execution. What the generated server
-// refuses has not run, since the handler was never called.
+// classify returns what an error says about the execution of the request. Requests that the
+// generated server refuses have not run, because the handler was never called.
 func classify(err error) *verdict.Error {
 	var (
-		failure  *verdict.Error
-		conflict *conflictError
-		invalid  *inifile.Error
-		together *document.ConflictError
-		tooLarge *http.MaxBytesError
-		unknown  *ogenerrors.SecurityError
-		params   *ogenerrors.DecodeParamsError
-		request  *ogenerrors.DecodeRequestError
-		body     *bodyError
+		verdictErr   *verdict.Error
+		conflictErr  *conflictError
+		invalidErr   *inifile.Error
+		conflictsErr *document.ConflictError
+		tooLargeErr  *http.MaxBytesError
+		securityErr  *ogenerrors.SecurityError
+		paramsErr    *ogenerrors.DecodeParamsError
+		requestErr   *ogenerrors.DecodeRequestError
+		bodyErr      *bodyError
 	)
 	switch {
-	case errors.As(err, &conflict):
-		return verdict.New(verdict.NotRun, verdict.CodeConflict, conflict.Error())
-	case errors.As(err, &invalid), errors.As(err, &together):
+	case errors.As(err, &conflictErr):
+		return verdict.New(verdict.NotRun, verdict.CodeConflict, conflictErr.Error())
+	case errors.As(err, &invalidErr), errors.As(err, &conflictsErr):
 		return verdict.New(verdict.NotRun, CodeInvalidDocument, "the document has faults")
-	case errors.As(err, &failure):
-		return failure
-	case errors.As(err, &tooLarge):
+	case errors.As(err, &verdictErr):
+		return verdictErr
+	case errors.As(err, &tooLargeErr):
 		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "the body is too large")
-	case errors.As(err, &unknown):
+	case errors.As(err, &securityErr):
 		return verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "a bearer token is required")
-	case errors.As(err, &params), errors.As(err, &request), errors.As(err, &body):
+	case errors.As(err, &paramsErr), errors.As(err, &requestErr), errors.As(err, &bodyErr):
 		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, err.Error())
 	}
 	return verdict.FromError(err)
 }
 
-// documentFaults lists the faults of a document.
+// documentFaults returns the faults of a document that the error lists, or nil.
 func documentFaults(err error) []oas.Fault {
-	var invalid *inifile.Error
-	if errors.As(err, &invalid) {
-		return iniFaults(invalid)
+	var invalidErr *inifile.Error
+	if errors.As(err, &invalidErr) {
+		return iniFaults(invalidErr)
 	}
-	var together *document.ConflictError
-	if !errors.As(err, &together) {
+	var conflictsErr *document.ConflictError
+	if !errors.As(err, &conflictsErr) {
 		return nil
 	}
-	faults := make([]oas.Fault, len(together.Conflicts))
-	for i, c := range together.Conflicts {
+	faults := make([]oas.Fault, len(conflictsErr.Conflicts))
+	for i, c := range conflictsErr.Conflicts {
 		faults[i] = oas.Fault{Text: c.String()}
 	}
 	return faults
@@ -160,20 +161,20 @@
 	return faults
 }
 
-// serve writes an error outside the generated server.
+// serve writes an error that occurred outside the generated server.
 func (p *problems) serve(w http.ResponseWriter, _ *http.Request, err error) {
 	response := p.newResponse(err)
 	header := w.Header()
 	header.Set("Content-Type", "application/problem+json")
-	if after, ok := response.RetryAfter.Get(); ok {
-		header.Set("Retry-After", strconv.Itoa(after))
+	if retryAfter, ok := response.RetryAfter.Get(); ok {
+		header.Set("Retry-After", strconv.Itoa(retryAfter))
 	}
 	w.WriteHeader(response.StatusCode)
 	text, err := response.Response.MarshalJSON()
 	if err != nil {
 		return
 	}
-	// The caller may be gone; there is nobody else to tell.
+	// A write fails if the caller has disconnected. Nobody else needs the response then.
 	_, _ = w.Write(text)
 }
 
--- a/internal/adminapi/quarantine.go
+++ b/internal/adminapi/quarantine.go
@@ -8,7 +8,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// ListQuarantine lists the requests under which upstreams ended.
+// ListQuarantine lists the requests that are suspected of crashing upstreams.
 func (h *handler) ListQuarantine(ctx context.Context) (*oas.Quarantine, error) {
 	if identity := identityOf(ctx); !identity.Admin && !identity.AllDocuments {
 		return nil, forbidden("only who may read all documents may see the requests of all workspaces")
@@ -32,13 +32,13 @@
 		ForSeconds:  int64(e.Remaining.Seconds()),
 		Ends:        []oas.UpstreamEnd{},
 	}
-	for _, end := range e.Crashes {
-		out.Ends = append(out.Ends, oas.UpstreamEnd{Upstream: end.Upstream, Request: end.Request, AgeSeconds: int64(end.Age.Seconds())})
+	for _, crash := range e.Crashes {
+		out.Ends = append(out.Ends, oas.UpstreamEnd{Upstream: crash.Upstream, Request: crash.Request, AgeSeconds: int64(crash.Age.Seconds())})
 	}
 	return out
 }
 
-// ReleaseRequest lets a request go.
+// ReleaseRequest takes a request out of quarantine.
 func (h *handler) ReleaseRequest(ctx context.Context, params oas.ReleaseRequestParams) (*oas.Released, error) {
 	identity := identityOf(ctx)
 	if !identity.Admin {
--- a/internal/adminapi/quarantine_test.go
+++ b/internal/adminapi/quarantine_test.go
@@ -11,7 +11,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// Requests of all workspaces are shown to who may see all, and released by admins alone.
+// An operator who may not read all documents must not see the requests of all workspaces, and
+// only an admin may release one.
 func TestQuarantinePermissions(t *testing.T) {
 	f := &fakeBackend{quarantine: []quarantine.Entry{{
 		Fingerprint: quarantine.Fingerprint{1}, Workspace: "clubs", Verdict: quarantine.Suspect,
--- a/internal/adminapi/security.go
+++ b/internal/adminapi/security.go
@@ -8,12 +8,12 @@
 	"github.com/sassafraspost/sassafraspost/internal/verdict"
 )
 
-// security finds the operator of each request.
+// security authenticates the operator of each request.
 type security struct{ operators *auth.Table }
 
 type identityKey struct{}
 
-// HandleBearer puts the identity of a valid token into the context.
+// HandleBearer adds the identity of a valid token to the context.
 func (s *security) HandleBearer(ctx context.Context, _ oas.OperationName, t oas.Bearer) (context.Context, error) {
 	identity, ok := s.operators.Find(t.Token)
 	if !ok {
@@ -22,8 +22,8 @@
 	return context.WithValue(ctx, identityKey{}, identity), nil
 }
 
-// identityOf returns the operator that HandleBearer found. Without one it returns
-// an identity that may do nothing.
+// identityOf returns the identity that HandleBearer added. If there is none, it returns an
+// identity without permissions.
 func identityOf(ctx context.Context) auth.Identity {
 	identity, _ := ctx.Value(identityKey{}).(auth.Identity)
 	return identity
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the operators' tool without its main: the commands, how they
-// reach the control hosts, what they print and their exit codes.
+// Package cli implements the operators' command-line tool: its commands, the calls to the
+// control hosts, the output and the exit codes.
 package cli
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/spf13/cobra"
 )
 
-// DefaultTimeout bounds each attempt at one control host.
+// DefaultTimeout limits each attempt at one control host.
 const DefaultTimeout = 15 * time.Second
 
-// options are the flags that every command shares.
+// options are the flags that all commands share.
 type options struct {
 	output    string
 	servers   []string
@@ -24,8 +24,8 @@
 	out       *printer
 }
 
-// Run executes a command line and returns its exit code. Results go to stdout,
-// everything else to stderr.
+// Run executes a command line and returns its exit code. Results go to stdout, everything else
+// to stderr.
 func Run(ctx context.Context, args []string, stdout, stderr io.Writer) ExitCode {
 	o := &options{out: &printer{stdout: stdout, stderr: stderr}}
 	root := newRoot(o)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -29,7 +29,7 @@
 	outlooks = "../../examples/outlooks.ini"
 )
 
-// fakeCluster is what the servers of a test share: it makes each change id once.
+// fakeCluster is the state that all servers of a test share. It accepts each change id once.
 type fakeCluster struct {
 	mu        sync.Mutex
 	changes   map[string]uint64
@@ -60,21 +60,21 @@
 	return adminapi.Cluster{ID: "c1"}, c.err
 }
 
-// acceptedChanges returns the number of changes made.
+// acceptedChanges returns the number of accepted changes.
 func (c *fakeCluster) acceptedChanges() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.revision
 }
 
-// initCount returns the number of times that Init ran.
+// initCount returns how often Init was called.
 func (c *fakeCluster) initCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.initCalls
 }
 
-// quarantinedFingerprint is the request that the servers of a test hold.
+// quarantinedFingerprint is the request that fakeCluster reports as quarantined.
 var quarantinedFingerprint = quarantine.Fingerprint{0xab}
 
 func (c *fakeCluster) Quarantine(context.Context) ([]quarantine.Entry, error) {
@@ -138,7 +138,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// closeInsteadOfResponding runs each request and cuts the connection in place of an answer.
+// closeInsteadOfResponding runs each request, but closes the connection instead of sending the
+// response.
 func closeInsteadOfResponding(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		next.ServeHTTP(httptest.NewRecorder(), r)
@@ -146,7 +147,8 @@
 	})
 }
 
-// resetInsteadOfResponding runs each request and resets the connection in place of an answer.
+// resetInsteadOfResponding runs each request, but resets the connection instead of sending the
+// response.
 func resetInsteadOfResponding(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		next.ServeHTTP(httptest.NewRecorder(), r)
@@ -154,13 +156,13 @@
 		if err != nil {
 			panic(err)
 		}
-		// Without lingering a close resets the connection.
+		// With a linger time of 0, Close sends a TCP reset.
 		_ = conn.(*net.TCPConn).SetLinger(0)
 		_ = conn.Close()
 	})
 }
 
-// denyEveryToken knows no token.
+// denyEveryToken returns the handler of a server that has no operators.
 func denyEveryToken(t *testing.T) http.Handler {
 	h, err := adminapi.New(adminapi.Config{Operators: auth.NewTable(nil)})
 	require.NoError(t, err)
@@ -265,21 +267,22 @@
 	require.Contains(t, got.stderr, "revision 9 is of other, change change-09")
 }
 
-// A lost answer must neither make a change twice nor be taken for "not run".
+// After a lost response the tool must not make a change twice, and must not report it as not
+// run.
 func TestRetriesAfterLostResponses(t *testing.T) {
-	lost := func(t *testing.T, c *fakeCluster) string {
+	losesResponse := func(t *testing.T, c *fakeCluster) string {
 		return startServer(t, closeInsteadOfResponding(c.handler(t)))
 	}
-	good := func(t *testing.T, c *fakeCluster) string { return startServer(t, c.handler(t)) }
-	deny := func(t *testing.T, _ *fakeCluster) string { return startServer(t, denyEveryToken(t)) }
-	reset := func(t *testing.T, c *fakeCluster) string {
+	responds := func(t *testing.T, c *fakeCluster) string { return startServer(t, c.handler(t)) }
+	deniesToken := func(t *testing.T, _ *fakeCluster) string { return startServer(t, denyEveryToken(t)) }
+	resetsConnection := func(t *testing.T, c *fakeCluster) string {
 		return startServer(t, resetInsteadOfResponding(c.handler(t)))
 	}
-	gone := func(t *testing.T, _ *fakeCluster) string { return closedAddress(t) }
-	cut := func(t *testing.T, c *fakeCluster) string {
-		behind := newFakeCluster()
-		behind.err = verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no leader").WithRetryAfter(2 * time.Second)
-		return startServer(t, behind.handler(t))
+	unreachable := func(t *testing.T, _ *fakeCluster) string { return closedAddress(t) }
+	hasNoQuorum := func(t *testing.T, c *fakeCluster) string {
+		isolated := newFakeCluster()
+		isolated.err = verdict.New(verdict.NotRun, verdict.CodeNoQuorum, "no leader").WithRetryAfter(2 * time.Second)
+		return startServer(t, isolated.handler(t))
 	}
 	type server = func(*testing.T, *fakeCluster) string
 	cases := map[string]struct {
@@ -288,17 +291,17 @@
 		revision uint64
 		stderr   string
 	}{
-		"next server after a dead one":    {[]server{gone, good}, ExitOK, 1, ""},
-		"next server after a cut-off one": {[]server{cut, good}, ExitOK, 1, ""},
-		"resent with its change id":       {[]server{lost, good}, ExitOK, 1, ""},
-		"all dead":                        {[]server{gone, gone}, ExitNotRun, 0, "--change-id"},
-		"all cut off":                     {[]server{cut, gone, cut}, ExitNotRun, 0, "try again in 2 s"},
-		"lost":                            {[]server{lost}, ExitUnknown, 1, "--change-id"},
-		"reset":                           {[]server{reset}, ExitUnknown, 1, "--change-id"},
-		"reset, then resent":              {[]server{reset, good}, ExitOK, 1, ""},
-		"lost, then cut off":              {[]server{lost, cut}, ExitUnknown, 1, "--change-id"},
-		"lost, then denied":               {[]server{lost, deny}, ExitUnknown, 1, "--change-id"},
-		"denied":                          {[]server{deny, good}, ExitUnauthorized, 0, "unauthorized"},
+		"next server after a dead one":    {[]server{unreachable, responds}, ExitOK, 1, ""},
+		"next server after a cut-off one": {[]server{hasNoQuorum, responds}, ExitOK, 1, ""},
+		"resent with its change id":       {[]server{losesResponse, responds}, ExitOK, 1, ""},
+		"all dead":                        {[]server{unreachable, unreachable}, ExitNotRun, 0, "--change-id"},
+		"all cut off":                     {[]server{hasNoQuorum, unreachable, hasNoQuorum}, ExitNotRun, 0, "try again in 2 s"},
+		"lost":                            {[]server{losesResponse}, ExitUnknown, 1, "--change-id"},
+		"reset":                           {[]server{resetsConnection}, ExitUnknown, 1, "--change-id"},
+		"reset, then resent":              {[]server{resetsConnection, responds}, ExitOK, 1, ""},
+		"lost, then cut off":              {[]server{losesResponse, hasNoQuorum}, ExitUnknown, 1, "--change-id"},
+		"lost, then denied":               {[]server{losesResponse, deniesToken}, ExitUnknown, 1, "--change-id"},
+		"denied":                          {[]server{deniesToken, responds}, ExitUnauthorized, 0, "unauthorized"},
 	}
 	team := writeTokenFile(t, "team-token")
 	for name, tc := range cases {
@@ -332,15 +335,16 @@
 	}
 }
 
-// On a platform without the administration API the same is asked of a metrics listener.
+// Where the administration API is not served, the quarantine commands call a host's metrics
+// listener instead. They must print the same output.
 func TestQuarantineCommandsUseMetricsListener(t *testing.T) {
 	k := quarantine.NewKeeper(quarantine.Config{
 		Limits: quarantine.DefaultLimits, Now: func() time.Duration { return 0 }, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 	})
-	told := func(upstream string, ageMS int64) quarantine.Suspicion {
+	suspicion := func(upstream string, ageMS int64) quarantine.Suspicion {
 		return quarantine.Suspicion{Fingerprint: quarantinedFingerprint, Workspace: "clubs", Incarnation: quarantine.Incarnation{Upstream: upstream}, Request: "r7", AgeMS: ageMS}
 	}
-	k.Merge([]quarantine.Suspicion{told("a", 9000), told("b", 1000)})
+	k.Merge([]quarantine.Suspicion{suspicion("a", 9000), suspicion("b", 1000)})
 	address := startServer(t, quarantine.Handler(k))
 	got := runCommand("quarantine", "list", "--metrics", address)
 	require.Equal(t, ExitOK, got.code, got.stderr)
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -15,26 +15,28 @@
 	"github.com/sassafraspost/sassafraspost/api/oas"
 )
 
-// client asks the control hosts in their order until one gives a final answer.
+// client calls the control hosts in order until one gives a final response.
 type client struct {
 	servers []*oas.Client
 	names   []string
 	timeout time.Duration
 }
 
-// retryPolicy says what the loss of an answer allows.
+// retryPolicy says whether a request may be sent to another server after its response was lost.
 type retryPolicy uint8
 
 const (
-	// retryRead marks a request that changes nothing.
+	// retryRead is for requests that change nothing, which are always retried.
 	retryRead retryPolicy = iota
-	// retryIdempotent marks a change with an id, which the servers make only once.
+	// retryIdempotent is for changes that have no further effect when sent twice, such as those
+	// with a change id. They are always retried.
 	retryIdempotent
-	// retryIfNotRun marks a change that is sent again only where it has not run.
+	// retryIfNotRun is for changes that are retried only if the earlier attempt has certainly
+	// not run.
 	retryIfNotRun
 )
 
-// bearer gives the token to the generated client.
+// bearer provides the token to the generated client.
 type bearer string
 
 // Bearer returns the token for every operation.
@@ -59,7 +61,7 @@
 		url := serverURL(address)
 		server, err := oas.NewClient(url, bearer(token), oas.WithClient(&http.Client{
 			Transport: transport,
-			// A redirect could carry the token elsewhere.
+			// A followed redirect could send the token to another host.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		}))
 		if err != nil {
@@ -111,35 +113,34 @@
 	return transport, nil
 }
 
-// callServers sends a request to one server after the other. An answer that another
-// server could not better ends the search. Where none does, the error says
-// whether any attempt may have run.
-func callServers[T any](ctx context.Context, c *client, r retryPolicy, send func(context.Context, *oas.Client) (T, error)) (T, error) {
+// callServers sends a request to one server after the other until a response is final. If none
+// is, the error's exit code says whether any attempt may have run.
+func callServers[T any](ctx context.Context, c *client, policy retryPolicy, send func(context.Context, *oas.Client) (T, error)) (T, error) {
 	var zero T
-	var last error
+	var lastErr error
 	code := ExitNotRun
 	for i, server := range c.servers {
-		attempt, cancel := context.WithTimeout(ctx, c.timeout)
-		answer, err := send(attempt, server)
+		attemptCtx, cancel := context.WithTimeout(ctx, c.timeout)
+		response, err := send(attemptCtx, server)
 		cancel()
 		if err == nil {
-			return answer, nil
+			return response, nil
 		}
-		last = errors.Wrap(err, c.names[i])
+		lastErr = errors.Wrap(err, c.names[i])
 		if isSameFromAnyServer(err) && (code != ExitUnknown || decidesEarlierAttempts(err)) {
-			return zero, last
+			return zero, lastErr
 		}
-		if r != retryRead && mayHaveRun(err) {
+		if policy != retryRead && mayHaveRun(err) {
 			code = ExitUnknown
 		}
-		if ctx.Err() != nil || (r == retryIfNotRun && code == ExitUnknown) {
+		if ctx.Err() != nil || (policy == retryIfNotRun && code == ExitUnknown) {
 			break
 		}
 	}
-	return zero, &exitError{code: code, cause: last}
+	return zero, &exitError{code: code, cause: lastErr}
 }
 
-// isSameFromAnyServer reports whether an answer would be the same from any server.
+// isSameFromAnyServer reports whether every server would return this error.
 func isSameFromAnyServer(err error) bool {
 	var problem *oas.ProblemStatusCodeWithHeaders
 	return errors.As(err, &problem) &&
@@ -147,17 +148,17 @@
 		problem.StatusCode != http.StatusTooManyRequests
 }
 
-// decidesEarlierAttempts reports whether an answer also tells what became of an earlier attempt
-// at the same change. A server that knows the change says so before anything else
-// about it; a server that does not take the token says nothing about it.
+// decidesEarlierAttempts reports whether an error also says what became of earlier attempts at
+// the same change. A server that knows the change id reports that change's outcome before any
+// other error about it. A server that refuses the token has not looked at the change at all.
 func decidesEarlierAttempts(err error) bool {
 	var problem *oas.ProblemStatusCodeWithHeaders
 	return errors.As(err, &problem) &&
 		(problem.StatusCode == http.StatusConflict || problem.StatusCode == http.StatusUnprocessableEntity)
 }
 
-// mayHaveRun reports whether a failed attempt may have reached a command. Only a
-// server that says so, or a connection that never was, proves that it did not.
+// mayHaveRun reports whether a failed attempt may have run on the server. Only a response that
+// says so, a failed dial or a rejected certificate proves that it did not.
 func mayHaveRun(err error) bool {
 	var problem *oas.ProblemStatusCodeWithHeaders
 	if errors.As(err, &problem) {
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -14,17 +14,17 @@
 	"github.com/sassafraspost/sassafraspost/internal/version"
 )
 
-// callAndPrint sends a request to the control hosts and prints the answer.
-func callAndPrint[T jsonResponse](cmd *cobra.Command, o *options, r retryPolicy, send func(context.Context, *oas.Client) (T, error), text func(io.Writer, T)) error {
+// callAndPrint sends a request to the control hosts and prints the response.
+func callAndPrint[T jsonResponse](cmd *cobra.Command, o *options, policy retryPolicy, send func(context.Context, *oas.Client) (T, error), printText func(io.Writer, T)) error {
 	c, err := newClient(o)
 	if err != nil {
 		return err
 	}
-	answer, err := callServers(cmd.Context(), c, r, send)
+	response, err := callServers(cmd.Context(), c, policy, send)
 	if err != nil {
 		return err
 	}
-	return o.out.result(answer, func(w io.Writer) { text(w, answer) })
+	return o.out.result(response, func(w io.Writer) { printText(w, response) })
 }
 
 func newGet(o *options) *cobra.Command {
@@ -34,11 +34,11 @@
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			send := func(ctx context.Context, s *oas.Client) (*oas.Document, error) {
-				answer, err := s.GetDocument(ctx, oas.GetDocumentParams{Name: args[0]})
+				response, err := s.GetDocument(ctx, oas.GetDocumentParams{Name: args[0]})
 				if err != nil {
 					return nil, err
 				}
-				return &answer.Response, nil
+				return &response.Response, nil
 			}
 			return callAndPrint(cmd, o, retryRead, send, func(w io.Writer, d *oas.Document) {
 				fmt.Fprint(w, d.Text)
@@ -134,7 +134,8 @@
 	table(w, "INDEX\tTIME\tACTION\tAUTHOR\tOUTCOME\tDOCUMENT\tCHANGE\tDETAIL", rows)
 }
 
-// changeTime is a dash for what no operator did: nobody's clock is known of it.
+// changeTime returns a dash for changes that the control hosts make themselves, because they
+// have no time.
 func changeTime(c oas.Change) string {
 	if c.Time.Unix() == 0 {
 		return "-"
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -12,29 +12,29 @@
 	"github.com/sassafraspost/sassafraspost/internal/inifile"
 )
 
-// ExitCode is what the tool tells scripts.
+// ExitCode is the exit code of the tool, for scripts.
 type ExitCode int
 
 // The exit codes.
 const (
-	// ExitOK means done.
+	// ExitOK means success.
 	ExitOK ExitCode = iota
-	// ExitUsage means that the command line or a file named by it is at fault.
+	// ExitUsage means that the command line, or a file that it names, is invalid.
 	ExitUsage
-	// ExitInvalid means that the document has faults.
+	// ExitInvalid means that the document is invalid.
 	ExitInvalid
-	// ExitConflict means that another change came first.
+	// ExitConflict means that another change was accepted first.
 	ExitConflict
-	// ExitNotRun means that nothing was done; try later.
+	// ExitNotRun means that nothing was changed and the command can be retried later.
 	ExitNotRun
-	// ExitUnknown means that the change may have been made; send it again with the
-	// same change id to learn the outcome.
+	// ExitUnknown means that the change may have been made. Sending it again with the same
+	// change id returns its outcome.
 	ExitUnknown
-	// ExitUnauthorized means that the token does not permit this.
+	// ExitUnauthorized means that the token does not permit the command.
 	ExitUnauthorized
 	// ExitNotFound means that there is no such document.
 	ExitNotFound
-	// ExitPartial means that some hosts did not answer; what the others said is printed.
+	// ExitPartial means that some hosts did not respond. The data of the others is printed.
 	ExitPartial
 )
 
@@ -50,7 +50,7 @@
 	ExitPartial:      "some hosts did not answer; what the others said is printed",
 }
 
-// exitHelp is the part of the help that documents the exit codes.
+// exitHelp returns the part of the help that lists the exit codes.
 func exitHelp() string {
 	var b strings.Builder
 	b.WriteString("Exit codes:\n")
@@ -60,7 +60,7 @@
 	return b.String()
 }
 
-// exitError is an error that has its exit code already.
+// exitError is an error with a given exit code.
 type exitError struct {
 	code  ExitCode
 	cause error
@@ -69,21 +69,21 @@
 func (o *exitError) Error() string { return o.cause.Error() }
 func (o *exitError) Unwrap() error { return o.cause }
 
-// exitCode returns the code of an error. What is not known is wrong usage, which
-// is how cobra's own errors arrive.
+// exitCode returns the exit code for an error. Errors of unknown types count as wrong usage,
+// because cobra's errors have no type of their own.
 func exitCode(err error) ExitCode {
 	var (
-		known    *exitError
-		problem  *oas.ProblemStatusCodeWithHeaders
-		invalid  *inifile.Error
-		together *document.ConflictError
+		exitErr      *exitError
+		problem      *oas.ProblemStatusCodeWithHeaders
+		invalidErr   *inifile.Error
+		conflictsErr *document.ConflictError
 	)
 	switch {
 	case err == nil:
 		return ExitOK
-	case errors.As(err, &known):
-		return known.code
-	case errors.As(err, &invalid), errors.As(err, &together):
+	case errors.As(err, &exitErr):
+		return exitErr.code
+	case errors.As(err, &invalidErr), errors.As(err, &conflictsErr):
 		return ExitInvalid
 	case errors.As(err, &problem):
 		return exitCodeOfProblem(problem)
--- a/internal/cli/observe.go
+++ b/internal/cli/observe.go
@@ -20,7 +20,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/logtrace"
 )
 
-// maxMetricsBytes bounds the metrics of one host.
+// maxMetricsBytes limits the response of one metrics listener.
 const maxMetricsBytes = 4 << 20
 
 func newTrace(o *options) *cobra.Command {
@@ -94,29 +94,29 @@
 
 // statsTable is a table of metrics by host.
 type statsTable struct {
-	// hosts are those that answered, failures say why the others did not.
+	// hosts are the hosts that responded. failures are the errors of the others.
 	hosts    []string
 	failures []error
-	// values are by metric and host.
+	// values maps metric names and hosts to values.
 	values map[string]map[string]string
 }
 
-// maxConcurrentFetches is how many hosts are asked at a time.
+// maxConcurrentFetches is how many hosts are queried at the same time.
 const maxConcurrentFetches = 32
 
-// fetchStats reads the metrics at each address, "ip:port" of the metrics listener.
+// fetchStats reads the metrics at each address, which is the "ip:port" of a metrics listener.
 func (o *options) fetchStats(ctx context.Context, addresses []string, match string) *statsTable {
 	bodies := make([]string, len(addresses))
 	failures := make([]error, len(addresses))
-	var all errgroup.Group
-	all.SetLimit(maxConcurrentFetches)
+	var group errgroup.Group
+	group.SetLimit(maxConcurrentFetches)
 	for i, address := range addresses {
-		all.Go(func() error {
+		group.Go(func() error {
 			bodies[i], failures[i] = o.fetchMetrics(ctx, address)
 			return nil
 		})
 	}
-	_ = all.Wait()
+	_ = group.Wait()
 	s := &statsTable{values: make(map[string]map[string]string)}
 	for i, address := range addresses {
 		if failures[i] != nil {
@@ -129,7 +129,7 @@
 	return s
 }
 
-// missingHosts says which hosts did not answer, and why.
+// missingHosts returns an error that names the hosts that did not respond, and why.
 func (s *statsTable) missingHosts() error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d of %d hosts did not answer", len(s.failures), len(s.failures)+len(s.hosts))
@@ -139,7 +139,7 @@
 	return errors.New(b.String())
 }
 
-// addHost takes in the metrics of one host whose names contain match.
+// addHost adds the metrics of one host whose names contain match.
 func (s *statsTable) addHost(address, body, match string) {
 	lines := bufio.NewScanner(strings.NewReader(body))
 	for lines.Scan() {
@@ -173,7 +173,7 @@
 	return string(body), errors.Wrap(err, address)
 }
 
-// print writes the table, or its summary.
+// print writes the table or its summary.
 func (s *statsTable) print(p *printer, isSummary bool) error {
 	switch {
 	case isSummary:
@@ -184,7 +184,7 @@
 	return s.write(p.stdout)
 }
 
-// writeJSON writes an object by metric and host.
+// writeJSON writes an object of metrics, each an object of values by host.
 func (s *statsTable) writeJSON(w io.Writer) error {
 	out := make(map[string]map[string]string, len(s.values))
 	for name, byHost := range s.values {
@@ -193,10 +193,10 @@
 	return errors.Wrap(json.NewEncoder(w).Encode(out), "output")
 }
 
-// trimMetricPrefix is the name of a metric without the product's own.
+// trimMetricPrefix returns the name of a metric without the product's prefix.
 func trimMetricPrefix(metric string) string { return strings.TrimPrefix(metric, "sassafraspost_") }
 
-// write prints the table, a row a metric.
+// write prints the table, with one row per metric and one column per host.
 func (s *statsTable) write(w io.Writer) error {
 	names := slices.Sorted(maps.Keys(s.values))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
--- a/internal/cli/observe_test.go
+++ b/internal/cli/observe_test.go
@@ -35,7 +35,8 @@
 	require.Equal(t, ExitUsage, Run(t.Context(), []string{"stats"}, &out, &failures))
 }
 
-// Three hundred hosts are one table of a row a metric, which names those that stand out.
+// A table with a column per host is unreadable for 300 hosts. The summary must have one row per
+// metric and name the hosts with the highest values.
 func TestStatsSummaryNamesHighestHosts(t *testing.T) {
 	s := &statsTable{values: map[string]map[string]string{"sassafraspost_a": {}, "text": {"h1": "x"}}}
 	for i := range 300 {
@@ -60,7 +61,7 @@
 	require.Contains(t, out.String(), `"metric":"gateway_queue_entered","hosts":1,"sum":7`)
 }
 
-// A host that is down is named, and hides nothing of the others.
+// An unreachable host must be reported, and must not hide the metrics of the others.
 func TestStatsReportsUnreachableHosts(t *testing.T) {
 	reg := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter("gateway.queue.entered", reg).Inc(7)
--- a/internal/cli/print.go
+++ b/internal/cli/print.go
@@ -11,29 +11,29 @@
 	"github.com/sassafraspost/sassafraspost/api/oas"
 )
 
-// The forms of output.
+// The output formats.
 const (
 	formatText = "text"
 	formatJSON = "json"
 )
 
-// printer writes results and failures in the chosen form.
+// printer writes results and failures in the selected format.
 type printer struct {
 	stdout io.Writer
 	stderr io.Writer
 	format string
 }
 
-// jsonResponse is any answer of the generated client.
+// jsonResponse is any response of the generated client.
 type jsonResponse interface{ MarshalJSON() ([]byte, error) }
 
-// result writes an answer: as JSON, or as text does it.
-func (p *printer) result(answer jsonResponse, text func(io.Writer)) error {
+// result writes a response, either as JSON or by calling printText.
+func (p *printer) result(response jsonResponse, printText func(io.Writer)) error {
 	if p.format != formatJSON {
-		text(p.stdout)
+		printText(p.stdout)
 		return nil
 	}
-	encoded, err := answer.MarshalJSON()
+	encoded, err := response.MarshalJSON()
 	if err != nil {
 		return errors.Wrap(err, "output")
 	}
@@ -41,12 +41,13 @@
 	return errors.Wrap(err, "output")
 }
 
-// note writes a line for people.
+// note writes a line to stderr, so that it doesn't mix with the result.
 func (p *printer) note(format string, args ...any) {
 	fmt.Fprintf(p.stderr, format+"\n", args...)
 }
 
-// failure writes an error. In JSON a problem keeps the server's form.
+// failure writes an error. In the JSON format, a problem response is written as the server sent
+// it.
 func (p *printer) failure(err error) {
 	var problem *oas.ProblemStatusCodeWithHeaders
 	if !errors.As(err, &problem) {
@@ -62,8 +63,8 @@
 
 func (p *printer) problem(problem *oas.Problem) {
 	p.note("%s: %s (%s)", problem.Code, problem.Detail.Or(problem.Title), problem.Verdict)
-	if winner, ok := problem.Conflict.Get(); ok {
-		p.note("revision %d is of %s, change %s", winner.Revision, winner.Author, winner.ChangeID)
+	if conflict, ok := problem.Conflict.Get(); ok {
+		p.note("revision %d is of %s, change %s", conflict.Revision, conflict.Author, conflict.ChangeID)
 	}
 	for _, fault := range problem.Errors {
 		p.note("%s", faultLine(fault))
@@ -88,10 +89,10 @@
 	return b.String()
 }
 
-// table writes rows of cells that tabs separate.
-func table(w io.Writer, head string, rows []string) {
+// table writes aligned columns. The cells of the header and of each row are separated by tabs.
+func table(w io.Writer, header string, rows []string) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, head)
+	fmt.Fprintln(t, header)
 	for _, row := range rows {
 		fmt.Fprintln(t, row)
 	}
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -60,14 +60,15 @@
 	}
 }
 
-// decodableResponse is an answer that a metrics listener gives in the form of the administration API.
+// decodableResponse is a response of a metrics listener in the JSON form of the administration
+// API.
 type decodableResponse interface {
 	jsonResponse
 	UnmarshalJSON([]byte) error
 }
 
-// callMetricsListener asks a metrics listener and prints its answer.
-func callMetricsListener[T decodableResponse](cmd *cobra.Command, o *options, method, target string, answer T, text func(io.Writer, T)) error {
+// callMetricsListener sends a request to a metrics listener and prints the response.
+func callMetricsListener[T decodableResponse](cmd *cobra.Command, o *options, method, target string, response T, printText func(io.Writer, T)) error {
 	ctx, cancel := context.WithTimeout(cmd.Context(), o.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+target, nil)
@@ -84,22 +85,22 @@
 		err = errors.Errorf("answered %s: %s", resp.Status, strings.TrimSpace(string(body)))
 	}
 	if err == nil {
-		err = answer.UnmarshalJSON(body)
+		err = response.UnmarshalJSON(body)
 	}
 	if err != nil {
 		return errors.Wrap(err, target)
 	}
-	return o.out.result(answer, func(w io.Writer) { text(w, answer) })
+	return o.out.result(response, func(w io.Writer) { printText(w, response) })
 }
 
 func printQuarantine(w io.Writer, q *oas.Quarantine) {
 	var rows []string
 	for _, r := range q.Requests {
-		var ends []string
-		for _, end := range r.Ends {
-			ends = append(ends, fmt.Sprintf("%s %ds ago as %s", end.Upstream, end.AgeSeconds, end.Request))
+		var crashes []string
+		for _, crash := range r.Ends {
+			crashes = append(crashes, fmt.Sprintf("%s %ds ago as %s", crash.Upstream, crash.AgeSeconds, crash.Request))
 		}
-		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%s", r.Fingerprint, r.Verdict, r.Workspace, r.ForSeconds, strings.Join(ends, ", ")))
+		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%d\t%s", r.Fingerprint, r.Verdict, r.Workspace, r.ForSeconds, strings.Join(crashes, ", ")))
 	}
 	table(w, "FINGERPRINT\tVERDICT\tWORKSPACE\tFOR S\tUPSTREAMS THAT ENDED", rows)
 }
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -17,10 +17,10 @@
 	"github.com/sassafraspost/sassafraspost/internal/document"
 )
 
-// changeIDPattern is what the administration API takes as a change id.
+// changeIDPattern is the format of change ids that the administration API accepts.
 var changeIDPattern = regexp.MustCompile(`^[A-Za-z0-9._-]{8,64}$`)
 
-// submission is one change; every attempt sends the same one.
+// submission is one change. Every attempt to submit it sends the same data.
 type submission struct {
 	name     string
 	base     uint64
@@ -51,7 +51,8 @@
 	return cmd
 }
 
-// load checks the file, so that faults need no server.
+// load reads and checks the file, so that an invalid document is reported without calling a
+// server.
 func (s *submission) load(path string) error {
 	text, doc, err := readDocument(path)
 	if err != nil {
@@ -73,25 +74,25 @@
 	if err != nil {
 		return err
 	}
-	answer, err := callServers(ctx, c, retryIdempotent, s.send)
+	response, err := callServers(ctx, c, retryIdempotent, s.send)
 	if code := exitCode(err); code == ExitUnknown || code == ExitNotRun {
 		o.out.note("to send it again: --base %d --change-id %s", s.base, s.changeID)
 	}
 	if err != nil {
 		return err
 	}
-	return o.out.result(answer, func(w io.Writer) {
+	return o.out.result(response, func(w io.Writer) {
 		repeated := ""
-		if answer.Repeated {
+		if response.Repeated {
 			repeated = " (accepted before)"
 		}
-		fmt.Fprintf(w, "%s: revision %d accepted%s\n", answer.Name, answer.Revision, repeated)
+		fmt.Fprintf(w, "%s: revision %d accepted%s\n", response.Name, response.Revision, repeated)
 	})
 }
 
 func (s *submission) send(ctx context.Context, server *oas.Client) (*oas.Accepted, error) {
 	body := &oas.PutDocumentReqTextPlain{Data: bytes.NewReader(s.text)}
-	answer, err := server.PutDocument(ctx, body, oas.PutDocumentParams{
+	response, err := server.PutDocument(ctx, body, oas.PutDocumentParams{
 		Name:     s.name,
 		IfMatch:  strconv.Quote(strconv.FormatUint(s.base, 10)),
 		ChangeID: s.changeID,
@@ -99,7 +100,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &answer.Response, nil
+	return &response.Response, nil
 }
 
 // readDocument reads and checks a file.
@@ -109,7 +110,7 @@
 		return nil, nil, err
 	}
 	defer file.Close()
-	// One byte more than allowed is enough to tell that the file is too long.
+	// Reading one byte more than allowed is enough to detect that the file is too long.
 	text, err := io.ReadAll(io.LimitReader(file, document.MaxSize+1))
 	if err != nil {
 		return nil, nil, err
@@ -156,8 +157,8 @@
 func checkDocument(cmd *cobra.Command, o *options, text []byte, doc *document.Document) error {
 	printChecked := func(w io.Writer, c *oas.Checked) { fmt.Fprintf(w, "%s: valid, digest %s\n", c.Name, c.Digest) }
 	if len(o.servers) == 0 {
-		answer := &oas.Checked{Name: doc.Service.Name, Digest: doc.Digest.String()}
-		return o.out.result(answer, func(w io.Writer) { printChecked(w, answer) })
+		response := &oas.Checked{Name: doc.Service.Name, Digest: doc.Digest.String()}
+		return o.out.result(response, func(w io.Writer) { printChecked(w, response) })
 	}
 	send := func(ctx context.Context, s *oas.Client) (*oas.Checked, error) {
 		return s.CheckDocument(ctx, &oas.CheckDocumentReqTextPlain{Data: bytes.NewReader(text)})
--- a/internal/document/bench_test.go
+++ b/internal/document/bench_test.go
@@ -8,20 +8,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// repeatToMaxSize repeats a numbered piece up to the greatest size of a document.
+// repeatToMaxSize returns head followed by as many copies of piece as fit into MaxSize. Each
+// numbered has its own number.
 func repeatToMaxSize(head, piece string) []byte {
 	var b strings.Builder
 	b.WriteString(head)
 	for i := 0; ; i++ {
-		next := fmt.Sprintf(piece, i)
-		if b.Len()+len(next) > MaxSize {
+		numbered := fmt.Sprintf(piece, i)
+		if b.Len()+len(numbered) > MaxSize {
 			return []byte(b.String())
 		}
-		b.WriteString(next)
+		b.WriteString(numbered)
 	}
 }
 
-// BenchmarkParse shows what the largest texts cost, honest and hostile ones.
+// BenchmarkParse parses texts of the maximum size: a valid one, and invalid ones with as many
+// problems as possible.
 func BenchmarkParse(b *testing.B) {
 	head := "[service]\nname = a\n"
 	cases := map[string][]byte{
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -1,7 +1,7 @@
-// Package document holds the service document: one INI text in which a team
-// states what its service needs from model groups and plain services.
+// Package document defines the service document: an INI text in which a team declares the
+// models, rank groups, plain services, priorities and workspaces of its service.
 //
-// The package is pure. A Document is read-only once parsed and may be shared.
+// The package does no I/O. A parsed Document is immutable and safe for concurrent use.
 package document
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/inifile"
 )
 
-// MaxSize bounds the text of a document, in bytes.
+// MaxSize is the maximum size of a document's text, in bytes.
 const MaxSize = 1 << 20
 
 // Digest is the SHA-256 of a document's text as it was submitted.
@@ -22,7 +22,7 @@
 
 // Document is a valid service document.
 type Document struct {
-	// Digest is taken over the submitted bytes, never over a re-encoding.
+	// Digest is computed from the submitted bytes, never from a re-encoding.
 	Digest     Digest
 	Service    Service
 	Objective  Objective
@@ -41,16 +41,16 @@
 	tokens     map[inifile.SHA256]*Workspace
 }
 
-// Kind tells what a service is made of.
+// Kind restricts which sections a document may have.
 type Kind string
 
 // The kinds of services.
 const (
-	// KindModel has models only.
+	// KindModel allows models, but no plain services.
 	KindModel Kind = "model"
-	// KindService has plain services only.
+	// KindService allows plain services, but no models.
 	KindService Kind = "service"
-	// KindMixed may have both.
+	// KindMixed allows both.
 	KindMixed Kind = "mixed"
 )
 
@@ -62,47 +62,47 @@
 	Kind Kind
 }
 
-// Objective is the section [objective]: what the placement of experts aims at.
+// Objective is the section [objective]: the weights used to place experts on ranks, and the
+// default deadline.
 type Objective struct {
-	// SkewWeight is what a unit of step-time skew costs. Default 1.
+	// SkewWeight is the weight of uneven step times across the ranks of a group. Default 1.
 	SkewWeight float64
-	// RebalanceWeight is what a unit of rebalancing costs. Default 1.
+	// RebalanceWeight is the weight of the cost of moving experts between ranks. Default 1.
 	RebalanceWeight float64
-	// Deadline bounds requests whose priority class states none. Default 30s.
+	// Deadline applies to requests whose priority class sets none. Default 30s.
 	Deadline time.Duration
 }
 
-// Role is the part that a model's engines play.
+// Role is the phase of inference that a model's engines run.
 type Role string
 
-// The roles of engines.
+// The roles of engines. Unified engines run both prefill and decode.
 const (
 	RoleUnified Role = "unified"
 	RolePrefill Role = "prefill"
 	RoleDecode  Role = "decode"
 )
 
-// Model is a section [model "NAME"]; callers ask for the model by this name.
+// Model is a section [model "NAME"]. Callers request the model by this name.
 type Model struct {
 	Name string
-	// Pool is the pool of upstreams that serves the model. Default: the name.
+	// Pool is the pool of upstreams that serves the model. Default: the model's name.
 	Pool string
-	// Version is the version of the weights that engines are ordered to load.
-	// Required.
+	// Version is the version of the weights that engines are told to load. Required.
 	Version string
-	// Adapters are ordered to be loaded beside the weights. Default: none.
+	// Adapters are the adapters that engines load in addition to the weights. Default: none.
 	Adapters []string
 	// Role defaults to unified.
 	Role Role
-	// ChecksFencing states that the engines refuse orders with an old fencing
-	// number. Default false.
-	ChecksFencing bool
-	// Resumable states that the engines can resume a stream at an offset.
+	// ChecksFencing states that the engines refuse orders with an outdated fencing token.
 	// Default false.
+	ChecksFencing bool
+	// Resumable states that the engines can resume a stream at an offset. Default false.
 	Resumable bool
 }
 
-// Group is a section [group "NAME"]: ranks that run a model in lock-step.
+// Group is a section [group "NAME"]: ranks that run every step of a model together, with the
+// model's experts distributed among them.
 type Group struct {
 	Name string
 	// Model is the name of a model of the document. Required.
@@ -113,32 +113,35 @@
 	Experts int
 	// Layers is the number of layers with experts. Required.
 	Layers int
-	// SlotsPerRank is how many experts of a layer fit on a rank. Required; all
-	// slots together hold every expert at least once.
+	// SlotsPerRank is how many experts of a layer fit on a rank. Required. All ranks together
+	// must have a slot for every expert.
 	SlotsPerRank int
 }
 
-// PlainService is a section [plain-service "NAME"].
+// PlainService is a section [plain-service "NAME"]: a service that is called by path and isn't
+// a model.
 type PlainService struct {
 	Name string
-	// Pool is the pool of upstreams. Default: the name.
+	// Pool is the pool of upstreams that serves the calls. Default: the service's name.
 	Pool string
-	// PathPrefix is the clean path below which the service's calls lie. Required.
+	// PathPrefix is the path prefix of all calls of the service, in the form that CleanPath
+	// returns. Required.
 	PathPrefix string
 }
 
-// Call is a section [call "NAME"]: how calls of a plain service behave.
+// Call is a section [call "NAME"]: a method and path pattern of a plain service, and whether
+// matching calls are idempotent.
 type Call struct {
 	Name string
 	// Service is the name of a plain service of the document. Required.
 	Service string
 	// Method is an HTTP method, or AnyMethod. Required.
 	Method string
-	// Path is a pattern below the service's prefix. A segment * matches any one
-	// segment, a last segment ** any number of them. Required.
+	// Path is a pattern below the service's prefix. A segment * matches exactly one segment. A
+	// last segment ** matches any number of segments, including none. Required.
 	Path string
-	// Idempotent is false for calls that may not be repeated. Default: as HTTP
-	// defines the method; false for AnyMethod.
+	// Idempotent is false for calls that must not be retried if they may have run. Default: as
+	// RFC 9110 defines the method; false for AnyMethod.
 	Idempotent bool
 
 	segments []string
@@ -150,47 +153,50 @@
 // Priority is a section [priority "NAME"], a class of requests.
 type Priority struct {
 	Name string
-	// Rank orders the classes as the urgency of RFC 9218 does: 0 goes first, 7
-	// last. Required.
+	// Rank orders the classes like the urgency of RFC 9218: 0 is served first, 7 last.
+	// Required.
 	Rank int
-	// Deadline bounds requests of the class. Default: that of the objective.
+	// Deadline applies to requests of the class. Default: Objective.Deadline.
 	Deadline time.Duration
 }
 
-// Workspace is a section [workspace "NAME"], a customer with its shares and limits.
+// Workspace is a section [workspace "NAME"]: callers identified by their bearer tokens, with a
+// common share of the capacity, common limits and permissions.
 type Workspace struct {
 	Name string
-	// Share is the weight of the workspace under contention. Default 1.
+	// Share is the weight of the workspace when workspaces compete for capacity. Default 1.
 	Share float64
-	// MaxRequestsPerSecond is unlimited where zero, the default.
+	// MaxRequestsPerSecond limits the rate of requests. Default 0, which means unlimited.
 	MaxRequestsPerSecond float64
-	// MaxConcurrent is unlimited where zero, the default.
+	// MaxConcurrent limits the requests in progress. Default 0, which means unlimited.
 	MaxConcurrent int
-	// MaxTokensPerSecond is unlimited where zero, the default.
+	// MaxTokensPerSecond limits the rate of model tokens. Default 0, which means unlimited.
 	MaxTokensPerSecond float64
 	// Priority is the class of requests that name none. Default: none.
 	Priority string
-	// Tokens are the SHA-256 of the callers' bearer tokens. Default: none.
+	// Tokens are the SHA-256 digests of the callers' bearer tokens. Default: none.
 	Tokens []inifile.SHA256
-	// Models are those that the workspace may ask for. Default: the document's.
+	// Models are the models that the workspace may request. Default: all models of the
+	// document.
 	Models AllowList
-	// Services are those that the workspace may call. Default: the document's.
+	// Services are the plain services that the workspace may call. Default: all plain services
+	// of the document.
 	Services AllowList
 }
 
-// AllowList is a choice among the names of a document.
+// AllowList is a set of names of a document that a workspace may use.
 type AllowList struct {
-	// All is set by * and by default.
+	// All allows every name. It is set by * and by default.
 	All   bool
 	Names []string
 }
 
-// Allows reports whether the selection holds the name.
-func (s AllowList) Allows(name string) bool {
-	if s.All {
+// Allows reports whether the list contains the name.
+func (a AllowList) Allows(name string) bool {
+	if a.All {
 		return true
 	}
-	for _, n := range s.Names {
+	for _, n := range a.Names {
 		if n == name {
 			return true
 		}
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -74,13 +74,14 @@
 	require.Equal(t, "wide", d.CallFor("POST", "/s/book/it").Name)
 }
 
-// No spelling of a path may turn a call that must not repeat into another one.
+// A non-idempotent call must not escape its pattern through dots or repeated slashes in the
+// path, since it could then be treated as idempotent and run twice.
 func TestEquivalentPathsMatchTheSameCall(t *testing.T) {
 	d := mustParse(t, string(readExample(t, "entries")))
 	rapid.Check(t, func(t *rapid.T) {
-		filler := rapid.SampledFrom([]string{"/", "//", "/./", "/x/../", "/./x/.././"})
-		spelling := filler.Draw(t, "a") + "slots" + filler.Draw(t, "b") + "7" +
-			filler.Draw(t, "c") + "bookings" + rapid.SampledFrom([]string{"", "/", "/."}).Draw(t, "end")
+		separator := rapid.SampledFrom([]string{"/", "//", "/./", "/x/../", "/./x/.././"})
+		spelling := separator.Draw(t, "a") + "slots" + separator.Draw(t, "b") + "7" +
+			separator.Draw(t, "c") + "bookings" + rapid.SampledFrom([]string{"", "/", "/."}).Draw(t, "end")
 		call := d.CallFor("POST", spelling)
 		if call == nil || call.Idempotent {
 			t.Fatalf("%q does not find the booking call", spelling)
--- a/internal/document/lookup.go
+++ b/internal/document/lookup.go
@@ -17,18 +17,18 @@
 // PlainService returns the plain service of this name, or nil.
 func (d *Document) PlainService(name string) *PlainService { return d.services[name] }
 
-// Priority returns the class of this name, or nil.
+// Priority returns the priority class of this name, or nil.
 func (d *Document) Priority(name string) *Priority { return d.priorities[name] }
 
 // Workspace returns the workspace of this name, or nil.
 func (d *Document) Workspace(name string) *Workspace { return d.workspaces[name] }
 
-// WorkspaceByToken returns the workspace that the SHA-256 of a caller's bearer
-// token is bound to, or nil. Looking up a digest tells no token by its timing.
+// WorkspaceByToken returns the workspace of a caller's bearer token, given the token's SHA-256,
+// or nil. The timing of a lookup by digest reveals nothing about the tokens.
 func (d *Document) WorkspaceByToken(hash inifile.SHA256) *Workspace { return d.tokens[hash] }
 
-// PlainServiceFor returns the plain service with the longest prefix of a
-// request's path, or nil. The path may hold dots and repeated slashes.
+// PlainServiceFor returns the plain service with the longest prefix that matches a request's
+// path, or nil. The path may contain dot segments and repeated slashes.
 func (d *Document) PlainServiceFor(requestPath string) *PlainService {
 	requestPath = CleanPath(requestPath)
 	var best *PlainService
@@ -40,12 +40,12 @@
 	return best
 }
 
-// CallFor returns the call that describes a request, or nil where the document
-// describes none. The path is the decoded path of the URL.
+// CallFor returns the call that matches a request, or nil if none does. The path is the decoded
+// path of the URL.
 //
-// Only calls of the service that PlainServiceFor gives are looked at. Of several
-// that match, the one with the most literal segments wins; of equal ones, one
-// that may not be repeated.
+// It considers only calls of the service that PlainServiceFor returns. If several calls match,
+// the one with the most literal segments is returned. Among calls with equally many, a
+// non-idempotent one is preferred.
 func (d *Document) CallFor(method, requestPath string) *Call {
 	requestPath = CleanPath(requestPath)
 	service := d.PlainServiceFor(requestPath)
@@ -74,11 +74,11 @@
 	if c.Method != AnyMethod && c.Method != method {
 		return false
 	}
-	for i, want := range c.segments {
-		if want == anySegments {
+	for i, segment := range c.segments {
+		if segment == anySegments {
 			return true
 		}
-		if i >= len(segments) || (want != anySegment && want != segments[i]) {
+		if i >= len(segments) || (segment != anySegment && segment != segments[i]) {
 			return false
 		}
 	}
@@ -106,9 +106,9 @@
 	return n
 }
 
-// CleanPath gives every spelling of a path the same form, so that no spelling of a
-// non-idempotent call escapes its pattern. An upstream has to be sent this form of
-// the path, or it may run another call than the one that was looked up.
+// CleanPath returns the canonical form of a path, without dot segments and repeated slashes, so
+// that no spelling of a non-idempotent call escapes its pattern. The upstream must be sent this
+// form of the path. Otherwise it may run a different call than the one that was looked up.
 func CleanPath(p string) string { return path.Clean("/" + p) }
 
 func hasPathPrefix(p, prefix string) bool {
--- a/internal/document/parse.go
+++ b/internal/document/parse.go
@@ -12,23 +12,25 @@
 	"github.com/sassafraspost/sassafraspost/internal/inifile"
 )
 
-// Bounds of numbers. They keep the planner's tables within memory.
+// Limits of numbers. They keep the planner's tables within memory.
 const (
 	MaxRanks        = 1024
 	MaxExperts      = 4096
 	MaxLayers       = 1024
 	MaxSlotsPerRank = 4096
-	// LowestPriority is the last rank of a priority class.
+	// LowestPriority is the highest number in Priority.Rank, whose class is served last.
 	LowestPriority = 7
 	maxConcurrent  = 1 << 24
 	minShare       = 0.001
 )
 
-// reservedPrefixes belong to the system's own interfaces towards callers.
+// reservedPrefixes are the path prefixes of the system's own interfaces for callers. "/" is
+// reserved only as the whole prefix, not with what lies below it.
 var reservedPrefixes = []string{"/", "/v1"}
 
-// parser carries the document while its sections are read. The sections are kept
-// by name to place faults that show up once all of them are known.
+// parser fills in the document section by section. It keeps the sections of calls, groups and
+// workspaces, in the same order as in the document, so that checkReferences can report their
+// problems once all sections are known.
 type parser struct {
 	file       *inifile.File
 	doc        *Document
@@ -37,8 +39,8 @@
 	workspaces []*inifile.Section
 }
 
-// Parse checks the text of a document. The error is an *inifile.Error that holds
-// every fault by section and key.
+// Parse parses and checks the text of a document. The error is an *inifile.Error with every
+// problem by section and key.
 func Parse(text []byte) (*Document, error) {
 	f, err := inifile.Parse("document", text, MaxSize)
 	if err != nil {
@@ -192,7 +194,7 @@
 	http.MethodPatch, http.MethodDelete, http.MethodOptions, AnyMethod,
 }
 
-// idempotentMethods are those that RFC 9110 defines as idempotent.
+// idempotentMethods are the methods that RFC 9110 defines as idempotent.
 var idempotentMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPut, http.MethodDelete, http.MethodOptions,
 }
@@ -215,13 +217,13 @@
 
 func (p *parser) parsePriorities() {
 	for _, s := range p.file.NamedSections("priority") {
-		c := &Priority{
+		priority := &Priority{
 			Name:     s.Name(),
 			Rank:     inifile.Required(s, "rank", inifile.Int(0, LowestPriority)),
 			Deadline: inifile.Optional(s, "deadline", p.doc.Objective.Deadline, inifile.Duration),
 		}
-		p.doc.Priorities = append(p.doc.Priorities, c)
-		p.doc.priorities[c.Name] = c
+		p.doc.Priorities = append(p.doc.Priorities, priority)
+		p.doc.priorities[priority.Name] = priority
 	}
 }
 
--- a/internal/document/references.go
+++ b/internal/document/references.go
@@ -4,7 +4,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/inifile"
 )
 
-// checkReferences finds names that the document does not define.
+// checkReferences reports names that the document uses but doesn't define, and calls that
+// conflict with other calls or services.
 func (p *parser) checkReferences() {
 	for i, g := range p.doc.Groups {
 		if g.Model != "" && p.doc.Model(g.Model) == nil {
@@ -41,18 +42,18 @@
 	}
 }
 
-// checkRepeatedCalls refuses two calls with one method and path, of which one
-// could never be found.
+// checkRepeatedCalls reports two calls with the same method and path, because one of them could
+// never match.
 func (p *parser) checkRepeatedCalls() {
 	type endpoint struct{ method, path string }
 	owners := map[endpoint]string{}
 	for i, c := range p.doc.Calls {
-		at := endpoint{c.Method, c.Path}
-		if owner, ok := owners[at]; ok && c.Path != "" {
+		key := endpoint{c.Method, c.Path}
+		if owner, ok := owners[key]; ok && c.Path != "" {
 			p.calls[i].Errorf("path", "call %q has the same method and path", owner)
 			continue
 		}
-		owners[at] = c.Name
+		owners[key] = c.Name
 	}
 }
 
--- a/internal/document/together.go
+++ b/internal/document/together.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// Conflict is a name or path that two documents claim.
+// Conflict is a name or path that two documents use, but only one may own.
 type Conflict struct {
 	// Kind is the kind of the name, such as "workspace".
 	Kind string
 	// Value is the name or path as the later document spells it.
 	Value string
-	// Owner is the document that came first in the list.
+	// Owner is the name of the document that comes first in the list.
 	Owner string
-	// Claimant is the document that came later.
+	// Claimant is the name of the document that comes later.
 	Claimant string
 }
 
@@ -34,13 +34,13 @@
 	return strings.Join(lines, "\n")
 }
 
-// uniqueName is a name that a document takes for itself.
+// uniqueName is a name that only one document may use.
 type uniqueName struct{ kind, value string }
 
-// CheckConflicts looks for names that more than one of the documents takes: those
-// of the service, workspaces, their tokens, models, groups, pools, plain services
-// and path prefixes, of which none may lie under one of another document. Earlier
-// documents own what they name. The error is a *ConflictError.
+// CheckConflicts reports names that more than one of the documents uses: names of services,
+// workspaces, models, groups, pools and plain services, tokens and path prefixes. A path prefix
+// must not lie under one of another document either. The earlier document in the list owns the
+// name. The error is a *ConflictError.
 func CheckConflicts(docs []*Document) error {
 	var conflicts []Conflict
 	owners := map[uniqueName]string{}
@@ -63,7 +63,8 @@
 	return &ConflictError{Conflicts: conflicts}
 }
 
-// uniqueNames lists each name once, in the order of the text.
+// uniqueNames returns the unique names of the document, grouped by kind. A pool that several
+// models or plain services share is listed once.
 func (d *Document) uniqueNames() []uniqueName {
 	list := []uniqueName{{"service", d.Service.Name}}
 	add := func(what, value string) {
--- a/internal/inifile/errors.go
+++ b/internal/inifile/errors.go
@@ -6,15 +6,16 @@
 	"strings"
 )
 
-// Problem is one fault of an INI text.
+// Problem is one error in an INI text.
 type Problem struct {
-	// Section is the header without its brackets; empty for the text as a whole.
+	// Section is the header without its brackets. It is empty if the problem concerns the whole
+	// text.
 	Section string
-	// Key is empty where the section as a whole is at fault.
+	// Key is empty if the problem concerns the whole section.
 	Key string
-	// Line counts from one; zero where no line can be named.
+	// Line counts from one. It is zero if the line is unknown.
 	Line int
-	// Text says what is wrong.
+	// Text describes the problem.
 	Text string
 }
 
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -1,8 +1,8 @@
-// Package inifile reads INI texts into typed values and collects every fault of
-// a text, by section and key, instead of stopping at the first one.
+// Package inifile reads INI texts into typed values. It collects all problems of a text, by
+// section and key, instead of stopping at the first one.
 //
-// Sections and keys that no reader asked for are faults, and so are repeated
-// ones. The package does no I/O.
+// Sections and keys that the program doesn't read are problems, and so are repeated ones. The
+// package does no I/O.
 package inifile
 
 import (
@@ -14,7 +14,7 @@
 	"gopkg.in/ini.v1"
 )
 
-// MaxProblems bounds the list of an Error; what goes beyond is counted only.
+// MaxProblems limits the problems that an Error lists. Further problems are only counted.
 const MaxProblems = 1000
 
 // File is a parsed INI text. It is not safe for concurrent use.
@@ -33,12 +33,12 @@
 	name   string
 	raw    *ini.Section
 	isRead bool
-	// readKeys holds the keys that a reader asked for.
+	// readKeys are the keys that the program has read. The others are reported as unknown.
 	readKeys map[string]bool
 }
 
-// Parse reads text. A text longer than limit bytes, or one that is not INI, gives
-// an *Error at once; faults of values are collected until Err is called.
+// Parse parses the text. It returns an *Error if the text is longer than limit bytes or is not
+// INI. Problems with values are collected and returned by Err.
 func Parse(source string, text []byte, limit int) (*File, error) {
 	f := &File{err: Error{Source: source}}
 	if len(text) > limit {
@@ -68,7 +68,8 @@
 	IgnoreContinuation:       true,
 	SpaceBeforeInlineComment: true,
 	KeyValueDelimiters:       "=",
-	// No name holds this delimiter, so no section inherits keys of another.
+	// The library lets a section inherit keys from the section whose name precedes the
+	// delimiter. No section name contains this one, so no section inherits keys.
 	ChildSectionDelimiter: "\x00",
 }
 
@@ -83,8 +84,8 @@
 	f.sections = append(f.sections, &Section{file: f, header: header, raw: raw, readKeys: map[string]bool{}})
 }
 
-// Section returns the section with this header. A section that the text lacks
-// reads as one without keys.
+// Section returns the section with this header. If the text has no such section, it returns one
+// without keys.
 func (f *File) Section(header string) *Section {
 	for _, s := range f.sections {
 		if s.header == header {
@@ -95,10 +96,10 @@
 	return &Section{file: f, header: header, readKeys: map[string]bool{}}
 }
 
-// NamedSections returns the sections [kind "NAME"] in the order of the text. A name that
-// is not well formed is a fault.
+// NamedSections returns the sections [kind "NAME"] in the order of the text. An invalid name is
+// a problem.
 func (f *File) NamedSections(kind string) []*Section {
-	var found []*Section
+	var named []*Section
 	for _, s := range f.sections {
 		quoted, ok := strings.CutPrefix(s.header, kind+" ")
 		if !ok {
@@ -116,13 +117,13 @@
 			s.IgnoreKeys()
 			continue
 		}
-		found = append(found, s)
+		named = append(named, s)
 	}
-	return found
+	return named
 }
 
-// Err returns an *Error with every problem found up to now, with sections and
-// keys that nothing asked for among them, or nil. It is called once, at the end.
+// Err returns an *Error with every problem found so far, including sections and keys that the
+// program did not read, or nil. It must be called once, after everything has been read.
 func (f *File) Err() error {
 	for _, s := range f.sections {
 		f.reportUnread(s)
@@ -158,13 +159,13 @@
 	f.err.Problems = append(f.err.Problems, p)
 }
 
-// Exists reports whether the text holds the section.
+// Exists reports whether the text contains the section.
 func (s *Section) Exists() bool { return s.raw != nil }
 
 // Name returns NAME of a section [kind "NAME"].
 func (s *Section) Name() string { return s.name }
 
-// Errorf records a fault of a key, or of the section where key is empty.
+// Errorf adds a problem with a key, or with the whole section if key is empty.
 func (s *Section) Errorf(key, format string, args ...any) {
 	s.file.addProblem(Problem{
 		Section: s.header,
@@ -174,7 +175,8 @@
 	})
 }
 
-// IgnoreKeys marks every key as read, for a section whose faults were already told.
+// IgnoreKeys marks every key as read. It is for sections whose problem has already been
+// reported, so that their keys are not reported as unknown.
 func (s *Section) IgnoreKeys() {
 	if s.raw == nil {
 		return
@@ -184,7 +186,7 @@
 	}
 }
 
-// lookup returns the text of a key and whether it is there and not empty.
+// lookup returns the value of a key, and whether it is present and not empty.
 func (s *Section) lookup(key string) (string, bool) {
 	s.readKeys[key] = true
 	if s.raw == nil || !s.raw.HasKey(key) {
@@ -194,7 +196,8 @@
 	return value, value != ""
 }
 
-// Optional reads an optional key. A key that is missing, empty or faulty reads as def.
+// Optional reads an optional key. It returns def if the key is missing, empty or invalid. An
+// invalid value is a problem.
 func Optional[T any](s *Section, key string, def T, parse func(string) (T, error)) T {
 	text, ok := s.lookup(key)
 	if !ok {
@@ -208,8 +211,8 @@
 	return value
 }
 
-// Required reads a key that must be there. A key that is missing, empty or faulty is
-// a fault and reads as the zero value.
+// Required reads a required key. A missing, empty or invalid value is a problem and is returned
+// as the zero value.
 func Required[T any](s *Section, key string, parse func(string) (T, error)) T {
 	var zero T
 	if _, ok := s.lookup(key); !ok {
@@ -219,24 +222,24 @@
 	return Optional(s, key, zero, parse)
 }
 
-// List turns the parser of one element into the parser of a list, in which
-// commas separate the elements. A repeated element is a fault.
+// List returns a parser of comma-separated lists, given the parser of one element. A repeated
+// element is an error.
 func List[T comparable](parse func(string) (T, error)) func(string) ([]T, error) {
 	return func(text string) ([]T, error) {
-		var list []T
+		var elements []T
 		seen := map[T]bool{}
-		for part := range strings.SplitSeq(text, ",") {
-			part = strings.TrimSpace(part)
-			value, err := parse(part)
+		for element := range strings.SplitSeq(text, ",") {
+			element = strings.TrimSpace(element)
+			value, err := parse(element)
 			if err != nil {
 				return nil, err
 			}
 			if seen[value] {
-				return nil, errors.Errorf("%q stands twice in the list", part)
+				return nil, errors.Errorf("%q stands twice in the list", element)
 			}
 			seen[value] = true
-			list = append(list, value)
+			elements = append(elements, value)
 		}
-		return list, nil
+		return elements, nil
 	}
 }
--- a/internal/inifile/lines.go
+++ b/internal/inifile/lines.go
@@ -6,11 +6,11 @@
 	"gopkg.in/ini.v1"
 )
 
-// position names a key of a section; an empty key stands for the header.
+// position identifies a key in a section, or the header of the section if key is empty.
 type position struct{ section, key string }
 
-// lineIndex holds where headers and keys stand, which the INI library does not
-// tell. It reads headers and keys only.
+// lineIndex maps headers and keys to their lines, which the INI library does not report. It
+// ignores values.
 type lineIndex struct {
 	text       []string
 	lines      map[position]int
@@ -38,7 +38,7 @@
 	return x
 }
 
-// headerOf returns what stands between the brackets.
+// headerOf returns the text between the brackets of a header line.
 func headerOf(line string) string {
 	line = line[1:]
 	if end := strings.LastIndexByte(line, ']'); end >= 0 {
@@ -59,8 +59,8 @@
 	x.duplicates = append(x.duplicates, Problem{Section: p.section, Key: p.key, Line: line, Text: text})
 }
 
-// lineOf returns the line of a key, that of its section where the key is missing,
-// or zero.
+// lineOf returns the line of a key. If the key is missing, it returns the line of the section's
+// header, or zero.
 func (x *lineIndex) lineOf(section, key string) int {
 	if line, ok := x.lines[position{section, key}]; ok {
 		return line
@@ -68,14 +68,14 @@
 	return x.lines[position{section: section}]
 }
 
-// lineOfError finds the line that the library could not read.
+// lineOfError returns the line that the library could not parse, or zero.
 func (x *lineIndex) lineOfError(err error) int {
-	missing, ok := err.(ini.ErrDelimiterNotFound)
+	delimiterErr, ok := err.(ini.ErrDelimiterNotFound)
 	if !ok {
 		return 0
 	}
 	for i, line := range x.text {
-		if strings.TrimSpace(line) == strings.TrimSpace(missing.Line) {
+		if strings.TrimSpace(line) == strings.TrimSpace(delimiterErr.Line) {
 			return i + 1
 		}
 	}
--- a/internal/inifile/values.go
+++ b/internal/inifile/values.go
@@ -12,13 +12,13 @@
 	"github.com/pkg/errors"
 )
 
-// namePattern bounds names, so that they can stand in headers, paths and metrics.
+// namePattern limits names to characters that are allowed in headers, paths and metric names.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// String takes any text.
+// String accepts any text.
 func String(text string) (string, error) { return text, nil }
 
-// Name takes up to 63 letters, digits, dots, dashes and underscores.
+// Name accepts up to 63 letters, digits, dots, dashes and underscores.
 func Name(text string) (string, error) {
 	if !namePattern.MatchString(text) {
 		return "", errors.Errorf("%q is not a name: up to 63 letters, digits, dots, dashes and underscores, a letter or digit first", text)
@@ -26,7 +26,7 @@
 	return text, nil
 }
 
-// Bool takes true or false.
+// Bool accepts true or false.
 func Bool(text string) (bool, error) {
 	switch text {
 	case "true":
@@ -37,7 +37,7 @@
 	return false, errors.Errorf("%q is neither true nor false", text)
 }
 
-// Int returns a parser of whole numbers from low to high.
+// Int returns a parser of integers from low to high.
 func Int(low, high int) func(string) (int, error) {
 	return func(text string) (int, error) {
 		n, err := strconv.Atoi(text)
@@ -51,7 +51,7 @@
 	}
 }
 
-// Number returns a parser of finite numbers from low on.
+// Number returns a parser of finite numbers of at least low.
 func Number(low float64) func(string) (float64, error) {
 	return func(text string) (float64, error) {
 		n, err := strconv.ParseFloat(text, 64)
@@ -65,7 +65,7 @@
 	}
 }
 
-// Duration takes a duration above zero in Go's form, such as 1m30s.
+// Duration accepts a positive duration in Go's format, such as 1m30s.
 func Duration(text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil {
@@ -77,10 +77,10 @@
 	return d, nil
 }
 
-// Bytes counts octets.
+// Bytes is a size in bytes.
 type Bytes int64
 
-// The units that sizes are written in.
+// The units of sizes.
 const (
 	KiB Bytes = 1 << 10
 	MiB Bytes = 1 << 20
@@ -92,7 +92,8 @@
 	bytes  Bytes
 }{{"KiB", KiB}, {"MiB", MiB}, {"GiB", GiB}, {"B", 1}, {"", 1}}
 
-// Size takes a whole number of B, KiB, MiB or GiB above zero.
+// Size accepts a positive integer with the unit B, KiB, MiB or GiB. Without a unit it counts
+// bytes.
 func Size(text string) (Bytes, error) {
 	for _, unit := range units {
 		digits, ok := strings.CutSuffix(text, unit.suffix)
@@ -108,7 +109,7 @@
 	return 0, errors.Errorf("%q is not a size", text)
 }
 
-// AddrPort takes an IP number and a port; names of hosts are refused.
+// AddrPort accepts an IP address and port. Host names are refused.
 func AddrPort(text string) (netip.AddrPort, error) {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
@@ -123,7 +124,7 @@
 // String returns the digest in hexadecimal.
 func (d SHA256) String() string { return hex.EncodeToString(d[:]) }
 
-// ParseSHA256 takes 64 hexadecimal digits.
+// ParseSHA256 accepts 64 hexadecimal digits.
 func ParseSHA256(text string) (SHA256, error) {
 	var d SHA256
 	raw, err := hex.DecodeString(text)
@@ -134,7 +135,7 @@
 	return d, nil
 }
 
-// OneOf returns a parser that takes one of the words.
+// OneOf returns a parser that accepts one of the words.
 func OneOf[T ~string](words ...T) func(string) (T, error) {
 	return func(text string) (T, error) {
 		names := make([]string, len(words))
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -14,14 +14,14 @@
 	"github.com/sassafraspost/sassafraspost/internal/inifile"
 )
 
-// Bounds of numbers, wide enough for any host.
+// Limits of numbers, higher than any host needs.
 const (
 	maxCount = 1 << 24
 	maxRanks = 1024
 )
 
-// Parse checks the text of a settings file. The only I/O is to read the file that
-// secret-file names. The error is an *inifile.Error that holds every fault.
+// Parse parses and checks the text of a settings file. Its only I/O is to read the file that
+// secret-file names. The error is an *inifile.Error with every problem.
 func Parse(text []byte) (*Settings, error) {
 	f, err := inifile.Parse("settings", text, MaxSize)
 	if err != nil {
@@ -33,14 +33,14 @@
 		Peer:    parsePeer(f.Section("peer")),
 		Metrics: Metrics{Listen: optionalAddr(f.Section("metrics"), "listen")},
 	}
-	if hasRole(f, s, RoleControl) {
+	if shouldParseRole(f, s, RoleControl) {
 		s.Control = parseControl(f.Section("control"))
 		s.Operators = parseOperators(f)
 	}
-	if hasRole(f, s, RoleEntry) {
+	if shouldParseRole(f, s, RoleEntry) {
 		s.Entry = parseEntry(f.Section("entry"))
 	}
-	if hasRole(f, s, RoleAgent) {
+	if shouldParseRole(f, s, RoleAgent) {
 		s.Agent = parseAgent(f.Section("agent"))
 	}
 	if err := f.Err(); err != nil {
@@ -49,9 +49,9 @@
 	return s, nil
 }
 
-// hasRole reports whether the section of a role is to be read. A section without its
-// role would be ignored in silence, so it is a fault.
-func hasRole(f *inifile.File, s *Settings, r Role) bool {
+// shouldParseRole reports whether the section of a role must be parsed. A section whose role
+// the host does not have is a problem, because it would otherwise be ignored silently.
+func shouldParseRole(f *inifile.File, s *Settings, r Role) bool {
 	section := f.Section(string(r))
 	if s.HasRole(r) {
 		return true
@@ -193,7 +193,7 @@
 	}
 }
 
-// parseEntryHosts reads a list of name=ip:port; neither name nor address may repeat.
+// parseEntryHosts parses a list of name=ip:port. Names and addresses must be unique.
 func parseEntryHosts(text string) ([]EntryHost, error) {
 	hosts, err := inifile.List(parseEntryHost)(text)
 	if err != nil {
@@ -286,7 +286,7 @@
 			TokenHash: inifile.Required(s, "token-sha256", inifile.ParseSHA256),
 			Admin:     inifile.Optional(s, "admin", false, inifile.Bool),
 		}
-		if all := inifile.Optional(s, "documents", "", inifile.String); all == "*" {
+		if documents := inifile.Optional(s, "documents", "", inifile.String); documents == "*" {
 			op.AllDocuments = true
 		} else {
 			op.Documents = inifile.Optional(s, "documents", nil, inifile.List(inifile.Name))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the INI settings of the daemon: typed, checked, and with
-// every fault told at once by section and key.
+// Package settings reads the daemon's INI settings file into typed, checked values. It reports
+// all problems of a file at once, by section and key.
 package settings
 
 import (
@@ -14,32 +14,32 @@
 	"github.com/sassafraspost/sassafraspost/internal/inifile"
 )
 
-// MaxSize bounds the settings file.
+// MaxSize is the maximum size of the settings file, in bytes.
 const MaxSize = 1 << 20
 
-// MinSecretLength is the least length of the shared secret, in bytes.
+// MinSecretLength is the minimum length of the shared secret, in bytes.
 const MinSecretLength = 16
 
-// Role is a part that a daemon plays.
+// Role is a function of a host in the system. A host may have several.
 type Role string
 
-// The roles of the daemon.
+// The roles of a host.
 const (
 	RoleEntry   Role = "entry"
 	RoleControl Role = "control"
 	RoleAgent   Role = "agent"
 )
 
-// LogFormat is the form of log lines.
+// LogFormat is the format of log lines.
 type LogFormat string
 
-// The forms of log lines.
+// The formats of log lines.
 const (
 	LogJSON LogFormat = "json"
 	LogText LogFormat = "text"
 )
 
-// UpstreamKind tells what an agent stands in front of.
+// UpstreamKind is the kind of upstream that an agent serves.
 type UpstreamKind string
 
 // The kinds of upstreams.
@@ -48,8 +48,8 @@
 	UpstreamService UpstreamKind = "service"
 )
 
-// Settings holds everything that a daemon learns from its file. A section of a
-// role that the host does not have holds the defaults.
+// Settings are the contents of the settings file. The sections of roles that the host does not
+// have hold zero values.
 type Settings struct {
 	Host    Host
 	Log     Log
@@ -66,12 +66,12 @@
 type Host struct {
 	// Name is unique among all hosts. Required.
 	Name string
-	// DataCentre is where the host stands. Required.
+	// DataCentre is the name of the host's data centre. Required.
 	DataCentre string
-	// Roles is what the daemon does. Required.
+	// Roles are the roles of the host. Required.
 	Roles []Role
-	// ShutdownGrace bounds how long a graceful shutdown waits for requests in
-	// progress. Default 30s.
+	// ShutdownGrace limits how long a graceful shutdown waits for requests in progress. Default
+	// 30s.
 	ShutdownGrace time.Duration
 }
 
@@ -83,23 +83,24 @@
 	Level slog.Level
 }
 
-// Peer is the section [peer]: the sessions between the system's own processes.
+// Peer is the section [peer]: the connections between the system's own processes.
 type Peer struct {
-	// Listen is where sessions of other processes arrive. Required.
+	// Listen is the address that accepts connections from other processes. Required.
 	Listen netip.AddrPort
-	// Advertise is how other processes reach Listen. Default: Listen.
+	// Advertise is the address at which other processes reach Listen. Default: Listen.
 	Advertise netip.AddrPort
-	// Secret is shared by all processes, at least MinSecret bytes. It comes from
-	// the key secret, or from the file named by secret-file. One is required.
+	// Secret is shared by all processes and has at least MinSecretLength bytes. It is set by
+	// exactly one of the keys secret and secret-file, the latter with the path of a file.
+	// Required.
 	Secret Secret
-	// TLS of the sessions; off where empty.
+	// TLS is used for the connections. Default: no TLS.
 	TLS TLS
-	// CAFile holds the certificates that peers' certificates must chain to.
-	// Default: none, allowed with TLS only.
+	// CAFile holds the certificate authorities that peers' certificates must chain to. It is
+	// allowed only with TLS. Default: none.
 	CAFile string
 }
 
-// Secret is a text that does not show up in logs.
+// Secret is a string whose value is hidden in formatted output and logs.
 type Secret string
 
 // String hides the secret.
@@ -111,7 +112,7 @@
 // LogValue hides the secret.
 func (Secret) LogValue() slog.Value { return slog.StringValue("(secret)") }
 
-// TLS names the files of a certificate and its key. Both or neither are set.
+// TLS holds the paths of a certificate and its key. Both or neither are set.
 type TLS struct {
 	CertificateFile string
 	KeyFile         string
@@ -122,61 +123,63 @@
 
 // Metrics is the section [metrics].
 type Metrics struct {
-	// Listen serves the counters. Default: not served.
+	// Listen is the address at which metrics are served. Default: not served.
 	Listen netip.AddrPort
 }
 
 // Control is the section [control].
 type Control struct {
-	// DataFolder holds the journal and snapshots. Required.
+	// DataFolder is the folder of the journal and the snapshots. Required.
 	DataFolder string
 	// Tick is the unit of the consensus timeouts. Default 100ms.
 	Tick time.Duration
-	// SnapshotEntries is how many log entries lie between snapshots. Default 4096.
+	// SnapshotEntries is the number of log entries between snapshots. Default 4096.
 	SnapshotEntries int
-	// ClaimRetention is how long the claim of a finished non-idempotent call is
-	// kept. Default 24h.
+	// ClaimRetention is how long the claim of an idempotency key is kept after its
+	// non-idempotent call has finished. Default 24h.
 	ClaimRetention time.Duration
-	// APIListen serves the administration API. Required.
+	// APIListen is the address of the administration API. Required.
 	APIListen netip.AddrPort
-	// APITLS of the administration API; off where empty.
+	// APITLS is used for the administration API. Default: no TLS.
 	APITLS TLS
-	// Peers are the peer addresses of all control hosts, this one included. Required.
+	// Peers are the peer addresses of all control hosts, including this one. Required.
 	Peers []netip.AddrPort
 }
 
 // Entry is the section [entry].
 type Entry struct {
-	// Listen serves callers. Required.
+	// Listen is the address that accepts requests of callers. Required.
 	Listen netip.AddrPort
-	// TLS towards callers; off where empty.
+	// TLS is used for connections of callers. Default: no TLS.
 	TLS TLS
 	// Control are the peer addresses of the control hosts. Required.
 	Control []netip.AddrPort
-	// Entries are the entry hosts of the data centre, this one included. Required.
+	// Entries are the entry hosts of the data centre, including this one. Required.
 	Entries []EntryHost
-	// MaxBody bounds a request's body. Default 1 MiB.
+	// MaxBody limits the body of a request. Default 1 MiB.
 	MaxBody inifile.Bytes
-	// MaxHeader bounds a request's header. Default 32 KiB.
+	// MaxHeader limits the header of a request. Default 32 KiB.
 	MaxHeader inifile.Bytes
-	// QueueLimit bounds the requests that wait for admission. Default 1024.
+	// QueueLimit limits the requests that wait for admission. Default 1024.
 	QueueLimit int
-	// RequestTimeout bounds a request without a deadline. Default 2m.
+	// RequestTimeout limits the time that a request may take. It applies to requests without a
+	// deadline and caps longer deadlines. Default 2m.
 	RequestTimeout time.Duration
-	// IdleTimeout bounds how long a connection or stream stays silent. Default 1m.
+	// IdleTimeout is how long a connection may stay open without a request. Default 1m.
 	IdleTimeout time.Duration
-	// MaxSessions bounds the connections of callers. Default 10000.
+	// MaxSessions limits the connections of callers, and the requests in progress. Default
+	// 10000.
 	MaxSessions int
-	// DataCentres is how many data centres share the limits of workspaces, each an
-	// equal part. Default 1.
+	// DataCentres is the number of data centres that share the limits of workspaces equally.
+	// Default 1.
 	DataCentres int
-	// PrefixCacheSize is how many prompt prefixes routing remembers. Default 100000.
+	// PrefixCacheSize is the number of prompt prefixes that routing remembers. Default 100000.
 	PrefixCacheSize int
-	// RetryBudget is the share of recent requests that may be retries. Default 0.1.
+	// RetryBudget is the ratio of retries to recent requests that is allowed. Default 0.1.
 	RetryBudget float64
 }
 
-// EntryHost is an entry host of the data centre, as the directory knows it.
+// EntryHost is the name and peer address of an entry host of the data centre.
 type EntryHost struct {
 	Name string
 	Addr netip.AddrPort
@@ -184,11 +187,11 @@
 
 // Agent is the section [agent].
 type Agent struct {
-	// UpstreamURL is the upstream's base URL, with an IP number. Required.
+	// UpstreamURL is the upstream's base URL, with an IP address as its host. Required.
 	UpstreamURL string
 	// Kind is model or service. Required.
 	Kind UpstreamKind
-	// Pool is the pool that the upstream belongs to, as the document names it.
+	// Pool is the pool that the upstream belongs to, as named in the service document.
 	// Required.
 	Pool string
 	// Entries are the peer addresses of the data centre's entry hosts. Required.
@@ -197,28 +200,29 @@
 	Control []netip.AddrPort
 	// Capacity is how many requests the upstream runs at once. Default 64.
 	Capacity int
-	// Group is the group of ranks that the upstream serves. Default: none; for
-	// kind model only.
+	// Group is the group of ranks that the upstream belongs to. It is allowed only for the kind
+	// model. Default: none.
 	Group string
 	// FirstRank is the first rank that this host serves. Default 0.
 	FirstRank int
-	// Ranks is how many ranks this host serves. Default 1 with a group.
+	// Ranks is the number of ranks that this host serves. Default 1 with a group.
 	Ranks int
-	// AnnounceInterval is the time between announcements. Default 1s.
+	// AnnounceInterval is the time between announcements of the upstream to the entry hosts.
+	// Default 1s.
 	AnnounceInterval time.Duration
-	// PlanInterval is how often the group's expert map is looked at. Default 10s.
+	// PlanInterval is the time between plans of the group's expert map. Default 10s.
 	PlanInterval time.Duration
 }
 
-// Operator is a section [operator "NAME"]: a bearer token of the administration
-// API and what it permits.
+// Operator is a section [operator "NAME"]: a bearer token of the administration API and its
+// permissions.
 type Operator struct {
 	Name string
-	// TokenHash is the SHA-256 of the token, the key token-sha256. Required.
+	// TokenHash is the SHA-256 of the token, set by the key token-sha256. Required.
 	TokenHash inifile.SHA256
 	// Documents are the documents that the operator may read and change.
 	Documents []string
-	// AllDocuments is set by documents = *.
+	// AllDocuments permits reading and changing every document. It is set by documents = *.
 	AllDocuments bool
 	// Admin permits cluster operations. Default false.
 	Admin bool
@@ -227,7 +231,7 @@
 // HasRole reports whether the host has the role.
 func (s *Settings) HasRole(r Role) bool { return slices.Contains(s.Host.Roles, r) }
 
-// Load reads and checks the settings file at path, and the secret's file.
+// Load reads and checks the settings file at path, and the file that its secret-file names.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -10,22 +10,24 @@
 )
 
 const (
-	// logQueueLength is how many lines wait for a reader that is slow; what does not fit is
-	// dropped and counted.
+	// logQueueLength is how many lines may wait for a slow reader. Further lines are dropped
+	// and counted.
 	logQueueLength = 512
-	// maxLinesPerSecond bounds the lines of one kind; the rest is counted in the next line
-	// of that kind.
+	// maxLinesPerSecond limits the lines with the same message. Suppressed lines are counted in
+	// the next line with that message.
 	maxLinesPerSecond = 20
-	// maxFailuresPerSecond is the bound for warnings and errors.
+	// maxFailuresPerSecond is the limit for warnings and errors.
 	maxFailuresPerSecond = 100
-	// flushTimeout bounds the wait for the reader at the end of the process.
+	// flushTimeout limits how long flush waits for the reader at the end of the process.
 	flushTimeout = 200 * time.Millisecond
 )
 
-// NewNonBlockingLogger returns a logger of JSON lines that never waits for its reader: lines
-// go through a queue to one goroutine, and each kind of line has a limit a second. Lines
-// that were left out are counted: "suppressed" by the limit in the next line of the
-// kind, "dropped" by the queue. Flush waits a little for what is queued.
+// NewNonBlockingLogger returns a logger of JSON lines that never waits for its reader. Lines
+// pass through a queue to one goroutine that writes them, and the rate of lines with the same
+// message is limited. Lines that are not written are counted in the attributes of later lines:
+// "suppressed" counts lines above the rate limit, in the next line with the same message, and
+// "dropped" counts lines that found the queue full, in the next line of any message. flush
+// waits up to flushTimeout for queued lines to be written.
 func NewNonBlockingLogger(w io.Writer, level slog.Level) (log *slog.Logger, flush func()) {
 	q := &queueWriter{lines: make(chan []byte, logQueueLength), done: make(chan struct{})}
 	go q.run(w)
@@ -33,7 +35,7 @@
 	return slog.New(&rateLimitedHandler{Handler: h, queue: q, limiter: &rateLimiter{counts: make(map[string]*messageCount)}}), q.flush
 }
 
-// queueWriter passes lines on without waiting.
+// queueWriter queues lines for writing and never blocks.
 type queueWriter struct {
 	lines    chan []byte
 	done     chan struct{}
@@ -42,7 +44,7 @@
 	dropped  atomic.Int64
 }
 
-// Write implements io.Writer; a line is one call.
+// Write implements io.Writer. Each call must pass one complete line.
 func (q *queueWriter) Write(line []byte) (int, error) {
 	if q.isClosed.Load() {
 		return len(line), nil
@@ -82,10 +84,10 @@
 	})
 }
 
-// rateLimiter holds the limit of each kind of line. A kind is a message's text, of which the
-// program has a fixed number.
+// rateLimiter limits the lines per second of each message. It keeps a count for every message,
+// which is safe because the program has a fixed number of message texts.
 type rateLimiter struct {
-	// mu guards kinds.
+	// mu guards counts.
 	mu     sync.Mutex
 	counts map[string]*messageCount
 }
@@ -96,28 +98,30 @@
 	suppressed int
 }
 
-// allow reports whether a line may be written, and how many of its kind were not.
-func (l *rateLimiter) allow(kind string, most int, at time.Time) (suppressed int, ok bool) {
+// allow reports whether a line with the message may be written, and how many lines with that
+// message were suppressed since the last one.
+func (l *rateLimiter) allow(message string, limit int, at time.Time) (suppressed int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.counts[kind]
-	if k == nil {
-		k = &messageCount{}
-		l.counts[kind] = k
+	c := l.counts[message]
+	if c == nil {
+		c = &messageCount{}
+		l.counts[message] = c
 	}
-	if s := at.Unix(); s != k.second {
-		k.second, k.lines = s, 0
+	if second := at.Unix(); second != c.second {
+		c.second, c.lines = second, 0
 	}
-	if k.lines >= most {
-		k.suppressed++
+	if c.lines >= limit {
+		c.suppressed++
 		return 0, false
 	}
-	k.lines++
-	suppressed, k.suppressed = k.suppressed, 0
+	c.lines++
+	suppressed, c.suppressed = c.suppressed, 0
 	return suppressed, true
 }
 
-// rateLimitedHandler applies the limits.
+// rateLimitedHandler drops log records before they are formatted: those above the rate limit and,
+// while the queue is more than half full, those below the level of warnings.
 type rateLimitedHandler struct {
 	slog.Handler
 	queue   *queueWriter
@@ -126,24 +130,24 @@
 
 // Handle implements slog.Handler.
 func (h *rateLimitedHandler) Handle(ctx context.Context, r slog.Record) error {
-	most := maxLinesPerSecond
+	limit := maxLinesPerSecond
 	if r.Level >= slog.LevelWarn {
-		most = maxFailuresPerSecond
+		limit = maxFailuresPerSecond
 	}
 	if r.Level < slog.LevelWarn && len(h.queue.lines) > logQueueLength/2 {
-		// The second half of the queue is for failures.
+		// The second half of the queue is reserved for warnings and errors.
 		h.queue.dropped.Add(1)
 		return nil
 	}
-	suppressed, ok := h.limiter.allow(r.Message, most, r.Time)
+	suppressed, ok := h.limiter.allow(r.Message, limit, r.Time)
 	if !ok {
 		return nil
 	}
 	if suppressed > 0 {
 		r.AddAttrs(slog.Int("suppressed", suppressed))
 	}
-	if n := h.queue.dropped.Swap(0); n > 0 {
-		r.AddAttrs(slog.Int64("dropped", n))
+	if dropped := h.queue.dropped.Swap(0); dropped > 0 {
+		r.AddAttrs(slog.Int64("dropped", dropped))
 	}
 	return h.Handler.Handle(ctx, r)
 }
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Nobody reads the pipe: lines are dropped, and whoever logs goes on at once.
+// Nobody reads the pipe. Lines must be dropped, and the code that logs must not block.
 func TestBlockedReaderDoesNotBlockLogging(t *testing.T) {
 	r, w, err := os.Pipe()
 	require.NoError(t, err)
@@ -53,7 +53,8 @@
 	require.Equal(t, 50-maxLinesPerSecond, suppressed)
 }
 
-// With the queue half full, what is left of it is for failures.
+// When the queue is half full, the rest of it is reserved for warnings and errors. Without
+// that, a flood of successes would drop the failure.
 func TestFailuresAreLoggedWhenQueueIsHalfFull(t *testing.T) {
 	r, w := io.Pipe()
 	log, flush := NewNonBlockingLogger(w, slog.LevelInfo)
--- a/internal/telemetry/latency.go
+++ b/internal/telemetry/latency.go
@@ -9,25 +9,28 @@
 )
 
 const (
-	// maxLatency is the longest time that is told apart from longer ones.
+	// maxLatency is the longest duration that a histogram can record.
 	maxLatency = time.Minute
-	// significantDigits is how many digits of a time are kept; with two a histogram takes
-	// some 20 KB.
+	// significantDigits is the precision of recorded durations. With two digits a histogram
+	// takes about 20 KB.
 	significantDigits = 2
 )
 
-// Latency is a histogram of times, exact to two digits. It may be used concurrently.
+// Latency is a histogram of durations with a precision of two digits. It is safe for concurrent
+// use.
 type Latency struct {
-	// NilHistogram makes it one of the registry's kinds; nothing of it is used.
+	// NilHistogram makes Latency a metrics.Histogram, which the registry requires. Its methods
+	// are not used.
 	metrics.NilHistogram
 
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
-	// sum is of all times.
+	// sum is the sum of all durations.
 	sum time.Duration
 }
 
-// GetOrRegisterLatency returns the histogram of that name, and makes it where there is none.
+// GetOrRegisterLatency returns the histogram of that name, and registers a new one if there is
+// none.
 func GetOrRegisterLatency(name string, reg metrics.Registry) *Latency {
 	return reg.GetOrRegister(name, newLatency).(*Latency)
 }
@@ -36,19 +39,19 @@
 	return &Latency{histogram: hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)}
 }
 
-// Add counts a time; those over a minute count as one.
+// Add records a duration. Durations above maxLatency are recorded as maxLatency.
 func (l *Latency) Add(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sum += d
-	// What is in range is always taken.
+	// RecordValue fails only for values out of range, which min and max prevent.
 	_ = l.histogram.RecordValue(min(max(d, time.Microsecond), maxLatency).Microseconds())
 }
 
-// AddSince counts the time since then.
+// AddSince records the duration since then.
 func (l *Latency) AddSince(then time.Time) { l.Add(time.Since(then)) }
 
-// snapshot returns the quantiles, the sum and the number of times, in seconds.
+// snapshot returns the quantiles and the sum in seconds, and the number of durations.
 func (l *Latency) snapshot() (values []float64, sum float64, count int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,4 +1,4 @@
-// Package telemetry gives the daemon its log and serves its counters and timers.
+// Package telemetry provides the daemon's loggers and serves its metrics.
 package telemetry
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// ContentType is the media type of the text form that scrapers read.
+// ContentType is the media type of the Prometheus text format.
 const ContentType = "text/plain; version=0.0.4; charset=utf-8"
 
 const namePrefix = "sassafraspost_"
@@ -28,7 +28,7 @@
 	return slog.New(slog.NewTextHandler(w, opts))
 }
 
-// Handler serves the registry in the text form that scrapers read.
+// Handler serves the metrics of the registry in the Prometheus text format.
 func Handler(reg metrics.Registry) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", ContentType)
@@ -36,7 +36,7 @@
 	})
 }
 
-// Text returns all metrics of the registry, sorted by name.
+// Text returns all metrics of the registry in the Prometheus text format, sorted by name.
 func Text(reg metrics.Registry) string {
 	var lines []string
 	reg.Each(func(name string, metric any) {
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,4 +1,4 @@
-// Package version names the release that a binary was built from.
+// Package version holds the release that a binary was built from.
 package version
 
 // Release is the semantic version of this source tree.
