--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -224,7 +224,7 @@
 	Documents []string
 	// AllDocuments permits reading and changing every document. It is set by documents = *.
 	AllDocuments bool
-	// Admin permits cluster operations. Default false.
+	// Admin permits cluster operations and reading every document. Default false.
 	Admin bool
 }
 
