--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -14,17 +14,17 @@
 	"github.com/sassafraspost/sassafraspost/internal/version"
 )
 
-// ask sends a request to the control hosts and prints the answer.
-func ask[T encoder](cmd *cobra.Command, o *options, r repeat, send func(context.Context, *oas.Client) (T, error), text func(io.Writer, T)) error {
+// callAndPrint sends a request to the control hosts and prints the response.
+func callAndPrint[T jsonResponse](cmd *cobra.Command, o *options, policy retryPolicy, send func(context.Context, *oas.Client) (T, error), printText func(io.Writer, T)) error {
 	c, err := newClient(o)
 	if err != nil {
 		return err
 	}
-	answer, err := call(cmd.Context(), c, r, send)
+	response, err := callServers(cmd.Context(), c, policy, send)
 	if err != nil {
 		return err
 	}
-	return o.out.result(answer, func(w io.Writer) { text(w, answer) })
+	return o.out.result(response, func(w io.Writer) { printText(w, response) })
 }
 
 func newGet(o *options) *cobra.Command {
@@ -34,13 +34,13 @@
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			send := func(ctx context.Context, s *oas.Client) (*oas.Document, error) {
-				answer, err := s.GetDocument(ctx, oas.GetDocumentParams{Name: args[0]})
+				response, err := s.GetDocument(ctx, oas.GetDocumentParams{Name: args[0]})
 				if err != nil {
 					return nil, err
 				}
-				return &answer.Response, nil
+				return &response.Response, nil
 			}
-			return ask(cmd, o, repeatRead, send, func(w io.Writer, d *oas.Document) {
+			return callAndPrint(cmd, o, retryRead, send, func(w io.Writer, d *oas.Document) {
 				fmt.Fprint(w, d.Text)
 				o.out.note("revision %d of %s, change %s", d.Revision, d.Author, d.ChangeID)
 			})
@@ -55,7 +55,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			send := func(ctx context.Context, s *oas.Client) (*oas.DocumentList, error) { return s.ListDocuments(ctx) }
-			return ask(cmd, o, repeatRead, send, func(w io.Writer, l *oas.DocumentList) {
+			return callAndPrint(cmd, o, retryRead, send, func(w io.Writer, l *oas.DocumentList) {
 				var rows []string
 				for _, d := range l.Documents {
 					rows = append(rows, fmt.Sprintf("%s\t%d\t%s", d.Name, d.Revision, d.Author))
@@ -75,7 +75,7 @@
 			send := func(ctx context.Context, s *oas.Client) (*oas.Status, error) {
 				return s.GetStatus(ctx, oas.GetStatusParams{Name: args[0]})
 			}
-			return ask(cmd, o, repeatRead, send, printStatus)
+			return callAndPrint(cmd, o, retryRead, send, printStatus)
 		},
 	}
 }
@@ -108,7 +108,7 @@
 				params.Document = oas.NewOptString(name)
 			}
 			send := func(ctx context.Context, s *oas.Client) (*oas.History, error) { return s.GetHistory(ctx, params) }
-			return ask(cmd, o, repeatRead, send, func(w io.Writer, h *oas.History) {
+			return callAndPrint(cmd, o, retryRead, send, func(w io.Writer, h *oas.History) {
 				printHistory(w, h)
 				if next, ok := h.Next.Get(); ok {
 					o.out.note("more with --page %s", next)
@@ -134,7 +134,8 @@
 	table(w, "INDEX\tTIME\tACTION\tAUTHOR\tOUTCOME\tDOCUMENT\tCHANGE\tDETAIL", rows)
 }
 
-// changeTime is a dash for what no operator did: nobody's clock is known of it.
+// changeTime returns a dash for changes that the control hosts make themselves, because they
+// have no time.
 func changeTime(c oas.Change) string {
 	if c.Time.Unix() == 0 {
 		return "-"
@@ -149,7 +150,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			send := func(ctx context.Context, s *oas.Client) (*oas.Cluster, error) { return s.InitCluster(ctx) }
-			return ask(cmd, o, repeatNever, send, printCluster)
+			return callAndPrint(cmd, o, retryIfNotRun, send, printCluster)
 		},
 	}
 }
@@ -161,7 +162,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			send := func(ctx context.Context, s *oas.Client) (*oas.Cluster, error) { return s.GetCluster(ctx) }
-			return ask(cmd, o, repeatRead, send, printCluster)
+			return callAndPrint(cmd, o, retryRead, send, printCluster)
 		},
 	}
 }
--- a/internal/document/bench_test.go
+++ b/internal/document/bench_test.go
@@ -8,28 +8,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fill repeats a numbered piece up to the greatest size of a document.
-func fill(head, piece string) []byte {
+// repeatToMaxSize returns head followed by as many copies of piece as fit into MaxSize. Each
+// numbered has its own number.
+func repeatToMaxSize(head, piece string) []byte {
 	var b strings.Builder
 	b.WriteString(head)
 	for i := 0; ; i++ {
-		next := fmt.Sprintf(piece, i)
-		if b.Len()+len(next) > MaxSize {
+		numbered := fmt.Sprintf(piece, i)
+		if b.Len()+len(numbered) > MaxSize {
 			return []byte(b.String())
 		}
-		b.WriteString(next)
+		b.WriteString(numbered)
 	}
 }
 
-// BenchmarkParse shows what the largest texts cost, honest and hostile ones.
+// BenchmarkParse parses texts of the maximum size: a valid one, and invalid ones with as many
+// problems as possible.
 func BenchmarkParse(b *testing.B) {
 	head := "[service]\nname = a\n"
 	cases := map[string][]byte{
-		"workspaces":      fill(head, "[workspace \"w%[1]d\"]\nshare = 1\ntoken-sha256 = %064[1]x\n"),
-		"unknown-keys":    fill(head, "k%d=1\n"),
-		"repeated-keys":   fill(head, "k=%d\n"),
-		"sections":        fill(head, "[s%d]\n"),
-		"repeated-header": fill(head, "[s]\na%d=1\n"),
+		"workspaces":      repeatToMaxSize(head, "[workspace \"w%[1]d\"]\nshare = 1\ntoken-sha256 = %064[1]x\n"),
+		"unknown-keys":    repeatToMaxSize(head, "k%d=1\n"),
+		"repeated-keys":   repeatToMaxSize(head, "k=%d\n"),
+		"sections":        repeatToMaxSize(head, "[s%d]\n"),
+		"repeated-header": repeatToMaxSize(head, "[s]\na%d=1\n"),
 	}
 	for name, text := range cases {
 		b.Run(name, func(b *testing.B) {
--- a/internal/document/together.go
+++ b/internal/document/conflicts.go
@@ -5,21 +5,21 @@
 	"strings"
 )
 
-// Conflict is a name or path that two documents claim.
+// Conflict is a name or path that two documents use, but only one may own.
 type Conflict struct {
-	// What is the kind of the name, such as "workspace".
-	What string
+	// Kind is the kind of the name, such as "workspace".
+	Kind string
 	// Value is the name or path as the later document spells it.
 	Value string
-	// Owner is the document that came first in the list.
+	// Owner is the name of the document that comes first in the list.
 	Owner string
-	// Claimant is the document that came later.
+	// Claimant is the name of the document that comes later.
 	Claimant string
 }
 
 // String returns the conflict on one line.
 func (c Conflict) String() string {
-	return c.Claimant + ": " + c.What + " " + c.Value + " belongs to document " + c.Owner
+	return c.Claimant + ": " + c.Kind + " " + c.Value + " belongs to document " + c.Owner
 }
 
 // ConflictError holds every conflict between documents.
@@ -34,23 +34,23 @@
 	return strings.Join(lines, "\n")
 }
 
-// claim is a name that a document takes for itself.
-type claim struct{ what, value string }
+// uniqueName is a name that only one document may use.
+type uniqueName struct{ kind, value string }
 
-// CheckTogether looks for names that more than one of the documents takes: those
-// of the service, workspaces, their tokens, models, groups, pools, plain services
-// and path prefixes, of which none may lie under one of another document. Earlier
-// documents own what they name. The error is a *ConflictError.
-func CheckTogether(docs []*Document) error {
+// CheckConflicts reports names that more than one of the documents uses: names of services,
+// workspaces, models, groups, pools and plain services, tokens and path prefixes. A path prefix
+// must not lie under one of another document either. The earlier document in the list owns the
+// name. The error is a *ConflictError.
+func CheckConflicts(docs []*Document) error {
 	var conflicts []Conflict
-	owners := map[claim]string{}
+	owners := map[uniqueName]string{}
 	for i, d := range docs {
-		for _, c := range d.claims() {
+		for _, c := range d.uniqueNames() {
 			if owner, ok := owners[c]; ok {
-				conflicts = append(conflicts, Conflict{What: c.what, Value: c.value, Owner: owner, Claimant: d.Service.Name})
+				conflicts = append(conflicts, Conflict{Kind: c.kind, Value: c.value, Owner: owner, Claimant: d.Service.Name})
 			}
 		}
-		for _, c := range d.claims() {
+		for _, c := range d.uniqueNames() {
 			if _, ok := owners[c]; !ok {
 				owners[c] = d.Service.Name
 			}
@@ -63,11 +63,12 @@
 	return &ConflictError{Conflicts: conflicts}
 }
 
-// claims lists each name once, in the order of the text.
-func (d *Document) claims() []claim {
-	list := []claim{{"service", d.Service.Name}}
+// uniqueNames returns the unique names of the document, grouped by kind. A pool that several
+// models or plain services share is listed once.
+func (d *Document) uniqueNames() []uniqueName {
+	list := []uniqueName{{"service", d.Service.Name}}
 	add := func(what, value string) {
-		c := claim{what, value}
+		c := uniqueName{what, value}
 		if what != "pool" || !slices.Contains(list, c) {
 			list = append(list, c)
 		}
@@ -96,9 +97,9 @@
 	var conflicts []Conflict
 	for _, s := range d.Services {
 		for _, other := range earlier {
-			if other.overlaps(s.PathPrefix) {
+			if other.hasOverlappingPrefix(s.PathPrefix) {
 				conflicts = append(conflicts, Conflict{
-					What: "path-prefix", Value: s.PathPrefix,
+					Kind: "path-prefix", Value: s.PathPrefix,
 					Owner: other.Service.Name, Claimant: d.Service.Name,
 				})
 			}
@@ -107,9 +108,9 @@
 	return conflicts
 }
 
-func (d *Document) overlaps(prefix string) bool {
+func (d *Document) hasOverlappingPrefix(prefix string) bool {
 	for _, s := range d.Services {
-		if under(prefix, s.PathPrefix) || under(s.PathPrefix, prefix) {
+		if hasPathPrefix(prefix, s.PathPrefix) || hasPathPrefix(s.PathPrefix, prefix) {
 			return true
 		}
 	}
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -11,34 +11,34 @@
 	"pgregory.net/rapid"
 )
 
-func example(t testing.TB, name string) []byte {
+func readExample(t testing.TB, name string) []byte {
 	text, err := os.ReadFile("../../examples/" + name + ".ini")
 	require.NoError(t, err)
 	return text
 }
 
-func parse(t testing.TB, text string) *Document {
+func mustParse(t testing.TB, text string) *Document {
 	d, err := Parse([]byte(text))
 	require.NoError(t, err)
 	return d
 }
 
-func TestExamples(t *testing.T) {
-	entries := parse(t, string(example(t, "entries")))
-	outlooks := parse(t, string(example(t, "outlooks")))
-	require.NoError(t, CheckTogether([]*Document{entries, outlooks}))
+func TestExampleDocumentsAreValid(t *testing.T) {
+	entries := mustParse(t, string(readExample(t, "entries")))
+	outlooks := mustParse(t, string(readExample(t, "outlooks")))
+	require.NoError(t, CheckConflicts([]*Document{entries, outlooks}))
 
-	require.Equal(t, Digest(sha256.Sum256(example(t, "entries"))), entries.Digest)
+	require.Equal(t, Digest(sha256.Sum256(readExample(t, "entries"))), entries.Digest)
 	require.Equal(t, 10*time.Second, entries.Priority("season").Deadline)
 	require.Equal(t, "marshals", entries.WorkspaceByToken(sha256.Sum256([]byte("example-marshal-token"))).Name)
 	require.Nil(t, entries.WorkspaceByToken(sha256.Sum256([]byte("other"))))
-	require.True(t, entries.Workspace("clubs").Models.Has("drafter"))
-	require.False(t, outlooks.Workspace("apps").Services.Has("dispatch"))
+	require.True(t, entries.Workspace("clubs").Models.Allows("drafter"))
+	require.False(t, outlooks.Workspace("apps").Services.Allows("dispatch"))
 	require.Equal(t, "outlook", outlooks.Model("outlook").Pool)
 }
 
-func TestCallFor(t *testing.T) {
-	d := parse(t, string(example(t, "entries")))
+func TestCallForMatchesMethodAndPath(t *testing.T) {
+	d := mustParse(t, string(readExample(t, "entries")))
 	require.Equal(t, "book", d.CallFor("POST", "/slots/7/bookings").Name)
 	require.Equal(t, "pay", d.CallFor("POST", "/slots/payments/7/parts").Name)
 	require.Equal(t, "read", d.CallFor("GET", "/slots/7").Name)
@@ -48,8 +48,8 @@
 	require.Nil(t, d.CallFor("GET", "/v1/models"))
 }
 
-func TestMostLiteralCallWins(t *testing.T) {
-	d := parse(t, `
+func TestCallWithMostLiteralSegmentsWins(t *testing.T) {
+	d := mustParse(t, `
 [service]
 name = a
 [plain-service "s"]
@@ -74,13 +74,14 @@
 	require.Equal(t, "wide", d.CallFor("POST", "/s/book/it").Name)
 }
 
-// No spelling of a path may turn a call that must not repeat into another one.
-func TestEverySpellingOfAPathFindsTheSameCall(t *testing.T) {
-	d := parse(t, string(example(t, "entries")))
+// A non-idempotent call must not escape its pattern through dots or repeated slashes in the
+// path, since it could then be treated as idempotent and run twice.
+func TestEquivalentPathsMatchTheSameCall(t *testing.T) {
+	d := mustParse(t, string(readExample(t, "entries")))
 	rapid.Check(t, func(t *rapid.T) {
-		filler := rapid.SampledFrom([]string{"/", "//", "/./", "/x/../", "/./x/.././"})
-		spelling := filler.Draw(t, "a") + "slots" + filler.Draw(t, "b") + "7" +
-			filler.Draw(t, "c") + "bookings" + rapid.SampledFrom([]string{"", "/", "/."}).Draw(t, "end")
+		separator := rapid.SampledFrom([]string{"/", "//", "/./", "/x/../", "/./x/.././"})
+		spelling := separator.Draw(t, "a") + "slots" + separator.Draw(t, "b") + "7" +
+			separator.Draw(t, "c") + "bookings" + rapid.SampledFrom([]string{"", "/", "/."}).Draw(t, "end")
 		call := d.CallFor("POST", spelling)
 		if call == nil || call.Idempotent {
 			t.Fatalf("%q does not find the booking call", spelling)
@@ -88,7 +89,7 @@
 	})
 }
 
-func TestEveryFaultIsToldAtOnce(t *testing.T) {
+func TestParseReportsAllProblems(t *testing.T) {
 	_, err := Parse([]byte(`[service]
 name = a b
 [objective]
@@ -147,7 +148,7 @@
 	require.Len(t, strings.Split(err.Error(), "\n"), 18)
 }
 
-func TestConflictsWithin(t *testing.T) {
+func TestParseReportsConflictsWithinOneDocument(t *testing.T) {
 	token := strings.Repeat("ab", 32)
 	cases := map[string]string{
 		"is the prefix of plain service \"a\" too":  "[plain-service \"a\"]\npath-prefix = /a\n[plain-service \"b\"]\npath-prefix = /a\n",
@@ -167,13 +168,13 @@
 	}
 }
 
-func TestCheckTogether(t *testing.T) {
+func TestCheckConflictsReportsEveryConflict(t *testing.T) {
 	base := "[service]\nname = one\n[model \"m\"]\nversion = 1\n[plain-service \"s\"]\npath-prefix = /s\n" +
 		"[workspace \"w\"]\ntoken-sha256 = " + strings.Repeat("ab", 32) + "\n"
-	one := parse(t, base)
-	require.NoError(t, CheckTogether([]*Document{one}))
-	two := parse(t, strings.NewReplacer("one", "two", "/s", "/s/t").Replace(base))
-	err := CheckTogether([]*Document{one, two})
+	one := mustParse(t, base)
+	require.NoError(t, CheckConflicts([]*Document{one}))
+	two := mustParse(t, strings.NewReplacer("one", "two", "/s", "/s/t").Replace(base))
+	err := CheckConflicts([]*Document{one, two})
 	var conflict *ConflictError
 	require.ErrorAs(t, err, &conflict)
 	for _, want := range []string{
@@ -184,7 +185,7 @@
 	}
 }
 
-func TestTextIsBounded(t *testing.T) {
+func TestParseRefusesTooLongOrNonUTF8Text(t *testing.T) {
 	_, err := Parse([]byte(strings.Repeat("#", MaxSize+1)))
 	require.ErrorContains(t, err, "exceeds the limit")
 	_, err = Parse([]byte("[service]\nname = a\n# \xff\n"))
@@ -192,7 +193,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(example(f, "entries"))
+	f.Add(readExample(f, "entries"))
 	f.Add([]byte("[call \"a\"]\npath = /**\n[group \"\"]\n[\n]=\n"))
 	f.Add([]byte("\"\"\"a\"\"\" = \"\"\"b\n\"\"\"\n`x` = `y`\n- = 1"))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -201,7 +202,7 @@
 			return
 		}
 		require.Equal(t, DigestOf(text), d.Digest)
-		require.NoError(t, CheckTogether([]*Document{d}))
+		require.NoError(t, CheckConflicts([]*Document{d}))
 		d.CallFor("POST", string(text))
 	})
 }
--- a/internal/document/parse.go
+++ b/internal/document/parse.go
@@ -12,23 +12,25 @@
 	"github.com/sassafraspost/sassafraspost/internal/inifile"
 )
 
-// Bounds of numbers. They keep the planner's tables within memory.
+// Limits of numbers. They keep the planner's tables within memory.
 const (
 	MaxRanks        = 1024
 	MaxExperts      = 4096
 	MaxLayers       = 1024
 	MaxSlotsPerRank = 4096
-	// LowestPriority is the last rank of a priority class.
+	// LowestPriority is the highest number in Priority.Rank, whose class is served last.
 	LowestPriority = 7
 	maxConcurrent  = 1 << 24
 	minShare       = 0.001
 )
 
-// reservedPrefixes belong to the system's own interfaces towards callers.
+// reservedPrefixes are the path prefixes of the system's own interfaces for callers. "/" is
+// reserved only as the whole prefix, not with what lies below it.
 var reservedPrefixes = []string{"/", "/v1"}
 
-// parser carries the document while its sections are read. The sections are kept
-// by name to place faults that show up once all of them are known.
+// parser fills in the document section by section. It keeps the sections of calls, groups and
+// workspaces, in the same order as in the document, so that checkReferences can report their
+// problems once all sections are known.
 type parser struct {
 	file       *inifile.File
 	doc        *Document
@@ -37,8 +39,8 @@
 	workspaces []*inifile.Section
 }
 
-// Parse checks the text of a document. The error is an *inifile.Error that holds
-// every fault by section and key.
+// Parse parses and checks the text of a document. The error is an *inifile.Error with every
+// problem by section and key.
 func Parse(text []byte) (*Document, error) {
 	f, err := inifile.Parse("document", text, MaxSize)
 	if err != nil {
@@ -75,33 +77,33 @@
 func (p *parser) parseService() {
 	s := p.file.Section("service")
 	p.doc.Service = Service{
-		Name: inifile.Need(s, "name", inifile.Name),
-		Kind: inifile.Get(s, "kind", KindMixed, inifile.OneOf(KindModel, KindService, KindMixed)),
+		Name: inifile.Required(s, "name", inifile.Name),
+		Kind: inifile.Optional(s, "kind", KindMixed, inifile.OneOf(KindModel, KindService, KindMixed)),
 	}
 }
 
 func (p *parser) parseObjective() {
 	s := p.file.Section("objective")
 	p.doc.Objective = Objective{
-		SkewWeight:      inifile.Get(s, "skew-weight", 1, inifile.Number(0)),
-		RebalanceWeight: inifile.Get(s, "rebalance-weight", 1, inifile.Number(0)),
-		Deadline:        inifile.Get(s, "deadline", 30*time.Second, inifile.Duration),
+		SkewWeight:      inifile.Optional(s, "skew-weight", 1, inifile.Number(0)),
+		RebalanceWeight: inifile.Optional(s, "rebalance-weight", 1, inifile.Number(0)),
+		Deadline:        inifile.Optional(s, "deadline", 30*time.Second, inifile.Duration),
 	}
 }
 
 func (p *parser) parseModels() {
-	for _, s := range p.file.Named("model") {
+	for _, s := range p.file.NamedSections("model") {
 		m := &Model{
 			Name:          s.Name(),
-			Pool:          inifile.Get(s, "pool", s.Name(), inifile.Name),
-			Version:       inifile.Need(s, "version", inifile.Name),
-			Adapters:      inifile.Get(s, "adapters", nil, inifile.List(inifile.Name)),
-			Role:          inifile.Get(s, "role", RoleUnified, inifile.OneOf(RoleUnified, RolePrefill, RoleDecode)),
-			ChecksFencing: inifile.Get(s, "checks-fencing", false, inifile.Bool),
-			Resumable:     inifile.Get(s, "resumable", false, inifile.Bool),
+			Pool:          inifile.Optional(s, "pool", s.Name(), inifile.Name),
+			Version:       inifile.Required(s, "version", inifile.Name),
+			Adapters:      inifile.Optional(s, "adapters", nil, inifile.List(inifile.Name)),
+			Role:          inifile.Optional(s, "role", RoleUnified, inifile.OneOf(RoleUnified, RolePrefill, RoleDecode)),
+			ChecksFencing: inifile.Optional(s, "checks-fencing", false, inifile.Bool),
+			Resumable:     inifile.Optional(s, "resumable", false, inifile.Bool),
 		}
 		if p.doc.Service.Kind == KindService {
-			s.Fail("", "a service of kind %s has no models", KindService)
+			s.Errorf("", "a service of kind %s has no models", KindService)
 		}
 		p.doc.Models = append(p.doc.Models, m)
 		p.doc.models[m.Name] = m
@@ -109,17 +111,17 @@
 }
 
 func (p *parser) parseGroups() {
-	for _, s := range p.file.Named("group") {
+	for _, s := range p.file.NamedSections("group") {
 		g := &Group{
 			Name:         s.Name(),
-			Model:        inifile.Need(s, "model", inifile.Name),
-			Ranks:        inifile.Need(s, "ranks", inifile.Int(1, MaxRanks)),
-			Experts:      inifile.Need(s, "experts", inifile.Int(1, MaxExperts)),
-			Layers:       inifile.Need(s, "layers", inifile.Int(1, MaxLayers)),
-			SlotsPerRank: inifile.Need(s, "slots-per-rank", inifile.Int(1, MaxSlotsPerRank)),
+			Model:        inifile.Required(s, "model", inifile.Name),
+			Ranks:        inifile.Required(s, "ranks", inifile.Int(1, MaxRanks)),
+			Experts:      inifile.Required(s, "experts", inifile.Int(1, MaxExperts)),
+			Layers:       inifile.Required(s, "layers", inifile.Int(1, MaxLayers)),
+			SlotsPerRank: inifile.Required(s, "slots-per-rank", inifile.Int(1, MaxSlotsPerRank)),
 		}
 		if g.Ranks > 0 && g.SlotsPerRank > 0 && g.Ranks*g.SlotsPerRank < g.Experts {
-			s.Fail("slots-per-rank", "%d ranks with %d slots cannot hold %d experts", g.Ranks, g.SlotsPerRank, g.Experts)
+			s.Errorf("slots-per-rank", "%d ranks with %d slots cannot hold %d experts", g.Ranks, g.SlotsPerRank, g.Experts)
 		}
 		p.groups = append(p.groups, s)
 		p.doc.Groups = append(p.doc.Groups, g)
@@ -129,17 +131,17 @@
 
 func (p *parser) parseServices() {
 	owners := map[string]string{}
-	for _, s := range p.file.Named("plain-service") {
+	for _, s := range p.file.NamedSections("plain-service") {
 		v := &PlainService{
 			Name:       s.Name(),
-			Pool:       inifile.Get(s, "pool", s.Name(), inifile.Name),
-			PathPrefix: inifile.Need(s, "path-prefix", pathPrefix),
+			Pool:       inifile.Optional(s, "pool", s.Name(), inifile.Name),
+			PathPrefix: inifile.Required(s, "path-prefix", parsePathPrefix),
 		}
 		if owner, ok := owners[v.PathPrefix]; ok && v.PathPrefix != "" {
-			s.Fail("path-prefix", "is the prefix of plain service %q too", owner)
+			s.Errorf("path-prefix", "is the prefix of plain service %q too", owner)
 		}
 		if p.doc.Service.Kind == KindModel {
-			s.Fail("", "a service of kind %s has no plain services", KindModel)
+			s.Errorf("", "a service of kind %s has no plain services", KindModel)
 		}
 		owners[v.PathPrefix] = v.Name
 		p.doc.Services = append(p.doc.Services, v)
@@ -147,7 +149,7 @@
 	}
 }
 
-func pathPrefix(text string) (string, error) {
+func parsePathPrefix(text string) (string, error) {
 	if err := checkPath(text); err != nil {
 		return "", err
 	}
@@ -155,7 +157,7 @@
 		return "", errors.Errorf("%q is a prefix and takes no *", text)
 	}
 	for _, reserved := range reservedPrefixes {
-		if text == reserved || (reserved != "/" && under(text, reserved)) {
+		if text == reserved || (reserved != "/" && hasPathPrefix(text, reserved)) {
 			return "", errors.Errorf("%q belongs to the system", text)
 		}
 	}
@@ -173,15 +175,15 @@
 }
 
 func (p *parser) parseCalls() {
-	for _, s := range p.file.Named("call") {
+	for _, s := range p.file.NamedSections("call") {
 		c := &Call{
 			Name:    s.Name(),
-			Service: inifile.Need(s, "service", inifile.Name),
-			Method:  inifile.Need(s, "method", inifile.OneOf(methods...)),
-			Path:    inifile.Need(s, "path", pathPattern),
+			Service: inifile.Required(s, "service", inifile.Name),
+			Method:  inifile.Required(s, "method", inifile.OneOf(methods...)),
+			Path:    inifile.Required(s, "path", parsePathPattern),
 		}
-		c.Idempotent = inifile.Get(s, "idempotent", slices.Contains(idempotentMethods, c.Method), inifile.Bool)
-		c.segments = split(c.Path)
+		c.Idempotent = inifile.Optional(s, "idempotent", slices.Contains(idempotentMethods, c.Method), inifile.Bool)
+		c.segments = splitPath(c.Path)
 		p.calls = append(p.calls, s)
 		p.doc.Calls = append(p.doc.Calls, c)
 	}
@@ -192,16 +194,16 @@
 	http.MethodPatch, http.MethodDelete, http.MethodOptions, AnyMethod,
 }
 
-// idempotentMethods are those that RFC 9110 defines as idempotent.
+// idempotentMethods are the methods that RFC 9110 defines as idempotent.
 var idempotentMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPut, http.MethodDelete, http.MethodOptions,
 }
 
-func pathPattern(text string) (string, error) {
+func parsePathPattern(text string) (string, error) {
 	if err := checkPath(text); err != nil {
 		return "", err
 	}
-	segments := split(text)
+	segments := splitPath(text)
 	for i, s := range segments {
 		switch {
 		case s == anySegments && i < len(segments)-1:
@@ -214,29 +216,29 @@
 }
 
 func (p *parser) parsePriorities() {
-	for _, s := range p.file.Named("priority") {
-		c := &Priority{
+	for _, s := range p.file.NamedSections("priority") {
+		priority := &Priority{
 			Name:     s.Name(),
-			Rank:     inifile.Need(s, "rank", inifile.Int(0, LowestPriority)),
-			Deadline: inifile.Get(s, "deadline", p.doc.Objective.Deadline, inifile.Duration),
+			Rank:     inifile.Required(s, "rank", inifile.Int(0, LowestPriority)),
+			Deadline: inifile.Optional(s, "deadline", p.doc.Objective.Deadline, inifile.Duration),
 		}
-		p.doc.Priorities = append(p.doc.Priorities, c)
-		p.doc.priorities[c.Name] = c
+		p.doc.Priorities = append(p.doc.Priorities, priority)
+		p.doc.priorities[priority.Name] = priority
 	}
 }
 
 func (p *parser) parseWorkspaces() {
-	for _, s := range p.file.Named("workspace") {
+	for _, s := range p.file.NamedSections("workspace") {
 		w := &Workspace{
 			Name:                 s.Name(),
-			Share:                inifile.Get(s, "share", 1, inifile.Number(minShare)),
-			MaxRequestsPerSecond: inifile.Get(s, "max-requests-per-second", 0, inifile.Number(0)),
-			MaxConcurrent:        inifile.Get(s, "max-concurrent", 0, inifile.Int(0, maxConcurrent)),
-			MaxTokensPerSecond:   inifile.Get(s, "max-tokens-per-second", 0, inifile.Number(0)),
-			Priority:             inifile.Get(s, "priority", "", inifile.Name),
-			Tokens:               inifile.Get(s, "token-sha256", nil, inifile.List(inifile.ParseSHA256)),
-			Models:               inifile.Get(s, "models", Selection{All: true}, selection),
-			Services:             inifile.Get(s, "services", Selection{All: true}, selection),
+			Share:                inifile.Optional(s, "share", 1, inifile.Number(minShare)),
+			MaxRequestsPerSecond: inifile.Optional(s, "max-requests-per-second", 0, inifile.Number(0)),
+			MaxConcurrent:        inifile.Optional(s, "max-concurrent", 0, inifile.Int(0, maxConcurrent)),
+			MaxTokensPerSecond:   inifile.Optional(s, "max-tokens-per-second", 0, inifile.Number(0)),
+			Priority:             inifile.Optional(s, "priority", "", inifile.Name),
+			Tokens:               inifile.Optional(s, "token-sha256", nil, inifile.List(inifile.ParseSHA256)),
+			Models:               inifile.Optional(s, "models", AllowList{All: true}, parseAllowList),
+			Services:             inifile.Optional(s, "services", AllowList{All: true}, parseAllowList),
 		}
 		p.workspaces = append(p.workspaces, s)
 		p.doc.Workspaces = append(p.doc.Workspaces, w)
@@ -248,17 +250,17 @@
 func (p *parser) bindTokens(s *inifile.Section, w *Workspace) {
 	for _, token := range w.Tokens {
 		if owner, ok := p.doc.tokens[token]; ok {
-			s.Fail("token-sha256", "%s is a token of workspace %q too", token, owner.Name)
+			s.Errorf("token-sha256", "%s is a token of workspace %q too", token, owner.Name)
 			continue
 		}
 		p.doc.tokens[token] = w
 	}
 }
 
-func selection(text string) (Selection, error) {
+func parseAllowList(text string) (AllowList, error) {
 	if text == "*" {
-		return Selection{All: true}, nil
+		return AllowList{All: true}, nil
 	}
 	names, err := inifile.List(inifile.Name)(text)
-	return Selection{Names: names}, err
+	return AllowList{Names: names}, err
 }
