--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 # upstreams and sends a request through it; `make test` passes the tests.
 GO ?= go
 
-.PHONY: build test explore demo generate lint
+.PHONY: build test explore demo generate lint tools
 
 build:
 	$(GO) build -o bin/ ./cmd/... ./test/cmd/...
@@ -24,3 +24,7 @@
 	gofmt -l $$(git ls-files '*.go')
 	$(GO) vet ./...
 	$(GO) tool staticcheck ./...
+
+# Installs gopls, for renames over packages. Later versions don't build with the Go of go.mod.
+tools:
+	$(GO) install golang.org/x/tools/gopls@v0.21.1
