--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -42,7 +42,7 @@
 		key := Key("service", fmt.Sprint(i))
 		demand.Items = append(demand.Items, wire.DemandItem{Workspace: key, Limit: limitsToWire(Limits{Requests: 200.5, Tokens: 40_000, Concurrent: 64}),
 			Wanted: amountsToWire(Amounts{Requests: 33.3, Tokens: 7777.7, Concurrent: 13}), Running: 7})
-		grant.Items = append(grant.Items, wire.GrantItem{Workspace: key, Given: amountsToWire(Amounts{Requests: 33.3, Tokens: 7777.7, Concurrent: 13})})
+		grant.Items = append(grant.Items, wire.GrantItem{Workspace: key, Granted: amountsToWire(Amounts{Requests: 33.3, Tokens: 7777.7, Concurrent: 13})})
 	}
 	sizes := []int{0, 0}
 	for b.Loop() {
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -376,7 +376,7 @@
 	grant := &wire.Grant{Seq: demand.Seq}
 	for _, item := range demand.Items {
 		granted := c.allocator.Allocate(now, host, item.Workspace, limitsFromWire(item.Limit), amountsFromWire(item.Wanted), float64(item.Running))
-		grant.Items = append(grant.Items, wire.GrantItem{Workspace: item.Workspace, Given: amountsToWire(granted)})
+		grant.Items = append(grant.Items, wire.GrantItem{Workspace: item.Workspace, Granted: amountsToWire(granted)})
 	}
 	return grant
 }
@@ -387,7 +387,7 @@
 	defer c.mu.Unlock()
 	for _, item := range g.Items {
 		if q := c.quotas[item.Workspace]; q != nil {
-			q.Grant(sentAt, amountsFromWire(item.Given))
+			q.Grant(sentAt, amountsFromWire(item.Granted))
 		}
 	}
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -172,7 +172,7 @@
 	}
 	a.counters.accepted.Inc(1)
 	at := newAttempt(s, d)
-	s.Hold()
+	s.StartProbing()
 	a.attempts[d.Attempt] = at
 	if a.running < a.cfg.Capacity {
 		a.start(at)
@@ -192,7 +192,7 @@
 		return notRun(verdict.CodeNoUpstream, "another upstream is meant")
 	case d.Incarnation != id.Incarnation:
 		return notRun(verdict.CodeNoUpstream, "another start of the agent is meant")
-	case a.state == wire.UpstreamLeaving:
+	case a.state == wire.UpstreamDraining:
 		return notRun(verdict.CodeLeaving, "upstream is leaving").WithRetryAfter(a.cfg.RetryAfter)
 	case a.state != wire.UpstreamReady:
 		return notRun(verdict.CodeNoUpstream, "upstream is not ready").WithRetryAfter(a.cfg.RetryAfter)
@@ -209,12 +209,12 @@
 func (a *Agent) refuse(s *peer.Session, id wire.AttemptID, e *verdict.Error) {
 	a.counters.refused.Inc(1)
 	m := &wire.Refused{
-		Attempt:       id,
-		Verdict:       uint8(e.Verdict),
-		Code:          string(e.Code),
-		Text:          e.Text,
-		RetryAfterMS:  uint64(e.RetryAfter / time.Millisecond),
-		UpstreamEnded: endedAt(e),
+		Attempt:           id,
+		Verdict:           uint8(e.Verdict),
+		Code:              string(e.Code),
+		Text:              e.Text,
+		RetryAfterMS:      uint64(e.RetryAfter / time.Millisecond),
+		UpstreamCrashedAt: endedAt(e),
 	}
 	if s.Post(m) != nil {
 		a.counters.unreported.Inc(1)
@@ -259,7 +259,7 @@
 // forget requires mu.
 func (a *Agent) forget(at *attempt) {
 	delete(a.attempts, at.d.Attempt)
-	at.s.Release()
+	at.s.StopProbing()
 	at.cancel()
 	if len(a.attempts) == 0 {
 		select {
@@ -329,7 +329,7 @@
 func (a *Agent) Leave() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.state = wire.UpstreamLeaving
+	a.state = wire.UpstreamDraining
 }
 
 // Drained waits until nothing runs or waits. The error is that of ctx.
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -152,7 +152,7 @@
 
 // Pull asks once and passes the order on, unless the engine has taken it before.
 func (o *Orders) Pull(ctx context.Context) error {
-	q := &wire.OrderQuery{Upstream: o.cfg.Upstream, Pool: o.cfg.Pool, Group: o.cfg.Group, Seen: o.gate.fence}
+	q := &wire.OrderQuery{Upstream: o.cfg.Upstream, Pool: o.cfg.Pool, Group: o.cfg.Group, HighestFencingToken: o.gate.fence}
 	if _, err := rand.Read(q.Nonce[:]); err != nil {
 		return errors.Wrap(err, "agent: make nonce")
 	}
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -102,7 +102,7 @@
 	a.Leave()
 	a.Ready()
 	next, _ := a.Record()
-	require.Equal(t, wire.UpstreamLeaving, next.State, "leaving is for good")
+	require.Equal(t, wire.UpstreamDraining, next.State, "leaving is for good")
 	require.Greater(t, next.Seq, u.Seq)
 }
 
--- a/internal/agent/presence.go
+++ b/internal/agent/presence.go
@@ -68,7 +68,7 @@
 // did not, or ends since it leaves.
 func (a *Agent) findEnd() int64 {
 	a.mu.Lock()
-	isLeaving := a.state == wire.UpstreamLeaving
+	isLeaving := a.state == wire.UpstreamDraining
 	a.mu.Unlock()
 	if isLeaving {
 		return 0
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -171,12 +171,12 @@
 		err = checkWhole(at.d, resp, r.tail)
 	}
 	if err != nil && at.ctx.Err() == nil && !isClosed(at.s.Done()) {
-		r.end.UpstreamEnded = a.findEnd()
+		r.end.UpstreamCrashedAt = a.findEnd()
 	}
 	r.end.Digest = r.digest.Sum64()
 	if err != nil {
 		a.counters.broken.Inc(1)
-		r.end.Broken = true
+		r.end.Incomplete = true
 		r.end.Text = err.Error()
 	}
 	a.send(at, &r.end)
--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -131,9 +131,9 @@
 }
 
 func (r *Receiver) addEnd(e *wire.End) error {
-	if e.Broken {
+	if e.Incomplete {
 		err := upstreamFailure("upstream ended early: " + e.Text)
-		err.Cause = upstreamEndedCause(e.UpstreamEnded)
+		err.Cause = upstreamEndedCause(e.UpstreamCrashedAt)
 		return err
 	}
 	if r.head == nil {
@@ -156,7 +156,7 @@
 		Code:       verdict.Code(m.Code),
 		Text:       m.Text,
 		RetryAfter: time.Duration(m.RetryAfterMS) * time.Millisecond,
-		Cause:      upstreamEndedCause(m.UpstreamEnded),
+		Cause:      upstreamEndedCause(m.UpstreamCrashedAt),
 	}
 }
 
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -97,7 +97,7 @@
 		func(e *wire.End) { e.Digest++ },
 		func(e *wire.End) { e.Bytes++ },
 		func(e *wire.End) { e.Frames++ },
-		func(e *wire.End) { e.Broken = true },
+		func(e *wire.End) { e.Incomplete = true },
 	} {
 		sent := responseMessages(ownAttempt, [][]byte{[]byte("a")})
 		change(sent[2].(*wire.End))
--- a/internal/catalog/follower.go
+++ b/internal/catalog/follower.go
@@ -36,7 +36,7 @@
 	// entry hosts of the data centre.
 	Control []string
 	Mates   []string
-	Self    wire.HostInForce
+	Self    wire.ActiveRevision
 	Log     *slog.Logger
 	Metrics metrics.Registry
 }
@@ -215,7 +215,7 @@
 	if err != nil {
 		return
 	}
-	reply, _, err := s.Call(ctx, &wire.Watch{Since: f.cfg.Store.Revision(), Once: true})
+	reply, _, err := s.Call(ctx, &wire.Watch{Since: f.cfg.Store.Revision(), CurrentOnly: true})
 	if err != nil {
 		return
 	}
@@ -240,5 +240,5 @@
 func (f *Follower) tell(s *peer.Session) {
 	self := f.cfg.Self
 	self.Revision = f.cfg.Store.InForce()
-	_ = s.Post(&wire.InForce{Hosts: []wire.HostInForce{self}})
+	_ = s.Post(&wire.InForce{Hosts: []wire.ActiveRevision{self}})
 }
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -210,7 +210,7 @@
 	if err != nil {
 		return adminapi.Status{}, err
 	}
-	lists := [][]wire.HostInForce{a.h.reports.list(time.Now())}
+	lists := [][]wire.ActiveRevision{a.h.reports.list(time.Now())}
 	for _, address := range a.h.cfg.Peers {
 		if answer, err := a.h.askStatus(ctx, address); err == nil {
 			lists = append(lists, answer.Hosts)
@@ -219,7 +219,7 @@
 	return status(d, mergeReports(lists...)), nil
 }
 
-func status(d state.Document, hosts map[string]wire.HostInForce) adminapi.Status {
+func status(d state.Document, hosts map[string]wire.ActiveRevision) adminapi.Status {
 	s := adminapi.Status{Name: d.Name, Revision: d.Revision}
 	centres := make(map[string]adminapi.DataCentreStatus)
 	for name, h := range hosts {
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -52,7 +52,7 @@
 		}
 	}
 	answer := &wire.ConfigurationAnswer{Number: held.Number}
-	if held.Number > m.Above {
+	if held.Number > m.NewerThan {
 		answer.Data = held.Data
 	}
 	return answer, nil
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -134,8 +134,8 @@
 func (f *fleet) hosts() *wire.Hosts {
 	m := &wire.Hosts{Control: append(f.h.book.List(), f.h.cfg.Address)}
 	for s, role := range f.attached {
-		if role == roleEntry && s.Alive() && s.Quiet() < quietLimit {
-			m.Entries++
+		if role == roleEntry && s.Alive() && s.SilentFor() < quietLimit {
+			m.EntryHosts++
 		}
 	}
 	return m
@@ -207,7 +207,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	members := f.engines.Members(m.Group, m.Epoch, f.now())
-	if m.IsFirst && len(members) > 0 {
+	if m.FirstRankOnly && len(members) > 0 {
 		members = members[:1]
 		if members[0].FirstRank != 0 {
 			members = nil
@@ -261,7 +261,7 @@
 	}
 	hosts := len(f.h.book.List())
 	for s := range f.attached {
-		if s.Alive() && s.Quiet() < quietLimit {
+		if s.Alive() && s.SilentFor() < quietLimit {
 			hosts++
 		}
 	}
@@ -302,7 +302,7 @@
 		case role == roleCallers:
 		case role != roleEntry:
 			_ = s.Post(m)
-		case s.Alive() && s.Quiet() < quietLimit:
+		case s.Alive() && s.SilentFor() < quietLimit:
 			told = append(told, s)
 		}
 	}
--- a/internal/control/herd_test.go
+++ b/internal/control/herd_test.go
@@ -49,8 +49,8 @@
 	h.pool = peer.NewPool(peer.Config{
 		Hello:  wire.Hello{Host: fmt.Sprint("c", n), Address: h.address, Replica: fmt.Sprint("c", n, "/1")},
 		Secret: "s", Metrics: h.metrics, DialTimeout: darkAfter,
-		Handler:        peer.HandlerFunc(func(*peer.Session, uint64, wire.Message) {}),
-		BeforeGreeting: h.work,
+		Handler:         peer.HandlerFunc(func(*peer.Session, uint64, wire.Message) {}),
+		BeforeHandshake: h.work,
 	})
 	t.Cleanup(h.pool.Close)
 	server := peer.NewServer(h.pool)
--- a/internal/control/inforce.go
+++ b/internal/control/inforce.go
@@ -18,7 +18,7 @@
 }
 
 type report struct {
-	host wire.HostInForce
+	host wire.ActiveRevision
 	at   time.Time
 }
 
@@ -33,10 +33,10 @@
 }
 
 // list returns the reports with their age.
-func (r *reports) list(now time.Time) []wire.HostInForce {
+func (r *reports) list(now time.Time) []wire.ActiveRevision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []wire.HostInForce
+	var out []wire.ActiveRevision
 	for name, rep := range r.byHost {
 		age := now.Sub(rep.at)
 		if age > forgetHost {
@@ -51,8 +51,8 @@
 }
 
 // mergeReports keeps the latest report of each host.
-func mergeReports(lists ...[]wire.HostInForce) map[string]wire.HostInForce {
-	merged := make(map[string]wire.HostInForce)
+func mergeReports(lists ...[]wire.ActiveRevision) map[string]wire.ActiveRevision {
+	merged := make(map[string]wire.ActiveRevision)
 	for _, list := range lists {
 		for _, h := range list {
 			if old, ok := merged[h.Host]; !ok || h.AgeMS < old.AgeMS {
--- a/internal/control/parts_test.go
+++ b/internal/control/parts_test.go
@@ -38,7 +38,7 @@
 
 	sender := NewTransport(metrics.NewRegistry())
 	a := peer.NewPool(peer.Config{
-		Hello: wire.Hello{Host: "a", Replica: "a/1"}, Secret: secret, OnUp: sender.SessionUp,
+		Hello: wire.Hello{Host: "a", Replica: "a/1"}, Secret: secret, OnSession: sender.SessionUp,
 		Handler: peer.HandlerFunc(func(*peer.Session, uint64, wire.Message) {}),
 	})
 	t.Cleanup(a.Close)
--- a/internal/control/status_test.go
+++ b/internal/control/status_test.go
@@ -13,9 +13,9 @@
 
 // An operator of many hosts sees at once which data centre is behind.
 func TestStatusCountsByDataCentre(t *testing.T) {
-	hosts := make(map[string]wire.HostInForce)
+	hosts := make(map[string]wire.ActiveRevision)
 	for i := range 300 {
-		h := wire.HostInForce{Host: fmt.Sprintf("entry-%d", i), DataCentre: fmt.Sprintf("centre-%d", i%3), Revision: 5}
+		h := wire.ActiveRevision{Host: fmt.Sprintf("entry-%d", i), DataCentre: fmt.Sprintf("centre-%d", i%3), Revision: 5}
 		switch {
 		case i%3 == 1:
 			h.Revision = 4
--- a/internal/control/suspicions_test.go
+++ b/internal/control/suspicions_test.go
@@ -58,7 +58,7 @@
 			}
 			st.heard <- m
 		}),
-		OnUp: func(s *peer.Session) {
+		OnSession: func(s *peer.Session) {
 			if control != nil && s.Remote().Replica != "" {
 				control.cfg.Transport.SessionUp(s)
 				control.Meet(s)
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -167,7 +167,7 @@
 	var wait, span time.Duration
 	for ctx.Err() == nil {
 		if s, err := pool.Get(ctx, address); err == nil {
-			s.Hold()
+			s.StartProbing()
 			select {
 			case <-s.Done():
 			case <-ctx.Done():
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -37,7 +37,7 @@
 	}
 	d.journal, d.recovered = j, recovered
 	d.transport = control.NewTransport(d.metrics)
-	if recovered.Cut {
+	if recovered.Truncated {
 		d.log.Warn("unfinished last record was cut from the journal")
 	}
 	return nil
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -68,7 +68,7 @@
 		Pool:    d.pool,
 		Control: addresses(set.Control),
 		Mates:   mates,
-		Self:    wire.HostInForce{Host: d.set.Host.Name, DataCentre: d.set.Host.DataCentre, Role: "entry"},
+		Self:    wire.ActiveRevision{Host: d.set.Host.Name, DataCentre: d.set.Host.DataCentre, Role: "entry"},
 		Log:     d.log,
 		Metrics: d.metrics,
 	})
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -36,10 +36,10 @@
 
 func TestOlderRecordNeverReplacesNewer(t *testing.T) {
 	tab := NewTable(DefaultSpans)
-	require.True(t, tab.Announce(announce("w", 2, 5, wire.UpstreamLeaving), 0))
+	require.True(t, tab.Announce(announce("w", 2, 5, wire.UpstreamDraining), 0))
 	require.False(t, tab.Announce(announce("w", 2, 4, wire.UpstreamReady), 0))
 	require.False(t, tab.Announce(announce("w", 1, 9, wire.UpstreamReady), 0))
-	require.Equal(t, wire.UpstreamLeaving, tab.Full().Upserts[0].State)
+	require.Equal(t, wire.UpstreamDraining, tab.Full().Upserts[0].State)
 }
 
 func TestSilentUpstreamIsSuspectedThenForgotten(t *testing.T) {
--- a/internal/directory/service_test.go
+++ b/internal/directory/service_test.go
@@ -128,16 +128,16 @@
 	}
 	require.Eventually(t, allSee(rest, ready), testWait, 5*time.Millisecond, "the next owners take over")
 
-	state.Store(uint32(wire.UpstreamLeaving))
+	state.Store(uint32(wire.UpstreamDraining))
 	a.Wake()
-	leaving := func(e Entry) bool { return e.Upstream.State == wire.UpstreamLeaving }
+	leaving := func(e Entry) bool { return e.Upstream.State == wire.UpstreamDraining }
 	require.Eventually(t, allSee(rest, leaving), testWait, 5*time.Millisecond)
 }
 
 func TestRestartedAgentTakesAHigherIncarnation(t *testing.T) {
 	entries, hosts := startEntries(t, 2)
 	var state atomic.Uint32
-	state.Store(uint32(wire.UpstreamLeaving))
+	state.Store(uint32(wire.UpstreamDraining))
 	startAnnouncer(t, hosts, "w", &state, 50)
 	require.Eventually(t, allSee(entries, func(e Entry) bool { return e.Upstream.Incarnation == 50 }), testWait, 5*time.Millisecond)
 	var restarted atomic.Uint32
--- a/internal/directory/table.go
+++ b/internal/directory/table.go
@@ -80,7 +80,7 @@
 	}
 	if old == nil || !sameButLoad(old.upstream, a.Upstream) {
 		t.pending.upserts[name] = true
-		return a.Upstream.State == wire.UpstreamLeaving
+		return a.Upstream.State == wire.UpstreamDraining
 	}
 	if old.silent {
 		t.pending.heard[name] = true
@@ -153,7 +153,7 @@
 		}
 	}
 	d.Silent = names(t.pending.silent)
-	d.Heard = names(t.pending.heard)
+	d.NoLongerSilent = names(t.pending.heard)
 	rest := newPending()
 	if withLoads {
 		t.flushLoads(d)
@@ -181,7 +181,7 @@
 }
 
 func isEmpty(d *wire.Delta) bool {
-	records := len(d.Upserts) + len(d.Forgotten) + len(d.Silent) + len(d.Heard)
+	records := len(d.Upserts) + len(d.Forgotten) + len(d.Silent) + len(d.NoLongerSilent)
 	return records+len(d.Loads)+len(d.Events) == 0
 }
 
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -82,7 +82,7 @@
 			w.silent = true
 		}
 	}
-	for _, name := range d.Heard {
+	for _, name := range d.NoLongerSilent {
 		if w := o.words[name]; w != nil {
 			w.silent = false
 		}
--- a/internal/engineload/decoder.go
+++ b/internal/engineload/decoder.go
@@ -24,7 +24,7 @@
 		loads = append(loads, l)
 	}
 	number := uint64(0)
-	for b := m.Brief; len(b) > 0; {
+	for b := m.CompactLoads; len(b) > 0; {
 		delta, running, waiting, ratio, rest, ok := readCompact(b)
 		if !ok {
 			return loads, unread + 1
--- a/internal/engineload/engineload_test.go
+++ b/internal/engineload/engineload_test.go
@@ -88,11 +88,11 @@
 func TestUnreadableCompactLoadsAreSkipped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var decoder Decoder
-		all, _ := decoder.Decode(&wire.EngineLoads{Brief: rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")})
+		all, _ := decoder.Decode(&wire.EngineLoads{CompactLoads: rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")})
 		require.Empty(t, all)
 	})
 	var decoder Decoder
-	all, unread := decoder.Decode(&wire.EngineLoads{All: []wire.EngineLoad{{Number: 1, Address: "a"}}, Brief: []byte{1, 2, 3}})
+	all, unread := decoder.Decode(&wire.EngineLoads{All: []wire.EngineLoad{{Number: 1, Address: "a"}}, CompactLoads: []byte{1, 2, 3}})
 	require.Len(t, all, 1)
 	require.Equal(t, 1, unread)
 }
--- a/internal/engineload/table.go
+++ b/internal/engineload/table.go
@@ -83,14 +83,14 @@
 		case e.isUpdated && e.needsFullRecord:
 			m.All = append(m.All, e.load)
 		case e.isUpdated:
-			m.Brief = appendCompact(m.Brief, e, previousNumber)
+			m.CompactLoads = appendCompact(m.CompactLoads, e, previousNumber)
 			previousNumber = e.number
 		case now-e.updatedAt > forgetTimeout:
 			delete(t.engines, e.load.Address)
 		}
 		e.isUpdated, e.needsFullRecord = false, false
 	}
-	if len(m.All) == 0 && len(m.Brief) == 0 {
+	if len(m.All) == 0 && len(m.CompactLoads) == 0 {
 		return nil
 	}
 	return m
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -120,8 +120,8 @@
 	if err != nil {
 		return err
 	}
-	session.Hold()
-	defer session.Release()
+	session.StartProbing()
+	defer session.StopProbing()
 	receiver := answer.New(a.id, s.cfg.Window)
 	s.activeAttempts.add(a.id, &activeAttempt{session: session, receiver: receiver})
 	defer s.activeAttempts.remove(a.id)
--- a/internal/entry/server_test.go
+++ b/internal/entry/server_test.go
@@ -94,7 +94,7 @@
 			return []wire.Message{newFrame(id, 1, "ab"), newFrame(id, 2, "cX"), newEnd(id, 2, "abcd")}
 		}},
 		{"broken end", false, func(id wire.AttemptID) []wire.Message {
-			return []wire.Message{newFrame(id, 1, "ab"), &wire.End{Attempt: id, Frames: 1, Broken: true}}
+			return []wire.Message{newFrame(id, 1, "ab"), &wire.End{Attempt: id, Frames: 1, Incomplete: true}}
 		}},
 	}
 	for _, c := range cases {
--- a/internal/group/faults_test.go
+++ b/internal/group/faults_test.go
@@ -62,7 +62,7 @@
 func roundOf(m wire.Message) round {
 	r, ok := m.(*wire.MapRequest)
 	var in expertmap.Message
-	if !ok || len(r.Pass) == 0 || wire.Unmarshal(r.Data, &in) != nil {
+	if !ok || len(r.ForwardTo) == 0 || wire.Unmarshal(r.Data, &in) != nil {
 		return ""
 	}
 	switch {
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -242,7 +242,7 @@
 
 // takeRequest takes what a coordinator asks, and passes it on.
 func (r *Runner) takeRequest(s *peer.Session, m *wire.MapRequest) {
-	in := inbound{origin: origin{session: s, home: m.Home}, from: expertmap.Address(m.From), pass: m}
+	in := inbound{origin: origin{session: s, home: m.CoordinatorAddress}, from: expertmap.Address(m.From), pass: m}
 	if m.Group != r.cfg.Group || wire.Unmarshal(m.Data, &in.message) != nil {
 		r.counters.dropped.Inc(1)
 		return
@@ -310,8 +310,8 @@
 		return
 	}
 	if in.pass != nil {
-		r.counters.passed.Inc(int64(len(in.pass.Pass)))
-		r.post(*in.pass, divide(in.pass.Pass), in.message.Stage != nil)
+		r.counters.passed.Inc(int64(len(in.pass.ForwardTo)))
+		r.post(*in.pass, divide(in.pass.ForwardTo), in.message.Stage != nil)
 	}
 	r.origin[in.from] = in.origin
 	r.output(ctx, r.participant.Step(in.from, in.message))
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -82,10 +82,10 @@
 	var r reporter
 	s := &peer.Session{}
 	listed := func(version uint64) bool {
-		m := &wire.ExpertLoad{Ranks: []wire.RankLoad{{Held: [][]uint16{{1}}}}}
+		m := &wire.ExpertLoad{Ranks: []wire.RankLoad{{ExpertsByLayer: [][]uint16{{1}}}}}
 		m.Ranks[0].Version = version
 		r.trim(s, m)
-		return m.Ranks[0].Held != nil
+		return m.Ranks[0].ExpertsByLayer != nil
 	}
 	require.True(t, listed(1))
 	require.False(t, listed(1))
--- a/internal/group/relay.go
+++ b/internal/group/relay.go
@@ -64,7 +64,7 @@
 		r.counters.dropped.Inc(1)
 		return
 	}
-	request := wire.MapRequest{Group: r.cfg.Group, From: uint32(r.address), Data: data, Home: r.members[r.address]}
+	request := wire.MapRequest{Group: r.cfg.Group, From: uint32(r.address), Data: data, CoordinatorAddress: r.members[r.address]}
 	targets := make([]wire.MapTarget, 0, len(m.To))
 	for _, to := range m.To {
 		targets = append(targets, wire.MapTarget{Address: wire.Address(r.members[to.Address]), Incarnation: to.Incarnation})
@@ -86,7 +86,7 @@
 	sum := 0
 	for _, b := range branches {
 		m := request
-		m.Incarnation, m.Pass = b.head.Incarnation, b.below
+		m.Incarnation, m.ForwardTo = b.head.Incarnation, b.below
 		if data, err := wire.Encode(0, false, &m); err == nil {
 			sum += len(data) + peer.FrameOverhead
 		}
@@ -131,13 +131,13 @@
 // each session: one that asks again must not overtake the content. All others are small and
 // go before reports and content, since ranks may hold until they are there.
 func (r *Runner) post(request wire.MapRequest, branches []branch, isStage bool) {
-	send := (*peer.Session).PostFirst
+	send := (*peer.Session).PostUrgent
 	if isStage {
 		send = (*peer.Session).Post
 	}
 	for _, b := range branches {
 		m := request
-		m.Incarnation, m.Pass = b.head.Incarnation, b.below
+		m.Incarnation, m.ForwardTo = b.head.Incarnation, b.below
 		r.deliver(string(b.head.Address), &m, send)
 	}
 }
@@ -175,8 +175,8 @@
 	from := r.origin[e.To]
 	switch {
 	case from.home != "":
-		r.deliver(from.home, m, (*peer.Session).PostFirst)
-	case from.session == nil || from.session.PostFirst(m) != nil:
+		r.deliver(from.home, m, (*peer.Session).PostUrgent)
+	case from.session == nil || from.session.PostUrgent(m) != nil:
 		r.counters.dropped.Inc(1)
 	}
 }
--- a/internal/group/report.go
+++ b/internal/group/report.go
@@ -52,7 +52,7 @@
 	}
 	r.sent++
 	for i := range m.Ranks {
-		m.Ranks[i].Held = nil
+		m.Ranks[i].ExpertsByLayer = nil
 	}
 }
 
@@ -87,13 +87,13 @@
 func (r *Runner) unpack(l *wire.ExpertLoad) bool {
 	shape := r.cfg.Shape()
 	for i := range l.Ranks {
-		if l.Ranks[i].Packed == nil {
+		if l.Ranks[i].PackedSelections == nil {
 			continue
 		}
 		if shape == nil {
 			return false
 		}
-		l.Ranks[i].Picks = planner.Unpack(l.Ranks[i].Packed, int(shape.Layers), int(shape.Experts))
+		l.Ranks[i].Picks = planner.Unpack(l.Ranks[i].PackedSelections, int(shape.Layers), int(shape.Experts))
 		if l.Ranks[i].Picks == nil {
 			return false
 		}
@@ -169,7 +169,7 @@
 	r.reporter.trim(s, m)
 	for i := range m.Ranks {
 		if m.Ranks[i].Picks != nil {
-			m.Ranks[i].Packed, m.Ranks[i].Picks = planner.Pack(m.Ranks[i].Picks), nil
+			m.Ranks[i].PackedSelections, m.Ranks[i].Picks = planner.Pack(m.Ranks[i].Picks), nil
 		}
 	}
 	_ = s.Post(m)
--- a/internal/group/size_test.go
+++ b/internal/group/size_test.go
@@ -366,8 +366,8 @@
 	var lost atomic.Int64
 	a := startAgents(t, g, func(_ int, m wire.Message) bool {
 		// The first list of each rank is lost.
-		if l, ok := m.(*wire.ExpertLoad); ok && l.Ranks[0].Held != nil && lost.Add(1) <= 29 {
-			l.Ranks[0].Held = nil
+		if l, ok := m.(*wire.ExpertLoad); ok && l.Ranks[0].ExpertsByLayer != nil && lost.Add(1) <= 29 {
+			l.Ranks[0].ExpertsByLayer = nil
 		}
 		return true
 	})
@@ -402,7 +402,7 @@
 	g := newEngines(&wire.GroupShape{Ranks: 30, Experts: 64, Layers: 2, SlotsPerRank: 5})
 	a := startAgents(t, g, func(_ int, m wire.Message) bool {
 		if request, ok := m.(*wire.MapRequest); ok {
-			request.Pass = nil
+			request.ForwardTo = nil
 		}
 		return true
 	})
--- a/internal/group/watch.go
+++ b/internal/group/watch.go
@@ -23,7 +23,7 @@
 		return
 	}
 	w.release()
-	s.Hold()
+	s.StartProbing()
 	w.session = s
 }
 
@@ -38,7 +38,7 @@
 // release lets the session go. The caller holds mu.
 func (w *watch) release() {
 	if w.session != nil {
-		w.session.Release()
+		w.session.StopProbing()
 	}
 	w.session = nil
 }
--- a/internal/group/watch_test.go
+++ b/internal/group/watch_test.go
@@ -16,7 +16,7 @@
 
 func quietPool() *peer.Pool {
 	return peer.NewPool(peer.Config{
-		Hello: wire.Hello{Host: "h"}, Secret: "watch-test-secret", HeldLimit: 200 * time.Millisecond,
+		Hello: wire.Hello{Host: "h"}, Secret: "watch-test-secret", ProbeTimeout: 200 * time.Millisecond,
 		PingInterval: time.Hour, Handler: peer.HandlerFunc(func(*peer.Session, uint64, wire.Message) {}),
 	})
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -101,8 +101,8 @@
 	Snapshot consensus.Snapshot
 	// Entries follow the snapshot without a gap.
 	Entries []consensus.Entry
-	// Cut tells that an unfinished last record was cut.
-	Cut bool
+	// Truncated tells that an unfinished last record was cut.
+	Truncated bool
 }
 
 // manifest names the files in force.
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -226,7 +226,7 @@
 	_, rec, err := openMem(fs)
 	require.NoError(t, err)
 	require.True(t, want.equal(rec))
-	require.False(t, rec.Cut)
+	require.False(t, rec.Truncated)
 }
 
 func TestCopyOfAnotherDiskIsRefused(t *testing.T) {
@@ -250,7 +250,7 @@
 	last.data = append(last.data, make([]byte, 3*sectorSize)...)
 	_, rec, err := openMem(fs)
 	require.NoError(t, err)
-	require.True(t, rec.Cut)
+	require.True(t, rec.Truncated)
 	require.True(t, want.equal(rec))
 	require.Equal(t, whole, len(last.data))
 }
@@ -277,7 +277,7 @@
 		fs.restart(false, nil)
 		_, rec, err := openMem(fs)
 		require.NoError(t, err, "lost sectors %b", lost)
-		require.True(t, rec.Cut)
+		require.True(t, rec.Truncated)
 		require.Equal(t, []consensus.Entry{entry(1, 1, 300)}, rec.Entries)
 		require.Equal(t, synced, len(file.data))
 	}
--- a/internal/journal/open.go
+++ b/internal/journal/open.go
@@ -184,7 +184,7 @@
 	if err := j.removeUnused(files, m); err != nil {
 		return Recovered{}, err
 	}
-	rec.HardState, rec.Entries, rec.Cut = r.hard, r.entries, r.cut
+	rec.HardState, rec.Entries, rec.Truncated = r.hard, r.entries, r.cut
 	j.hard = r.hard
 	j.snapshot = rec.Snapshot.Meta
 	for _, e := range r.entries {
--- a/internal/journal/patient.go
+++ b/internal/journal/patient.go
@@ -11,26 +11,26 @@
 // spaceInterval is how often a write is tried again that found the disk full.
 const spaceInterval = 100 * time.Millisecond
 
-// Patient is an FS that waits while the disk is full, instead of failing: a replica that
+// SpaceWaitingFS is an FS that waits while the disk is full, instead of failing: a replica that
 // ends then would start and fail again until there is room, and one that waits is no
 // worse off than with a disk that stalls. Only what the system refused whole or in part
 // for want of space is done again, at the same place with the same bytes. A sync that
 // fails is never repeated.
-type Patient struct {
+type SpaceWaitingFS struct {
 	FS
 	// Log is told when the disk is full and when there is room again.
 	Log *slog.Logger
-	// Pause waits for a span; time.Sleep if nil.
-	Pause func(time.Duration)
+	// Sleep waits for a span; time.Sleep if nil.
+	Sleep func(time.Duration)
 }
 
 // wait calls do until it fails with something else than want of space, or succeeds.
-func (p Patient) wait(what string, do func() error) error {
+func (p SpaceWaitingFS) wait(what string, do func() error) error {
 	err := do()
 	if !errors.Is(err, syscall.ENOSPC) {
 		return err
 	}
-	pause := p.Pause
+	pause := p.Sleep
 	if pause == nil {
 		pause = time.Sleep
 	}
@@ -44,7 +44,7 @@
 }
 
 // Create implements FS.
-func (p Patient) Create(name string) (File, error) {
+func (p SpaceWaitingFS) Create(name string) (File, error) {
 	var f File
 	err := p.wait("create", func() (err error) {
 		f, err = p.FS.Create(name)
@@ -54,12 +54,12 @@
 }
 
 // Open implements FS.
-func (p Patient) Open(name string) (File, error) {
+func (p SpaceWaitingFS) Open(name string) (File, error) {
 	f, err := p.FS.Open(name)
 	return p.wrap(f, err)
 }
 
-func (p Patient) wrap(f File, err error) (File, error) {
+func (p SpaceWaitingFS) wrap(f File, err error) (File, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -67,19 +67,19 @@
 }
 
 // Rename implements FS.
-func (p Patient) Rename(from, to string) error {
+func (p SpaceWaitingFS) Rename(from, to string) error {
 	return p.wait("rename", func() error { return p.FS.Rename(from, to) })
 }
 
 // MkdirAll implements FS.
-func (p Patient) MkdirAll(dir string) error {
+func (p SpaceWaitingFS) MkdirAll(dir string) error {
 	return p.wait("make folder", func() error { return p.FS.MkdirAll(dir) })
 }
 
 // patientFile waits with its writes.
 type patientFile struct {
 	File
-	fs Patient
+	fs SpaceWaitingFS
 }
 
 // WriteAt implements io.WriterAt.
--- a/internal/journal/patient_test.go
+++ b/internal/journal/patient_test.go
@@ -55,9 +55,9 @@
 
 func TestPatientWaitsForSpaceAndLosesNothing(t *testing.T) {
 	refusals, pauses := 0, 0
-	fs := Patient{
+	fs := SpaceWaitingFS{
 		FS: fullFS{OS{}, &refusals}, Log: slog.New(slog.DiscardHandler),
-		Pause: func(time.Duration) { pauses++ },
+		Sleep: func(time.Duration) { pauses++ },
 	}
 	dir := t.TempDir()
 	j, _, err := Open(Options{Dir: dir, FS: fs, Logger: slog.New(slog.DiscardHandler)})
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -224,7 +224,7 @@
 	if s := a.n.controlSession(); s != nil {
 		_ = s.Post(&wire.EngineLoad{
 			Address: a.n.set.Agent.Upstream.String(), Running: r.Running, Waiting: r.Waiting, Pace: r.Pace,
-			IsOpen: r.IsOpen, IsStanding: a.noteProgress(r, time.Now()), Group: r.Group, Epoch: r.Epoch, Born: r.Born,
+			IsOpen: r.IsOpen, IsStalled: a.noteProgress(r, time.Now()), Group: r.Group, Epoch: r.Epoch, Born: r.Born,
 			Rank: uint32(r.Rank),
 		})
 	}
@@ -309,7 +309,7 @@
 	if first != "" {
 		return first, true
 	}
-	query := &wire.GroupQuery{Group: r.Group, Epoch: r.Epoch, IsFirst: true}
+	query := &wire.GroupQuery{Group: r.Group, Epoch: r.Epoch, FirstRankOnly: true}
 	found := a.askControl(ctx, query)
 	if len(found) == 0 && a.n.controlSession() == nil {
 		found = a.find(ctx, name)
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -59,7 +59,7 @@
 
 func (n *Node) buildControl() (role, error) {
 	set := n.set.Control
-	disk := journal.Patient{FS: journal.OS{}, Log: n.log}
+	disk := journal.SpaceWaitingFS{FS: journal.OS{}, Log: n.log}
 	j, recovered, err := journal.Open(journal.Options{Dir: set.DataFolder, SegmentBytes: segmentBytes, Logger: n.log, FS: disk})
 	if err != nil {
 		return nil, errors.Wrap(err, "data folder")
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -117,7 +117,7 @@
 	}
 	go func() {
 		<-s.Done()
-		f.n.log.Info("control host lost", "control_host", s.Remote().Host, "quiet_ms", s.Quiet().Milliseconds())
+		f.n.log.Info("control host lost", "control_host", s.Remote().Host, "quiet_ms", s.SilentFor().Milliseconds())
 		f.mu.Lock()
 		delete(f.views, s)
 		f.mu.Unlock()
@@ -137,7 +137,7 @@
 	case *wire.Hosts:
 		f.book.Add(m.Control...)
 		if f.hosts != nil {
-			f.hosts(m.Entries)
+			f.hosts(m.EntryHosts)
 		}
 	case *wire.EngineLoads:
 		if f.loads != nil {
@@ -260,7 +260,7 @@
 func (f *follower) ask(s *peer.Session, held uint64, isLinearizable bool) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
-	reply, _, err := s.Call(ctx, &wire.ConfigurationQuery{Above: held, Linearizable: isLinearizable})
+	reply, _, err := s.Call(ctx, &wire.ConfigurationQuery{NewerThan: held, Linearizable: isLinearizable})
 	answer, ok := reply.(*wire.ConfigurationAnswer)
 	if err != nil || !ok {
 		f.n.log.Info("configuration not fetched", "from", s.Remote().Host, "held", held,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -143,12 +143,12 @@
 		},
 		Secret:  secret,
 		Handler: peer.HandlerFunc(func(s *peer.Session, call uint64, m wire.Message) { n.handle(s, call, m) }),
-		OnUp: func(s *peer.Session) {
+		OnSession: func(s *peer.Session) {
 			if n.up != nil {
 				n.up(s)
 			}
 		},
-		PingInterval: pingInterval, HeldLimit: heldLimit, DialTimeout: dialTimeout, Metrics: n.metrics, Log: n.log,
+		PingInterval: pingInterval, ProbeTimeout: heldLimit, DialTimeout: dialTimeout, Metrics: n.metrics, Log: n.log,
 	})
 }
 
--- a/internal/peer/liveness.go
+++ b/internal/peer/liveness.go
@@ -9,17 +9,17 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// Hold asks for a sharp watch on the other end until Release: while something waits
+// StartProbing asks for a sharp watch on the other end until Release: while something waits
 // for it, it is probed, and a silent end ends the session within seconds. A session
 // that is not held costs little and notices a dead end late.
-func (s *Session) Hold() {
+func (s *Session) StartProbing() {
 	if s.held.Add(1) == 1 {
 		s.heldSince.Store(int64(s.age()))
 	}
 }
 
-// Release undoes one Hold.
-func (s *Session) Release() { s.held.Add(-1) }
+// StopProbing undoes one Hold.
+func (s *Session) StopProbing() { s.held.Add(-1) }
 
 // CallWithin is Call where the other end answers at once if it is there: without an answer
 // within the limit the session ends, so that whoever needs the host next dials anew. A
@@ -36,8 +36,8 @@
 
 func (s *Session) age() time.Duration { return time.Since(s.opened) }
 
-// Quiet returns how long ago the other end was heard.
-func (s *Session) Quiet() time.Duration { return s.age() - time.Duration(s.heard.Load()) }
+// SilentFor returns how long ago the other end was heard.
+func (s *Session) SilentFor() time.Duration { return s.age() - time.Duration(s.heard.Load()) }
 
 // isSilent reports whether the other end has been silent for too long.
 func (s *Session) isSilent() bool {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -114,7 +114,7 @@
 	a := startHost(t, "a", nil)
 	s, err := a.pool.Get(context.Background(), proxy.Address())
 	require.NoError(t, err)
-	s.Hold()
+	s.StartProbing()
 	proxy.Freeze()
 	select {
 	case <-s.Done():
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -39,18 +39,18 @@
 	// TLS is the client side of the peer listeners; nil means no TLS.
 	TLS *tls.Config
 	// OnUp, if set, is called once for each session that begins, dialled or accepted.
-	OnUp func(*Session)
+	OnSession func(*Session)
 	// PingInterval is the longest silence of a live session; DefaultPingInterval
 	// if zero. A host with many sessions takes a longer one.
 	PingInterval time.Duration
-	// HeldLimit is how long the other end of a held session may be silent; DefaultHeldLimit
+	// ProbeTimeout is how long the other end of a held session may be silent; DefaultHeldLimit
 	// if zero. The other end is probed four times in that span.
-	HeldLimit time.Duration
+	ProbeTimeout time.Duration
 	// DialTimeout bounds how long a host may take to accept a connection; DefaultDialTimeout
 	// if zero. It has longer for its greeting.
 	DialTimeout time.Duration
 	// BeforeGreeting, if set, is called before each greeting of a host that has dialled.
-	BeforeGreeting func()
+	BeforeHandshake func()
 	// Metrics receives the counters of traffic; a registry of its own if nil.
 	Metrics metrics.Registry
 	// Log, if set, gets messages that can't be served.
@@ -87,8 +87,8 @@
 	if cfg.PingInterval <= 0 {
 		cfg.PingInterval = DefaultPingInterval
 	}
-	if cfg.HeldLimit <= 0 {
-		cfg.HeldLimit = DefaultHeldLimit
+	if cfg.ProbeTimeout <= 0 {
+		cfg.ProbeTimeout = DefaultProbeTimeout
 	}
 	if cfg.DialTimeout <= 0 {
 		cfg.DialTimeout = DefaultDialTimeout
@@ -283,8 +283,8 @@
 }
 
 func (p *Pool) notify(s *Session) {
-	if p.cfg.OnUp != nil {
-		p.cfg.OnUp(s)
+	if p.cfg.OnSession != nil {
+		p.cfg.OnSession(s)
 	}
 }
 
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -74,8 +74,8 @@
 			return nil
 		}
 	}
-	if v.pool.cfg.BeforeGreeting != nil {
-		v.pool.cfg.BeforeGreeting()
+	if v.pool.cfg.BeforeHandshake != nil {
+		v.pool.cfg.BeforeHandshake()
 	}
 	conn, err := websocket.Accept(w, r, &websocket.AcceptOptions{CompressionMode: websocket.CompressionDisabled})
 	if err != nil {
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -28,8 +28,8 @@
 	// silentPings is how many missed pings end a session.
 	silentPings  = 3
 	writeTimeout = 4 * time.Second
-	// DefaultHeldLimit is how long the other end of a held session may be silent by default.
-	DefaultHeldLimit = 4 * time.Second
+	// DefaultProbeTimeout is how long the other end of a held session may be silent by default.
+	DefaultProbeTimeout = 4 * time.Second
 	// probes is how often the other end of a held session is probed in that span.
 	probes = 4
 	// partTime bounds the wait for the last questions of the other end, and their answers.
@@ -97,7 +97,7 @@
 		conn:    conn,
 		remote:  remote,
 		ping:    p.cfg.PingInterval,
-		limit:   p.cfg.HeldLimit,
+		limit:   p.cfg.ProbeTimeout,
 		traffic: p.traffic,
 		log:     p.cfg.Log,
 		first:   make(chan *item, queueLength),
@@ -167,7 +167,7 @@
 func (s *Session) goodbye(m *wire.Goodbye) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if m.IsAnswer {
+	if m.IsReply {
 		if !s.isParted {
 			s.isParted = true
 			close(s.parted)
@@ -176,7 +176,7 @@
 	}
 	s.isLeaving = true
 	// Under the lock, so that no call is queued behind the answer.
-	_ = s.Post(&wire.Goodbye{IsAnswer: true})
+	_ = s.Post(&wire.Goodbye{IsReply: true})
 }
 
 // flush waits until all that is queued is written.
@@ -217,9 +217,9 @@
 	return err
 }
 
-// PostFirst is Post for small messages that others wait for: they go before all that is
+// PostUrgent is Post for small messages that others wait for: they go before all that is
 // queued, in the order among themselves in which they came.
-func (s *Session) PostFirst(m wire.Message) error {
+func (s *Session) PostUrgent(m wire.Message) error {
 	it, err := newItem(0, false, m)
 	if err != nil {
 		return err
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -63,7 +63,7 @@
 		for _, e := range hot {
 			counts[e] = 30
 		}
-		l.Held = append(l.Held, held)
+		l.ExpertsByLayer = append(l.ExpertsByLayer, held)
 		l.Picks = append(l.Picks, counts)
 	}
 	return &wire.ExpertLoad{FirstRank: uint32(r), Ranks: []wire.RankLoad{l}}
@@ -172,7 +172,7 @@
 					for e := range counts {
 						counts[e] = uint32(random.ExpFloat64() * random.ExpFloat64() * 100)
 					}
-					l.Held, l.Picks = append(l.Held, held), append(l.Picks, counts)
+					l.ExpertsByLayer, l.Picks = append(l.ExpertsByLayer, held), append(l.Picks, counts)
 				}
 				p.Add(&wire.ExpertLoad{FirstRank: uint32(r), Ranks: []wire.RankLoad{l}})
 			}
@@ -198,7 +198,7 @@
 		p.SyncMap(first.Version, find, shape)
 		require.False(t, p.IsComplete(shape))
 		l := report(r*7, ranks, 0, 1, 2)
-		l.Ranks[0].Held = nil
+		l.Ranks[0].ExpertsByLayer = nil
 		p.Add(l)
 		require.Equal(t, r == 0, p.IsMissingExperts(l), "the rest is known from the map")
 	}
--- a/internal/planner/rankstats.go
+++ b/internal/planner/rankstats.go
@@ -50,8 +50,8 @@
 		s.slowdown, s.counts = l.Ranks[i].Pace, l.Ranks[i].Picks
 		// A report that was sent before a change but arrives after it has the experts of an
 		// older map.
-		if l.Ranks[i].Held != nil && l.Ranks[i].Version >= s.version {
-			s.version, s.held = l.Ranks[i].Version, l.Ranks[i].Held
+		if l.Ranks[i].ExpertsByLayer != nil && l.Ranks[i].Version >= s.version {
+			s.version, s.held = l.Ranks[i].Version, l.Ranks[i].ExpertsByLayer
 		}
 	}
 }
@@ -61,7 +61,7 @@
 func (p *rankStats) isMissingExperts(l *wire.ExpertLoad) bool {
 	for i := range l.Ranks {
 		s := p.ranks[l.FirstRank+uint32(i)]
-		if s != nil && l.Ranks[i].Held == nil && (s.held == nil || s.version < l.Ranks[i].Version) {
+		if s != nil && l.Ranks[i].ExpertsByLayer == nil && (s.held == nil || s.version < l.Ranks[i].Version) {
 			return true
 		}
 	}
--- a/internal/rank/load.go
+++ b/internal/rank/load.go
@@ -18,7 +18,7 @@
 		if err != nil {
 			return err
 		}
-		out = wire.RankLoad{Version: e.expertsVersion, Held: e.experts, Pace: r.Pace, Picks: e.countsSinceLast(counts)}
+		out = wire.RankLoad{Version: e.expertsVersion, ExpertsByLayer: e.experts, Pace: r.Pace, Picks: e.countsSinceLast(counts)}
 		return nil
 	})
 	return out, err
--- a/internal/rank/load_test.go
+++ b/internal/rank/load_test.go
@@ -35,5 +35,5 @@
 	c.isFailing = false
 	l, err := engine.Load(t.Context())
 	require.NoError(t, err)
-	require.Equal(t, [][]uint16{{5}}, l.Held)
+	require.Equal(t, [][]uint16{{5}}, l.ExpertsByLayer)
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -28,7 +28,7 @@
 
 func TestFilters(t *testing.T) {
 	other := modifiedCandidate("other", func(c *Candidate) { c.Upstream.Pool = "q" })
-	leaving := modifiedCandidate("leaving", func(c *Candidate) { c.Upstream.State = wire.UpstreamLeaving })
+	leaving := modifiedCandidate("leaving", func(c *Candidate) { c.Upstream.State = wire.UpstreamDraining })
 	starting := modifiedCandidate("starting", func(c *Candidate) { c.Upstream.State = wire.UpstreamStarting })
 	suspect := modifiedCandidate("suspect", func(c *Candidate) { c.Suspect = true })
 	failing := modifiedCandidate("failing", func(c *Candidate) { c.Failing = true })
--- a/internal/schedule/loads.go
+++ b/internal/schedule/loads.go
@@ -106,7 +106,7 @@
 		u.group = sv.group(l.Group)
 	}
 	u.load = load{
-		isKnown: true, isOpen: l.IsOpen, isStalled: l.IsStanding, epoch: l.Epoch, requests: l.Running + l.Waiting, receivedAt: now,
+		isKnown: true, isOpen: l.IsOpen, isStalled: l.IsStalled, epoch: l.Epoch, requests: l.Running + l.Waiting, receivedAt: now,
 		inflight: u.load.nextInflight, nextInflight: u.inflight, stepTimeRatio: l.Pace,
 	}
 	u.group.lastReport = now
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -478,7 +478,7 @@
 // reportStall reports that the only group of the cluster is stalled, or that it makes progress
 // again.
 func (l *testCluster) reportStall(isStalled bool) ([]Result, []StalledAttempt) {
-	return l.report("0/0", func(load *wire.EngineLoad) { load.IsStanding = isStalled })
+	return l.report("0/0", func(load *wire.EngineLoad) { load.IsStalled = isStalled })
 }
 
 // Load pattern: ranks stop for a few tenths of a second while a new expert map is put into
--- a/internal/wire/attempt.go
+++ b/internal/wire/attempt.go
@@ -102,12 +102,12 @@
 	Bytes  uint64 `cbor:"3,keyasint"`
 	// Digest is the xxHash64 of all body bytes in order.
 	Digest uint64 `cbor:"4,keyasint"`
-	// Broken tells that the upstream's answer ended before its end; Text says how.
-	Broken bool   `cbor:"5,keyasint,omitempty"`
-	Text   string `cbor:"6,keyasint,omitempty"`
-	// UpstreamEnded is set where the upstream ended under the attempt: when the agent found
+	// Incomplete tells that the upstream's answer ended before its end; Text says how.
+	Incomplete bool   `cbor:"5,keyasint,omitempty"`
+	Text       string `cbor:"6,keyasint,omitempty"`
+	// UpstreamCrashedAt is set where the upstream ended under the attempt: when the agent found
 	// it gone, in Unix milliseconds. It is the same for all attempts that one end broke off.
-	UpstreamEnded int64 `cbor:"7,keyasint,omitempty"`
+	UpstreamCrashedAt int64 `cbor:"7,keyasint,omitempty"`
 }
 
 // Kind implements Message.
@@ -121,8 +121,8 @@
 	Code         string    `cbor:"3,keyasint"`
 	Text         string    `cbor:"4,keyasint,omitempty"`
 	RetryAfterMS uint64    `cbor:"5,keyasint,omitempty"`
-	// UpstreamEnded is as in End.
-	UpstreamEnded int64 `cbor:"6,keyasint,omitempty"`
+	// UpstreamCrashedAt is as in End.
+	UpstreamCrashedAt int64 `cbor:"6,keyasint,omitempty"`
 }
 
 // Kind implements Message.
--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -75,8 +75,8 @@
 type Watch struct {
 	// Since is the highest revision that the sender holds.
 	Since uint64 `cbor:"1,keyasint"`
-	// Once asks for the present documents only.
-	Once bool `cbor:"2,keyasint,omitempty"`
+	// CurrentOnly asks for the present documents only.
+	CurrentOnly bool `cbor:"2,keyasint,omitempty"`
 }
 
 // Kind implements Message.
@@ -94,8 +94,8 @@
 // Kind implements Message.
 func (*Changes) Kind() Kind { return KindChanges }
 
-// HostInForce tells which revision one host serves by.
-type HostInForce struct {
+// ActiveRevision tells which revision one host serves by.
+type ActiveRevision struct {
 	Host       string `cbor:"1,keyasint"`
 	DataCentre string `cbor:"2,keyasint"`
 	Role       string `cbor:"3,keyasint"`
@@ -107,7 +107,7 @@
 
 // InForce reports to control hosts what is in force.
 type InForce struct {
-	Hosts []HostInForce `cbor:"1,keyasint"`
+	Hosts []ActiveRevision `cbor:"1,keyasint"`
 }
 
 // Kind implements Message.
@@ -187,8 +187,8 @@
 	Pool     string `cbor:"2,keyasint"`
 	// Nonce comes back in the answer; it is used once.
 	Nonce [16]byte `cbor:"3,keyasint"`
-	// Seen is the highest fencing number that the agent has seen.
-	Seen uint64 `cbor:"4,keyasint"`
+	// HighestFencingToken is the highest fencing number that the agent has seen.
+	HighestFencingToken uint64 `cbor:"4,keyasint"`
 	// Group is the group of ranks that the upstream belongs to, empty if none.
 	Group string `cbor:"5,keyasint,omitempty"`
 }
@@ -280,7 +280,7 @@
 	Voters    []string `cbor:"7,keyasint,omitempty"`
 	Learners  []string `cbor:"8,keyasint,omitempty"`
 	// Hosts is what this control host has heard about revisions in force.
-	Hosts []HostInForce `cbor:"9,keyasint,omitempty"`
+	Hosts []ActiveRevision `cbor:"9,keyasint,omitempty"`
 }
 
 // Kind implements Message.
--- a/internal/wire/fleet.go
+++ b/internal/wire/fleet.go
@@ -49,9 +49,9 @@
 // ConfigurationQuery asks for the configuration. The reply is ConfigurationAnswer or
 // Failure.
 type ConfigurationQuery struct {
-	// Above is the number that the sender holds; the data comes only where the present
+	// NewerThan is the number that the sender holds; the data comes only where the present
 	// one is higher.
-	Above uint64 `cbor:"1,keyasint"`
+	NewerThan uint64 `cbor:"1,keyasint"`
 	// Linearizable asks for the newest one accepted anywhere, as a quorum confirms.
 	Linearizable bool `cbor:"2,keyasint,omitempty"`
 }
@@ -87,9 +87,9 @@
 	Born int64 `cbor:"8,keyasint,omitempty"`
 	// Rank is the engine's place in the group.
 	Rank uint32 `cbor:"9,keyasint,omitempty"`
-	// IsStanding tells that the group makes no step although it has work. It is open as far
+	// IsStalled tells that the group makes no step although it has work. It is open as far
 	// as the engine knows, and may go on at any moment.
-	IsStanding bool `cbor:"10,keyasint,omitempty"`
+	IsStalled bool `cbor:"10,keyasint,omitempty"`
 	// Number is the one that a control host gives to the engine.
 	Number uint64 `cbor:"11,keyasint,omitempty"`
 }
@@ -101,8 +101,8 @@
 type EngineLoads struct {
 	// All are whole records. Brief are loads of engines whose record is known to the
 	// receiver, as package engineload writes them.
-	All   []EngineLoad `cbor:"1,keyasint,omitempty"`
-	Brief []byte       `cbor:"2,keyasint,omitempty"`
+	All          []EngineLoad `cbor:"1,keyasint,omitempty"`
+	CompactLoads []byte       `cbor:"2,keyasint,omitempty"`
 }
 
 // Kind implements Message.
@@ -112,8 +112,8 @@
 type Hosts struct {
 	// Control are the peer addresses of control hosts.
 	Control []string `cbor:"1,keyasint,omitempty"`
-	// Entries is how many entry hosts are attached to the sender.
-	Entries int `cbor:"2,keyasint,omitempty"`
+	// EntryHosts is how many entry hosts are attached to the sender.
+	EntryHosts int `cbor:"2,keyasint,omitempty"`
 }
 
 // Kind implements Message.
--- a/internal/wire/group.go
+++ b/internal/wire/group.go
@@ -19,11 +19,11 @@
 	Data []byte `cbor:"3,keyasint"`
 	// Incarnation is that of the receiver, which Data leaves out: Data is the same for all.
 	Incarnation uint64 `cbor:"4,keyasint,omitempty"`
-	// Home is the peer listener of the coordinator's host, which a reply goes to; empty
+	// CoordinatorAddress is the peer listener of the coordinator's host, which a reply goes to; empty
 	// where the message comes from there.
-	Home string `cbor:"5,keyasint,omitempty"`
-	// Pass lists the hosts that the receiver has to pass Data on to.
-	Pass []MapTarget `cbor:"6,keyasint,omitempty"`
+	CoordinatorAddress string `cbor:"5,keyasint,omitempty"`
+	// ForwardTo lists the hosts that the receiver has to pass Data on to.
+	ForwardTo []MapTarget `cbor:"6,keyasint,omitempty"`
 }
 
 // MapTarget is a host that a MapRequest is for. Requests list many of them.
@@ -53,8 +53,8 @@
 	Group string `cbor:"1,keyasint"`
 	// Epoch is that of the group, for control hosts.
 	Epoch uint64 `cbor:"2,keyasint,omitempty"`
-	// IsFirst asks for the host of the first rank only.
-	IsFirst bool `cbor:"3,keyasint,omitempty"`
+	// FirstRankOnly asks for the host of the first rank only.
+	FirstRankOnly bool `cbor:"3,keyasint,omitempty"`
 }
 
 // Kind implements Message.
@@ -96,13 +96,13 @@
 	// Picks counts, by layer and expert, what the rank's own requests chose. It is set in
 	// place of Tokens where engines count so.
 	Picks [][]uint32 `cbor:"3,keyasint,omitempty"`
-	// Held lists the rank's experts by layer, under the map Version; with Picks only.
-	Held    [][]uint16 `cbor:"4,keyasint,omitempty"`
-	Version uint64     `cbor:"5,keyasint,omitempty"`
+	// ExpertsByLayer lists the rank's experts by layer, under the map Version; with Picks only.
+	ExpertsByLayer [][]uint16 `cbor:"4,keyasint,omitempty"`
+	Version        uint64     `cbor:"5,keyasint,omitempty"`
 	// Pace is the rank's time over its usual one; 0 where it is not known.
 	Pace float64 `cbor:"6,keyasint,omitempty"`
-	// Packed holds Picks in few bytes, each rounded by less than it differs by chance.
-	Packed []byte `cbor:"7,keyasint,omitempty"`
+	// PackedSelections holds Picks in few bytes, each rounded by less than it differs by chance.
+	PackedSelections []byte `cbor:"7,keyasint,omitempty"`
 }
 
 // ExpertsWanted asks the sender of an ExpertLoad for one that lists the experts of its
--- a/internal/wire/membership.go
+++ b/internal/wire/membership.go
@@ -19,8 +19,8 @@
 	UpstreamStarting UpstreamState = iota
 	// UpstreamReady takes work.
 	UpstreamReady
-	// UpstreamLeaving takes no new work and ends what runs.
-	UpstreamLeaving
+	// UpstreamDraining takes no new work and ends what runs.
+	UpstreamDraining
 )
 
 // Load is an upstream's report about itself. It lags.
@@ -118,8 +118,8 @@
 	Loads []UpstreamLoad `cbor:"7,keyasint,omitempty"`
 	// Silent and Heard name upstreams that the directory host stopped, or began
 	// again, to hear from.
-	Silent []string `cbor:"8,keyasint,omitempty"`
-	Heard  []string `cbor:"9,keyasint,omitempty"`
+	Silent         []string `cbor:"8,keyasint,omitempty"`
+	NoLongerSilent []string `cbor:"9,keyasint,omitempty"`
 }
 
 // UpstreamLoad is a load report by upstream.
@@ -179,7 +179,7 @@
 // for one lease. It replaces what was granted before.
 type GrantItem struct {
 	Workspace uint64     `cbor:"1,keyasint"`
-	Given     LimitRates `cbor:"2,keyasint"`
+	Granted   LimitRates `cbor:"2,keyasint"`
 }
 
 // Grant answers a Demand, item by item.
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -45,7 +45,7 @@
 // dispatches. The other end answers with one that IsAnswer; what it had asked before comes
 // before that.
 type Goodbye struct {
-	IsAnswer bool `cbor:"1,keyasint,omitempty"`
+	IsReply bool `cbor:"1,keyasint,omitempty"`
 }
 
 // Kind implements Message.
--- a/test/cmd/members/main.go
+++ b/test/cmd/members/main.go
@@ -98,10 +98,10 @@
 // and that another one has fallen silent.
 func change(entries, agents []*node) error {
 	leaving, silent := agents[0], agents[1]
-	leaving.state.Store(uint32(wire.UpstreamLeaving))
+	leaving.state.Store(uint32(wire.UpstreamDraining))
 	leaving.announcer.Wake()
 	err := timeUntil("leaving agent", entries, leaving, func(e directory.Entry) bool {
-		return e.Upstream.State == wire.UpstreamLeaving
+		return e.Upstream.State == wire.UpstreamDraining
 	})
 	if err != nil {
 		return err
