--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -22,10 +22,10 @@
 	atPrevious = 16
 	// atKind holds the kind in the low byte and the count of blank sectors in the
 	// three others.
-	atKind      = 20
-	blankShift  = 8
-	atBodySum   = 24
-	atHeaderSum = 28
+	atKind          = 20
+	zeroSectorShift = 8
+	atBodySum       = 24
+	atHeaderSum     = 28
 )
 
 // frameKind tells what the payload of a frame is.
@@ -77,8 +77,8 @@
 	binary.LittleEndian.PutUint32(header[atLength:], uint32(len(payload)))
 	binary.LittleEndian.PutUint64(header[atOffset:], uint64(offset))
 	binary.LittleEndian.PutUint32(header[atPrevious:], previous)
-	blank := uint32(blankSectors(buf[start:], offset))
-	binary.LittleEndian.PutUint32(header[atKind:], blank<<blankShift|uint32(kind))
+	blank := uint32(countZeroSectors(buf[start:], offset))
+	binary.LittleEndian.PutUint32(header[atKind:], blank<<zeroSectorShift|uint32(kind))
 	binary.LittleEndian.PutUint32(header[atBodySum:], crc32.Checksum(buf[start+headerSize:], castagnoli))
 	sum := crc32.Checksum(header[:atHeaderSum], castagnoli)
 	binary.LittleEndian.PutUint32(header[atHeaderSum:], sum)
@@ -96,7 +96,7 @@
 		return frame{}, frameTorn, "short header"
 	}
 	if allZero(rest[:headerSize]) {
-		return missingHeader(data, off)
+		return classifyZeroHeader(data, off)
 	}
 	if !validHeader(rest, off) {
 		return frame{}, frameCorrupt, "bad header"
@@ -111,7 +111,7 @@
 	}
 	body := rest[headerSize:size]
 	if crc32.Checksum(body, castagnoli) != binary.LittleEndian.Uint32(rest[atBodySum:]) {
-		state, reason := judgeBody(rest, off, int(size))
+		state, reason := classifyBadBody(rest, off, int(size))
 		return frame{}, state, reason
 	}
 	return frame{
@@ -135,9 +135,9 @@
 		binary.LittleEndian.Uint32(b[atLength:]) < maxPayload
 }
 
-// missingHeader judges a header of zeros: its sector was not written, unless a
+// classifyZeroHeader judges a header of zeros: its sector was not written, unless a
 // whole record follows, which is only written after this one was synced.
-func missingHeader(data []byte, off int) (frame, frameState, string) {
+func classifyZeroHeader(data []byte, off int) (frame, frameState, string) {
 	for at := off + alignment; at+headerSize <= len(data); at += alignment {
 		if validHeader(data[at:], at) {
 			return frame{}, frameCorrupt, "a record follows bytes of zero"
@@ -146,22 +146,22 @@
 	return frame{}, frameTorn, "missing header"
 }
 
-// judgeBody judges a record of full length with a bad checksum: an unfinished
+// classifyBadBody judges a record of full length with a bad checksum: an unfinished
 // write leaves sectors of zeros and nothing after it.
-func judgeBody(rest []byte, off, size int) (frameState, string) {
+func classifyBadBody(rest []byte, off, size int) (frameState, string) {
 	if !allZero(rest[size:]) {
 		return frameCorrupt, "bad checksum before the last record"
 	}
-	written := binary.LittleEndian.Uint32(rest[atKind:]) >> blankShift
-	if blankSectors(rest[:size], int64(off)) > int(written) {
+	written := binary.LittleEndian.Uint32(rest[atKind:]) >> zeroSectorShift
+	if countZeroSectors(rest[:size], int64(off)) > int(written) {
 		return frameTorn, "missing sector"
 	}
 	return frameCorrupt, "bad checksum of a completely written record"
 }
 
-// blankSectors counts the sectors in which a frame that stands at offset has
+// countZeroSectors counts the sectors in which a frame that stands at offset has
 // nothing but zeros.
-func blankSectors(b []byte, offset int64) int {
+func countZeroSectors(b []byte, offset int64) int {
 	n := 0
 	for len(b) > 0 {
 		end := min(sectorSize-int(offset%sectorSize), len(b))
--- a/internal/journal/fs.go
+++ b/internal/journal/fs.go
@@ -105,9 +105,9 @@
 	return f, nil
 }
 
-// writeDurable puts data under name so that a crash leaves the old file or the
+// writeFileAtomic puts data under name so that a crash leaves the old file or the
 // new one, whole.
-func writeDurable(fs FS, dir, name string, data []byte) error {
+func writeFileAtomic(fs FS, dir, name string, data []byte) error {
 	tmp := filepath.Join(dir, name+tempSuffix)
 	f, err := fs.Create(tmp)
 	if err != nil {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -146,13 +146,13 @@
 	// mu guards all below.
 	mu sync.Mutex
 	// failed is the first failure; every later call returns it.
-	failed   error
-	file     File
-	offset   int64
-	sum      uint32
-	segments []segment
-	hard     consensus.HardState
-	snapshot consensus.SnapshotMeta
+	failed    error
+	file      File
+	offset    int64
+	sum       uint32
+	segments  []segment
+	hardState consensus.HardState
+	snapshot  consensus.SnapshotMeta
 	// terms holds the terms of the entries after the snapshot.
 	terms []uint64
 	buf   []byte
@@ -186,7 +186,7 @@
 	if err := j.write(payload); err != nil {
 		return j.fail(err)
 	}
-	j.remember(hs, entries)
+	j.applyBatch(hs, entries)
 	return nil
 }
 
@@ -267,10 +267,10 @@
 	return nil
 }
 
-// remember takes a synced batch into memory. The caller holds mu.
-func (j *Journal) remember(hs *consensus.HardState, entries []consensus.Entry) {
+// applyBatch takes a synced batch into memory. The caller holds mu.
+func (j *Journal) applyBatch(hs *consensus.HardState, entries []consensus.Entry) {
 	if hs != nil {
-		j.hard = *hs
+		j.hardState = *hs
 	}
 	if len(entries) == 0 {
 		return
@@ -295,14 +295,14 @@
 
 // createSegment replaces the open file by a new segment. The caller holds mu.
 func (j *Journal) createSegment(number uint64) error {
-	head := segmentHead{Number: number, DiskID: j.diskID, Previous: j.sum, HardState: j.hard}
+	head := segmentHead{Number: number, DiskID: j.diskID, Previous: j.sum, HardState: j.hardState}
 	payload, err := encoding.Marshal(head)
 	if err != nil {
 		return errors.Wrap(err, "encode segment head")
 	}
 	buf, sum := appendFrame(nil, kindSegment, 0, 0, payload)
 	name := segmentName(number)
-	if err := writeDurable(j.fs, j.dir, name, buf); err != nil {
+	if err := writeFileAtomic(j.fs, j.dir, name, buf); err != nil {
 		return err
 	}
 	if j.file != nil {
@@ -326,30 +326,30 @@
 		Last:     j.segments[len(j.segments)-1].number,
 		Snapshot: j.snapshot.Index,
 	}
-	return j.writeWhole(manifestName, kindManifest, m)
+	return j.writeRecordFile(manifestName, kindManifest, m)
 }
 
-// writeWhole replaces a file of a single record.
-func (j *Journal) writeWhole(name string, kind frameKind, v any) error {
+// writeRecordFile replaces a file of a single record.
+func (j *Journal) writeRecordFile(name string, kind frameKind, v any) error {
 	payload, err := encoding.Marshal(v)
 	if err != nil {
 		return errors.Wrapf(err, "encode %s", name)
 	}
 	buf, _ := appendFrame(nil, kind, 0, 0, payload)
-	return writeDurable(j.fs, j.dir, name, buf)
+	return writeFileAtomic(j.fs, j.dir, name, buf)
 }
 
 // saveSnapshot writes s, begins a segment, and drops what s replaces. The caller
 // holds mu.
 func (j *Journal) saveSnapshot(s consensus.Snapshot) error {
-	if err := j.writeWhole(snapshotName(s.Meta.Index), kindSnapshot, s); err != nil {
+	if err := j.writeRecordFile(snapshotName(s.Meta.Index), kindSnapshot, s); err != nil {
 		return err
 	}
 	if err := j.roll(); err != nil {
 		return err
 	}
 	replaced := j.snapshot.Index
-	dropped := j.obsolete(s.Meta)
+	dropped := j.countObsoleteSegments(s.Meta)
 	j.terms = j.remainingTerms(s.Meta)
 	j.snapshot = s.Meta
 	j.segments = j.segments[dropped:]
@@ -357,28 +357,28 @@
 		return err
 	}
 	j.counters.snapshots.Inc(1)
-	return j.drop(replaced)
+	return j.removeObsolete(replaced)
 }
 
-// holds tells whether the log has the last entry of a snapshot.
-func (j *Journal) holds(meta consensus.SnapshotMeta) bool {
+// hasSnapshotEntry tells whether the log has the last entry of a snapshot.
+func (j *Journal) hasSnapshotEntry(meta consensus.SnapshotMeta) bool {
 	at := meta.Index - j.snapshot.Index
 	return at <= uint64(len(j.terms)) && j.terms[at-1] == meta.Term
 }
 
 // remainingTerms returns the terms that follow a new snapshot.
 func (j *Journal) remainingTerms(meta consensus.SnapshotMeta) []uint64 {
-	if !j.holds(meta) {
+	if !j.hasSnapshotEntry(meta) {
 		return nil
 	}
 	return slices.Clone(j.terms[meta.Index-j.snapshot.Index:])
 }
 
-// obsolete counts the first segments that a new snapshot replaces. The last
+// countObsoleteSegments counts the first segments that a new snapshot replaces. The last
 // segment, which is empty, always stays.
-func (j *Journal) obsolete(meta consensus.SnapshotMeta) int {
+func (j *Journal) countObsoleteSegments(meta consensus.SnapshotMeta) int {
 	last := len(j.segments) - 1
-	if !j.holds(meta) {
+	if !j.hasSnapshotEntry(meta) {
 		return last
 	}
 	n := 0
@@ -388,9 +388,9 @@
 	return n
 }
 
-// drop removes the segments before the first in force, and a snapshot. What a
+// removeObsolete removes the segments before the first in force, and a snapshot. What a
 // crash leaves behind is removed at the next Open.
-func (j *Journal) drop(snapshot uint64) error {
+func (j *Journal) removeObsolete(snapshot uint64) error {
 	if snapshot != 0 {
 		if err := j.fs.Remove(filepath.Join(j.dir, snapshotName(snapshot))); err != nil {
 			return errors.Wrap(err, "remove snapshot")
@@ -416,10 +416,10 @@
 
 func snapshotName(index uint64) string { return fmt.Sprintf("%s%016x", snapshotPrefix, index) }
 
-var encoding, decoding = newModes()
+var encoding, decoding = newCBORModes()
 
-// newModes returns the CBOR modes; the options are constant and valid.
-func newModes() (cbor.EncMode, cbor.DecMode) {
+// newCBORModes returns the CBOR modes; the options are constant and valid.
+func newCBORModes() (cbor.EncMode, cbor.DecMode) {
 	enc, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		panic(err)
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -18,26 +18,26 @@
 
 const testDir = "/data"
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLogger = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-func openMem(fs *memFS) (*Journal, Recovered, error) {
-	return Open(Options{Dir: testDir, FS: fs, SegmentBytes: 2000, Logger: quiet})
+func openTestJournal(fs *memFS) (*Journal, Recovered, error) {
+	return Open(Options{Dir: testDir, FS: fs, SegmentBytes: 2000, Logger: discardLogger})
 }
 
 func entry(index, term uint64, size int) consensus.Entry {
 	return consensus.Entry{Index: index, Term: term, Data: bytes.Repeat([]byte{byte(index) | 1}, size)}
 }
 
-// content is what a replica counts on.
-type content struct {
-	hard     consensus.HardState
-	snapshot consensus.Snapshot
-	entries  []consensus.Entry
+// expectedState is what a replica counts on.
+type expectedState struct {
+	hardState consensus.HardState
+	snapshot  consensus.Snapshot
+	entries   []consensus.Entry
 }
 
-func (c content) append(hs *consensus.HardState, entries []consensus.Entry) content {
+func (c expectedState) withEntries(hs *consensus.HardState, entries []consensus.Entry) expectedState {
 	if hs != nil {
-		c.hard = *hs
+		c.hardState = *hs
 	}
 	if len(entries) > 0 {
 		kept := c.entries[:entries[0].Index-c.snapshot.Meta.Index-1]
@@ -46,7 +46,7 @@
 	return c
 }
 
-func (c content) save(s consensus.Snapshot) content {
+func (c expectedState) withSnapshot(s consensus.Snapshot) expectedState {
 	at := s.Meta.Index - c.snapshot.Meta.Index
 	if at <= uint64(len(c.entries)) && c.entries[at-1].Term == s.Meta.Term {
 		c.entries = c.entries[at:]
@@ -57,8 +57,8 @@
 	return c
 }
 
-func (c content) equal(rec Recovered) bool {
-	if c.hard != rec.HardState || c.snapshot.Meta.Index != rec.Snapshot.Meta.Index ||
+func (c expectedState) matches(rec Recovered) bool {
+	if c.hardState != rec.HardState || c.snapshot.Meta.Index != rec.Snapshot.Meta.Index ||
 		!bytes.Equal(c.snapshot.Data, rec.Snapshot.Data) || len(c.entries) != len(rec.Entries) {
 		return false
 	}
@@ -71,10 +71,10 @@
 	return true
 }
 
-// step draws one call; it returns the call and the content after it.
-func step(t *rapid.T, c content) (func(*Journal) error, content) {
+// drawCall draws one call; it returns the call and the content after it.
+func drawCall(t *rapid.T, c expectedState) (func(*Journal) error, expectedState) {
 	last := c.snapshot.Meta.Index + uint64(len(c.entries))
-	term := c.hard.Term + uint64(rapid.IntRange(0, 1).Draw(t, "term"))
+	term := c.hardState.Term + uint64(rapid.IntRange(0, 1).Draw(t, "term"))
 	if rapid.IntRange(0, 5).Draw(t, "kind") == 0 {
 		s := consensus.Snapshot{Data: bytes.Repeat([]byte{7}, rapid.IntRange(0, 1500).Draw(t, "size"))}
 		s.Meta.Index = c.snapshot.Meta.Index + uint64(rapid.IntRange(1, len(c.entries)+2).Draw(t, "index"))
@@ -82,9 +82,9 @@
 		if at := s.Meta.Index - c.snapshot.Meta.Index; at <= uint64(len(c.entries)) && rapid.Bool().Draw(t, "held") {
 			s.Meta.Term = c.entries[at-1].Term
 		}
-		return func(j *Journal) error { return j.SaveSnapshot(s) }, c.save(s)
+		return func(j *Journal) error { return j.SaveSnapshot(s) }, c.withSnapshot(s)
 	}
-	hs := &consensus.HardState{Term: term, Vote: "a/1", Commit: c.hard.Commit}
+	hs := &consensus.HardState{Term: term, Vote: "a/1", Commit: c.hardState.Commit}
 	if rapid.Bool().Draw(t, "without hard state") {
 		hs = nil
 	}
@@ -93,82 +93,82 @@
 	for i := range rapid.IntRange(0, 4).Draw(t, "entries") {
 		entries = append(entries, entry(first+uint64(i), term, rapid.IntRange(0, 900).Draw(t, "size")))
 	}
-	return func(j *Journal) error { return j.Append(hs, entries) }, c.append(hs, entries)
+	return func(j *Journal) error { return j.Append(hs, entries) }, c.withEntries(hs, entries)
 }
 
-// TestCrashKeepsWhatWasAcknowledged crashes at any point of any history: the
+// TestCrashLosesNoAcknowledgedWrite crashes at any point of any history: the
 // folder then holds all that was acknowledged, and at most the call that was
 // interrupted besides.
-func TestCrashKeepsWhatWasAcknowledged(t *testing.T) {
+func TestCrashLosesNoAcknowledgedWrite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fs := newMemFS()
-		var acked content
-		maybe := []content{acked}
+		var acked expectedState
+		maybe := []expectedState{acked}
 		diskID := ""
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
 		for range rapid.IntRange(1, 4).Draw(t, "lives") {
-			fs.budget = rapid.IntRange(1, 60).Draw(t, "budget")
-			j, rec, err := openMem(fs)
+			fs.callsUntilCrash = rapid.IntRange(1, 60).Draw(t, "budget")
+			j, rec, err := openTestJournal(fs)
 			if err == nil {
-				acked = matching(t, maybe, rec)
+				acked = requireMatch(t, maybe, rec)
 				if diskID != "" {
 					require.Equal(t, diskID, rec.DiskID)
 				}
 				diskID = rec.DiskID
-				maybe = []content{acked}
+				maybe = []expectedState{acked}
 			}
 			for range rapid.IntRange(0, 12).Draw(t, "steps") {
 				if err != nil {
 					break
 				}
-				call, next := step(t, acked)
+				call, next := drawCall(t, acked)
 				if err = call(j); err == nil {
 					acked = next
-					maybe = []content{acked}
+					maybe = []expectedState{acked}
 				} else {
-					maybe = []content{acked, next}
+					maybe = []expectedState{acked, next}
 				}
 			}
 			fs.restart(rapid.Bool().Draw(t, "power"), pick)
 		}
-		_, rec, err := openMem(fs)
+		_, rec, err := openTestJournal(fs)
 		require.NoError(t, err)
-		matching(t, maybe, rec)
+		requireMatch(t, maybe, rec)
 	})
 }
 
-func matching(t *rapid.T, maybe []content, rec Recovered) content {
+func requireMatch(t *rapid.T, maybe []expectedState, rec Recovered) expectedState {
 	for _, c := range maybe {
-		if c.equal(rec) {
+		if c.matches(rec) {
 			return c
 		}
 	}
 	require.Fail(t, "recovered neither what was acknowledged nor that and the interrupted call",
 		"recovered %+v", rec)
-	return content{}
+	return expectedState{}
 }
 
-// fill writes some segments and a snapshot, and last an entry of zeros; it
+// writeSampleJournal writes some segments and a snapshot, and last an entry of zeros; it
 // returns what must come back.
-func fill(t require.TestingT, fs *memFS) content {
-	j, _, err := openMem(fs)
+func writeSampleJournal(t require.TestingT, fs *memFS) expectedState {
+	j, _, err := openTestJournal(fs)
 	require.NoError(t, err)
-	var c content
+	var c expectedState
 	hs := &consensus.HardState{Term: 1, Vote: "a/1"}
 	for i := uint64(1); i <= 12; i++ {
 		batch := []consensus.Entry{entry(i, 1, 700)}
 		require.NoError(t, j.Append(hs, batch))
-		c = c.append(hs, batch)
+		c = c.withEntries(hs, batch)
 		if i == 4 {
 			s := consensus.Snapshot{Meta: consensus.SnapshotMeta{Index: 3, Term: 1}, Data: []byte("tables")}
 			require.NoError(t, j.SaveSnapshot(s))
-			c = c.save(s)
+			c = c.withSnapshot(s)
 		}
 	}
 	zeros := []consensus.Entry{{Index: 13, Term: 1, Data: make([]byte, 3*sectorSize)}}
 	require.NoError(t, j.Append(hs, zeros))
 	require.NoError(t, j.Close())
-	return c.append(hs, zeros)
+	return c.withEntries(hs, zeros)
 }
 
 func lastSegment(fs *memFS) *inode {
@@ -181,24 +181,24 @@
 func TestFlippedBitIsRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fs := newMemFS()
-		fill(t, fs)
+		writeSampleJournal(t, fs)
 		names, _ := fs.List(testDir)
 		name := filepath.Join(testDir, rapid.SampledFrom(names).Draw(t, "file"))
 		bit := rapid.IntRange(0, len(fs.names[name].data)*8-1).Draw(t, "bit")
 		fs.names[name].data[bit/8] ^= 1 << (bit % 8)
-		_, _, err := openMem(fs)
+		_, _, err := openTestJournal(fs)
 		var corrupt *CorruptError
 		require.ErrorAs(t, err, &corrupt)
 	})
 }
 
-// TestFlippedBitBesideBlankSectorsIsRefused goes over each byte of a last record
+// TestFlippedBitNextToZeroSectorsIsRefused goes over each byte of a last record
 // that has whole sectors of zeros.
-func TestFlippedBitBesideBlankSectorsIsRefused(t *testing.T) {
+func TestFlippedBitNextToZeroSectorsIsRefused(t *testing.T) {
 	fs := newMemFS()
-	fill(t, fs)
+	writeSampleJournal(t, fs)
 	data := lastSegment(fs).data
-	start := scanSegment(data).last
+	start := scanSegment(data).lastStart
 	require.Greater(t, len(data)-start, 3*sectorSize)
 	for at := start; at < len(data); at++ {
 		data[at] ^= 1 << (at % 8)
@@ -210,7 +210,7 @@
 
 func TestMissingFileIsRefused(t *testing.T) {
 	fs := newMemFS()
-	want := fill(t, fs)
+	want := writeSampleJournal(t, fs)
 	names, err := fs.List(testDir)
 	require.NoError(t, err)
 	require.Greater(t, len(names), 5)
@@ -218,55 +218,55 @@
 		name := filepath.Join(testDir, base)
 		file := fs.names[name]
 		delete(fs.names, name)
-		_, _, err := openMem(fs)
+		_, _, err := openTestJournal(fs)
 		var corrupt *CorruptError
 		require.ErrorAs(t, err, &corrupt, base)
 		fs.names[name] = file
 	}
-	_, rec, err := openMem(fs)
+	_, rec, err := openTestJournal(fs)
 	require.NoError(t, err)
-	require.True(t, want.equal(rec))
+	require.True(t, want.matches(rec))
 	require.False(t, rec.Truncated)
 }
 
-func TestCopyOfAnotherDiskIsRefused(t *testing.T) {
+func TestSegmentOfAnotherDiskIsRefused(t *testing.T) {
 	fs, other := newMemFS(), newMemFS()
-	fill(t, fs)
-	fill(t, other)
+	writeSampleJournal(t, fs)
+	writeSampleJournal(t, other)
 	name := filepath.Join(testDir, segmentName(4))
 	require.Contains(t, fs.names, name)
 	fs.names[name] = other.names[name]
-	_, _, err := openMem(fs)
+	_, _, err := openTestJournal(fs)
 	var corrupt *CorruptError
 	require.ErrorAs(t, err, &corrupt)
 	require.Equal(t, segmentName(4), corrupt.File)
 }
 
-func TestShortLastRecordIsCut(t *testing.T) {
+func TestZerosAfterLastRecordAreTruncated(t *testing.T) {
 	fs := newMemFS()
-	want := fill(t, fs)
+	want := writeSampleJournal(t, fs)
 	last := lastSegment(fs)
 	whole := len(last.data)
 	last.data = append(last.data, make([]byte, 3*sectorSize)...)
-	_, rec, err := openMem(fs)
+	_, rec, err := openTestJournal(fs)
 	require.NoError(t, err)
 	require.True(t, rec.Truncated)
-	require.True(t, want.equal(rec))
+	require.True(t, want.matches(rec))
 	require.Equal(t, whole, len(last.data))
 }
 
-// TestMissingSectorsAreCut loses each set of sectors of an unsynced last record.
-func TestMissingSectorsAreCut(t *testing.T) {
+// TestRecordWithMissingSectorsIsTruncated loses each set of sectors of an unsynced last record.
+func TestRecordWithMissingSectorsIsTruncated(t *testing.T) {
 	const sectors = 4
 	for lost := 1; lost < 1<<sectors; lost++ {
 		fs := newMemFS()
-		j, _, err := openMem(fs)
+		j, _, err := openTestJournal(fs)
 		require.NoError(t, err)
 		require.NoError(t, j.Append(nil, []consensus.Entry{entry(1, 1, 300)}))
 		fs.failSync = errSync
 		require.Error(t, j.Append(nil, []consensus.Entry{entry(2, 1, (sectors-1)*sectorSize)}))
 		file := fs.names[filepath.Join(testDir, segmentName(1))]
-		synced := len(file.disk)
+		synced := len(file.durable)
 		require.Less(t, synced, sectorSize)
 		require.Equal(t, sectors, (len(file.data)+sectorSize-1)/sectorSize)
 		for at := synced; at < len(file.data); at++ {
@@ -275,7 +275,7 @@
 			}
 		}
 		fs.restart(false, nil)
-		_, rec, err := openMem(fs)
+		_, rec, err := openTestJournal(fs)
 		require.NoError(t, err, "lost sectors %b", lost)
 		require.True(t, rec.Truncated)
 		require.Equal(t, []consensus.Entry{entry(1, 1, 300)}, rec.Entries)
@@ -285,9 +285,9 @@
 
 // TestZeroedRecordIsRefused: zeros before a whole record are damage, because that
 // record was only written once the one before it was synced.
-func TestZeroedRecordIsRefused(t *testing.T) {
+func TestZeroedRecordBeforeAnotherIsRefused(t *testing.T) {
 	fs := newMemFS()
-	j, _, err := openMem(fs)
+	j, _, err := openTestJournal(fs)
 	require.NoError(t, err)
 	file := fs.names[filepath.Join(testDir, segmentName(1))]
 	start := len(file.data)
@@ -296,7 +296,7 @@
 	require.NoError(t, j.Append(nil, []consensus.Entry{entry(2, 1, 300)}))
 	require.NoError(t, j.Close())
 	clear(file.data[start:end])
-	_, _, err = openMem(fs)
+	_, _, err = openTestJournal(fs)
 	var corrupt *CorruptError
 	require.ErrorAs(t, err, &corrupt)
 	require.Equal(t, int64(start), corrupt.Offset)
@@ -306,7 +306,7 @@
 // follows. The record holds no entry, so only the chain of checksums tells.
 func TestShortenedSegmentIsRefused(t *testing.T) {
 	fs := newMemFS()
-	j, _, err := openMem(fs)
+	j, _, err := openTestJournal(fs)
 	require.NoError(t, err)
 	require.NoError(t, j.Append(nil, []consensus.Entry{entry(1, 1, 1000)}))
 	file := fs.names[filepath.Join(testDir, segmentName(1))]
@@ -320,13 +320,13 @@
 	require.NoError(t, j.Close())
 	for _, size := range []int{before, before + headerSize} {
 		file.data = whole[:size]
-		_, _, err = openMem(fs)
+		_, _, err = openTestJournal(fs)
 		var corrupt *CorruptError
 		require.ErrorAs(t, err, &corrupt)
 	}
 }
 
-func TestFailedDiskPoisons(t *testing.T) {
+func TestDiskFailureFailsAllLaterCalls(t *testing.T) {
 	for name, inject := range map[string]func(*memFS){
 		"sync":  func(m *memFS) { m.failSync = errSync },
 		"full":  func(m *memFS) { m.failWrite = errFull },
@@ -334,7 +334,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			fs := newMemFS()
-			j, _, err := openMem(fs)
+			j, _, err := openTestJournal(fs)
 			require.NoError(t, err)
 			hs := &consensus.HardState{Term: 1}
 			require.NoError(t, j.Append(hs, []consensus.Entry{entry(1, 1, 900)}))
@@ -351,25 +351,25 @@
 // TestFailedSyncIsNotTakenForDurable: after a failed sync a record stands in
 // memory but not on disk. A restarted process that reads it back has to write it
 // again before it counts on it.
-func TestFailedSyncIsNotTakenForDurable(t *testing.T) {
+func TestRecordOfFailedSyncIsRewrittenAtOpen(t *testing.T) {
 	fs := newMemFS()
-	j, _, err := openMem(fs)
+	j, _, err := openTestJournal(fs)
 	require.NoError(t, err)
 	fs.failSync = errSync
 	require.Error(t, j.Append(nil, []consensus.Entry{entry(1, 1, 900)}))
 	fs.restart(false, nil)
-	_, rec, err := openMem(fs)
+	_, rec, err := openTestJournal(fs)
 	require.NoError(t, err)
 	require.Len(t, rec.Entries, 1)
 	fs.restart(true, func(int) int { return 0 })
-	_, rec, err = openMem(fs)
+	_, rec, err = openTestJournal(fs)
 	require.NoError(t, err)
 	require.Len(t, rec.Entries, 1)
 }
 
-func TestBadCallsHaveNoEffect(t *testing.T) {
+func TestInvalidCallsHaveNoEffect(t *testing.T) {
 	fs := newMemFS()
-	j, rec, err := openMem(fs)
+	j, rec, err := openTestJournal(fs)
 	require.NoError(t, err)
 	require.True(t, rec.Fresh)
 	require.Error(t, j.Append(nil, []consensus.Entry{entry(2, 1, 1)}))
@@ -384,8 +384,8 @@
 	require.True(t, errors.Is(j.Append(nil, nil), ErrClosed))
 }
 
-func TestFolderOfMachine(t *testing.T) {
-	o := Options{Dir: filepath.Join(t.TempDir(), "control"), Logger: quiet, SegmentBytes: 100}
+func TestJournalOnRealFileSystem(t *testing.T) {
+	o := Options{Dir: filepath.Join(t.TempDir(), "control"), Logger: discardLogger, SegmentBytes: 100}
 	j, rec, err := Open(o)
 	require.NoError(t, err)
 	require.True(t, rec.Fresh)
@@ -406,7 +406,7 @@
 
 func FuzzScanSegment(f *testing.F) {
 	fs := newMemFS()
-	fill(f, fs)
+	writeSampleJournal(f, fs)
 	for name, file := range fs.names {
 		if _, ok := parseName(filepath.Base(name), segmentPrefix); ok {
 			f.Add(file.data)
@@ -426,7 +426,7 @@
 func BenchmarkAppend(b *testing.B) {
 	for _, n := range []int{1, 16, 128} {
 		b.Run("batch="+strconv.Itoa(n), func(b *testing.B) {
-			j, _, err := Open(Options{Dir: b.TempDir(), Logger: quiet})
+			j, _, err := Open(Options{Dir: b.TempDir(), Logger: discardLogger})
 			require.NoError(b, err)
 			next := uint64(1)
 			for b.Loop() {
--- a/internal/journal/memfs_test.go
+++ b/internal/journal/memfs_test.go
@@ -20,8 +20,8 @@
 // inode is a file of memFS: what readers see, what is on disk, and which sectors
 // the next sync would write.
 type inode struct {
-	data, disk []byte
-	dirty      map[int]bool
+	data, durable []byte
+	dirty         map[int]bool
 }
 
 type nameOp struct {
@@ -32,40 +32,40 @@
 // memFS loses what was not synced. Each changing call counts against budget;
 // the call that uses it up is done in part and fails, as does all after it.
 type memFS struct {
-	names, diskNames map[string]*inode
-	pending          []nameOp
-	budget           int
-	crashed          bool
-	locked           bool
-	failSync         error
-	failWrite        error
-	shortWrite       bool
+	names, durableNames map[string]*inode
+	pending             []nameOp
+	callsUntilCrash     int
+	crashed             bool
+	locked              bool
+	failSync            error
+	failWrite           error
+	shortWrite          bool
 }
 
 func newMemFS() *memFS {
-	return &memFS{names: map[string]*inode{}, diskNames: map[string]*inode{}, budget: -1}
+	return &memFS{names: map[string]*inode{}, durableNames: map[string]*inode{}, callsUntilCrash: -1}
 }
 
-func (m *memFS) spend() error {
+func (m *memFS) countCall() error {
 	if m.crashed {
 		return errCrashed
 	}
-	if m.budget == 0 {
+	if m.callsUntilCrash == 0 {
 		m.crashed = true
 		return errCrashed
 	}
-	if m.budget > 0 {
-		m.budget--
+	if m.callsUntilCrash > 0 {
+		m.callsUntilCrash--
 	}
 	return nil
 }
 
 func (m *memFS) name(op nameOp) {
-	apply(m.names, op)
+	applyNameOp(m.names, op)
 	m.pending = append(m.pending, op)
 }
 
-func apply(names map[string]*inode, op nameOp) {
+func applyNameOp(names map[string]*inode, op nameOp) {
 	if op.from != "" {
 		delete(names, op.from)
 	}
@@ -74,10 +74,10 @@
 	}
 }
 
-func (m *memFS) MkdirAll(string) error { return m.spend() }
+func (m *memFS) MkdirAll(string) error { return m.countCall() }
 
 func (m *memFS) Create(name string) (File, error) {
-	if err := m.spend(); err != nil {
+	if err := m.countCall(); err != nil {
 		return nil, err
 	}
 	f := &inode{dirty: map[int]bool{}}
@@ -112,7 +112,7 @@
 }
 
 func (m *memFS) Rename(from, to string) error {
-	if err := m.spend(); err != nil {
+	if err := m.countCall(); err != nil {
 		return err
 	}
 	m.name(nameOp{from: from, to: to, file: m.names[from]})
@@ -120,7 +120,7 @@
 }
 
 func (m *memFS) Remove(name string) error {
-	if err := m.spend(); err != nil {
+	if err := m.countCall(); err != nil {
 		return err
 	}
 	m.name(nameOp{from: name})
@@ -128,11 +128,11 @@
 }
 
 func (m *memFS) SyncDir(string) error {
-	if err := m.spend(); err != nil {
+	if err := m.countCall(); err != nil {
 		return err
 	}
 	for _, op := range m.pending {
-		apply(m.diskNames, op)
+		applyNameOp(m.durableNames, op)
 	}
 	m.pending = nil
 	return nil
@@ -143,33 +143,33 @@
 		return nil, errors.New("locked")
 	}
 	m.locked = true
-	return unlock{m}, nil
+	return memLock{m}, nil
 }
 
-type unlock struct{ m *memFS }
+type memLock struct{ m *memFS }
 
-func (u unlock) Close() error { u.m.locked = false; return nil }
+func (u memLock) Close() error { u.m.locked = false; return nil }
 
 // restart brings the machine back. A power cut keeps the first renames of those
 // not synced, and any sectors of those not written; a killed process loses
 // nothing that was written.
 func (m *memFS) restart(power bool, pick func(n int) int) {
-	m.crashed, m.locked, m.budget = false, false, -1
+	m.crashed, m.locked, m.callsUntilCrash = false, false, -1
 	m.failSync, m.failWrite, m.shortWrite = nil, nil, false
 	if !power {
 		return
 	}
 	for _, op := range m.pending[:pick(len(m.pending)+1)] {
-		apply(m.diskNames, op)
+		applyNameOp(m.durableNames, op)
 	}
 	m.pending = nil
-	m.names = maps.Clone(m.diskNames)
+	m.names = maps.Clone(m.durableNames)
 	for _, name := range slices.Sorted(maps.Keys(m.names)) {
-		m.names[name].lose(pick)
+		m.names[name].losePower(pick)
 	}
 }
 
-func (f *inode) lose(pick func(n int) int) {
+func (f *inode) losePower(pick func(n int) int) {
 	switch pick(3) {
 	case 0:
 		f.dirty = map[int]bool{}
@@ -181,10 +181,10 @@
 		}
 	}
 	f.sync()
-	if len(f.disk) > len(f.data) {
-		f.disk = f.disk[:len(f.data)]
+	if len(f.durable) > len(f.data) {
+		f.durable = f.durable[:len(f.data)]
 	}
-	f.data = append([]byte(nil), f.disk...)
+	f.data = append([]byte(nil), f.durable...)
 }
 
 func (f *inode) sync() {
@@ -194,8 +194,8 @@
 		if start >= end {
 			continue
 		}
-		f.disk = grow(f.disk, end)
-		copy(f.disk[start:end], f.data[start:end])
+		f.durable = grow(f.durable, end)
+		copy(f.durable[start:end], f.data[start:end])
 	}
 	f.dirty = map[int]bool{}
 }
@@ -213,7 +213,7 @@
 }
 
 func (h *memFile) WriteAt(p []byte, off int64) (int, error) {
-	n, err := len(p), h.m.spend()
+	n, err := len(p), h.m.countCall()
 	if err == nil {
 		err = h.m.failWrite
 	}
@@ -232,17 +232,17 @@
 }
 
 func (h *memFile) Truncate(size int64) error {
-	if err := h.m.spend(); err != nil {
+	if err := h.m.countCall(); err != nil {
 		return err
 	}
 	h.f.data = h.f.data[:size]
-	h.f.disk = h.f.disk[:min(int(size), len(h.f.disk))]
+	h.f.durable = h.f.durable[:min(int(size), len(h.f.durable))]
 	return nil
 }
 
 // Sync drops the marks of unwritten sectors also where it fails, as kernels do.
 func (h *memFile) Sync() error {
-	if err := h.m.spend(); err != nil {
+	if err := h.m.countCall(); err != nil {
 		return err
 	}
 	if h.m.failSync != nil {
--- a/internal/journal/open.go
+++ b/internal/journal/open.go
@@ -53,16 +53,16 @@
 	return j
 }
 
-// folder is the listing of a data folder.
-type folder struct {
+// folderListing is the listing of a data folder.
+type folderListing struct {
 	names map[string]bool
 }
 
-func (f folder) has(name string) bool { return f.names[name] }
+func (f folderListing) has(name string) bool { return f.names[name] }
 
 // hasData tells whether the folder holds more than a first Open makes before it
 // writes the manifest.
-func (f folder) hasData() bool {
+func (f folderListing) hasData() bool {
 	for name := range f.names {
 		if _, ok := parseName(name, snapshotPrefix); ok {
 			return true
@@ -91,19 +91,19 @@
 
 // list returns the files of the folder without those that a crash left half
 // written, which it removes.
-func (j *Journal) list() (folder, error) {
+func (j *Journal) list() (folderListing, error) {
 	names, err := j.fs.List(j.dir)
 	if err != nil {
-		return folder{}, errors.Wrap(err, "list folder")
+		return folderListing{}, errors.Wrap(err, "list folder")
 	}
-	files := folder{names: map[string]bool{}}
+	files := folderListing{names: map[string]bool{}}
 	for _, name := range names {
 		if !strings.HasSuffix(name, tempSuffix) {
 			files.names[name] = true
 			continue
 		}
 		if err := j.fs.Remove(filepath.Join(j.dir, name)); err != nil {
-			return folder{}, errors.Wrap(err, "remove temporary file")
+			return folderListing{}, errors.Wrap(err, "remove temporary file")
 		}
 	}
 	return files, nil
@@ -111,11 +111,11 @@
 
 // create fills a new folder. The manifest comes last, so that a folder without
 // one has never acknowledged anything.
-func (j *Journal) create(files folder) (Recovered, error) {
+func (j *Journal) create(files folderListing) (Recovered, error) {
 	if files.hasData() {
 		return Recovered{}, &CorruptError{File: manifestName, Reason: "missing"}
 	}
-	if err := j.checkUnused(files, segmentName(1)); err != nil {
+	if err := j.checkSegmentEmpty(files, segmentName(1)); err != nil {
 		return Recovered{}, err
 	}
 	if err := j.fs.SyncDir(filepath.Dir(j.dir)); err != nil {
@@ -126,7 +126,7 @@
 		return Recovered{}, errors.Wrap(err, "draw disk id")
 	}
 	j.diskID = hex.EncodeToString(id)
-	if err := writeDurable(j.fs, j.dir, diskIDName, []byte(j.diskID+"\n")); err != nil {
+	if err := writeFileAtomic(j.fs, j.dir, diskIDName, []byte(j.diskID+"\n")); err != nil {
 		return Recovered{}, err
 	}
 	if err := j.createSegment(1); err != nil {
@@ -140,9 +140,9 @@
 	return Recovered{DiskID: j.diskID, Fresh: true}, nil
 }
 
-// checkUnused refuses a segment that the manifest does not name and that holds
+// checkSegmentEmpty refuses a segment that the manifest does not name and that holds
 // more than its head: records are only written once the manifest names it.
-func (j *Journal) checkUnused(files folder, name string) error {
+func (j *Journal) checkSegmentEmpty(files folderListing, name string) error {
 	if !files.has(name) {
 		return nil
 	}
@@ -158,19 +158,19 @@
 }
 
 // recover reads a folder that has a manifest.
-func (j *Journal) recover(files folder) (Recovered, error) {
+func (j *Journal) recover(files folderListing) (Recovered, error) {
 	id, err := j.readDiskID(files)
 	if err != nil {
 		return Recovered{}, err
 	}
 	j.diskID = id
 	var m manifest
-	if err := j.readWhole(files, manifestName, kindManifest, &m); err != nil {
+	if err := j.readRecordFile(files, manifestName, kindManifest, &m); err != nil {
 		return Recovered{}, err
 	}
 	rec := Recovered{DiskID: id}
 	if m.Snapshot != 0 {
-		if err := j.readWhole(files, snapshotName(m.Snapshot), kindSnapshot, &rec.Snapshot); err != nil {
+		if err := j.readRecordFile(files, snapshotName(m.Snapshot), kindSnapshot, &rec.Snapshot); err != nil {
 			return Recovered{}, err
 		}
 		if rec.Snapshot.Meta.Index != m.Snapshot {
@@ -184,8 +184,8 @@
 	if err := j.removeUnused(files, m); err != nil {
 		return Recovered{}, err
 	}
-	rec.HardState, rec.Entries, rec.Truncated = r.hard, r.entries, r.cut
-	j.hard = r.hard
+	rec.HardState, rec.Entries, rec.Truncated = r.hardState, r.entries, r.truncated
+	j.hardState = r.hardState
 	j.snapshot = rec.Snapshot.Meta
 	for _, e := range r.entries {
 		j.terms = append(j.terms, e.Term)
@@ -193,7 +193,7 @@
 	return rec, nil
 }
 
-func (j *Journal) readDiskID(files folder) (string, error) {
+func (j *Journal) readDiskID(files folderListing) (string, error) {
 	if !files.has(diskIDName) {
 		return "", &CorruptError{File: diskIDName, Reason: "missing"}
 	}
@@ -204,8 +204,8 @@
 	return strings.TrimSuffix(string(data), "\n"), nil
 }
 
-// readWhole reads a file of a single record.
-func (j *Journal) readWhole(files folder, name string, kind frameKind, v any) error {
+// readRecordFile reads a file of a single record.
+func (j *Journal) readRecordFile(files folderListing, name string, kind frameKind, v any) error {
 	if !files.has(name) {
 		return &CorruptError{File: name, Reason: "missing"}
 	}
@@ -227,7 +227,7 @@
 }
 
 // removeUnused removes what a crash kept a snapshot or a roll from removing.
-func (j *Journal) removeUnused(files folder, m manifest) error {
+func (j *Journal) removeUnused(files folderListing, m manifest) error {
 	for name := range files.names {
 		snapshot, isSnapshot := parseName(name, snapshotPrefix)
 		number, isSegment := parseName(name, segmentPrefix)
@@ -237,7 +237,7 @@
 			continue
 		}
 		if isSegment && number > m.Last {
-			if err := j.checkUnused(files, name); err != nil {
+			if err := j.checkSegmentEmpty(files, name); err != nil {
 				return err
 			}
 		}
--- a/internal/journal/patient.go
+++ b/internal/journal/patient.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// spaceInterval is how often a write is tried again that found the disk full.
-const spaceInterval = 100 * time.Millisecond
+// fullDiskRetryInterval is how often a write is tried again that found the disk full.
+const fullDiskRetryInterval = 100 * time.Millisecond
 
 // SpaceWaitingFS is an FS that waits while the disk is full, instead of failing: a replica that
 // ends then would start and fail again until there is room, and one that waits is no
@@ -24,8 +24,8 @@
 	Sleep func(time.Duration)
 }
 
-// wait calls do until it fails with something else than want of space, or succeeds.
-func (p SpaceWaitingFS) wait(what string, do func() error) error {
+// retryWhileFull calls do until it fails with something else than want of space, or succeeds.
+func (p SpaceWaitingFS) retryWhileFull(what string, do func() error) error {
 	err := do()
 	if !errors.Is(err, syscall.ENOSPC) {
 		return err
@@ -36,7 +36,7 @@
 	}
 	p.Log.Warn("disk is full", "at", what)
 	for errors.Is(err, syscall.ENOSPC) {
-		pause(spaceInterval)
+		pause(fullDiskRetryInterval)
 		err = do()
 	}
 	p.Log.Info("disk has room again", "at", what)
@@ -46,46 +46,46 @@
 // Create implements FS.
 func (p SpaceWaitingFS) Create(name string) (File, error) {
 	var f File
-	err := p.wait("create", func() (err error) {
+	err := p.retryWhileFull("create", func() (err error) {
 		f, err = p.FS.Create(name)
 		return err
 	})
-	return p.wrap(f, err)
+	return p.wrapFile(f, err)
 }
 
 // Open implements FS.
 func (p SpaceWaitingFS) Open(name string) (File, error) {
 	f, err := p.FS.Open(name)
-	return p.wrap(f, err)
+	return p.wrapFile(f, err)
 }
 
-func (p SpaceWaitingFS) wrap(f File, err error) (File, error) {
+func (p SpaceWaitingFS) wrapFile(f File, err error) (File, error) {
 	if err != nil {
 		return nil, err
 	}
-	return patientFile{File: f, fs: p}, nil
+	return spaceWaitingFile{File: f, fs: p}, nil
 }
 
 // Rename implements FS.
 func (p SpaceWaitingFS) Rename(from, to string) error {
-	return p.wait("rename", func() error { return p.FS.Rename(from, to) })
+	return p.retryWhileFull("rename", func() error { return p.FS.Rename(from, to) })
 }
 
 // MkdirAll implements FS.
 func (p SpaceWaitingFS) MkdirAll(dir string) error {
-	return p.wait("make folder", func() error { return p.FS.MkdirAll(dir) })
+	return p.retryWhileFull("make folder", func() error { return p.FS.MkdirAll(dir) })
 }
 
-// patientFile waits with its writes.
-type patientFile struct {
+// spaceWaitingFile waits with its writes.
+type spaceWaitingFile struct {
 	File
 	fs SpaceWaitingFS
 }
 
 // WriteAt implements io.WriterAt.
-func (f patientFile) WriteAt(data []byte, offset int64) (int, error) {
+func (f spaceWaitingFile) WriteAt(data []byte, offset int64) (int, error) {
 	done := 0
-	err := f.fs.wait("write", func() error {
+	err := f.fs.retryWhileFull("write", func() error {
 		n, err := f.File.WriteAt(data[done:], offset+int64(done))
 		done += n
 		return err
--- a/internal/journal/patient_test.go
+++ b/internal/journal/patient_test.go
@@ -12,13 +12,13 @@
 	"github.com/sassafraspost/sassafraspost/internal/consensus"
 )
 
-// fullFS is a disk without room for some operations to come.
-type fullFS struct {
+// fullDiskFS is a disk without room for some operations to come.
+type fullDiskFS struct {
 	FS
 	refusals *int
 }
 
-func (f fullFS) refuse() error {
+func (f fullDiskFS) nextError() error {
 	if *f.refusals == 0 {
 		return nil
 	}
@@ -26,37 +26,37 @@
 	return errors.WithStack(syscall.ENOSPC)
 }
 
-func (f fullFS) Create(name string) (File, error) {
-	if err := f.refuse(); err != nil {
+func (f fullDiskFS) Create(name string) (File, error) {
+	if err := f.nextError(); err != nil {
 		return nil, err
 	}
 	file, err := f.FS.Create(name)
-	return fullFile{file, f}, err
+	return fullDiskFile{file, f}, err
 }
 
-func (f fullFS) Open(name string) (File, error) {
+func (f fullDiskFS) Open(name string) (File, error) {
 	file, err := f.FS.Open(name)
-	return fullFile{file, f}, err
+	return fullDiskFile{file, f}, err
 }
 
-type fullFile struct {
+type fullDiskFile struct {
 	File
-	fs fullFS
+	fs fullDiskFS
 }
 
 // WriteAt takes half of the bytes before it finds the disk full.
-func (f fullFile) WriteAt(data []byte, offset int64) (int, error) {
-	if err := f.fs.refuse(); err != nil {
+func (f fullDiskFile) WriteAt(data []byte, offset int64) (int, error) {
+	if err := f.fs.nextError(); err != nil {
 		n, _ := f.File.WriteAt(data[:len(data)/2], offset)
 		return n, err
 	}
 	return f.File.WriteAt(data, offset)
 }
 
-func TestPatientWaitsForSpaceAndLosesNothing(t *testing.T) {
+func TestFullDiskIsWaitedForWithoutLoss(t *testing.T) {
 	refusals, pauses := 0, 0
 	fs := SpaceWaitingFS{
-		FS: fullFS{OS{}, &refusals}, Log: slog.New(slog.DiscardHandler),
+		FS: fullDiskFS{OS{}, &refusals}, Log: slog.New(slog.DiscardHandler),
 		Sleep: func(time.Duration) { pauses++ },
 	}
 	dir := t.TempDir()
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -11,16 +11,16 @@
 
 // replay rebuilds the log from the segments.
 type replay struct {
-	journal  *Journal
-	snapshot uint64
-	hard     consensus.HardState
-	entries  []consensus.Entry
-	cut      bool
+	journal   *Journal
+	snapshot  uint64
+	hardState consensus.HardState
+	entries   []consensus.Entry
+	truncated bool
 	// sum is the checksum of the last record.
 	sum uint32
 }
 
-func (r *replay) run(files folder, m manifest) error {
+func (r *replay) run(files folderListing, m manifest) error {
 	for number := m.First; number <= m.Last; number++ {
 		name := segmentName(number)
 		if !files.has(name) {
@@ -62,7 +62,7 @@
 	if number != m.Last {
 		return nil
 	}
-	return r.finish(name, data, s)
+	return r.openForAppend(name, data, s)
 }
 
 // head checks that a segment belongs here.
@@ -75,14 +75,14 @@
 	case number != m.First && h.Previous != r.sum:
 		return &CorruptError{File: name, Reason: "does not follow the segment before it"}
 	}
-	r.hard = h.HardState
+	r.hardState = h.HardState
 	return nil
 }
 
 // batch takes one batch; it returns why it cannot follow those before it.
 func (r *replay) batch(b batch) string {
 	if b.HardState != nil {
-		r.hard = *b.HardState
+		r.hardState = *b.HardState
 	}
 	if len(b.Entries) == 0 {
 		return ""
@@ -107,10 +107,10 @@
 	return ""
 }
 
-// finish opens the last segment for appending: it cuts an unfinished record, and
+// openForAppend opens the last segment for appending: it cuts an unfinished record, and
 // writes the last whole one again, because after a failed sync it may stand in
 // memory and not on disk.
-func (r *replay) finish(name string, data []byte, s scan) error {
+func (r *replay) openForAppend(name string, data []byte, s scan) error {
 	j := r.journal
 	f, err := j.fs.Open(filepath.Join(j.dir, name))
 	if err != nil {
@@ -123,10 +123,10 @@
 		if err := f.Truncate(int64(s.end)); err != nil {
 			return errors.Wrap(err, "cut segment")
 		}
-		r.cut = true
+		r.truncated = true
 		j.log.Warn("journal cut an unfinished record", "file", name, "offset", s.end, "bytes", len(data)-s.end)
 	}
-	if _, err := f.WriteAt(data[s.last:s.end], int64(s.last)); err != nil {
+	if _, err := f.WriteAt(data[s.lastStart:s.end], int64(s.lastStart)); err != nil {
 		return errors.Wrap(err, "write last record again")
 	}
 	return errors.Wrap(f.Sync(), "sync segment")
@@ -136,9 +136,9 @@
 type scan struct {
 	head    segmentHead
 	batches []batch
-	// last and end are the offsets at which the last whole record begins and ends.
-	last, end int
-	sum       uint32
+	// lastStart and end are the offsets at which the last whole record begins and ends.
+	lastStart, end int
+	sum            uint32
 	// torn and corrupt tell why reading ended before the end of the file.
 	torn, corrupt string
 }
@@ -161,11 +161,11 @@
 			s.setTorn(reason)
 			return s
 		}
-		if err := s.take(f); err != nil {
+		if err := s.addRecord(f); err != nil {
 			s.corrupt = err.Error()
 			return s
 		}
-		s.last, s.end, s.sum = s.end, f.end, f.sum
+		s.lastStart, s.end, s.sum = s.end, f.end, f.sum
 	}
 }
 
@@ -179,7 +179,7 @@
 	s.torn = reason
 }
 
-func (s *scan) take(f frame) error {
+func (s *scan) addRecord(f frame) error {
 	if s.end == 0 {
 		if f.kind != kindSegment {
 			return errors.New("no segment head")
--- a/internal/peer/liveness.go
+++ b/internal/peer/liveness.go
@@ -13,13 +13,13 @@
 // for it, it is probed, and a silent end ends the session within seconds. A session
 // that is not held costs little and notices a dead end late.
 func (s *Session) StartProbing() {
-	if s.held.Add(1) == 1 {
-		s.heldSince.Store(int64(s.age()))
+	if s.probers.Add(1) == 1 {
+		s.probedSince.Store(int64(s.age()))
 	}
 }
 
 // StopProbing undoes one Hold.
-func (s *Session) StopProbing() { s.held.Add(-1) }
+func (s *Session) StopProbing() { s.probers.Add(-1) }
 
 // CallWithin is Call where the other end answers at once if it is there: without an answer
 // within the limit the session ends, so that whoever needs the host next dials anew. A
@@ -42,26 +42,26 @@
 // isSilent reports whether the other end has been silent for too long.
 func (s *Session) isSilent() bool {
 	heard := time.Duration(s.heard.Load())
-	if s.held.Load() == 0 {
-		return s.age()-heard > s.silenceLimit()
+	if s.probers.Load() == 0 {
+		return s.age()-heard > s.silenceTimeout()
 	}
-	return s.age()-max(heard, time.Duration(s.heldSince.Load())) > s.limit
+	return s.age()-max(heard, time.Duration(s.probedSince.Load())) > s.probeTimeout
 }
 
 // keepAlive probes the other end of a held session, and breaks a silence of our own
 // that has become too long.
 func (s *Session) keepAlive(quiet time.Duration) {
-	isHeld := s.held.Load() > 0
-	if isHeld || quiet >= s.ping {
+	isHeld := s.probers.Load() > 0
+	if isHeld || quiet >= s.pingInterval {
 		_ = s.Post(&wire.Ping{WantsEcho: isHeld})
 	}
 }
 
-// silenceLimit is how long the other end may be silent before it counts as dead.
-func (s *Session) silenceLimit() time.Duration {
+// silenceTimeout is how long the other end may be silent before it counts as dead.
+func (s *Session) silenceTimeout() time.Duration {
 	ping := time.Duration(s.remote.PingMS) * time.Millisecond
 	if ping <= 0 {
 		ping = DefaultPingInterval
 	}
-	return silentPings * ping
+	return maxMissedPings * ping
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,15 +21,15 @@
 
 const testSecret = "a secret of the processes"
 
-type host struct {
+type testHost struct {
 	pool    *Pool
 	address string
 	got     chan wire.Message
 }
 
-func startHost(t *testing.T, name string, h Handler) *host {
+func startHost(t *testing.T, name string, h Handler) *testHost {
 	t.Helper()
-	out := &host{got: make(chan wire.Message, 16)}
+	out := &testHost{got: make(chan wire.Message, 16)}
 	if h == nil {
 		h = HandlerFunc(func(_ *Session, _ uint64, m wire.Message) { out.got <- m })
 	}
@@ -88,10 +88,10 @@
 	_, err := p.Get(context.Background(), b.address)
 	require.Error(t, err)
 	require.Empty(t, b.pool.Sessions())
-	require.Equal(t, int64(1), b.pool.traffic.strangers.Count())
+	require.Equal(t, int64(1), b.pool.traffic.rejected.Count())
 }
 
-func TestAnotherVersionEndsTheSessionAndNotTheProcess(t *testing.T) {
+func TestUnknownVersionEndsOnlyTheSession(t *testing.T) {
 	a, b := startHost(t, "a", nil), startHost(t, "b", nil)
 	s, err := a.pool.Get(context.Background(), b.address)
 	require.NoError(t, err)
@@ -106,7 +106,7 @@
 
 // A frozen end of a held session is noticed within seconds, long before the pings
 // would tell. Without the probe in keepAlive this fails.
-func TestHeldSessionNoticesAFrozenEnd(t *testing.T) {
+func TestProbedSessionDetectsFrozenPeer(t *testing.T) {
 	b := startHost(t, "b", nil)
 	proxy, err := faultproxy.NewTCP(b.address)
 	require.NoError(t, err)
@@ -124,7 +124,7 @@
 }
 
 // Without the mark or the handshake in shutdown this fails: the last messages are lost.
-func TestShutdownLosesNoMessage(t *testing.T) {
+func TestShutdownDeliversQueuedMessages(t *testing.T) {
 	const count = 500
 	received := make(chan wire.Message, count)
 	b := startHost(t, "b", HandlerFunc(func(_ *Session, _ uint64, m wire.Message) { received <- m }))
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestMessageThatWasNotBegunCanBeWithdrawn(t *testing.T) {
+func TestUnsentMessageIsWithdrawn(t *testing.T) {
 	s := NewPool(Config{}).newSession(nil, wire.Hello{}) // no writer runs: nothing is ever begun
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -160,7 +160,7 @@
 
 // An end that gives no answer in time loses its session, and the next one is a new one: a
 // connection that was cut may take seconds to find out that it is whole again.
-func TestUnansweredQuestionEndsTheSession(t *testing.T) {
+func TestCallWithinTimeoutEndsTheSession(t *testing.T) {
 	b := startHost(t, "b", HandlerFunc(func(s *Session, call uint64, m wire.Message) {
 		if q := m.(*wire.GroupQuery); q.Group == "known" {
 			_ = s.Reply(call, &wire.GroupAnswer{})
@@ -187,7 +187,7 @@
 
 // A message that its reader can't serve ends the session that it came by, not the process that
 // serves callers: its sender sends it again to the next start, and to all others.
-func TestMessageThatCannotBeServedEndsItsSessionOnly(t *testing.T) {
+func TestHandlerPanicEndsOnlyTheSession(t *testing.T) {
 	served := make(chan wire.Message, 1)
 	b := startHost(t, "b", HandlerFunc(func(_ *Session, _ uint64, m wire.Message) {
 		if _, ok := m.(*wire.Cancel); ok {
@@ -204,13 +204,13 @@
 	require.NoError(t, err)
 	require.NoError(t, s.Post(&wire.Credit{Bytes: 1}))
 	require.Equal(t, &wire.Credit{Bytes: 1}, <-served)
-	require.EqualValues(t, 1, b.pool.traffic.harmful.Count())
+	require.EqualValues(t, 1, b.pool.traffic.panicked.Count())
 }
 
 // A host that shuts down answers every call that has left for it, or it never left: who asked
 // must not be told that its call may have run. Bookings in progress were told so while the
 // leader of the control hosts shut down.
-func TestShutdownAnswersTheCallsThatCrossIt(t *testing.T) {
+func TestShutdownAnswersCallsInFlight(t *testing.T) {
 	for range 40 {
 		b := startHost(t, "b", HandlerFunc(func(s *Session, call uint64, _ wire.Message) {
 			go func() {
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -21,11 +21,11 @@
 const (
 	// DefaultDialTimeout is what Config.DialTimeout is by default.
 	DefaultDialTimeout = 2 * time.Second
-	// greetFirst is how long a host that has taken a connection has for its greeting; the
+	// minHandshakeTimeout is how long a host that has taken a connection has for its greeting; the
 	// limit doubles up to greetMost with each greeting that does not come in time. A host
 	// that greets hundreds is at work on it: who dials it anew too soon only adds to that.
-	greetFirst = time.Second
-	greetMost  = 4 * time.Second
+	minHandshakeTimeout = time.Second
+	maxHandshakeTimeout = 4 * time.Second
 	// redialDelay is how long a failed address is left alone, so that callers on
 	// their way to a dead host fail at once instead of each waiting for a dial.
 	redialDelay = 50 * time.Millisecond
@@ -65,21 +65,21 @@
 
 	// mu guards the fields below. It is not held while dialling.
 	mu sync.Mutex
-	// all holds every live session, sessions the last one by address.
-	all      map[*Session]bool
-	sessions map[string]*Session
-	dials    map[string]*dial
-	// greet is how long a host has for its greeting, by address; greetFirst where it is 0.
-	greet  map[string]time.Duration
-	closed bool
+	// allSessions holds every live session, sessions the last one by address.
+	allSessions       map[*Session]bool
+	sessionsByAddress map[string]*Session
+	dials             map[string]*dial
+	// handshakeTimeouts is how long a host has for its greeting, by address; greetFirst where it is 0.
+	handshakeTimeouts map[string]time.Duration
+	closed            bool
 }
 
 // dial is one attempt to reach an address, shared by all who wait for it.
 type dial struct {
-	done chan struct{}
-	s    *Session
-	err  error
-	at   time.Time
+	done       chan struct{}
+	s          *Session
+	err        error
+	finishedAt time.Time
 }
 
 // NewPool returns an empty Pool.
@@ -102,13 +102,13 @@
 	cfg.Hello.PingMS = uint64(cfg.PingInterval / time.Millisecond)
 	transport := &http.Transport{TLSClientConfig: cfg.TLS, DialContext: (&net.Dialer{Timeout: cfg.DialTimeout}).DialContext}
 	return &Pool{
-		cfg:      cfg,
-		client:   &http.Client{Transport: transport},
-		traffic:  newTraffic(cfg.Metrics),
-		all:      make(map[*Session]bool),
-		sessions: make(map[string]*Session),
-		dials:    make(map[string]*dial),
-		greet:    make(map[string]time.Duration),
+		cfg:               cfg,
+		client:            &http.Client{Transport: transport},
+		traffic:           newTraffic(cfg.Metrics),
+		allSessions:       make(map[*Session]bool),
+		sessionsByAddress: make(map[string]*Session),
+		dials:             make(map[string]*dial),
+		handshakeTimeouts: make(map[string]time.Duration),
 	}
 }
 
@@ -118,7 +118,7 @@
 	if s := p.Live(address); s != nil {
 		return s, nil
 	}
-	d, err := p.join(address)
+	d, err := p.sharedDial(address)
 	if err != nil {
 		return nil, err
 	}
@@ -134,7 +134,7 @@
 func (p *Pool) Live(address string) *Session {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.sessions[address]
+	s := p.sessionsByAddress[address]
 	if s == nil || !s.Alive() {
 		return nil
 	}
@@ -145,8 +145,8 @@
 func (p *Pool) Sessions() []*Session {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make([]*Session, 0, len(p.all))
-	for s := range p.all {
+	out := make([]*Session, 0, len(p.allSessions))
+	for s := range p.allSessions {
 		if s.Alive() {
 			out = append(out, s)
 		}
@@ -154,14 +154,14 @@
 	return out
 }
 
-// join returns the running dial to address, or starts one.
-func (p *Pool) join(address string) (*dial, error) {
+// sharedDial returns the running dial to address, or starts one.
+func (p *Pool) sharedDial(address string) (*dial, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return nil, ErrClosed
 	}
-	if d := p.dials[address]; d != nil && (!d.finished() || time.Since(d.at) < redialDelay && d.err != nil) {
+	if d := p.dials[address]; d != nil && (!d.finished() || time.Since(d.finishedAt) < redialDelay && d.err != nil) {
 		return d, nil
 	}
 	d := &dial{done: make(chan struct{})}
@@ -181,42 +181,42 @@
 
 func (p *Pool) dial(address string, d *dial) {
 	p.traffic.dials.Inc(1)
-	limit := p.greetLimit(address)
+	limit := p.handshakeTimeout(address)
 	ctx, cancel := context.WithTimeout(context.Background(), p.cfg.DialTimeout+limit)
 	defer cancel()
-	s, err := p.open(ctx, address)
-	p.noteGreeting(address, limit, ctx.Err() != nil)
+	s, err := p.connect(ctx, address)
+	p.recordHandshake(address, limit, ctx.Err() != nil)
 	if err == nil {
 		p.register(address, s)
 		go s.run(p.cfg.Handler)
 		p.notify(s)
 	}
-	d.s, d.err, d.at = s, err, time.Now()
+	d.s, d.err, d.finishedAt = s, err, time.Now()
 	close(d.done)
 }
 
-// greetLimit returns how long the host at address has for its greeting.
-func (p *Pool) greetLimit(address string) time.Duration {
+// handshakeTimeout returns how long the host at address has for its greeting.
+func (p *Pool) handshakeTimeout(address string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(p.greet[address], greetFirst)
+	return max(p.handshakeTimeouts[address], minHandshakeTimeout)
 }
 
-// noteGreeting doubles the limit of a host whose greeting did not come in time.
-func (p *Pool) noteGreeting(address string, limit time.Duration, isLate bool) {
+// recordHandshake doubles the limit of a host whose greeting did not come in time.
+func (p *Pool) recordHandshake(address string, limit time.Duration, isLate bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.greet, address)
+	delete(p.handshakeTimeouts, address)
 	if isLate {
-		p.traffic.dialsLate.Inc(1)
-		p.greet[address] = min(2*limit, greetMost)
+		p.traffic.lateHandshakes.Inc(1)
+		p.handshakeTimeouts[address] = min(2*limit, maxHandshakeTimeout)
 	}
 }
 
-func (p *Pool) open(ctx context.Context, address string) (*Session, error) {
+func (p *Pool) connect(ctx context.Context, address string) (*Session, error) {
 	opts := &websocket.DialOptions{
 		HTTPClient:      p.client,
-		HTTPHeader:      p.header(),
+		HTTPHeader:      p.dialHeader(),
 		CompressionMode: websocket.CompressionDisabled,
 	}
 	conn, _, err := websocket.Dial(ctx, p.url(address), opts)
@@ -236,8 +236,8 @@
 	return p.newSession(conn, remote), nil
 }
 
-// header is what a dial says before the greeting.
-func (p *Pool) header() http.Header {
+// dialHeader is what a dial says before the greeting.
+func (p *Pool) dialHeader() http.Header {
 	h := http.Header{"Authorization": {"Bearer " + p.cfg.Secret}}
 	if p.cfg.Hello.Replica != "" {
 		h.Set(replicaHeader, p.cfg.Hello.Replica)
@@ -252,8 +252,8 @@
 	return "ws://" + address + Path
 }
 
-// adopt registers an accepted session under the address that the host names.
-func (p *Pool) adopt(s *Session) {
+// registerAccepted registers an accepted session under the address that the host names.
+func (p *Pool) registerAccepted(s *Session) {
 	p.register(s.remote.Address, s)
 	p.notify(s)
 }
@@ -265,9 +265,9 @@
 		s.Close()
 		return
 	}
-	p.all[s] = true
+	p.allSessions[s] = true
 	if address != "" {
-		p.sessions[address] = s
+		p.sessionsByAddress[address] = s
 	}
 	go p.removeWhenDone(address, s)
 }
@@ -276,9 +276,9 @@
 	<-s.Done()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.all, s)
-	if p.sessions[address] == s {
-		delete(p.sessions, address)
+	delete(p.allSessions, s)
+	if p.sessionsByAddress[address] == s {
+		delete(p.sessionsByAddress, address)
 	}
 }
 
@@ -293,7 +293,7 @@
 func (p *Pool) Shutdown(ctx context.Context) {
 	p.mu.Lock()
 	p.closed = true
-	open := slices.Collect(maps.Keys(p.all))
+	open := slices.Collect(maps.Keys(p.allSessions))
 	p.mu.Unlock()
 	var wg sync.WaitGroup
 	for _, s := range open {
@@ -311,7 +311,7 @@
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
-	open := slices.Collect(maps.Keys(p.all))
+	open := slices.Collect(maps.Keys(p.allSessions))
 	p.mu.Unlock()
 	for _, s := range open {
 		s.Close()
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -33,11 +33,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return it, s.put(s.queue, it)
+	return it, s.tryPut(s.queue, it)
 }
 
-// put adds an item to one of the session's queues without waiting.
-func (s *Session) put(queue chan *item, it *item) error {
+// tryPut adds an item to one of the session's queues without waiting.
+func (s *Session) tryPut(queue chan *item, it *item) error {
 	if !s.Alive() {
 		return ErrClosed
 	}
@@ -49,16 +49,16 @@
 	}
 }
 
-// next returns the item to write next: what goes first, else what waits longest. It returns
+// nextItem returns the item to write next: what goes first, else what waits longest. It returns
 // nil when the session ends or a tick comes.
-func (s *Session) next(tick <-chan time.Time) *item {
+func (s *Session) nextItem(tick <-chan time.Time) *item {
 	select {
-	case it := <-s.first:
+	case it := <-s.urgent:
 		return it
 	default:
 	}
 	select {
-	case it := <-s.first:
+	case it := <-s.urgent:
 		return it
 	case it := <-s.queue:
 		return it
@@ -82,10 +82,10 @@
 
 // PostPrepared is Post for an encoded message.
 func (s *Session) PostPrepared(p *Prepared) error {
-	return s.put(s.queue, &item{kind: p.kind, data: p.data, queued: time.Now(), started: make(chan struct{})})
+	return s.tryPut(s.queue, &item{kind: p.kind, data: p.data, queued: time.Now(), started: make(chan struct{})})
 }
 
-func (s *Session) enqueueWait(ctx context.Context, m wire.Message) (*item, error) {
+func (s *Session) enqueueBlocking(ctx context.Context, m wire.Message) (*item, error) {
 	it, err := newItem(0, false, m)
 	if err != nil {
 		return nil, err
@@ -103,8 +103,8 @@
 	}
 }
 
-// fullPause is the pause before a full queue is tried again.
-const fullPause = time.Millisecond
+// fullQueueRetryDelay is the pause before a full queue is tried again.
+const fullQueueRetryDelay = time.Millisecond
 
 // enqueueDispatch queues a dispatch unless the other end takes none any more: none is queued
 // behind the answer to its goodbye.
@@ -114,13 +114,13 @@
 		isLeaving := s.isLeaving
 		err := ErrClosed
 		if !isLeaving {
-			err = s.put(s.queue, it)
+			err = s.tryPut(s.queue, it)
 		}
 		s.mu.Unlock()
 		if !errors.Is(err, ErrBusy) {
 			return err
 		}
-		pause.For(ctx, fullPause)
+		pause.For(ctx, fullQueueRetryDelay)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -16,13 +16,13 @@
 const Path = "/peer"
 
 const (
-	handshakeTimeout = 3 * time.Second
-	// greetedAtOnce is how many hosts are greeted at a time. The others wait in line, so that
+	helloTimeout = 3 * time.Second
+	// maxConcurrentHandshakes is how many hosts are greeted at a time. The others wait in line, so that
 	// those who are greeted are through soon, and whoever has given up meanwhile costs nothing.
-	greetedAtOnce = 8
-	// turnTime is how long one of them keeps others waiting at most: it may be frozen or cut
+	maxConcurrentHandshakes = 8
+	// maxPermitTime is how long one of them keeps others waiting at most: it may be frozen or cut
 	// off by now.
-	turnTime = 250 * time.Millisecond
+	maxPermitTime = 250 * time.Millisecond
 	// replicaHeader names the replica of a control host that dials. Control hosts don't wait
 	// in line: the others need the leader that they elect.
 	replicaHeader = "Sassafraspost-Replica"
@@ -31,46 +31,46 @@
 // Server accepts sessions. It is an http.Handler for Path.
 type Server struct {
 	pool *Pool
-	// line has room for those who are greeted.
-	line chan struct{}
+	// handshakePermits has room for those who are greeted.
+	handshakePermits chan struct{}
 }
 
 // NewServer returns a Server whose sessions join pool: a host that has dialled
 // here is not dialled back.
 func NewServer(pool *Pool) *Server {
-	return &Server{pool: pool, line: make(chan struct{}, greetedAtOnce)}
+	return &Server{pool: pool, handshakePermits: make(chan struct{}, maxConcurrentHandshakes)}
 }
 
 // ServeHTTP implements http.Handler. A wrong secret gets 401 before the upgrade.
 func (v *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !v.pool.secretMatches(r) {
-		v.pool.traffic.strangers.Inc(1)
+		v.pool.traffic.rejected.Inc(1)
 		http.Error(w, "wrong secret", http.StatusUnauthorized)
 		return
 	}
-	if s := v.greet(w, r); s != nil {
-		v.pool.adopt(s)
+	if s := v.handshake(w, r); s != nil {
+		v.pool.registerAccepted(s)
 		s.run(v.pool.cfg.Handler)
 	}
 }
 
-// next lets the next one in line.
-func (v *Server) next() { <-v.line }
+// releasePermit lets the next one in line.
+func (v *Server) releasePermit() { <-v.handshakePermits }
 
-// greet exchanges greetings with who has dialled, in its turn. It returns nil where that
+// handshake exchanges greetings with who has dialled, in its turn. It returns nil where that
 // fails.
-func (v *Server) greet(w http.ResponseWriter, r *http.Request) *Session {
+func (v *Server) handshake(w http.ResponseWriter, r *http.Request) *Session {
 	if r.Header.Get(replicaHeader) == "" {
 		select {
-		case v.line <- struct{}{}:
-			turn := time.AfterFunc(turnTime, v.next)
+		case v.handshakePermits <- struct{}{}:
+			turn := time.AfterFunc(maxPermitTime, v.releasePermit)
 			defer func() {
 				if turn.Stop() {
-					v.next()
+					v.releasePermit()
 				}
 			}()
 		case <-r.Context().Done():
-			v.pool.traffic.gaveUp.Inc(1)
+			v.pool.traffic.abandoned.Inc(1)
 			return nil
 		}
 	}
@@ -82,14 +82,14 @@
 		return nil
 	}
 	conn.SetReadLimit(wire.MaxMessageBytes)
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), handshakeTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), helloTimeout)
 	defer cancel()
 	remote, err := receiveHello(ctx, conn)
 	if err == nil {
 		err = sendHello(ctx, conn, v.pool.cfg.Hello)
 	}
 	if err != nil {
-		v.pool.traffic.strangers.Inc(1)
+		v.pool.traffic.rejected.Inc(1)
 		_ = conn.Close(websocket.StatusPolicyViolation, "hello refused")
 		return nil
 	}
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -25,17 +25,17 @@
 	queueLength = 1024
 	// DefaultPingInterval is the longest silence that a host keeps by default.
 	DefaultPingInterval = 10 * time.Second
-	// silentPings is how many missed pings end a session.
-	silentPings  = 3
-	writeTimeout = 4 * time.Second
+	// maxMissedPings is how many missed pings end a session.
+	maxMissedPings = 3
+	writeTimeout   = 4 * time.Second
 	// DefaultProbeTimeout is how long the other end of a held session may be silent by default.
 	DefaultProbeTimeout = 4 * time.Second
-	// probes is how often the other end of a held session is probed in that span.
-	probes = 4
-	// partTime bounds the wait for the last questions of the other end, and their answers.
-	partTime = time.Second
-	// answerPoll is how often it is looked at whether all are answered.
-	answerPoll = time.Millisecond
+	// probesPerTimeout is how often the other end of a held session is probed in that span.
+	probesPerTimeout = 4
+	// drainTimeout bounds the wait for the last questions of the other end, and their answers.
+	drainTimeout = time.Second
+	// replyPollInterval is how often it is looked at whether all are answered.
+	replyPollInterval = time.Millisecond
 )
 
 // ErrClosed tells that the session has ended.
@@ -59,53 +59,53 @@
 
 // Session is one end of a live WebSocket.
 type Session struct {
-	conn    *websocket.Conn
-	remote  wire.Hello
-	ping    time.Duration
-	limit   time.Duration
-	traffic *traffic
-	log     *slog.Logger
-	// first holds what goes before the queue.
-	first, queue chan *item
-	done         chan struct{}
-	once         sync.Once
-	err          error
+	conn         *websocket.Conn
+	remote       wire.Hello
+	pingInterval time.Duration
+	probeTimeout time.Duration
+	traffic      *traffic
+	log          *slog.Logger
+	// urgent holds what goes before the queue.
+	urgent, queue chan *item
+	done          chan struct{}
+	failOnce      sync.Once
+	err           error
 
 	lastCall atomic.Uint64
 	// heard is when the last message came, held how many wait for the other end, and
 	// heldSince since when; times are counted from opened.
-	opened    time.Time
-	heard     atomic.Int64
-	held      atomic.Int64
-	heldSince atomic.Int64
+	opened      time.Time
+	heard       atomic.Int64
+	probers     atomic.Int64
+	probedSince atomic.Int64
 
-	// unanswered counts the other end's calls that have no reply yet.
-	unanswered atomic.Int64
-	// parted is closed once the other end has said that it asks nothing more.
-	parted chan struct{}
+	// unrepliedCalls counts the other end's calls that have no reply yet.
+	unrepliedCalls atomic.Int64
+	// goodbyeReplied is closed once the other end has said that it asks nothing more.
+	goodbyeReplied chan struct{}
 
 	// mu guards the fields below.
 	mu    sync.Mutex
 	calls map[uint64]chan wire.Message
 	// isLeaving tells that the other end takes no new calls or dispatches, isParted that parted
 	// is closed.
-	isLeaving, isParted bool
+	isLeaving, isGoodbyeReplied bool
 }
 
 func (p *Pool) newSession(conn *websocket.Conn, remote wire.Hello) *Session {
 	return &Session{
-		conn:    conn,
-		remote:  remote,
-		ping:    p.cfg.PingInterval,
-		limit:   p.cfg.ProbeTimeout,
-		traffic: p.traffic,
-		log:     p.cfg.Log,
-		first:   make(chan *item, queueLength),
-		queue:   make(chan *item, queueLength),
-		done:    make(chan struct{}),
-		calls:   make(map[uint64]chan wire.Message),
-		parted:  make(chan struct{}),
-		opened:  time.Now(),
+		conn:           conn,
+		remote:         remote,
+		pingInterval:   p.cfg.PingInterval,
+		probeTimeout:   p.cfg.ProbeTimeout,
+		traffic:        p.traffic,
+		log:            p.cfg.Log,
+		urgent:         make(chan *item, queueLength),
+		queue:          make(chan *item, queueLength),
+		done:           make(chan struct{}),
+		calls:          make(map[uint64]chan wire.Message),
+		goodbyeReplied: make(chan struct{}),
+		opened:         time.Now(),
 	}
 }
 
@@ -129,7 +129,7 @@
 // answered, what is queued is written, and a closing handshake shows that all was read. It
 // gives up when ctx ends.
 func (s *Session) shutdown(ctx context.Context) error {
-	s.part(ctx)
+	s.drain(ctx)
 	if err := s.flush(ctx); err != nil {
 		return err
 	}
@@ -143,34 +143,34 @@
 	}
 }
 
-// part says goodbye and waits until the other end has asked its last and has its answers, but
+// drain says goodbye and waits until the other end has asked its last and has its answers, but
 // no longer than partTime: it may be dead, and some messages have no answer.
-func (s *Session) part(ctx context.Context) {
+func (s *Session) drain(ctx context.Context) {
 	if s.Post(&wire.Goodbye{}) != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, partTime)
+	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
 	select {
-	case <-s.parted:
+	case <-s.goodbyeReplied:
 	case <-ctx.Done():
 		return
 	case <-s.done:
 		return
 	}
-	for s.unanswered.Load() > 0 && ctx.Err() == nil && s.Alive() {
-		pause.For(ctx, answerPoll)
+	for s.unrepliedCalls.Load() > 0 && ctx.Err() == nil && s.Alive() {
+		pause.For(ctx, replyPollInterval)
 	}
 }
 
-// goodbye takes a Goodbye of the other end.
-func (s *Session) goodbye(m *wire.Goodbye) {
+// handleGoodbye takes a Goodbye of the other end.
+func (s *Session) handleGoodbye(m *wire.Goodbye) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if m.IsReply {
-		if !s.isParted {
-			s.isParted = true
-			close(s.parted)
+		if !s.isGoodbyeReplied {
+			s.isGoodbyeReplied = true
+			close(s.goodbyeReplied)
 		}
 		return
 	}
@@ -203,7 +203,7 @@
 func (s *Session) Close() { s.fail(ErrClosed) }
 
 func (s *Session) fail(err error) {
-	s.once.Do(func() {
+	s.failOnce.Do(func() {
 		s.err = err
 		close(s.done)
 		_ = s.conn.CloseNow()
@@ -224,13 +224,13 @@
 	if err != nil {
 		return err
 	}
-	return s.put(s.first, it)
+	return s.tryPut(s.urgent, it)
 }
 
 // Send queues m and waits until the session begins to write it. Where it returns
 // an error, the message never left.
 func (s *Session) Send(ctx context.Context, m wire.Message) error {
-	it, err := s.enqueueWait(ctx, m)
+	it, err := s.enqueueBlocking(ctx, m)
 	if err != nil {
 		return err
 	}
@@ -253,11 +253,11 @@
 func (s *Session) Call(ctx context.Context, m wire.Message) (reply wire.Message, sent bool, err error) {
 	id := s.lastCall.Add(1)
 	ch := make(chan wire.Message, 1)
-	it, err := s.ask(id, ch, m)
+	it, err := s.enqueueCall(id, ch, m)
 	if err != nil {
 		return nil, false, err
 	}
-	defer s.forget(id)
+	defer s.removeCall(id)
 	select {
 	case reply = <-ch:
 		return unwrapFailure(reply)
@@ -270,8 +270,8 @@
 	return nil, !withdrawn, err
 }
 
-// ask queues a call, unless the other end takes none any more.
-func (s *Session) ask(id uint64, ch chan wire.Message, m wire.Message) (*item, error) {
+// enqueueCall queues a call, unless the other end takes none any more.
+func (s *Session) enqueueCall(id uint64, ch chan wire.Message, m wire.Message) (*item, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.isLeaving {
@@ -284,7 +284,7 @@
 	return it, err
 }
 
-func (s *Session) forget(id uint64) {
+func (s *Session) removeCall(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.calls, id)
@@ -294,7 +294,7 @@
 // ended is dropped.
 func (s *Session) Reply(call uint64, m wire.Message) error {
 	_, err := s.enqueue(call, true, m)
-	s.unanswered.Add(-1)
+	s.unrepliedCalls.Add(-1)
 	return err
 }
 
@@ -305,12 +305,12 @@
 }
 
 func (s *Session) writeLoop() {
-	watch := time.NewTicker(s.limit / probes)
+	watch := time.NewTicker(s.probeTimeout / probesPerTimeout)
 	defer watch.Stop()
 	wrote := s.age()
 	silentTicks := 0
 	for s.Alive() {
-		it := s.next(watch.C)
+		it := s.nextItem(watch.C)
 		if it == nil {
 			// One tick alone proves nothing: after a stall of this process it comes before
 			// what waits to be read.
@@ -332,7 +332,7 @@
 		if it.data == nil {
 			continue
 		}
-		s.traffic.sent(it.kind, len(it.data), it.queued)
+		s.traffic.countSent(it.kind, len(it.data), it.queued)
 		if err := s.write(it.data); err != nil {
 			s.fail(err)
 			return
@@ -359,13 +359,13 @@
 			_ = s.conn.Close(websocket.StatusUnsupportedData, "message refused")
 			return err
 		}
-		s.traffic.received(env.Kind, len(data))
+		s.traffic.countReceived(env.Kind, len(data))
 		if env.IsReply {
-			s.deliver(env.Call, m)
+			s.deliverReply(env.Call, m)
 			continue
 		}
 		if bye, ok := m.(*wire.Goodbye); ok {
-			s.goodbye(bye)
+			s.handleGoodbye(bye)
 			continue
 		}
 		if ping, ok := m.(*wire.Ping); ok {
@@ -375,7 +375,7 @@
 			continue
 		}
 		if env.Call != 0 {
-			s.unanswered.Add(1)
+			s.unrepliedCalls.Add(1)
 		}
 		if err := s.serve(h, env.Call, m); err != nil {
 			return err
@@ -388,7 +388,7 @@
 func (s *Session) serve(h Handler, call uint64, m wire.Message) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			s.traffic.harmful.Inc(1)
+			s.traffic.panicked.Inc(1)
 			err = errors.Errorf("peer: message of kind %s from %s: %v\n%s", m.Kind(), s.remote.Host, p, debug.Stack())
 			s.log.Error("message can't be served, its session ends", "kind", m.Kind().String(), "from", s.remote.Host, "error", err.Error())
 		}
@@ -409,7 +409,7 @@
 	return data, nil
 }
 
-func (s *Session) deliver(call uint64, m wire.Message) {
+func (s *Session) deliverReply(call uint64, m wire.Message) {
 	s.mu.Lock()
 	ch := s.calls[call]
 	delete(s.calls, call)
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -37,14 +37,14 @@
 	controlSent, controlReceived, attemptSent, attemptReceived counts
 	// unreadable counts messages that this build can't read, strangers those who came
 	// with a wrong secret or greeting.
-	unreadable, strangers metrics.Counter
-	// harmful counts messages that can be read and not served.
-	harmful metrics.Counter
+	unreadable, rejected metrics.Counter
+	// panicked counts messages that can be read and not served.
+	panicked metrics.Counter
 	// dials counts those begun, dialsLate those whose greeting did not come in time, accepted
 	// the sessions of others, gaveUp those who left before their turn.
-	dials, dialsLate, accepted, gaveUp metrics.Counter
-	// wait is how long messages wait until their session begins to write them.
-	wait *telemetry.Latency
+	dials, lateHandshakes, accepted, abandoned metrics.Counter
+	// queueWait is how long messages wait until their session begins to write them.
+	queueWait *telemetry.Latency
 
 	registry metrics.Registry
 	// mu guards byKind.
@@ -59,23 +59,23 @@
 		controlReceived: newCounts(reg, "control.received"),
 		attemptSent:     newCounts(reg, "attempt.sent"),
 		attemptReceived: newCounts(reg, "attempt.received"),
-		harmful:         metrics.GetOrRegisterCounter("peer.messages.harmful", reg),
+		panicked:        metrics.GetOrRegisterCounter("peer.messages.harmful", reg),
 		unreadable:      metrics.GetOrRegisterCounter("peer.messages.unreadable", reg),
-		strangers:       metrics.GetOrRegisterCounter("peer.strangers", reg),
+		rejected:        metrics.GetOrRegisterCounter("peer.strangers", reg),
 		dials:           metrics.GetOrRegisterCounter("peer.dials.begun", reg),
-		dialsLate:       metrics.GetOrRegisterCounter("peer.dials.late", reg),
+		lateHandshakes:  metrics.GetOrRegisterCounter("peer.dials.late", reg),
 		accepted:        metrics.GetOrRegisterCounter("peer.accepted", reg),
-		gaveUp:          metrics.GetOrRegisterCounter("peer.gave-up", reg),
-		wait:            telemetry.GetLatency("peer.queue-wait", reg),
+		abandoned:       metrics.GetOrRegisterCounter("peer.gave-up", reg),
+		queueWait:       telemetry.GetLatency("peer.queue-wait", reg),
 		registry:        reg,
 		byKind:          make(map[wire.Kind]counts),
 	}
 }
 
-// sent counts a message that is written now, after it has waited since then.
-func (t *traffic) sent(k wire.Kind, size int, since time.Time) {
-	t.wait.AddSince(since)
-	t.of(k).add(size)
+// countSent counts a message that is written now, after it has waited since then.
+func (t *traffic) countSent(k wire.Kind, size int, since time.Time) {
+	t.queueWait.AddSince(since)
+	t.countsOf(k).add(size)
 	if k.IsAttempt() {
 		t.attemptSent.add(size)
 		return
@@ -83,8 +83,8 @@
 	t.controlSent.add(size)
 }
 
-// of returns the counters of what is sent of a kind.
-func (t *traffic) of(k wire.Kind) counts {
+// countsOf returns the counters of what is sent of a kind.
+func (t *traffic) countsOf(k wire.Kind) counts {
 	t.mu.RLock()
 	c, ok := t.byKind[k]
 	t.mu.RUnlock()
@@ -98,7 +98,7 @@
 	return c
 }
 
-func (t *traffic) received(k wire.Kind, size int) {
+func (t *traffic) countReceived(k wire.Kind, size int) {
 	if k.IsAttempt() {
 		t.attemptReceived.add(size)
 		return
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -68,12 +68,12 @@
 }
 
 var (
-	encMode = mustEnc()
-	decMode = mustDec()
+	encMode = newEncMode()
+	decMode = newDecMode()
 	types   = typesByKind()
 )
 
-func mustEnc() cbor.EncMode {
+func newEncMode() cbor.EncMode {
 	m, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		panic(err)
@@ -81,7 +81,7 @@
 	return m
 }
 
-func mustDec() cbor.DecMode {
+func newDecMode() cbor.DecMode {
 	opts := cbor.DecOptions{
 		MaxNestedLevels:  16,
 		MaxArrayElements: 1 << 20,
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEveryMessageComesBackAsItsType(t *testing.T) {
+func TestEveryMessageDecodesToItsType(t *testing.T) {
 	for kind, typ := range types {
 		m := reflect.New(typ).Interface().(Message)
 		data, err := Encode(7, true, m)
@@ -64,7 +64,7 @@
 }
 
 // Lists of hosts are most of what a change of map costs a large group.
-func TestAddressesAreShort(t *testing.T) {
+func TestAddressEncodingIsCompact(t *testing.T) {
 	for _, text := range []string{"10.1.64.9:7340", "[fe80::1]:80", "host:80", ""} {
 		data, err := Marshal(MapTarget{Address: Address(text), Incarnation: 300})
 		require.NoError(t, err)
