--- a/internal/journal/counters.go
+++ b/internal/journal/counters.go
@@ -2,7 +2,7 @@
 
 import "github.com/rcrowley/go-metrics"
 
-// The names of the counters.
+// Names of the metrics.
 const (
 	metricAppended  = "journal.appended"
 	metricBytes     = "journal.bytes"
@@ -10,21 +10,24 @@
 	metricSnapshots = "journal.snapshots"
 )
 
-// The histogram of latencies keeps a sample that favours the last five minutes.
+// Parameters of the latency histogram's exponentially decaying sample, which favours
+// the last five minutes.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
 
-// counters count what the journal does.
+// counters holds the metrics of a journal.
 type counters struct {
-	// appended counts batches, bytes what they took on disk.
+	// appended counts batches; bytes counts the bytes of their frames on disk;
+	// snapshots counts saved snapshots.
 	appended, bytes, snapshots metrics.Counter
-	// latency is that of write and sync of one batch, in microseconds.
+	// latency is the time to write and sync one batch, in microseconds.
 	latency metrics.Histogram
 }
 
-// newCounters returns counters that are registered with r, unless r is nil.
+// newCounters returns counters registered with r. If r is nil, they are registered with
+// a private registry.
 func newCounters(r metrics.Registry) counters {
 	if r == nil {
 		r = metrics.NewRegistry()
--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -5,10 +5,12 @@
 	"hash/crc32"
 )
 
-// A frame is a header of 32 bytes, a payload, and a pad that ends in a byte
-// other than zero and fills up to a multiple of 32. So a header never straddles
-// two sectors. The header counts the sectors in which the frame has nothing but
-// zeros; a sector that an unfinished write left out adds to them.
+// A frame is a record as it is stored in a file: a 32-byte header, the payload, and
+// non-zero padding up to a multiple of 32 bytes. The alignment ensures that a header
+// never spans two sectors. At least one byte of padding is always present, so that the
+// last sector of a frame is never all zeros. The header stores the number of sectors in
+// which the frame is all zeros. A higher number on disk means that an unfinished write
+// left out a sector.
 const (
 	headerSize = 32
 	alignment  = 32
@@ -17,18 +19,19 @@
 	magic      = 0x53504a31
 	maxPayload = 1 << 31
 
+	// Positions of the header fields in bytes. The magic number is at 0.
 	atLength   = 4
 	atOffset   = 8
 	atPrevious = 16
-	// atKind holds the kind in the low byte and the count of blank sectors in the
-	// three others.
+	// The field at atKind holds the kind in the low byte and the number of all-zero
+	// sectors in the other three.
 	atKind          = 20
 	zeroSectorShift = 8
 	atBodySum       = 24
 	atHeaderSum     = 28
 )
 
-// frameKind tells what the payload of a frame is.
+// frameKind is the type of a frame's payload.
 type frameKind uint8
 
 const (
@@ -40,30 +43,33 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// frame is one frame as read.
+// frame is a decoded frame.
 type frame struct {
 	kind    frameKind
 	payload []byte
-	// sum is the checksum of the header, which the next frame repeats.
+	// sum is the checksum of the header. The next frame's header repeats it.
 	sum uint32
+	// end is the offset of the first byte after the frame.
 	end int
 }
 
-// frameState is the outcome of reading at an offset.
+// frameState is the result of reading a frame at an offset.
 type frameState uint8
 
 const (
 	frameOK frameState = iota
-	// frameEnd: there is nothing at the offset, not even a part.
+	// frameEnd: the file ends at the offset.
 	frameEnd
-	// frameTorn: the write of the last frame did not finish.
+	// frameTorn: the write of the last frame did not complete.
 	frameTorn
-	// frameCorrupt: bytes are damaged that no unfinished write explains.
+	// frameCorrupt: the bytes are damaged in a way that an unfinished write does not
+	// explain.
 	frameCorrupt
 )
 
-// appendFrame appends a frame that stands at offset of its file, after the frame
-// with the checksum previous. It returns the grown buffer and its own checksum.
+// appendFrame appends to buf a frame for the given offset of a file. The parameter
+// previous is the header checksum of the frame before it. It returns the extended buffer
+// and the header checksum of the new frame.
 func appendFrame(buf []byte, kind frameKind, offset int64, previous uint32, payload []byte) ([]byte, uint32) {
 	start := len(buf)
 	buf = append(buf, make([]byte, headerSize)...)
@@ -77,16 +83,17 @@
 	binary.LittleEndian.PutUint32(header[atLength:], uint32(len(payload)))
 	binary.LittleEndian.PutUint64(header[atOffset:], uint64(offset))
 	binary.LittleEndian.PutUint32(header[atPrevious:], previous)
-	blank := uint32(countZeroSectors(buf[start:], offset))
-	binary.LittleEndian.PutUint32(header[atKind:], blank<<zeroSectorShift|uint32(kind))
+	zeroSectors := uint32(countZeroSectors(buf[start:], offset))
+	binary.LittleEndian.PutUint32(header[atKind:], zeroSectors<<zeroSectorShift|uint32(kind))
 	binary.LittleEndian.PutUint32(header[atBodySum:], crc32.Checksum(buf[start+headerSize:], castagnoli))
 	sum := crc32.Checksum(header[:atHeaderSum], castagnoli)
 	binary.LittleEndian.PutUint32(header[atHeaderSum:], sum)
 	return buf, sum
 }
 
-// readFrame reads the frame at off of a file's contents. The reason tells what
-// is wrong where the state is torn or corrupt.
+// readFrame decodes the frame at offset off of a file's contents. The parameter previous
+// is the header checksum of the frame before it. If the state is torn or corrupt, the
+// returned string is the reason.
 func readFrame(data []byte, off int, previous uint32) (frame, frameState, string) {
 	rest := data[off:]
 	if len(rest) == 0 {
@@ -122,7 +129,7 @@
 	}, frameOK, ""
 }
 
-// frameSize returns the bytes that a frame with a payload of n bytes takes.
+// frameSize returns the size in bytes of a frame with a payload of n bytes.
 func frameSize(n int64) int64 {
 	size := headerSize + n + 1
 	return (size + alignment - 1) / alignment * alignment
@@ -135,32 +142,34 @@
 		binary.LittleEndian.Uint32(b[atLength:]) < maxPayload
 }
 
-// classifyZeroHeader judges a header of zeros: its sector was not written, unless a
-// whole record follows, which is only written after this one was synced.
+// classifyZeroHeader decides whether an all-zero header is torn or corrupt. It is torn,
+// that is, its sector was not written, unless a valid header follows: the next record is
+// only written after this one has been synced.
 func classifyZeroHeader(data []byte, off int) (frame, frameState, string) {
 	for at := off + alignment; at+headerSize <= len(data); at += alignment {
 		if validHeader(data[at:], at) {
-			return frame{}, frameCorrupt, "a record follows bytes of zero"
+			return frame{}, frameCorrupt, "a record follows a zeroed header"
 		}
 	}
 	return frame{}, frameTorn, "missing header"
 }
 
-// classifyBadBody judges a record of full length with a bad checksum: an unfinished
-// write leaves sectors of zeros and nothing after it.
+// classifyBadBody decides whether a record of full length with a bad checksum is torn or
+// corrupt. It is torn if only zeros follow it and it has more all-zero sectors than were
+// written: that is what an unfinished write leaves behind.
 func classifyBadBody(rest []byte, off, size int) (frameState, string) {
 	if !allZero(rest[size:]) {
 		return frameCorrupt, "bad checksum before the last record"
 	}
-	written := binary.LittleEndian.Uint32(rest[atKind:]) >> zeroSectorShift
-	if countZeroSectors(rest[:size], int64(off)) > int(written) {
+	zeroSectorsWritten := binary.LittleEndian.Uint32(rest[atKind:]) >> zeroSectorShift
+	if countZeroSectors(rest[:size], int64(off)) > int(zeroSectorsWritten) {
 		return frameTorn, "missing sector"
 	}
 	return frameCorrupt, "bad checksum of a completely written record"
 }
 
-// countZeroSectors counts the sectors in which a frame that stands at offset has
-// nothing but zeros.
+// countZeroSectors returns the number of sectors in which the bytes b, located at the
+// given offset of a file, are all zeros.
 func countZeroSectors(b []byte, offset int64) int {
 	n := 0
 	for len(b) > 0 {
--- a/internal/journal/fs.go
+++ b/internal/journal/fs.go
@@ -15,26 +15,26 @@
 	io.Closer
 	// Truncate sets the length in bytes.
 	Truncate(size int64) error
-	// Sync returns once all that was written has reached the disk.
+	// Sync returns once all written data has reached the disk.
 	Sync() error
 }
 
-// FS is the part of a file system that the journal uses. Names are paths.
+// FS is the subset of file system operations that the journal uses. Names are paths.
 type FS interface {
 	MkdirAll(dir string) error
-	// Create makes an empty file, or empties one that exists.
+	// Create creates an empty file, or truncates an existing one.
 	Create(name string) (File, error)
 	// Open opens an existing file for writing.
 	Open(name string) (File, error)
 	ReadFile(name string) ([]byte, error)
-	// List returns the base names of the files of dir.
+	// List returns the base names of the files in dir.
 	List(dir string) ([]string, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// SyncDir returns once the names of the files of dir have reached the disk.
+	// SyncDir returns once the directory entries of dir have reached the disk.
 	SyncDir(dir string) error
-	// Lock takes the exclusive lock of a folder; it fails at once where another
-	// process holds it.
+	// Lock acquires an exclusive lock on the file with this name. It fails immediately if
+	// another process holds the lock.
 	Lock(name string) (io.Closer, error)
 }
 
@@ -43,7 +43,7 @@
 	fileMode = 0o600
 )
 
-// OS is the file system of the machine.
+// OS is the operating system's file system.
 type OS struct{}
 
 // MkdirAll implements FS.
@@ -92,7 +92,7 @@
 	return err
 }
 
-// Lock implements FS by flock, which the kernel releases when the process ends.
+// Lock implements FS with flock. The kernel releases the lock when the process ends.
 func (OS) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
@@ -105,8 +105,8 @@
 	return f, nil
 }
 
-// writeFileAtomic puts data under name so that a crash leaves the old file or the
-// new one, whole.
+// writeFileAtomic replaces the file name in dir. After a crash the file is either the
+// complete old one or the complete new one.
 func writeFileAtomic(fs FS, dir, name string, data []byte) error {
 	tmp := filepath.Join(dir, name+tempSuffix)
 	f, err := fs.Create(tmp)
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,29 +1,30 @@
-// Package journal keeps the log, the hard state and the newest snapshot of one
-// replica in one data folder.
+// Package journal stores the log, the hard state and the latest snapshot of one consensus
+// replica in a data folder.
 //
 // # Files
 //
-// disk-id names the disk; manifest names the first and the last segment and the
-// snapshot in force; segment-N holds records; snapshot-N holds the snapshot of
-// index N; lock carries the lock of the process. All but the segments are
-// replaced whole: written under a temporary name, synced, renamed, and the
-// folder synced.
+// The file disk-id holds a random identity of the disk. The file manifest holds the
+// numbers of the first and the last segment and the index of the current snapshot. A file
+// segment-N holds records, and snapshot-N holds the snapshot at log index N. The file lock
+// is locked by the process that uses the folder. All files except segments and the lock
+// are replaced atomically: written under a temporary name, synced, renamed, and the folder
+// synced.
 //
-// # What is detected
+// # Detected damage
 //
-// Each record carries its length, its offset, the checksum of the record before
-// it, and CRC-32C sums of header and body. One Append is one record, one write
-// and one sync, so at most the last record can be unfinished. A crash may leave
-// it short or with sectors (512 bytes) of zeros in the place of others; it is then cut. All else is a
-// CorruptError: a bad header that is not all zeros, a bad body of full length in
-// which no sector is missing (a flipped bit in the last record, even though it
-// was synced), damage before any later record, a gap, and a missing or foreign
-// segment, snapshot or manifest.
+// Each record contains its length, its offset, the checksum of the previous record, and
+// CRC-32C checksums of header and body. One Append makes one record, one write and one
+// sync, so only the last record can be unfinished. A crash may leave the last record
+// truncated, or with zeros in place of some sectors (512 bytes). Open then removes it.
+// Anything else is a CorruptError: a bad header that is not all zeros; a bad body of full
+// length without a missing sector, such as a flipped bit in the last record although it
+// was synced; damage before a later record; a gap in the log; and a segment, snapshot or
+// manifest that is missing or belongs to another disk.
 //
-// Not told from an unfinished write: a last segment that was shortened after the
-// sync, and sectors of its last record that turned to zeros as a whole, also by
-// the flip of the only bit set in one. A disk that writes less than a sector at
-// once, and one that answers a sync before it is done, are outside the model.
+// Two kinds of damage can't be told apart from an unfinished write: a last segment that
+// was truncated after the sync, and sectors of its last record that became all zeros, even
+// if only because the single set bit in a sector flipped. Disks that write less than a
+// sector atomically, or that acknowledge a sync before it is done, are not supported.
 package journal
 
 import (
@@ -42,7 +43,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/consensus"
 )
 
-// DefaultSegmentBytes is the size at which a new segment is begun.
+// DefaultSegmentBytes is the default of Options.SegmentBytes.
 const DefaultSegmentBytes = 16 << 20
 
 const (
@@ -54,17 +55,17 @@
 	snapshotPrefix = "snapshot-"
 )
 
-// ErrClosed is what a closed journal answers.
+// ErrClosed is returned by all methods of a closed journal except Close.
 var ErrClosed = errors.New("journal is closed")
 
-// CorruptError tells that the folder does not hold what was once synced. The
-// replica must not start from it.
+// CorruptError reports that the folder no longer contains all data that was synced. The
+// replica must not start with it.
 type CorruptError struct {
 	// File is the base name of the damaged file.
 	File string
-	// Offset is the position in bytes of the damaged record.
+	// Offset is the position of the damaged record in the file, in bytes.
 	Offset int64
-	// Reason tells what is wrong.
+	// Reason describes the damage.
 	Reason string
 }
 
@@ -75,44 +76,47 @@
 
 // Options are the settings of a journal.
 type Options struct {
-	// Dir is the data folder; it is made where it is missing, in a folder that exists.
+	// Dir is the data folder. It is created if missing; its parent must exist.
 	Dir string
-	// FS is the file system; nil is that of the machine.
+	// FS is the file system; nil means OS.
 	FS FS
-	// SegmentBytes is the size at which a new segment is begun; zero is
+	// SegmentBytes is the size at which a new segment is started; zero means
 	// DefaultSegmentBytes.
 	SegmentBytes int64
-	// Logger receives changes of state; nil is slog.Default.
+	// Logger receives log messages; nil means slog.Default().
 	Logger *slog.Logger
-	// Metrics receives the counters; nil keeps them to the journal.
+	// Metrics is the registry for the counters; nil means a private one.
 	Metrics metrics.Registry
 }
 
-// Recovered is what a folder held when it was opened.
+// Recovered is the content of a folder when it was opened.
 type Recovered struct {
-	// DiskID names the disk; a folder that is lost comes back under another.
+	// DiskID is the random identity of the disk. A folder that is created again after a
+	// loss has another one.
 	DiskID string
-	// Fresh tells that the folder was empty.
+	// Fresh is set if Open created the folder's files.
 	Fresh bool
-	// HardState is the last one that was appended. Its Commit may be below the
-	// index of the snapshot.
+	// HardState is the last appended hard state. Its Commit may be below the index of
+	// the snapshot.
 	HardState consensus.HardState
-	// Snapshot is the newest one; its index is zero where there is none.
+	// Snapshot is the latest snapshot; its index is zero if there is none.
 	Snapshot consensus.Snapshot
-	// Entries follow the snapshot without a gap.
+	// Entries are the log entries after the snapshot, without gaps.
 	Entries []consensus.Entry
-	// Truncated tells that an unfinished last record was cut.
+	// Truncated is set if an unfinished last record was removed.
 	Truncated bool
 }
 
-// manifest names the files in force.
+// manifest identifies the current files: the numbers of the first and the last segment,
+// and the index of the snapshot, zero if there is none.
 type manifest struct {
 	First    uint64 `cbor:"1,keyasint"`
 	Last     uint64 `cbor:"2,keyasint"`
 	Snapshot uint64 `cbor:"3,keyasint"`
 }
 
-// segmentHead is the first record of a segment.
+// segmentHead is the first record of a segment. Previous is the checksum of the last
+// record of the segment before it; HardState is the state at the start of the segment.
 type segmentHead struct {
 	Number    uint64              `cbor:"1,keyasint"`
 	DiskID    string              `cbor:"2,keyasint"`
@@ -120,20 +124,20 @@
 	HardState consensus.HardState `cbor:"4,keyasint"`
 }
 
-// batch is what one Append wrote.
+// batch is the record that one Append writes.
 type batch struct {
 	HardState *consensus.HardState `cbor:"1,keyasint,omitempty"`
 	Entries   []consensus.Entry    `cbor:"2,keyasint,omitempty"`
 }
 
-// segment is what the journal remembers of a segment.
+// segment is the in-memory information about a segment file.
 type segment struct {
 	number uint64
-	// highest is the highest index of an entry that it holds.
+	// highest is the highest index among its entries, zero if it has none.
 	highest uint64
 }
 
-// Journal is the log of one replica. Its methods may be called concurrently.
+// Journal is the persistent log of one replica. It is safe for concurrent use.
 type Journal struct {
 	fs           FS
 	dir          string
@@ -143,25 +147,26 @@
 	diskID       string
 	lock         io.Closer
 
-	// mu guards all below.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// failed is the first failure; every later call returns it.
-	failed    error
+	// failed is the first disk failure, or ErrClosed. All later calls return it.
+	failed error
+	// file is the last segment, offset its size, and sum the checksum of its last record.
 	file      File
 	offset    int64
 	sum       uint32
 	segments  []segment
 	hardState consensus.HardState
 	snapshot  consensus.SnapshotMeta
-	// terms holds the terms of the entries after the snapshot.
+	// terms are the terms of the entries after the snapshot.
 	terms []uint64
 	buf   []byte
 }
 
-// Append writes and syncs a batch. Entries replace those from their first index
-// on. A nil hs leaves the hard state as it is. After a failure of the disk the
-// journal answers every call with that failure. Entries that leave a gap or reach
-// below the snapshot are refused without effect.
+// Append writes and syncs a batch. The entries replace all existing ones from their first
+// index on. If hs is nil, the hard state is unchanged. Entries that would leave a gap, or
+// that start at or below the snapshot's index, are rejected without any effect. After a
+// disk failure all calls return that failure.
 func (j *Journal) Append(hs *consensus.HardState, entries []consensus.Entry) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -190,9 +195,10 @@
 	return nil
 }
 
-// SaveSnapshot makes s the snapshot in force and drops what it replaces. Entries
-// after it are kept where the log holds the entry of its index and term, and
-// dropped otherwise. A snapshot that is not newer is refused without effect.
+// SaveSnapshot makes s the current snapshot and deletes the data that it replaces. If the
+// log contains the entry with the snapshot's index and term, the entries after it are
+// kept; otherwise the whole log is discarded. A snapshot that is not newer than the
+// current one is rejected without any effect.
 func (j *Journal) SaveSnapshot(s consensus.Snapshot) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -208,7 +214,7 @@
 	return nil
 }
 
-// Close releases the folder. All that was acknowledged is synced already.
+// Close unlocks the folder. It need not sync, because each call syncs before it returns.
 func (j *Journal) Close() error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -223,14 +229,15 @@
 	return errors.Wrap(err, "close journal")
 }
 
-// fail poisons the journal. The caller holds mu.
+// fail records a disk failure, which all later calls return. The caller must hold mu.
 func (j *Journal) fail(err error) error {
 	j.failed = errors.Wrap(err, "journal failed")
 	j.log.Error("journal failed", "error", err)
 	return j.failed
 }
 
-// checkEntries tells whether entries continue the log. The caller holds mu.
+// checkEntries returns an error if the entries don't continue the log without a gap. The
+// caller must hold mu.
 func (j *Journal) checkEntries(entries []consensus.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -238,17 +245,17 @@
 	first := entries[0].Index
 	last := j.snapshot.Index + uint64(len(j.terms))
 	if first <= j.snapshot.Index || first > last+1 {
-		return errors.Errorf("entry %d does not continue a log of %d to %d", first, j.snapshot.Index, last)
+		return errors.Errorf("entry %d does not continue a log with snapshot %d and last entry %d", first, j.snapshot.Index, last)
 	}
 	for i, e := range entries {
 		if e.Index != first+uint64(i) {
-			return errors.Errorf("entry %d follows a gap", e.Index)
+			return errors.Errorf("entry %d of the batch is not consecutive", e.Index)
 		}
 	}
 	return nil
 }
 
-// write appends and syncs one record. The caller holds mu.
+// write appends and syncs one record. The caller must hold mu.
 func (j *Journal) write(payload []byte) error {
 	buf, sum := appendFrame(j.buf[:0], kindBatch, j.offset, j.sum, payload)
 	j.buf = buf
@@ -267,7 +274,7 @@
 	return nil
 }
 
-// applyBatch takes a synced batch into memory. The caller holds mu.
+// applyBatch updates the in-memory state with a synced batch. The caller must hold mu.
 func (j *Journal) applyBatch(hs *consensus.HardState, entries []consensus.Entry) {
 	if hs != nil {
 		j.hardState = *hs
@@ -283,7 +290,7 @@
 	current.highest = max(current.highest, entries[len(entries)-1].Index)
 }
 
-// roll begins a new segment. The caller holds mu.
+// roll starts a new segment. The caller must hold mu.
 func (j *Journal) roll() error {
 	number := j.segments[len(j.segments)-1].number + 1
 	if err := j.createSegment(number); err != nil {
@@ -293,7 +300,8 @@
 	return j.writeManifest()
 }
 
-// createSegment replaces the open file by a new segment. The caller holds mu.
+// createSegment creates a segment, closes the open one, and opens the new one in its
+// place. The caller must hold mu.
 func (j *Journal) createSegment(number uint64) error {
 	head := segmentHead{Number: number, DiskID: j.diskID, Previous: j.sum, HardState: j.hardState}
 	payload, err := encoding.Marshal(head)
@@ -319,7 +327,8 @@
 	return nil
 }
 
-// writeManifest puts the present files in force. The caller holds mu.
+// writeManifest makes the segments and the snapshot in memory the current files. The
+// caller must hold mu.
 func (j *Journal) writeManifest() error {
 	m := manifest{
 		First:    j.segments[0].number,
@@ -329,7 +338,7 @@
 	return j.writeRecordFile(manifestName, kindManifest, m)
 }
 
-// writeRecordFile replaces a file of a single record.
+// writeRecordFile replaces a file that consists of a single record.
 func (j *Journal) writeRecordFile(name string, kind frameKind, v any) error {
 	payload, err := encoding.Marshal(v)
 	if err != nil {
@@ -339,8 +348,8 @@
 	return writeFileAtomic(j.fs, j.dir, name, buf)
 }
 
-// saveSnapshot writes s, begins a segment, and drops what s replaces. The caller
-// holds mu.
+// saveSnapshot writes s, starts a new segment, and deletes the files that s replaces. The
+// caller must hold mu.
 func (j *Journal) saveSnapshot(s consensus.Snapshot) error {
 	if err := j.writeRecordFile(snapshotName(s.Meta.Index), kindSnapshot, s); err != nil {
 		return err
@@ -360,13 +369,14 @@
 	return j.removeObsolete(replaced)
 }
 
-// hasSnapshotEntry tells whether the log has the last entry of a snapshot.
+// hasSnapshotEntry reports whether the log contains the entry at the index and term of a
+// new snapshot.
 func (j *Journal) hasSnapshotEntry(meta consensus.SnapshotMeta) bool {
 	at := meta.Index - j.snapshot.Index
 	return at <= uint64(len(j.terms)) && j.terms[at-1] == meta.Term
 }
 
-// remainingTerms returns the terms that follow a new snapshot.
+// remainingTerms returns the terms of the entries that are kept after a new snapshot.
 func (j *Journal) remainingTerms(meta consensus.SnapshotMeta) []uint64 {
 	if !j.hasSnapshotEntry(meta) {
 		return nil
@@ -374,8 +384,8 @@
 	return slices.Clone(j.terms[meta.Index-j.snapshot.Index:])
 }
 
-// countObsoleteSegments counts the first segments that a new snapshot replaces. The last
-// segment, which is empty, always stays.
+// countObsoleteSegments returns how many of the first segments a new snapshot replaces.
+// The last segment, which is empty, is always kept.
 func (j *Journal) countObsoleteSegments(meta consensus.SnapshotMeta) int {
 	last := len(j.segments) - 1
 	if !j.hasSnapshotEntry(meta) {
@@ -388,8 +398,9 @@
 	return n
 }
 
-// removeObsolete removes the segments before the first in force, and a snapshot. What a
-// crash leaves behind is removed at the next Open.
+// removeObsolete deletes the segments before the first current one, and the snapshot with
+// the given index unless it is zero. If a crash interrupts it, the next Open deletes the
+// rest.
 func (j *Journal) removeObsolete(snapshot uint64) error {
 	if snapshot != 0 {
 		if err := j.fs.Remove(filepath.Join(j.dir, snapshotName(snapshot))); err != nil {
@@ -418,7 +429,8 @@
 
 var encoding, decoding = newCBORModes()
 
-// newCBORModes returns the CBOR modes; the options are constant and valid.
+// newCBORModes returns the modes for encoding and decoding. It panics only if the constant
+// options are invalid.
 func newCBORModes() (cbor.EncMode, cbor.DecMode) {
 	enc, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -28,13 +28,14 @@
 	return consensus.Entry{Index: index, Term: term, Data: bytes.Repeat([]byte{byte(index) | 1}, size)}
 }
 
-// expectedState is what a replica counts on.
+// expectedState is the state that a replica relies on after acknowledged calls.
 type expectedState struct {
 	hardState consensus.HardState
 	snapshot  consensus.Snapshot
 	entries   []consensus.Entry
 }
 
+// withEntries returns the state after a successful Append.
 func (c expectedState) withEntries(hs *consensus.HardState, entries []consensus.Entry) expectedState {
 	if hs != nil {
 		c.hardState = *hs
@@ -46,6 +47,7 @@
 	return c
 }
 
+// withSnapshot returns the state after a successful SaveSnapshot.
 func (c expectedState) withSnapshot(s consensus.Snapshot) expectedState {
 	at := s.Meta.Index - c.snapshot.Meta.Index
 	if at <= uint64(len(c.entries)) && c.entries[at-1].Term == s.Meta.Term {
@@ -71,7 +73,8 @@
 	return true
 }
 
-// drawCall draws one call; it returns the call and the content after it.
+// drawCall draws one Append or SaveSnapshot. It returns the call and the expected state
+// after it.
 func drawCall(t *rapid.T, c expectedState) (func(*Journal) error, expectedState) {
 	last := c.snapshot.Meta.Index + uint64(len(c.entries))
 	term := c.hardState.Term + uint64(rapid.IntRange(0, 1).Draw(t, "term"))
@@ -96,26 +99,26 @@
 	return func(j *Journal) error { return j.Append(hs, entries) }, c.withEntries(hs, entries)
 }
 
-// TestCrashLosesNoAcknowledgedWrite crashes at any point of any history: the
-// folder then holds all that was acknowledged, and at most the call that was
-// interrupted besides.
+// TestCrashLosesNoAcknowledgedWrite guards against lost data after a crash. Whatever the
+// calls before it and wherever the crash comes, the recovered state must contain all
+// acknowledged calls and, in addition, at most the interrupted one.
 func TestCrashLosesNoAcknowledgedWrite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fs := newMemFS()
 		var acked expectedState
-		maybe := []expectedState{acked}
+		possible := []expectedState{acked}
 		diskID := ""
-		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
+		pickIndex := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
 		for range rapid.IntRange(1, 4).Draw(t, "lives") {
 			fs.callsUntilCrash = rapid.IntRange(1, 60).Draw(t, "budget")
 			j, rec, err := openTestJournal(fs)
 			if err == nil {
-				acked = requireMatch(t, maybe, rec)
+				acked = requireMatch(t, possible, rec)
 				if diskID != "" {
 					require.Equal(t, diskID, rec.DiskID)
 				}
 				diskID = rec.DiskID
-				maybe = []expectedState{acked}
+				possible = []expectedState{acked}
 			}
 			for range rapid.IntRange(0, 12).Draw(t, "steps") {
 				if err != nil {
@@ -124,21 +127,23 @@
 				call, next := drawCall(t, acked)
 				if err = call(j); err == nil {
 					acked = next
-					maybe = []expectedState{acked}
+					possible = []expectedState{acked}
 				} else {
-					maybe = []expectedState{acked, next}
+					possible = []expectedState{acked, next}
 				}
 			}
-			fs.restart(rapid.Bool().Draw(t, "power"), pick)
+			fs.restart(rapid.Bool().Draw(t, "power"), pickIndex)
 		}
 		_, rec, err := openTestJournal(fs)
 		require.NoError(t, err)
-		requireMatch(t, maybe, rec)
+		requireMatch(t, possible, rec)
 	})
 }
 
-func requireMatch(t *rapid.T, maybe []expectedState, rec Recovered) expectedState {
-	for _, c := range maybe {
+// requireMatch returns the possible state that equals the recovered one, and fails if there
+// is none.
+func requireMatch(t *rapid.T, possible []expectedState, rec Recovered) expectedState {
+	for _, c := range possible {
 		if c.matches(rec) {
 			return c
 		}
@@ -148,8 +153,8 @@
 	return expectedState{}
 }
 
-// writeSampleJournal writes some segments and a snapshot, and last an entry of zeros; it
-// returns what must come back.
+// writeSampleJournal writes several segments and a snapshot, and an all-zero entry at the
+// end. It returns the expected state.
 func writeSampleJournal(t require.TestingT, fs *memFS) expectedState {
 	j, _, err := openTestJournal(fs)
 	require.NoError(t, err)
@@ -176,8 +181,8 @@
 	return fs.names[filepath.Join(testDir, names[slices.Index(names, snapshotName(3))-1])]
 }
 
-// TestFlippedBitIsRefused flips any one bit of any file, the last synced record
-// included.
+// TestFlippedBitIsRefused guards against starting with a single damaged bit in any file,
+// including the last synced record, which must not pass for an unfinished write.
 func TestFlippedBitIsRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fs := newMemFS()
@@ -192,8 +197,8 @@
 	})
 }
 
-// TestFlippedBitNextToZeroSectorsIsRefused goes over each byte of a last record
-// that has whole sectors of zeros.
+// TestFlippedBitNextToZeroSectorsIsRefused damages each byte of a last record that contains
+// all-zero sectors. Such sectors must not make the damage look like an unfinished write.
 func TestFlippedBitNextToZeroSectorsIsRefused(t *testing.T) {
 	fs := newMemFS()
 	writeSampleJournal(t, fs)
@@ -208,6 +213,7 @@
 	require.Empty(t, scanSegment(data).corrupt)
 }
 
+// TestMissingFileIsRefused guards against starting without one of the folder's files.
 func TestMissingFileIsRefused(t *testing.T) {
 	fs := newMemFS()
 	want := writeSampleJournal(t, fs)
@@ -229,6 +235,8 @@
 	require.False(t, rec.Truncated)
 }
 
+// TestSegmentOfAnotherDiskIsRefused guards against a segment file that was copied from the
+// data folder of another replica.
 func TestSegmentOfAnotherDiskIsRefused(t *testing.T) {
 	fs, other := newMemFS(), newMemFS()
 	writeSampleJournal(t, fs)
@@ -242,6 +250,8 @@
 	require.Equal(t, segmentName(4), corrupt.File)
 }
 
+// TestZerosAfterLastRecordAreTruncated guards against refusing a file that a crash left
+// extended but not written.
 func TestZerosAfterLastRecordAreTruncated(t *testing.T) {
 	fs := newMemFS()
 	want := writeSampleJournal(t, fs)
@@ -255,7 +265,8 @@
 	require.Equal(t, whole, len(last.data))
 }
 
-// TestRecordWithMissingSectorsIsTruncated loses each set of sectors of an unsynced last record.
+// TestRecordWithMissingSectorsIsTruncated zeroes each subset of the sectors of an unsynced
+// last record, as a crash can. Open must remove the record and must not report corruption.
 func TestRecordWithMissingSectorsIsTruncated(t *testing.T) {
 	const sectors = 4
 	for lost := 1; lost < 1<<sectors; lost++ {
@@ -283,8 +294,8 @@
 	}
 }
 
-// TestZeroedRecordIsRefused: zeros before a whole record are damage, because that
-// record was only written once the one before it was synced.
+// TestZeroedRecordBeforeAnotherIsRefused guards against taking zeros before a valid record
+// for an unfinished write: a record is only written once the previous one has been synced.
 func TestZeroedRecordBeforeAnotherIsRefused(t *testing.T) {
 	fs := newMemFS()
 	j, _, err := openTestJournal(fs)
@@ -302,8 +313,9 @@
 	require.Equal(t, int64(start), corrupt.Offset)
 }
 
-// TestShortenedSegmentIsRefused takes the last record off a segment that another
-// follows. The record holds no entry, so only the chain of checksums tells.
+// TestShortenedSegmentIsRefused removes the last record of a segment that is followed by
+// another. The record contains no entry, so there is no gap in the log, and only the chain
+// of checksums reveals the loss.
 func TestShortenedSegmentIsRefused(t *testing.T) {
 	fs := newMemFS()
 	j, _, err := openTestJournal(fs)
@@ -326,6 +338,8 @@
 	}
 }
 
+// TestDiskFailureFailsAllLaterCalls guards against continuing after a failed write or sync,
+// when it is unknown which data is on disk.
 func TestDiskFailureFailsAllLaterCalls(t *testing.T) {
 	for name, inject := range map[string]func(*memFS){
 		"sync":  func(m *memFS) { m.failSync = errSync },
@@ -348,9 +362,9 @@
 	}
 }
 
-// TestFailedSyncIsNotTakenForDurable: after a failed sync a record stands in
-// memory but not on disk. A restarted process that reads it back has to write it
-// again before it counts on it.
+// TestRecordOfFailedSyncIsRewrittenAtOpen: after a failed sync a record is in the page
+// cache but not on disk. A restarted process that reads it back must write and sync it
+// again before it relies on it, otherwise a later power failure loses it.
 func TestRecordOfFailedSyncIsRewrittenAtOpen(t *testing.T) {
 	fs := newMemFS()
 	j, _, err := openTestJournal(fs)
@@ -404,6 +418,8 @@
 	require.NoError(t, j.Close())
 }
 
+// FuzzScanSegment looks for segments that make scanSegment panic or read past the end, or of
+// which it skips bytes without reporting damage.
 func FuzzScanSegment(f *testing.F) {
 	fs := newMemFS()
 	writeSampleJournal(f, fs)
--- a/internal/journal/memfs_test.go
+++ b/internal/journal/memfs_test.go
@@ -17,20 +17,23 @@
 	errNotFound = errors.New("no such file")
 )
 
-// inode is a file of memFS: what readers see, what is on disk, and which sectors
-// the next sync would write.
+// inode is a file of memFS. Readers see data. Only durable survives a power failure. dirty
+// contains the sectors that the next sync copies from data to durable.
 type inode struct {
 	data, durable []byte
 	dirty         map[int]bool
 }
 
+// nameOp is a change of directory entries: it removes from and points to at file. Empty
+// names are ignored.
 type nameOp struct {
 	from, to string
 	file     *inode
 }
 
-// memFS loses what was not synced. Each changing call counts against budget;
-// the call that uses it up is done in part and fails, as does all after it.
+// memFS is an in-memory FS that can lose unsynced data. Each modifying call decrements
+// callsUntilCrash unless it is negative. When it is zero, the call fails, a write after
+// half of its bytes, and so do all later calls until restart.
 type memFS struct {
 	names, durableNames map[string]*inode
 	pending             []nameOp
@@ -60,6 +63,8 @@
 	return nil
 }
 
+// name applies a change of directory entries, which is lost in a power failure unless
+// SyncDir follows.
 func (m *memFS) name(op nameOp) {
 	applyNameOp(m.names, op)
 	m.pending = append(m.pending, op)
@@ -150,32 +155,33 @@
 
 func (u memLock) Close() error { u.m.locked = false; return nil }
 
-// restart brings the machine back. A power cut keeps the first renames of those
-// not synced, and any sectors of those not written; a killed process loses
-// nothing that was written.
-func (m *memFS) restart(power bool, pick func(n int) int) {
+// restart simulates the restart of the process, or of the host after a power failure. A
+// power failure keeps the first few of the unsynced directory changes, and an arbitrary
+// subset of each file's unsynced sectors. A process that was killed loses no written data.
+func (m *memFS) restart(powerFailure bool, pickIndex func(n int) int) {
 	m.crashed, m.locked, m.callsUntilCrash = false, false, -1
 	m.failSync, m.failWrite, m.shortWrite = nil, nil, false
-	if !power {
+	if !powerFailure {
 		return
 	}
-	for _, op := range m.pending[:pick(len(m.pending)+1)] {
+	for _, op := range m.pending[:pickIndex(len(m.pending)+1)] {
 		applyNameOp(m.durableNames, op)
 	}
 	m.pending = nil
 	m.names = maps.Clone(m.durableNames)
 	for _, name := range slices.Sorted(maps.Keys(m.names)) {
-		m.names[name].losePower(pick)
+		m.names[name].losePower(pickIndex)
 	}
 }
 
-func (f *inode) losePower(pick func(n int) int) {
-	switch pick(3) {
+// losePower keeps all, some or none of the unsynced sectors and drops the others.
+func (f *inode) losePower(pickIndex func(n int) int) {
+	switch pickIndex(3) {
 	case 0:
 		f.dirty = map[int]bool{}
 	case 1:
 		for sector := 0; sector*sectorSize < len(f.data); sector++ {
-			if f.dirty[sector] && pick(2) == 0 {
+			if f.dirty[sector] && pickIndex(2) == 0 {
 				delete(f.dirty, sector)
 			}
 		}
@@ -240,7 +246,7 @@
 	return nil
 }
 
-// Sync drops the marks of unwritten sectors also where it fails, as kernels do.
+// Sync clears the dirty marks even if it fails, as kernels do.
 func (h *memFile) Sync() error {
 	if err := h.m.countCall(); err != nil {
 		return err
--- a/internal/journal/open.go
+++ b/internal/journal/open.go
@@ -11,12 +11,12 @@
 	"github.com/pkg/errors"
 )
 
-// diskIDBytes is the length of the random identity of a disk.
+// diskIDBytes is the length of the random disk ID.
 const diskIDBytes = 16
 
-// Open opens the folder and returns what it holds. It returns a *CorruptError
-// where the folder is damaged, and another error where it is in use or the disk
-// fails.
+// Open opens the data folder and returns the journal and the folder's content. The error
+// is a *CorruptError if the folder is damaged. Other errors mean that another process uses
+// the folder or that the disk failed.
 func Open(o Options) (*Journal, Recovered, error) {
 	j := newJournal(o)
 	if err := j.fs.MkdirAll(j.dir); err != nil {
@@ -53,15 +53,15 @@
 	return j
 }
 
-// folderListing is the listing of a data folder.
+// folderListing is the set of file names in a data folder.
 type folderListing struct {
 	names map[string]bool
 }
 
 func (f folderListing) has(name string) bool { return f.names[name] }
 
-// hasData tells whether the folder holds more than a first Open makes before it
-// writes the manifest.
+// hasData reports whether the folder contains files that the first Open does not create
+// before it writes the manifest.
 func (f folderListing) hasData() bool {
 	for name := range f.names {
 		if _, ok := parseName(name, snapshotPrefix); ok {
@@ -89,8 +89,8 @@
 	return j.recover(files)
 }
 
-// list returns the files of the folder without those that a crash left half
-// written, which it removes.
+// list returns the files of the folder. It deletes temporary files, which a crash left
+// behind.
 func (j *Journal) list() (folderListing, error) {
 	names, err := j.fs.List(j.dir)
 	if err != nil {
@@ -109,8 +109,8 @@
 	return files, nil
 }
 
-// create fills a new folder. The manifest comes last, so that a folder without
-// one has never acknowledged anything.
+// create writes the files of a new folder. It writes the manifest last, so a folder
+// without a manifest contains no acknowledged data.
 func (j *Journal) create(files folderListing) (Recovered, error) {
 	if files.hasData() {
 		return Recovered{}, &CorruptError{File: manifestName, Reason: "missing"}
@@ -123,7 +123,7 @@
 	}
 	id := make([]byte, diskIDBytes)
 	if _, err := rand.Read(id); err != nil {
-		return Recovered{}, errors.Wrap(err, "draw disk id")
+		return Recovered{}, errors.Wrap(err, "generate disk id")
 	}
 	j.diskID = hex.EncodeToString(id)
 	if err := writeFileAtomic(j.fs, j.dir, diskIDName, []byte(j.diskID+"\n")); err != nil {
@@ -140,8 +140,9 @@
 	return Recovered{DiskID: j.diskID, Fresh: true}, nil
 }
 
-// checkSegmentEmpty refuses a segment that the manifest does not name and that holds
-// more than its head: records are only written once the manifest names it.
+// checkSegmentEmpty returns a *CorruptError if a segment that the manifest does not list
+// contains records after its head. Such records are only written once the manifest lists
+// the segment, so the manifest is missing or outdated.
 func (j *Journal) checkSegmentEmpty(files folderListing, name string) error {
 	if !files.has(name) {
 		return nil
@@ -157,7 +158,7 @@
 	return nil
 }
 
-// recover reads a folder that has a manifest.
+// recover restores the journal from a folder that has a manifest.
 func (j *Journal) recover(files folderListing) (Recovered, error) {
 	id, err := j.readDiskID(files)
 	if err != nil {
@@ -174,7 +175,7 @@
 			return Recovered{}, err
 		}
 		if rec.Snapshot.Meta.Index != m.Snapshot {
-			return Recovered{}, &CorruptError{File: snapshotName(m.Snapshot), Reason: "holds another index"}
+			return Recovered{}, &CorruptError{File: snapshotName(m.Snapshot), Reason: "snapshot has another index"}
 		}
 	}
 	r := replay{journal: j, snapshot: rec.Snapshot.Meta.Index}
@@ -204,7 +205,7 @@
 	return strings.TrimSuffix(string(data), "\n"), nil
 }
 
-// readRecordFile reads a file of a single record.
+// readRecordFile decodes a file that consists of a single record into v.
 func (j *Journal) readRecordFile(files folderListing, name string, kind frameKind, v any) error {
 	if !files.has(name) {
 		return &CorruptError{File: name, Reason: "missing"}
@@ -218,7 +219,7 @@
 		return &CorruptError{File: name, Reason: "unreadable: " + reason}
 	}
 	if f.kind != kind || f.end != len(data) {
-		return &CorruptError{File: name, Reason: "holds another kind of record"}
+		return &CorruptError{File: name, Reason: "contains another kind of record"}
 	}
 	if err := decoding.Unmarshal(f.payload, v); err != nil {
 		return &CorruptError{File: name, Reason: err.Error()}
@@ -226,7 +227,8 @@
 	return nil
 }
 
-// removeUnused removes what a crash kept a snapshot or a roll from removing.
+// removeUnused deletes segments and snapshots that are not in the manifest. A crash can
+// leave them behind while a snapshot is saved or a segment is started.
 func (j *Journal) removeUnused(files folderListing, m manifest) error {
 	for name := range files.names {
 		snapshot, isSnapshot := parseName(name, snapshotPrefix)
@@ -248,7 +250,7 @@
 	return errors.Wrap(j.fs.SyncDir(j.dir), "sync folder")
 }
 
-// parseName reads the number of a segment or snapshot.
+// parseName returns the number of a segment or the index of a snapshot from its file name.
 func parseName(name, prefix string) (uint64, bool) {
 	digits, ok := strings.CutPrefix(name, prefix)
 	if !ok {
--- a/internal/journal/patient.go
+++ b/internal/journal/patient.go
@@ -8,23 +8,25 @@
 	"github.com/pkg/errors"
 )
 
-// fullDiskRetryInterval is how often a write is tried again that found the disk full.
+// fullDiskRetryInterval is the pause before an operation is retried that failed because the
+// disk was full.
 const fullDiskRetryInterval = 100 * time.Millisecond
 
-// SpaceWaitingFS is an FS that waits while the disk is full, instead of failing: a replica that
-// ends then would start and fail again until there is room, and one that waits is no
-// worse off than with a disk that stalls. Only what the system refused whole or in part
-// for want of space is done again, at the same place with the same bytes. A sync that
-// fails is never repeated.
+// SpaceWaitingFS is an FS that waits while the disk is full instead of failing. A replica
+// that exited because of a full disk would restart and fail again until there is space. A
+// replica that waits is no worse off than with a disk that stalls. Only operations that
+// failed with ENOSPC are retried; a partial write continues with the remaining bytes at
+// their offset. A failed sync is never retried.
 type SpaceWaitingFS struct {
 	FS
-	// Log is told when the disk is full and when there is room again.
+	// Log receives a message when the disk becomes full and when it has space again.
 	Log *slog.Logger
-	// Sleep waits for a span; time.Sleep if nil.
+	// Sleep pauses before a retry; nil means time.Sleep.
 	Sleep func(time.Duration)
 }
 
-// retryWhileFull calls do until it fails with something else than want of space, or succeeds.
+// retryWhileFull calls do until its error is not ENOSPC, and returns that error or nil. The
+// parameter what names the operation in the log.
 func (p SpaceWaitingFS) retryWhileFull(what string, do func() error) error {
 	err := do()
 	if !errors.Is(err, syscall.ENOSPC) {
@@ -76,7 +78,7 @@
 	return p.retryWhileFull("make folder", func() error { return p.FS.MkdirAll(dir) })
 }
 
-// spaceWaitingFile waits with its writes.
+// spaceWaitingFile is a File whose writes wait while the disk is full.
 type spaceWaitingFile struct {
 	File
 	fs SpaceWaitingFS
--- a/internal/journal/patient_test.go
+++ b/internal/journal/patient_test.go
@@ -12,7 +12,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/consensus"
 )
 
-// fullDiskFS is a disk without room for some operations to come.
+// fullDiskFS is a file system on which the next operations that need space fail with
+// ENOSPC, as many as refusals says.
 type fullDiskFS struct {
 	FS
 	refusals *int
@@ -44,7 +45,7 @@
 	fs fullDiskFS
 }
 
-// WriteAt takes half of the bytes before it finds the disk full.
+// WriteAt writes half of the bytes before it fails on a full disk.
 func (f fullDiskFile) WriteAt(data []byte, offset int64) (int, error) {
 	if err := f.fs.nextError(); err != nil {
 		n, _ := f.File.WriteAt(data[:len(data)/2], offset)
@@ -53,6 +54,8 @@
 	return f.File.WriteAt(data, offset)
 }
 
+// A replica on a full disk must wait for space. If a write is retried incompletely, or the
+// journal fails instead, the entry of the interrupted Append is lost.
 func TestFullDiskIsWaitedForWithoutLoss(t *testing.T) {
 	refusals, pauses := 0, 0
 	fs := SpaceWaitingFS{
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -9,14 +9,15 @@
 	"github.com/sassafraspost/sassafraspost/internal/consensus"
 )
 
-// replay rebuilds the log from the segments.
+// replay rebuilds the state of a journal from its segments.
 type replay struct {
-	journal   *Journal
+	journal *Journal
+	// snapshot is the index of the current snapshot, zero if there is none.
 	snapshot  uint64
 	hardState consensus.HardState
 	entries   []consensus.Entry
 	truncated bool
-	// sum is the checksum of the last record.
+	// sum is the checksum of the last record that was read.
 	sum uint32
 }
 
@@ -65,11 +66,12 @@
 	return r.openForAppend(name, data, s)
 }
 
-// head checks that a segment belongs here.
+// head checks that a segment's head has the expected number, belongs to this disk, and
+// follows the previous segment. It sets the hard state at the segment's start.
 func (r *replay) head(name string, h segmentHead, number uint64, m manifest) error {
 	switch {
 	case h.Number != number:
-		return &CorruptError{File: name, Reason: "is another segment"}
+		return &CorruptError{File: name, Reason: "head has another segment number"}
 	case h.DiskID != r.journal.diskID:
 		return &CorruptError{File: name, Reason: "belongs to another disk"}
 	case number != m.First && h.Previous != r.sum:
@@ -79,7 +81,8 @@
 	return nil
 }
 
-// batch takes one batch; it returns why it cannot follow those before it.
+// batch adds one batch to the log. If the batch can't follow the previous ones, it returns
+// the reason, and otherwise an empty string.
 func (r *replay) batch(b batch) string {
 	if b.HardState != nil {
 		r.hardState = *b.HardState
@@ -107,9 +110,9 @@
 	return ""
 }
 
-// openForAppend opens the last segment for appending: it cuts an unfinished record, and
-// writes the last whole one again, because after a failed sync it may stand in
-// memory and not on disk.
+// openForAppend opens the last segment for appending. It removes an unfinished record, and
+// writes the last complete record again, because after a failed sync that record may be in
+// the page cache but not on disk.
 func (r *replay) openForAppend(name string, data []byte, s scan) error {
 	j := r.journal
 	f, err := j.fs.Open(filepath.Join(j.dir, name))
@@ -121,10 +124,10 @@
 	j.sum = s.sum
 	if s.end < len(data) {
 		if err := f.Truncate(int64(s.end)); err != nil {
-			return errors.Wrap(err, "cut segment")
+			return errors.Wrap(err, "truncate segment")
 		}
 		r.truncated = true
-		j.log.Warn("journal cut an unfinished record", "file", name, "offset", s.end, "bytes", len(data)-s.end)
+		j.log.Warn("journal removed an unfinished record", "file", name, "offset", s.end, "bytes", len(data)-s.end)
 	}
 	if _, err := f.WriteAt(data[s.lastStart:s.end], int64(s.lastStart)); err != nil {
 		return errors.Wrap(err, "write last record again")
@@ -132,18 +135,19 @@
 	return errors.Wrap(f.Sync(), "sync segment")
 }
 
-// scan is the contents of one segment.
+// scan is the decoded content of one segment.
 type scan struct {
 	head    segmentHead
 	batches []batch
-	// lastStart and end are the offsets at which the last whole record begins and ends.
+	// lastStart and end are the offsets at which the last complete record starts and ends.
 	lastStart, end int
 	sum            uint32
-	// torn and corrupt tell why reading ended before the end of the file.
+	// torn and corrupt are the reasons why reading stopped before the end of the file. At
+	// most one of them is set.
 	torn, corrupt string
 }
 
-// scanSegment reads a segment up to its end or the first record that is not whole.
+// scanSegment decodes a segment up to its end or the first record that is not valid.
 func scanSegment(data []byte) scan {
 	var s scan
 	for {
@@ -169,8 +173,8 @@
 	}
 }
 
-// setTorn notes an unfinished record. The head is synced before the segment gets
-// its name, so it cannot be unfinished.
+// setTorn records that a record is unfinished. A segment's head can't be unfinished,
+// because it is synced before the segment gets its name, so a torn head is corrupt.
 func (s *scan) setTorn(reason string) {
 	if s.end == 0 {
 		s.corrupt = "head: " + reason
