--- a/internal/peer/failure.go
+++ b/internal/peer/failure.go
@@ -7,7 +7,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// NewFailure turns err into the message that carries it.
+// NewFailure returns the message that represents err.
 func NewFailure(err error) *wire.Failure {
 	e := verdict.FromError(err)
 	return &wire.Failure{
@@ -18,8 +18,8 @@
 	}
 }
 
-// FailureError turns a received failure into a *verdict.Error. A verdict that
-// this build does not know counts as MayHaveRun.
+// FailureError returns the error that a received failure represents. A verdict that this
+// build does not know becomes MayHaveRun.
 func FailureError(f *wire.Failure) *verdict.Error {
 	v := verdict.Verdict(f.Verdict)
 	if v > verdict.Ran {
@@ -33,6 +33,8 @@
 	}
 }
 
+// unwrapFailure returns the results of Session.Call for a reply. The error is set if the
+// reply is a failure.
 func unwrapFailure(m wire.Message) (wire.Message, bool, error) {
 	if f, ok := m.(*wire.Failure); ok {
 		return f, true, FailureError(f)
--- a/internal/peer/liveness.go
+++ b/internal/peer/liveness.go
@@ -9,55 +9,59 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// StartProbing asks for a sharp watch on the other end until Release: while something waits
-// for it, it is probed, and a silent end ends the session within seconds. A session
-// that is not held costs little and notices a dead end late.
+// StartProbing makes the session probe the peer with pings until StopProbing, so that a dead
+// peer ends the session within seconds while a caller waits for it. A session that is not
+// probed costs little and detects a dead peer late. Calls are counted: probing ends when
+// StopProbing has been called as often.
 func (s *Session) StartProbing() {
 	if s.probers.Add(1) == 1 {
 		s.probedSince.Store(int64(s.age()))
 	}
 }
 
-// StopProbing undoes one Hold.
+// StopProbing undoes one call of StartProbing.
 func (s *Session) StopProbing() { s.probers.Add(-1) }
 
-// CallWithin is Call where the other end answers at once if it is there: without an answer
-// within the limit the session ends, so that whoever needs the host next dials anew. A
-// connection that was cut for a while would else wait for its own retransmission.
+// CallWithin is Call for messages that a live peer replies to immediately. If there is no
+// reply within the limit, it closes the session, so that the next caller dials a new
+// connection. After a network interruption the old connection might be unusable until
+// TCP's retransmission timer fires.
 func (s *Session) CallWithin(ctx context.Context, limit time.Duration, m wire.Message) (wire.Message, bool, error) {
 	short, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	reply, sent, err := s.Call(short, m)
 	if err != nil && short.Err() != nil && ctx.Err() == nil {
-		s.fail(errors.Wrap(err, "peer: no answer"))
+		s.fail(errors.Wrap(err, "peer: no reply in time"))
 	}
 	return reply, sent, err
 }
 
+// age returns the time since the session was opened.
 func (s *Session) age() time.Duration { return time.Since(s.opened) }
 
-// SilentFor returns how long ago the other end was heard.
-func (s *Session) SilentFor() time.Duration { return s.age() - time.Duration(s.heard.Load()) }
+// SilentFor returns the time since the last message from the peer.
+func (s *Session) SilentFor() time.Duration { return s.age() - time.Duration(s.lastReceived.Load()) }
 
-// isSilent reports whether the other end has been silent for too long.
+// isSilent reports whether the peer has been silent for longer than allowed.
 func (s *Session) isSilent() bool {
-	heard := time.Duration(s.heard.Load())
+	lastReceived := time.Duration(s.lastReceived.Load())
 	if s.probers.Load() == 0 {
-		return s.age()-heard > s.silenceTimeout()
+		return s.age()-lastReceived > s.silenceTimeout()
 	}
-	return s.age()-max(heard, time.Duration(s.probedSince.Load())) > s.probeTimeout
+	return s.age()-max(lastReceived, time.Duration(s.probedSince.Load())) > s.probeTimeout
 }
 
-// keepAlive probes the other end of a held session, and breaks a silence of our own
-// that has become too long.
+// keepAlive sends a ping if the session is probed, or if this end has sent nothing for the
+// ping interval. quiet is the time since its last message.
 func (s *Session) keepAlive(quiet time.Duration) {
-	isHeld := s.probers.Load() > 0
-	if isHeld || quiet >= s.pingInterval {
-		_ = s.Post(&wire.Ping{WantsEcho: isHeld})
+	isProbed := s.probers.Load() > 0
+	if isProbed || quiet >= s.pingInterval {
+		_ = s.Post(&wire.Ping{WantsEcho: isProbed})
 	}
 }
 
-// silenceTimeout is how long the other end may be silent before it counts as dead.
+// silenceTimeout returns how long the peer of a session that is not probed may be silent
+// before it counts as dead.
 func (s *Session) silenceTimeout() time.Duration {
 	ping := time.Duration(s.remote.PingMS) * time.Millisecond
 	if ping <= 0 {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,6 +21,8 @@
 
 const testSecret = "a secret of the processes"
 
+// testHost is a process with a peer listener. got receives its messages if it has no other
+// handler.
 type testHost struct {
 	pool    *Pool
 	address string
@@ -104,8 +106,8 @@
 	require.NoError(t, err, "a new session can begin")
 }
 
-// A frozen end of a held session is noticed within seconds, long before the pings
-// would tell. Without the probe in keepAlive this fails.
+// A frozen peer of a probed session must be detected within seconds, long before missed
+// pings reveal it. This fails if keepAlive does not probe the peer.
 func TestProbedSessionDetectsFrozenPeer(t *testing.T) {
 	b := startHost(t, "b", nil)
 	proxy, err := faultproxy.NewTCP(b.address)
@@ -119,11 +121,12 @@
 	select {
 	case <-s.Done():
 	case <-time.After(DefaultPingInterval):
-		require.Fail(t, "the frozen end was not noticed")
+		require.Fail(t, "the frozen peer was not detected")
 	}
 }
 
-// Without the mark or the handshake in shutdown this fails: the last messages are lost.
+// A shutdown must deliver all queued messages. It would lose the last ones if it did not wait
+// for the flush marker or for the closing handshake.
 func TestShutdownDeliversQueuedMessages(t *testing.T) {
 	const count = 500
 	received := make(chan wire.Message, count)
@@ -146,7 +149,7 @@
 }
 
 func TestUnsentMessageIsWithdrawn(t *testing.T) {
-	s := NewPool(Config{}).newSession(nil, wire.Hello{}) // no writer runs: nothing is ever begun
+	s := NewPool(Config{}).newSession(nil, wire.Hello{}) // no writer runs, so no message is ever started
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	require.ErrorIs(t, s.Send(ctx, &wire.Ping{}), context.Canceled)
@@ -158,8 +161,9 @@
 	}
 }
 
-// An end that gives no answer in time loses its session, and the next one is a new one: a
-// connection that was cut may take seconds to find out that it is whole again.
+// If CallWithin gets no reply in time, it must close the session, so that the next caller
+// dials a new connection. After a network interruption, the old connection can take seconds
+// to recover. A caller that gives up itself must not close the session.
 func TestCallWithinTimeoutEndsTheSession(t *testing.T) {
 	b := startHost(t, "b", HandlerFunc(func(s *Session, call uint64, m wire.Message) {
 		if q := m.(*wire.GroupQuery); q.Group == "known" {
@@ -174,19 +178,20 @@
 	require.NoError(t, err)
 	_, _, err = s.CallWithin(t.Context(), DefaultPingInterval, &wire.GroupQuery{Group: "known"})
 	require.NoError(t, err)
-	gone, leave := context.WithCancel(t.Context())
-	leave()
-	_, _, err = s.CallWithin(gone, DefaultPingInterval, &wire.GroupQuery{})
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
+	_, _, err = s.CallWithin(cancelled, DefaultPingInterval, &wire.GroupQuery{})
 	require.Error(t, err)
-	require.True(t, s.Alive(), "the asker left; that says nothing of the other end")
+	require.True(t, s.Alive(), "a cancelled caller says nothing about the peer")
 	proxy.Freeze()
 	_, _, err = s.CallWithin(t.Context(), 10*time.Millisecond, &wire.GroupQuery{Group: "known"})
 	require.Error(t, err)
 	require.False(t, s.Alive())
 }
 
-// A message that its reader can't serve ends the session that it came by, not the process that
-// serves callers: its sender sends it again to the next start, and to all others.
+// A message on which the handler panics must end only its session, not the process, which
+// serves other callers. The sender sends the message again, so otherwise it would crash the
+// restarted process and all other hosts too.
 func TestHandlerPanicEndsOnlyTheSession(t *testing.T) {
 	served := make(chan wire.Message, 1)
 	b := startHost(t, "b", HandlerFunc(func(_ *Session, _ uint64, m wire.Message) {
@@ -207,9 +212,9 @@
 	require.EqualValues(t, 1, b.pool.traffic.panicked.Count())
 }
 
-// A host that shuts down answers every call that has left for it, or it never left: who asked
-// must not be told that its call may have run. Bookings in progress were told so while the
-// leader of the control hosts shut down.
+// When a host shuts down, each call to it must either get its reply or count as not sent.
+// Otherwise the caller has to report that the call may have run. That happened to
+// booking requests in progress while the leader of the control hosts shut down.
 func TestShutdownAnswersCallsInFlight(t *testing.T) {
 	for range 40 {
 		b := startHost(t, "b", HandlerFunc(func(s *Session, call uint64, _ wire.Message) {
@@ -240,6 +245,6 @@
 		require.Eventually(t, func() bool { return answered.Load() > 30 }, 20*time.Second, time.Millisecond)
 		b.pool.Shutdown(t.Context())
 		wg.Wait()
-		require.Zero(t, lost.Load(), "calls that left and got no answer")
+		require.Zero(t, lost.Load(), "calls that were sent and got no reply")
 	}
 }
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -19,62 +19,70 @@
 )
 
 const (
-	// DefaultDialTimeout is what Config.DialTimeout is by default.
+	// DefaultDialTimeout is the default of Config.DialTimeout.
 	DefaultDialTimeout = 2 * time.Second
-	// minHandshakeTimeout is how long a host that has taken a connection has for its greeting; the
-	// limit doubles up to greetMost with each greeting that does not come in time. A host
-	// that greets hundreds is at work on it: who dials it anew too soon only adds to that.
+	// minHandshakeTimeout is how long a host that has accepted a connection may take for
+	// the handshake, which is the WebSocket upgrade and the exchange of Hello messages. The
+	// timeout doubles with each handshake that exceeds it, up to maxHandshakeTimeout. A host
+	// that has hundreds of handshakes to do needs that time; dialling it again too soon only
+	// adds to its work.
 	minHandshakeTimeout = time.Second
 	maxHandshakeTimeout = 4 * time.Second
-	// redialDelay is how long a failed address is left alone, so that callers on
-	// their way to a dead host fail at once instead of each waiting for a dial.
+	// redialDelay is how long an address is not dialled again after a failure, so that
+	// callers that need a dead host fail at once instead of each waiting for a dial.
 	redialDelay = 50 * time.Millisecond
 )
 
-// Config is what a Pool needs.
+// Config configures a Pool.
 type Config struct {
-	Hello   wire.Hello
-	Secret  string
+	// Hello describes this host to its peers.
+	Hello wire.Hello
+	// Secret authenticates the processes of the system to each other.
+	Secret string
+	// Handler receives the messages of all sessions.
 	Handler Handler
-	// TLS is the client side of the peer listeners; nil means no TLS.
+	// TLS is the client configuration for dialling peers; nil means no TLS.
 	TLS *tls.Config
-	// OnUp, if set, is called once for each session that begins, dialled or accepted.
+	// OnSession, if set, is called once for each new session, dialled or accepted.
 	OnSession func(*Session)
-	// PingInterval is the longest silence of a live session; DefaultPingInterval
-	// if zero. A host with many sessions takes a longer one.
+	// PingInterval is the longest time that this host sends nothing on a live session; zero
+	// means DefaultPingInterval. A host with many sessions should use a longer interval.
 	PingInterval time.Duration
-	// ProbeTimeout is how long the other end of a held session may be silent; DefaultHeldLimit
-	// if zero. The other end is probed four times in that span.
+	// ProbeTimeout is how long the peer of a probed session may be silent (see
+	// Session.StartProbing); zero means DefaultProbeTimeout. The peer is probed four times
+	// within this time.
 	ProbeTimeout time.Duration
-	// DialTimeout bounds how long a host may take to accept a connection; DefaultDialTimeout
-	// if zero. It has longer for its greeting.
+	// DialTimeout bounds how long a host may take to accept a connection; zero means
+	// DefaultDialTimeout. The handshake has a timeout of its own.
 	DialTimeout time.Duration
-	// BeforeGreeting, if set, is called before each greeting of a host that has dialled.
+	// BeforeHandshake, if set, is called before each handshake with a host that dialled.
 	BeforeHandshake func()
-	// Metrics receives the counters of traffic; a registry of its own if nil.
+	// Metrics is the registry for the traffic counters; nil means a private one.
 	Metrics metrics.Registry
-	// Log, if set, gets messages that can't be served.
+	// Log receives the errors of messages whose handler panicked; nil discards them.
 	Log *slog.Logger
 }
 
-// Pool holds the live sessions by the address of the other host.
+// Pool holds the live sessions with other hosts, by the address of the host.
 type Pool struct {
 	cfg     Config
 	client  *http.Client
 	traffic *traffic
 
-	// mu guards the fields below. It is not held while dialling.
+	// mu guards the fields below. It is not locked while dialling.
 	mu sync.Mutex
-	// allSessions holds every live session, sessions the last one by address.
+	// allSessions contains every live session, sessionsByAddress the latest one of each
+	// address.
 	allSessions       map[*Session]bool
 	sessionsByAddress map[string]*Session
 	dials             map[string]*dial
-	// handshakeTimeouts is how long a host has for its greeting, by address; greetFirst where it is 0.
+	// handshakeTimeouts are the handshake timeouts of hosts, by address. A host that is not
+	// listed has minHandshakeTimeout.
 	handshakeTimeouts map[string]time.Duration
 	closed            bool
 }
 
-// dial is one attempt to reach an address, shared by all who wait for it.
+// dial is one attempt to connect to an address, shared by all callers that wait for it.
 type dial struct {
 	done       chan struct{}
 	s          *Session
@@ -112,8 +120,8 @@
 	}
 }
 
-// Get returns the live session with the host at address, and dials where there
-// is none. An error means that nothing was sent.
+// Get returns the live session with the host at address. It dials if there is none. If it
+// returns an error, nothing was sent.
 func (p *Pool) Get(ctx context.Context, address string) (*Session, error) {
 	if s := p.Live(address); s != nil {
 		return s, nil
@@ -154,7 +162,8 @@
 	return out
 }
 
-// sharedDial returns the running dial to address, or starts one.
+// sharedDial returns the dial to address that is in progress or failed less than
+// redialDelay ago, or starts one.
 func (p *Pool) sharedDial(address string) (*dial, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -195,14 +204,15 @@
 	close(d.done)
 }
 
-// handshakeTimeout returns how long the host at address has for its greeting.
+// handshakeTimeout returns how long the host at address may take for the handshake.
 func (p *Pool) handshakeTimeout(address string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(p.handshakeTimeouts[address], minHandshakeTimeout)
 }
 
-// recordHandshake doubles the limit of a host whose greeting did not come in time.
+// recordHandshake doubles the handshake timeout of a host that exceeded it, and resets it
+// otherwise.
 func (p *Pool) recordHandshake(address string, limit time.Duration, isLate bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,17 +236,17 @@
 	conn.SetReadLimit(wire.MaxMessageBytes)
 	if err := sendHello(ctx, conn, p.cfg.Hello); err != nil {
 		_ = conn.CloseNow()
-		return nil, errors.Wrapf(err, "peer: greet %s", address)
+		return nil, errors.Wrapf(err, "peer: send hello to %s", address)
 	}
 	remote, err := receiveHello(ctx, conn)
 	if err != nil {
 		_ = conn.CloseNow()
-		return nil, errors.Wrapf(err, "peer: greeting of %s", address)
+		return nil, errors.Wrapf(err, "peer: receive hello from %s", address)
 	}
 	return p.newSession(conn, remote), nil
 }
 
-// dialHeader is what a dial says before the greeting.
+// dialHeader returns the HTTP header of the WebSocket upgrade request.
 func (p *Pool) dialHeader() http.Header {
 	h := http.Header{"Authorization": {"Bearer " + p.cfg.Secret}}
 	if p.cfg.Hello.Replica != "" {
@@ -252,7 +262,7 @@
 	return "ws://" + address + Path
 }
 
-// registerAccepted registers an accepted session under the address that the host names.
+// registerAccepted registers an accepted session under the address in the peer's Hello.
 func (p *Pool) registerAccepted(s *Session) {
 	p.register(s.remote.Address, s)
 	p.notify(s)
@@ -288,8 +298,8 @@
 	}
 }
 
-// Shutdown refuses new sessions and ends the live ones once the other ends have read
-// all that was sent to them, or ctx ends.
+// Shutdown refuses new sessions. It closes each live session when the peer has read
+// everything that was sent to it, or when ctx is done.
 func (p *Pool) Shutdown(ctx context.Context) {
 	p.mu.Lock()
 	p.closed = true
@@ -307,7 +317,7 @@
 	wg.Wait()
 }
 
-// Close ends all sessions at once and refuses new ones.
+// Close refuses new sessions and closes all live ones immediately.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -11,20 +11,21 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// states of an item in a session's queue.
+// States of an item in a session's queue: waiting, being written, or removed by its sender.
 const (
 	itemQueued int32 = iota
 	itemStarted
 	itemWithdrawn
 )
 
-// item is a message in a session's queue, or, without data, a mark that tells when
-// all before it is written.
+// item is a message in a session's queue. An item without data is a flush marker, which
+// is reached when everything queued before it has been written.
 type item struct {
-	kind    wire.Kind
-	data    []byte
-	queued  time.Time
-	state   atomic.Int32
+	kind   wire.Kind
+	data   []byte
+	queued time.Time
+	state  atomic.Int32
+	// started is closed when the session starts to write the message.
 	started chan struct{}
 }
 
@@ -36,7 +37,7 @@
 	return it, s.tryPut(s.queue, it)
 }
 
-// tryPut adds an item to one of the session's queues without waiting.
+// tryPut adds an item to one of the session's queues without blocking.
 func (s *Session) tryPut(queue chan *item, it *item) error {
 	if !s.Alive() {
 		return ErrClosed
@@ -49,8 +50,8 @@
 	}
 }
 
-// nextItem returns the item to write next: what goes first, else what waits longest. It returns
-// nil when the session ends or a tick comes.
+// nextItem waits for the next item to write. Urgent items precede all others. It returns nil
+// if the session ends or a tick arrives.
 func (s *Session) nextItem(tick <-chan time.Time) *item {
 	select {
 	case it := <-s.urgent:
@@ -68,13 +69,13 @@
 	return nil
 }
 
-// Prepared is an encoded message for many sessions.
+// Prepared is an encoded message that can be posted to many sessions.
 type Prepared struct {
 	kind wire.Kind
 	data []byte
 }
 
-// Prepare encodes a message once for all sessions that it is posted to.
+// Prepare encodes a message that is to be posted to many sessions.
 func Prepare(m wire.Message) (*Prepared, error) {
 	data, err := wire.Encode(0, false, m)
 	return &Prepared{kind: m.Kind(), data: data}, err
@@ -85,6 +86,7 @@
 	return s.tryPut(s.queue, &item{kind: p.kind, data: p.data, queued: time.Now(), started: make(chan struct{})})
 }
 
+// enqueueBlocking queues a message and waits while the queue is full.
 func (s *Session) enqueueBlocking(ctx context.Context, m wire.Message) (*item, error) {
 	it, err := newItem(0, false, m)
 	if err != nil {
@@ -103,17 +105,17 @@
 	}
 }
 
-// fullQueueRetryDelay is the pause before a full queue is tried again.
+// fullQueueRetryDelay is the pause before another attempt to add to a full queue.
 const fullQueueRetryDelay = time.Millisecond
 
-// enqueueDispatch queues a dispatch unless the other end takes none any more: none is queued
-// behind the answer to its goodbye.
+// enqueueDispatch queues a dispatch and waits while the queue is full. It fails if the peer
+// is draining: no dispatch may be queued after the reply to the peer's Goodbye.
 func (s *Session) enqueueDispatch(ctx context.Context, it *item) error {
 	for {
 		s.mu.Lock()
-		isLeaving := s.isLeaving
+		isRemoteDraining := s.isRemoteDraining
 		err := ErrClosed
-		if !isLeaving {
+		if !isRemoteDraining {
 			err = s.tryPut(s.queue, it)
 		}
 		s.mu.Unlock()
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -12,36 +12,39 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// Path is where a host's peer listener accepts sessions.
+// Path is the URL path at which a host's peer listener accepts sessions.
 const Path = "/peer"
 
 const (
+	// helloTimeout bounds the exchange of Hello messages with a host that dialled.
 	helloTimeout = 3 * time.Second
-	// maxConcurrentHandshakes is how many hosts are greeted at a time. The others wait in line, so that
-	// those who are greeted are through soon, and whoever has given up meanwhile costs nothing.
+	// maxConcurrentHandshakes limits the handshakes in progress. Other hosts wait for a
+	// permit, so that each handshake that has begun finishes soon, and a host that gives up
+	// while it waits costs nothing.
 	maxConcurrentHandshakes = 8
-	// maxPermitTime is how long one of them keeps others waiting at most: it may be frozen or cut
-	// off by now.
+	// maxPermitTime is how long a handshake holds its permit at most, since the host may be
+	// frozen or disconnected by now.
 	maxPermitTime = 250 * time.Millisecond
-	// replicaHeader names the replica of a control host that dials. Control hosts don't wait
-	// in line: the others need the leader that they elect.
+	// replicaHeader contains the replica ID of a control host that dials. Control hosts need
+	// no permit, because all other hosts depend on the leader that they elect.
 	replicaHeader = "Sassafraspost-Replica"
 )
 
 // Server accepts sessions. It is an http.Handler for Path.
 type Server struct {
 	pool *Pool
-	// handshakePermits has room for those who are greeted.
+	// handshakePermits contains an element for each permit in use.
 	handshakePermits chan struct{}
 }
 
-// NewServer returns a Server whose sessions join pool: a host that has dialled
-// here is not dialled back.
+// NewServer returns a Server that adds its sessions to pool, so that a host that has
+// connected to this one is not dialled.
 func NewServer(pool *Pool) *Server {
 	return &Server{pool: pool, handshakePermits: make(chan struct{}, maxConcurrentHandshakes)}
 }
 
-// ServeHTTP implements http.Handler. A wrong secret gets 401 before the upgrade.
+// ServeHTTP implements http.Handler. It rejects a wrong secret with status 401 before the
+// upgrade.
 func (v *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !v.pool.secretMatches(r) {
 		v.pool.traffic.rejected.Inc(1)
@@ -54,18 +57,18 @@
 	}
 }
 
-// releasePermit lets the next one in line.
+// releasePermit lets the next waiting host begin its handshake.
 func (v *Server) releasePermit() { <-v.handshakePermits }
 
-// handshake exchanges greetings with who has dialled, in its turn. It returns nil where that
-// fails.
+// handshake waits for a permit, upgrades the connection and exchanges Hello messages. It
+// returns nil if that fails.
 func (v *Server) handshake(w http.ResponseWriter, r *http.Request) *Session {
 	if r.Header.Get(replicaHeader) == "" {
 		select {
 		case v.handshakePermits <- struct{}{}:
-			turn := time.AfterFunc(maxPermitTime, v.releasePermit)
+			permitTimer := time.AfterFunc(maxPermitTime, v.releasePermit)
 			defer func() {
-				if turn.Stop() {
+				if permitTimer.Stop() {
 					v.releasePermit()
 				}
 			}()
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -1,9 +1,8 @@
-// Package peer keeps the long-lived sessions between the processes of the
-// system: one WebSocket a pair of hosts, on which encoded wire messages travel in
-// both directions.
+// Package peer maintains the long-lived sessions between the processes of the system: one
+// WebSocket for each pair of hosts, which carries encoded wire messages in both directions.
 //
-// A message that a session took but did not begin to write can be withdrawn.
-// That is how a sender knows for certain that a message never left.
+// A queued message can be withdrawn until the session starts to write it. So a sender can
+// know for certain that a message was not sent.
 package peer
 
 import (
@@ -23,41 +22,42 @@
 
 const (
 	queueLength = 1024
-	// DefaultPingInterval is the longest silence that a host keeps by default.
+	// DefaultPingInterval is the default of Config.PingInterval.
 	DefaultPingInterval = 10 * time.Second
-	// maxMissedPings is how many missed pings end a session.
+	// maxMissedPings is how many ping intervals without a message end a session.
 	maxMissedPings = 3
 	writeTimeout   = 4 * time.Second
-	// DefaultProbeTimeout is how long the other end of a held session may be silent by default.
+	// DefaultProbeTimeout is the default of Config.ProbeTimeout.
 	DefaultProbeTimeout = 4 * time.Second
-	// probesPerTimeout is how often the other end of a held session is probed in that span.
+	// probesPerTimeout is how often the peer of a probed session is probed within the probe
+	// timeout.
 	probesPerTimeout = 4
-	// drainTimeout bounds the wait for the last questions of the other end, and their answers.
+	// drainTimeout bounds the wait for the peer's last calls and for the replies to them.
 	drainTimeout = time.Second
-	// replyPollInterval is how often it is looked at whether all are answered.
+	// replyPollInterval is how often a draining session checks whether all calls have replies.
 	replyPollInterval = time.Millisecond
 )
 
-// ErrClosed tells that the session has ended.
+// ErrClosed is returned if the session or the pool is closed, or the peer is draining.
 var ErrClosed = errors.New("peer: session closed")
 
-// ErrBusy tells that the session's queue is full; the message was not taken.
+// ErrBusy is returned if the session's queue is full. The message was not queued.
 var ErrBusy = errors.New("peer: session queue full")
 
-// Handler takes the messages of a session in the order in which they came.
+// Handler receives the messages of a session in the order of their arrival.
 type Handler interface {
-	// ServePeer must not block: the session reads on only after it returns. A call
-	// other than zero wants an answer by Session.Reply.
+	// ServePeer must not block, because the session reads the next message only after it
+	// returns. If call is not zero, the sender expects a reply by Session.Reply.
 	ServePeer(s *Session, call uint64, m wire.Message)
 }
 
-// HandlerFunc is a Handler made of a function.
+// HandlerFunc adapts a function to a Handler.
 type HandlerFunc func(s *Session, call uint64, m wire.Message)
 
 // ServePeer implements Handler.
 func (f HandlerFunc) ServePeer(s *Session, call uint64, m wire.Message) { f(s, call, m) }
 
-// Session is one end of a live WebSocket.
+// Session is one end of a WebSocket connection to a peer.
 type Session struct {
 	conn         *websocket.Conn
 	remote       wire.Hello
@@ -65,31 +65,33 @@
 	probeTimeout time.Duration
 	traffic      *traffic
 	log          *slog.Logger
-	// urgent holds what goes before the queue.
+	// urgent contains messages that are written before those in queue.
 	urgent, queue chan *item
 	done          chan struct{}
 	failOnce      sync.Once
 	err           error
 
 	lastCall atomic.Uint64
-	// heard is when the last message came, held how many wait for the other end, and
-	// heldSince since when; times are counted from opened.
-	opened      time.Time
-	heard       atomic.Int64
-	probers     atomic.Int64
-	probedSince atomic.Int64
-
-	// unrepliedCalls counts the other end's calls that have no reply yet.
+	// lastReceived is when the last message arrived, probers the number of StartProbing calls that
+	// have not been undone, and probedSince when it last rose from zero. Times are relative
+	// to opened.
+	opened       time.Time
+	lastReceived atomic.Int64
+	probers      atomic.Int64
+	probedSince  atomic.Int64
+
+	// unrepliedCalls counts the peer's calls that have no reply yet.
 	unrepliedCalls atomic.Int64
-	// goodbyeReplied is closed once the other end has said that it asks nothing more.
+	// goodbyeReplied is closed when the peer has replied to this end's Goodbye. The peer
+	// then sends no more calls.
 	goodbyeReplied chan struct{}
 
 	// mu guards the fields below.
 	mu    sync.Mutex
 	calls map[uint64]chan wire.Message
-	// isLeaving tells that the other end takes no new calls or dispatches, isParted that parted
-	// is closed.
-	isLeaving, isGoodbyeReplied bool
+	// isRemoteDraining is set if the peer accepts no new calls or dispatches,
+	// isGoodbyeReplied if goodbyeReplied is closed.
+	isRemoteDraining, isGoodbyeReplied bool
 }
 
 func (p *Pool) newSession(conn *websocket.Conn, remote wire.Hello) *Session {
@@ -109,13 +111,13 @@
 	}
 }
 
-// Remote returns what the other end said of itself.
+// Remote returns the peer's Hello.
 func (s *Session) Remote() wire.Hello { return s.remote }
 
-// Done is closed when the session has ended.
+// Done returns a channel that is closed when the session ends.
 func (s *Session) Done() <-chan struct{} { return s.done }
 
-// Alive reports whether the session has not ended.
+// Alive reports whether the session is still open.
 func (s *Session) Alive() bool {
 	select {
 	case <-s.done:
@@ -125,9 +127,9 @@
 	}
 }
 
-// shutdown ends the session in order: the other end asks nothing more, what it has asked is
-// answered, what is queued is written, and a closing handshake shows that all was read. It
-// gives up when ctx ends.
+// shutdown closes the session gracefully. It makes the peer stop sending calls, waits for
+// the replies to its calls, and writes all queued messages. The closing handshake then
+// confirms that the peer has read everything. It gives up when ctx is done.
 func (s *Session) shutdown(ctx context.Context) error {
 	s.drain(ctx)
 	if err := s.flush(ctx); err != nil {
@@ -143,8 +145,9 @@
 	}
 }
 
-// drain says goodbye and waits until the other end has asked its last and has its answers, but
-// no longer than partTime: it may be dead, and some messages have no answer.
+// drain sends a Goodbye and waits until the peer has replied to it and all of the peer's
+// calls have replies. It waits for drainTimeout at most, because the peer may be dead and
+// some calls get no reply.
 func (s *Session) drain(ctx context.Context) {
 	if s.Post(&wire.Goodbye{}) != nil {
 		return
@@ -163,7 +166,7 @@
 	}
 }
 
-// handleGoodbye takes a Goodbye of the other end.
+// handleGoodbye handles a Goodbye of the peer, or the peer's reply to one.
 func (s *Session) handleGoodbye(m *wire.Goodbye) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,23 +177,23 @@
 		}
 		return
 	}
-	s.isLeaving = true
-	// Under the lock, so that no call is queued behind the answer.
+	s.isRemoteDraining = true
+	// The reply is queued while mu is locked, so that no call can be queued after it.
 	_ = s.Post(&wire.Goodbye{IsReply: true})
 }
 
-// flush waits until all that is queued is written.
+// flush waits until all queued messages have been written.
 func (s *Session) flush(ctx context.Context) error {
-	mark := &item{started: make(chan struct{})}
+	marker := &item{started: make(chan struct{})}
 	select {
-	case s.queue <- mark:
+	case s.queue <- marker:
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-s.done:
 		return ErrClosed
 	}
 	select {
-	case <-mark.started:
+	case <-marker.started:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -199,9 +202,10 @@
 	}
 }
 
-// Close ends the session.
+// Close ends the session immediately.
 func (s *Session) Close() { s.fail(ErrClosed) }
 
+// fail closes the session. Only the first call has an effect.
 func (s *Session) fail(err error) {
 	s.failOnce.Do(func() {
 		s.err = err
@@ -210,15 +214,15 @@
 	})
 }
 
-// Post queues m without waiting. Errors: ErrBusy and ErrClosed, after which the
-// message certainly was not sent.
+// Post queues m without blocking. If it returns an error (ErrBusy, ErrClosed, or that of the
+// encoding), the message was not sent.
 func (s *Session) Post(m wire.Message) error {
 	_, err := s.enqueue(0, false, m)
 	return err
 }
 
-// PostUrgent is Post for small messages that others wait for: they go before all that is
-// queued, in the order among themselves in which they came.
+// PostUrgent is Post for small messages that other hosts wait for. They are written before
+// all messages in the normal queue, in the order in which they were posted.
 func (s *Session) PostUrgent(m wire.Message) error {
 	it, err := newItem(0, false, m)
 	if err != nil {
@@ -227,8 +231,8 @@
 	return s.tryPut(s.urgent, it)
 }
 
-// Send queues m and waits until the session begins to write it. Where it returns
-// an error, the message never left.
+// Send queues m and waits until the session starts to write it. If it returns an error, the
+// message was not sent.
 func (s *Session) Send(ctx context.Context, m wire.Message) error {
 	it, err := s.enqueueBlocking(ctx, m)
 	if err != nil {
@@ -248,8 +252,8 @@
 	return nil
 }
 
-// Call sends m and waits for the reply. A reply that is a wire.Failure comes back
-// as a *verdict.Error. sent tells whether the message may have left.
+// Call sends m and waits for the reply. A reply of type wire.Failure also sets err to the
+// *verdict.Error that it represents. sent is set if the message may have been sent.
 func (s *Session) Call(ctx context.Context, m wire.Message) (reply wire.Message, sent bool, err error) {
 	id := s.lastCall.Add(1)
 	ch := make(chan wire.Message, 1)
@@ -270,11 +274,11 @@
 	return nil, !withdrawn, err
 }
 
-// enqueueCall queues a call, unless the other end takes none any more.
+// enqueueCall queues a call and registers ch for its reply. It fails if the peer is draining.
 func (s *Session) enqueueCall(id uint64, ch chan wire.Message, m wire.Message) (*item, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.isLeaving {
+	if s.isRemoteDraining {
 		return nil, ErrClosed
 	}
 	it, err := s.enqueue(id, false, m)
@@ -284,21 +288,22 @@
 	return it, err
 }
 
+// removeCall unregisters a call whose caller no longer waits for the reply.
 func (s *Session) removeCall(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.calls, id)
 }
 
-// Reply answers the call with m. It does not wait; a reply to a session that has
-// ended is dropped.
+// Reply queues m as the reply to a call, without blocking. If the session has ended, it
+// discards the reply and returns ErrClosed.
 func (s *Session) Reply(call uint64, m wire.Message) error {
 	_, err := s.enqueue(call, true, m)
 	s.unrepliedCalls.Add(-1)
 	return err
 }
 
-// run reads and writes until the session ends.
+// run reads and writes messages until the session ends.
 func (s *Session) run(h Handler) {
 	go s.writeLoop()
 	s.fail(s.readLoop(h))
@@ -312,14 +317,14 @@
 	for s.Alive() {
 		it := s.nextItem(watch.C)
 		if it == nil {
-			// One tick alone proves nothing: after a stall of this process it comes before
-			// what waits to be read.
+			// A single tick proves nothing: after a stall of this process, it can arrive
+			// before the messages that are waiting to be read.
 			silentTicks++
 			if !s.isSilent() {
 				silentTicks = 0
 			}
 			if silentTicks > 1 {
-				s.fail(errors.New("peer: the other end is silent"))
+				s.fail(errors.New("peer: no message from the peer in time"))
 				return
 			}
 			s.keepAlive(s.age() - wrote)
@@ -383,32 +388,35 @@
 	}
 }
 
-// serve hands a message to the handler. One that makes it panic ends the session, not the
-// process: its sender would send it again to the next start, and to every other host.
+// serve passes a message to the handler. If the handler panics, only the session ends and
+// not the process. Otherwise the sender, which sends the message again, would crash the
+// restarted process too, and then every other host.
 func (s *Session) serve(h Handler, call uint64, m wire.Message) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			s.traffic.panicked.Inc(1)
 			err = errors.Errorf("peer: message of kind %s from %s: %v\n%s", m.Kind(), s.remote.Host, p, debug.Stack())
-			s.log.Error("message can't be served, its session ends", "kind", m.Kind().String(), "from", s.remote.Host, "error", err.Error())
+			s.log.Error("handler panicked on a message; closing its session", "kind", m.Kind().String(), "from", s.remote.Host, "error", err.Error())
 		}
 	}()
 	h.ServePeer(s, call, m)
 	return nil
 }
 
+// read returns the next message and records the time of its arrival.
 func (s *Session) read() ([]byte, error) {
 	kind, data, err := s.conn.Read(context.Background())
 	if err != nil {
 		return nil, err
 	}
-	s.heard.Store(int64(s.age()))
+	s.lastReceived.Store(int64(s.age()))
 	if kind != websocket.MessageBinary {
 		return nil, errors.New("peer: text message refused")
 	}
 	return data, nil
 }
 
+// deliverReply passes a reply to the caller that waits for it, if there still is one.
 func (s *Session) deliverReply(call uint64, m wire.Message) {
 	s.mu.Lock()
 	ch := s.calls[call]
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -10,12 +10,12 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// FrameOverhead is what the WebSocket frame, TCP and IP add to a message that travels
-// by itself, in bytes: 4 to 8 for the frame, 52 for TCP with timestamps and IP.
+// FrameOverhead is the overhead of the WebSocket frame, TCP and IP in bytes, for a message
+// that is sent in a packet of its own: 4 to 8 for the frame, 52 for IP and TCP with
+// timestamps.
 const FrameOverhead = 60
 
-// counts are the messages and bytes of one direction. Bytes include the overhead of
-// the layers below.
+// counts counts messages and bytes. Bytes include the overhead of the lower layers.
 type counts struct {
 	messages, bytes metrics.Counter
 }
@@ -32,24 +32,26 @@
 	c.bytes.Inc(int64(size + FrameOverhead))
 }
 
-// traffic tells apart what requests cost and what control costs.
+// traffic holds the counters of a Pool. It counts messages that carry requests and responses
+// ("attempt") apart from all others ("control").
 type traffic struct {
 	controlSent, controlReceived, attemptSent, attemptReceived counts
-	// unreadable counts messages that this build can't read, strangers those who came
-	// with a wrong secret or greeting.
+	// unreadable counts messages that this build can't decode, rejected the connections with
+	// a wrong secret or Hello.
 	unreadable, rejected metrics.Counter
-	// panicked counts messages that can be read and not served.
+	// panicked counts messages whose handler panicked.
 	panicked metrics.Counter
-	// dials counts those begun, dialsLate those whose greeting did not come in time, accepted
-	// the sessions of others, gaveUp those who left before their turn.
+	// dials counts all dials, lateHandshakes those that exceeded the handshake timeout,
+	// accepted the sessions that other hosts dialled, and abandoned the hosts that
+	// disconnected while they waited for a handshake permit.
 	dials, lateHandshakes, accepted, abandoned metrics.Counter
-	// queueWait is how long messages wait until their session begins to write them.
+	// queueWait is how long messages wait until their session starts to write them.
 	queueWait *telemetry.Latency
 
 	registry metrics.Registry
 	// mu guards byKind.
 	mu sync.RWMutex
-	// byKind counts what was sent of each kind of message.
+	// byKind counts the sent messages of each kind.
 	byKind map[wire.Kind]counts
 }
 
@@ -72,7 +74,7 @@
 	}
 }
 
-// countSent counts a message that is written now, after it has waited since then.
+// countSent counts a message that is about to be written, queued at the time since.
 func (t *traffic) countSent(k wire.Kind, size int, since time.Time) {
 	t.queueWait.AddSince(since)
 	t.countsOf(k).add(size)
@@ -83,7 +85,7 @@
 	t.controlSent.add(size)
 }
 
-// countsOf returns the counters of what is sent of a kind.
+// countsOf returns the counters of the sent messages of a kind.
 func (t *traffic) countsOf(k wire.Kind) counts {
 	t.mu.RLock()
 	c, ok := t.byKind[k]
