--- a/internal/journal/open.go
+++ b/internal/journal/open.go
@@ -79,7 +79,8 @@
 	if err != nil {
 		return Recovered{}, err
 	}
-	// A rename whose sync failed may be visible and yet not on disk.
+	// Sync first: after a failed sync and a restart, a renamed file can be visible although
+	// the rename is not on disk.
 	if err := j.fs.SyncDir(j.dir); err != nil {
 		return Recovered{}, errors.Wrap(err, "sync folder")
 	}
--- a/internal/wire/address.go
+++ b/internal/wire/address.go
@@ -6,17 +6,17 @@
 	"github.com/pkg/errors"
 )
 
-// Address is "ip:port", in a few bytes on the wire.
+// Address is a network address such as "ip:port" with a compact binary encoding.
 type Address string
 
-// forms of an address on the wire, its first byte.
+// The first byte of an encoded address says whether binary or text follows.
 const (
 	addressBinary byte = iota
 	addressText
 )
 
-// MarshalBinary implements encoding.BinaryMarshaler. What is no IP address with a port is
-// written as it is.
+// MarshalBinary implements encoding.BinaryMarshaler. An address that is not an IP address
+// with a port is encoded as text.
 func (a Address) MarshalBinary() ([]byte, error) {
 	parsed, err := netip.ParseAddrPort(string(a))
 	if err != nil || parsed.String() != string(a) {
--- a/internal/wire/fleet.go
+++ b/internal/wire/fleet.go
@@ -5,7 +5,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/registry"
 )
 
-// Kinds of the messages by which control hosts tell the others of upstreams,
+// Kinds of the messages with which control hosts inform other hosts about upstreams,
 // configurations and hosts.
 const (
 	KindAttach              Kind = 90
@@ -19,18 +19,18 @@
 	KindSuspicions          Kind = 98
 )
 
-// Attach asks a control host for all that it knows, and for what changes from then on:
-// Upstreams, ConfigurationNotice and Hosts, and Suspicions where the role serves callers.
+// Attach asks a control host to send its state and all later changes, as Upstreams,
+// ConfigurationNotice and Hosts. Hosts that serve callers also receive Suspicions.
 type Attach struct {
-	// Role is "entry", "agent", or "callers" for an entry host that wants Suspicions only.
+	// Role is "entry", "agent", or "callers" for an entry host that only wants Suspicions.
 	Role string `cbor:"1,keyasint"`
 }
 
 // Kind implements Message.
 func (*Attach) Kind() Kind { return KindAttach }
 
-// Upstreams tells what has changed of upstreams. As a call it is answered by Ack once
-// it is in force at the receiver.
+// Upstreams carries the records of upstreams that have changed. If it is sent as a call, the
+// receiver replies with Ack when it uses the records.
 type Upstreams struct {
 	All []registry.Upstream `cbor:"1,keyasint"`
 }
@@ -38,7 +38,7 @@
 // Kind implements Message.
 func (*Upstreams) Kind() Kind { return KindUpstreams }
 
-// ConfigurationNotice tells the number of the configuration that the sender holds.
+// ConfigurationNotice announces the number of the configuration that the sender has.
 type ConfigurationNotice struct {
 	Number uint64 `cbor:"1,keyasint"`
 }
@@ -49,17 +49,17 @@
 // ConfigurationQuery asks for the configuration. The reply is ConfigurationAnswer or
 // Failure.
 type ConfigurationQuery struct {
-	// NewerThan is the number that the sender holds; the data comes only where the present
-	// one is higher.
+	// NewerThan is the number of the configuration that the sender has. The reply contains
+	// data only if the current number is higher.
 	NewerThan uint64 `cbor:"1,keyasint"`
-	// Linearizable asks for the newest one accepted anywhere, as a quorum confirms.
+	// Linearizable asks for the newest accepted configuration, as confirmed by a quorum.
 	Linearizable bool `cbor:"2,keyasint,omitempty"`
 }
 
 // Kind implements Message.
 func (*ConfigurationQuery) Kind() Kind { return KindConfigurationQuery }
 
-// ConfigurationAnswer answers a ConfigurationQuery.
+// ConfigurationAnswer is the reply to ConfigurationQuery.
 type ConfigurationAnswer struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Data   []byte `cbor:"2,keyasint,omitempty"`
@@ -68,39 +68,41 @@
 // Kind implements Message.
 func (*ConfigurationAnswer) Kind() Kind { return KindConfigurationAnswer }
 
-// EngineLoad is what an agent reads at its engine. Agents send it to one control host,
-// which passes it on with those of the others.
+// EngineLoad is the load of an engine as read by its agent. Each agent sends it to one
+// control host, which forwards the loads of all agents in EngineLoads.
 type EngineLoad struct {
-	// Address is that of the upstream.
+	// Address is the address of the upstream.
 	Address string `cbor:"1,keyasint"`
-	// IsOpen tells that the engine's group serves.
+	// IsOpen is set if the engine's group accepts requests.
 	IsOpen bool `cbor:"2,keyasint,omitempty"`
-	// Running and Waiting are the requests at the engine.
+	// Running and Waiting are the numbers of running and queued requests at the engine.
 	Running int `cbor:"3,keyasint,omitempty"`
 	Waiting int `cbor:"4,keyasint,omitempty"`
-	// Pace is the engine's time for a step over its usual one, 0 if it is not known.
+	// Pace is the slowdown of the engine: its step time divided by its usual step time, or 0
+	// if unknown.
 	Pace float64 `cbor:"5,keyasint,omitempty"`
-	// Group and Epoch name the group of ranks in which the engine serves; empty if none.
+	// Group and Epoch identify the group of ranks that the engine belongs to; empty if none.
 	Group string `cbor:"6,keyasint,omitempty"`
 	Epoch uint64 `cbor:"7,keyasint,omitempty"`
-	// Born is the incarnation's start in Unix milliseconds, 0 where it does not say.
+	// Born is the start time of the incarnation in Unix milliseconds, 0 if unknown.
 	Born int64 `cbor:"8,keyasint,omitempty"`
-	// Rank is the engine's place in the group.
+	// Rank is the engine's rank in the group.
 	Rank uint32 `cbor:"9,keyasint,omitempty"`
-	// IsStalled tells that the group makes no step although it has work. It is open as far
-	// as the engine knows, and may go on at any moment.
+	// IsStalled is set if the group makes no steps although it has work. The engine still
+	// considers the group open, and the group may continue at any moment.
 	IsStalled bool `cbor:"10,keyasint,omitempty"`
-	// Number is the one that a control host gives to the engine.
+	// Number is the number that the control host has assigned to the engine. It identifies
+	// the engine in compact loads.
 	Number uint64 `cbor:"11,keyasint,omitempty"`
 }
 
 // Kind implements Message.
 func (*EngineLoad) Kind() Kind { return KindEngineLoad }
 
-// EngineLoads passes on the loads that have come since the last such message.
+// EngineLoads forwards the loads that arrived since the previous EngineLoads.
 type EngineLoads struct {
-	// All are whole records. Brief are loads of engines whose record is known to the
-	// receiver, as package engineload writes them.
+	// All contains full records. CompactLoads contains the loads of engines whose full record
+	// the receiver already has, in the encoding of package engineload.
 	All          []EngineLoad `cbor:"1,keyasint,omitempty"`
 	CompactLoads []byte       `cbor:"2,keyasint,omitempty"`
 }
@@ -108,19 +110,20 @@
 // Kind implements Message.
 func (*EngineLoads) Kind() Kind { return KindEngineLoads }
 
-// Hosts tells which hosts of the system the sender knows.
+// Hosts announces the hosts of the system that the sender knows.
 type Hosts struct {
-	// Control are the peer addresses of control hosts.
+	// Control contains the peer addresses of control hosts.
 	Control []string `cbor:"1,keyasint,omitempty"`
-	// EntryHosts is how many entry hosts are attached to the sender.
+	// EntryHosts is the number of entry hosts attached to the sender.
 	EntryHosts int `cbor:"2,keyasint,omitempty"`
 }
 
 // Kind implements Message.
 func (*Hosts) Kind() Kind { return KindHosts }
 
-// Suspicions tells of requests under which upstreams ended: between entry hosts and control
-// hosts both ways, and among control hosts. It may come in any order and again.
+// Suspicions reports requests during which upstreams crashed. Entry hosts and control hosts
+// send it to each other, and control hosts among themselves. Receivers must accept it in any
+// order and repeatedly.
 type Suspicions struct {
 	All []quarantine.Suspicion `cbor:"1,keyasint"`
 }
--- a/internal/wire/group.go
+++ b/internal/wire/group.go
@@ -7,26 +7,29 @@
 	KindGroupQuery  Kind = 82
 	KindGroupAnswer Kind = 83
 	KindExpertLoad  Kind = 84
-	// KindExpertsWanted asks for a report that lists experts.
+	// KindExpertsWanted is the kind of ExpertsWanted.
 	KindExpertsWanted Kind = 85
 )
 
-// MapRequest carries an encoded expertmap.Message to the participant of a host.
+// MapRequest carries an encoded expertmap.Message from the coordinator of an expert map
+// change to the participant on a host.
 type MapRequest struct {
 	Group string `cbor:"1,keyasint"`
-	// From is the first rank of the sender's host, the address to reply to.
+	// From is the first rank of the coordinator's host. Replies are addressed to it.
 	From uint32 `cbor:"2,keyasint"`
 	Data []byte `cbor:"3,keyasint"`
-	// Incarnation is that of the receiver, which Data leaves out: Data is the same for all.
+	// Incarnation is the incarnation of the receiver. It is not in Data, so that Data is the
+	// same for all receivers.
 	Incarnation uint64 `cbor:"4,keyasint,omitempty"`
-	// CoordinatorAddress is the peer listener of the coordinator's host, which a reply goes to; empty
-	// where the message comes from there.
+	// CoordinatorAddress is the peer listener of the coordinator's host, to which replies
+	// are sent. If it is empty, replies are sent on the session of the request.
 	CoordinatorAddress string `cbor:"5,keyasint,omitempty"`
-	// ForwardTo lists the hosts that the receiver has to pass Data on to.
+	// ForwardTo lists the hosts to which the receiver must forward Data.
 	ForwardTo []MapTarget `cbor:"6,keyasint,omitempty"`
 }
 
-// MapTarget is a host that a MapRequest is for. Requests list many of them.
+// MapTarget is a receiver of a MapRequest. It is encoded as an array to save bytes, because
+// requests list many receivers.
 type MapTarget struct {
 	_ struct{} `cbor:",toarray"`
 	// Address is the peer listener of the host's agent.
@@ -37,7 +40,8 @@
 // Kind implements Message.
 func (*MapRequest) Kind() Kind { return KindMapRequest }
 
-// MapReply carries an encoded expertmap.Message to the coordinator of a host.
+// MapReply carries an encoded expertmap.Message from a participant to the coordinator. From
+// is the first rank of the participant's host.
 type MapReply struct {
 	Group string `cbor:"1,keyasint"`
 	From  uint32 `cbor:"2,keyasint"`
@@ -47,11 +51,11 @@
 // Kind implements Message.
 func (*MapReply) Kind() Kind { return KindMapReply }
 
-// GroupQuery asks an entry host, a control host or an agent for the hosts of a group. The
-// reply is GroupAnswer.
+// GroupQuery asks an entry host, a control host or an agent for the hosts of a group of
+// ranks. The reply is GroupAnswer.
 type GroupQuery struct {
 	Group string `cbor:"1,keyasint"`
-	// Epoch is that of the group, for control hosts.
+	// Epoch is the epoch of the group. Only control hosts use it.
 	Epoch uint64 `cbor:"2,keyasint,omitempty"`
 	// FirstRankOnly asks for the host of the first rank only.
 	FirstRankOnly bool `cbor:"3,keyasint,omitempty"`
@@ -68,7 +72,8 @@
 	Ranks     uint32 `cbor:"3,keyasint"`
 }
 
-// GroupAnswer answers a GroupQuery with what the directory knows, which may be too little.
+// GroupAnswer is the reply to GroupQuery. It may be incomplete, because the asked host may
+// not know all hosts of the group.
 type GroupAnswer struct {
 	Members []GroupMember `cbor:"1,keyasint,omitempty"`
 }
@@ -76,10 +81,11 @@
 // Kind implements Message.
 func (*GroupAnswer) Kind() Kind { return KindGroupAnswer }
 
-// ExpertLoad tells the planning agent of a group what the ranks of a host measured.
+// ExpertLoad reports the measurements of a host's ranks to the agent that plans the expert
+// maps of the group.
 type ExpertLoad struct {
 	Group string `cbor:"1,keyasint"`
-	// Ranks are the host's ranks, from the first on.
+	// Ranks contains the measurements of the host's ranks, starting with FirstRank.
 	FirstRank uint32     `cbor:"2,keyasint"`
 	Ranks     []RankLoad `cbor:"3,keyasint"`
 }
@@ -87,26 +93,29 @@
 // Kind implements Message.
 func (*ExpertLoad) Kind() Kind { return KindExpertLoad }
 
-// RankLoad is what one rank measured since its last report.
+// RankLoad contains the measurements of one rank since its last report.
 type RankLoad struct {
-	// StepUS is the mean time of a step, in microseconds.
+	// StepUS is the mean step time in microseconds.
 	StepUS uint64 `cbor:"1,keyasint"`
-	// Tokens counts, by layer, the tokens of each of the rank's expert slots.
+	// Tokens is the number of tokens by layer and expert slot of the rank.
 	Tokens [][]uint32 `cbor:"2,keyasint"`
-	// Picks counts, by layer and expert, what the rank's own requests chose. It is set in
-	// place of Tokens where engines count so.
+	// Picks is how often the rank's own requests selected each expert, by layer and expert.
+	// Engines that count selections set it instead of Tokens.
 	Picks [][]uint32 `cbor:"3,keyasint,omitempty"`
-	// ExpertsByLayer lists the rank's experts by layer, under the map Version; with Picks only.
+	// ExpertsByLayer lists the experts on the rank, as of map version Version. It is only
+	// set together with Picks.
 	ExpertsByLayer [][]uint16 `cbor:"4,keyasint,omitempty"`
 	Version        uint64     `cbor:"5,keyasint,omitempty"`
-	// Pace is the rank's time over its usual one; 0 where it is not known.
+	// Pace is the slowdown of the rank: its step time divided by its usual step time, or 0 if
+	// unknown.
 	Pace float64 `cbor:"6,keyasint,omitempty"`
-	// PackedSelections holds Picks in few bytes, each rounded by less than it differs by chance.
+	// PackedSelections is a compact encoding of Picks. The rounding error of each count is
+	// smaller than its random variation.
 	PackedSelections []byte `cbor:"7,keyasint,omitempty"`
 }
 
-// ExpertsWanted asks the sender of an ExpertLoad for one that lists the experts of its
-// ranks: the planning host does not know them.
+// ExpertsWanted asks the sender of an ExpertLoad to send one that lists the experts on its
+// ranks, because the planning agent does not know them.
 type ExpertsWanted struct {
 	Group string `cbor:"1,keyasint"`
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,9 +1,9 @@
-// Package wire defines every message that the processes of the system send to
-// one another, and their encoding: CBOR in a versioned envelope.
+// Package wire defines all messages between the processes of the system and their encoding,
+// which is CBOR in a versioned envelope.
 //
-// It is the one place that defines them. Field keys are small integers; a key is
-// never given a new meaning. Durations are milliseconds, since the processes
-// share no clock.
+// No other package defines such messages. Field keys are small integers; the meaning of a
+// key must never change. Deadlines are sent as durations in milliseconds, because the
+// processes have no common clock.
 package wire
 
 import (
@@ -14,20 +14,20 @@
 	"github.com/pkg/errors"
 )
 
-// Version is the version of the envelope and of the messages that this build speaks.
+// Version is the version of the envelope and the messages that this build supports.
 const Version = 1
 
-// MaxMessageBytes bounds one encoded message.
+// MaxMessageBytes is the maximum size of an encoded message.
 const MaxMessageBytes = 16 << 20
 
 // Kind identifies the type of a message in its envelope.
 type Kind uint16
 
-// IsAttempt reports whether messages of the kind carry requests and answers. All
-// others are the cost of control.
+// IsAttempt reports whether messages of the kind belong to an attempt, that is, carry
+// requests and responses. All other messages are control traffic.
 func (k Kind) IsAttempt() bool { return k >= KindDispatch && k <= KindRefused }
 
-// String returns the name of the kind's message type, or its number where there is none.
+// String returns the name of the message type, or the number of an unknown kind.
 func (k Kind) String() string {
 	if t, ok := types[k]; ok {
 		return t.Name()
@@ -35,13 +35,14 @@
 	return strconv.Itoa(int(k))
 }
 
-// Message is implemented by every type that may travel in an envelope.
+// Message is implemented by all types that can be sent in an envelope.
 type Message interface {
-	// Kind returns the identity of the message's type.
+	// Kind returns the kind that identifies the message type.
 	Kind() Kind
 }
 
-// Envelope is the frame around a message.
+// Envelope wraps an encoded message. Call is the ID of the call that the message makes or, if
+// IsReply is set, replies to; zero means that no reply is expected.
 type Envelope struct {
 	Version uint8  `cbor:"1,keyasint"`
 	Kind    Kind   `cbor:"2,keyasint"`
@@ -51,18 +52,18 @@
 	Body cbor.RawMessage `cbor:"5,keyasint,omitempty"`
 }
 
-// VersionError tells that the other process speaks another version.
+// VersionError reports that the other process uses another version.
 type VersionError struct{ Got uint8 }
 
-// Error names both versions.
+// Error implements error. The text contains both versions.
 func (e *VersionError) Error() string {
 	return errors.Errorf("wire: message version %d, this build speaks %d", e.Got, Version).Error()
 }
 
-// KindError tells that no message has this kind.
+// KindError reports an unknown message kind.
 type KindError struct{ Got Kind }
 
-// Error names the kind.
+// Error implements error. The text contains the kind.
 func (e *KindError) Error() string {
 	return errors.Errorf("wire: unknown message kind %d", e.Got).Error()
 }
@@ -98,10 +99,11 @@
 // Marshal encodes v in the deterministic form used on the wire.
 func Marshal(v any) ([]byte, error) { return encMode.Marshal(v) }
 
-// Unmarshal decodes data into v under the limits of the wire.
+// Unmarshal decodes data into v. It enforces the limits of the wire format on nesting and on
+// the number of elements.
 func Unmarshal(data []byte, v any) error { return decMode.Unmarshal(data, v) }
 
-// Encode puts m into an envelope. A call of zero means that no reply is expected.
+// Encode encodes m in an envelope. If call is zero, no reply is expected.
 func Encode(call uint64, isReply bool, m Message) ([]byte, error) {
 	body, err := Marshal(m)
 	if err != nil {
@@ -110,8 +112,8 @@
 	return Marshal(Envelope{Version: Version, Kind: m.Kind(), Call: call, IsReply: isReply, Body: body})
 }
 
-// Decode reads an envelope and the message in it. The message is a pointer to
-// its type. Errors: *VersionError, *KindError, or a malformed encoding.
+// Decode decodes an envelope and the message in it. The message is a pointer to its type.
+// The error is a *VersionError, a *KindError, or that of a malformed encoding.
 func Decode(data []byte) (Envelope, Message, error) {
 	var e Envelope
 	if err := Unmarshal(data, &e); err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -38,8 +38,8 @@
 	require.Equal(t, Kind(9999), kind.Got)
 }
 
-// FuzzDecode looks for input that makes the decoder panic, or that it takes without
-// being able to encode what it took.
+// FuzzDecode looks for input that makes Decode panic, or that Decode accepts although the
+// decoded message can't be encoded again.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{
 		&Hello{Host: "entry-1", Address: "127.0.0.1:7101"},
@@ -63,7 +63,8 @@
 	})
 }
 
-// Lists of hosts are most of what a change of map costs a large group.
+// An encoded address must be short, because lists of hosts are most of the bytes that an
+// expert map change sends in a large group.
 func TestAddressEncodingIsCompact(t *testing.T) {
 	for _, text := range []string{"10.1.64.9:7340", "[fe80::1]:80", "host:80", ""} {
 		data, err := Marshal(MapTarget{Address: Address(text), Incarnation: 300})
