--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -174,7 +174,7 @@
 	}
 	a.counters.accepted.Inc(1)
 	accepted := newAttempt(s, d)
-	s.Hold()
+	s.StartProbing()
 	a.attempts[d.Attempt] = accepted
 	if a.running < a.cfg.Capacity {
 		a.start(accepted)
@@ -194,7 +194,7 @@
 		return notRun(verdict.CodeNoUpstream, "another upstream is meant")
 	case d.Incarnation != id.Incarnation:
 		return notRun(verdict.CodeNoUpstream, "another start of the agent is meant")
-	case a.state == wire.UpstreamLeaving:
+	case a.state == wire.UpstreamDraining:
 		return notRun(verdict.CodeLeaving, "upstream is leaving").WithRetryAfter(a.cfg.RetryAfter)
 	case a.state != wire.UpstreamReady:
 		return notRun(verdict.CodeNoUpstream, "upstream is not ready").WithRetryAfter(a.cfg.RetryAfter)
@@ -211,12 +211,12 @@
 func (a *Agent) refuse(s *peer.Session, id wire.AttemptID, e *verdict.Error) {
 	a.counters.refused.Inc(1)
 	m := &wire.Refused{
-		Attempt:       id,
-		Verdict:       uint8(e.Verdict),
-		Code:          string(e.Code),
-		Text:          e.Text,
-		RetryAfterMS:  uint64(e.RetryAfter / time.Millisecond),
-		UpstreamEnded: upstreamEndedAt(e),
+		Attempt:           id,
+		Verdict:           uint8(e.Verdict),
+		Code:              string(e.Code),
+		Text:              e.Text,
+		RetryAfterMS:      uint64(e.RetryAfter / time.Millisecond),
+		UpstreamCrashedAt: upstreamEndedAt(e),
 	}
 	if s.Post(m) != nil {
 		a.counters.unreported.Inc(1)
@@ -262,7 +262,7 @@
 // caller must hold mu.
 func (a *Agent) removeAttempt(at *attempt) {
 	delete(a.attempts, at.dispatch.Attempt)
-	at.session.Release()
+	at.session.StopProbing()
 	at.cancel()
 	if len(a.attempts) == 0 {
 		select {
@@ -333,7 +333,7 @@
 func (a *Agent) StartDraining() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.state = wire.UpstreamLeaving
+	a.state = wire.UpstreamDraining
 }
 
 // AwaitDrained waits until no attempt is running or waiting. It returns an error only if ctx
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -157,7 +157,7 @@
 // Pull sends one query and sends the returned order to the engine, unless the engine has
 // already accepted it.
 func (o *OrderPuller) Pull(ctx context.Context) error {
-	query := &wire.OrderQuery{Upstream: o.cfg.Upstream, Pool: o.cfg.Pool, Group: o.cfg.Group, Seen: o.filter.highestFence}
+	query := &wire.OrderQuery{Upstream: o.cfg.Upstream, Pool: o.cfg.Pool, Group: o.cfg.Group, HighestFencingToken: o.filter.highestFence}
 	if _, err := rand.Read(query.Nonce[:]); err != nil {
 		return errors.Wrap(err, "agent: make nonce")
 	}
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -103,7 +103,7 @@
 	a.StartDraining()
 	a.MarkReady()
 	draining, _ := a.Record()
-	require.Equal(t, wire.UpstreamLeaving, draining.State, "MarkReady must not end draining")
+	require.Equal(t, wire.UpstreamDraining, draining.State, "MarkReady must not end draining")
 	require.Greater(t, draining.Seq, u.Seq)
 }
 
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -175,12 +175,12 @@
 		err = checkComplete(at.dispatch, resp, r.tail)
 	}
 	if err != nil && at.ctx.Err() == nil && !isClosed(at.session.Done()) {
-		r.end.UpstreamEnded = a.probeEnd()
+		r.end.UpstreamCrashedAt = a.probeEnd()
 	}
 	r.end.Digest = r.digest.Sum64()
 	if err != nil {
 		a.counters.incomplete.Inc(1)
-		r.end.Broken = true
+		r.end.Incomplete = true
 		r.end.Text = err.Error()
 	}
 	a.send(at, &r.end)
--- a/internal/agent/upstream_monitor.go
+++ b/internal/agent/upstream_monitor.go
@@ -70,7 +70,7 @@
 // the upstream is then shut down on purpose.
 func (a *Agent) probeEnd() int64 {
 	a.mu.Lock()
-	isLeaving := a.state == wire.UpstreamLeaving
+	isLeaving := a.state == wire.UpstreamDraining
 	a.mu.Unlock()
 	if isLeaving {
 		return 0
--- a/internal/catalog/follower.go
+++ b/internal/catalog/follower.go
@@ -38,7 +38,7 @@
 	Control    []string
 	EntryPeers []string
 	// Self describes this host in its reports to control hosts.
-	Self    wire.HostInForce
+	Self    wire.ActiveRevision
 	Log     *slog.Logger
 	Metrics metrics.Registry
 }
@@ -226,7 +226,7 @@
 	if err != nil {
 		return
 	}
-	reply, _, err := s.Call(ctx, &wire.Watch{Since: f.cfg.Store.Revision(), Once: true})
+	reply, _, err := s.Call(ctx, &wire.Watch{Since: f.cfg.Store.Revision(), CurrentOnly: true})
 	if err != nil {
 		return
 	}
@@ -252,5 +252,5 @@
 func (f *Follower) sendReport(s *peer.Session) {
 	self := f.cfg.Self
 	self.Revision = f.cfg.Store.InForce()
-	_ = s.Post(&wire.InForce{Hosts: []wire.HostInForce{self}})
+	_ = s.Post(&wire.InForce{Hosts: []wire.ActiveRevision{self}})
 }
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -52,7 +52,7 @@
 		}
 	}
 	answer := &wire.ConfigurationAnswer{Number: current.Number}
-	if current.Number > m.Above {
+	if current.Number > m.NewerThan {
 		answer.Data = current.Data
 	}
 	return answer, nil
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -140,8 +140,8 @@
 func (f *fleet) hostsMessage() *wire.Hosts {
 	m := &wire.Hosts{Control: append(f.h.addressBook.List(), f.h.cfg.Address)}
 	for s, role := range f.attached {
-		if role == roleEntry && s.Alive() && s.Quiet() < quietTimeout {
-			m.Entries++
+		if role == roleEntry && s.Alive() && s.SilentFor() < quietTimeout {
+			m.EntryHosts++
 		}
 	}
 	return m
@@ -214,7 +214,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	members := f.engines.Members(m.Group, m.Epoch, f.now())
-	if m.IsFirst && len(members) > 0 {
+	if m.FirstRankOnly && len(members) > 0 {
 		members = members[:1]
 		if members[0].FirstRank != 0 {
 			members = nil
@@ -269,7 +269,7 @@
 	}
 	hosts := len(f.h.addressBook.List())
 	for s := range f.attached {
-		if s.Alive() && s.Quiet() < quietTimeout {
+		if s.Alive() && s.SilentFor() < quietTimeout {
 			hosts++
 		}
 	}
@@ -311,7 +311,7 @@
 		case role == roleCallers:
 		case role != roleEntry:
 			_ = s.Post(m)
-		case s.Alive() && s.Quiet() < quietTimeout:
+		case s.Alive() && s.SilentFor() < quietTimeout:
 			entries = append(entries, s)
 		}
 	}
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -19,7 +19,7 @@
 
 // report is a host's report with the time at which it was received.
 type report struct {
-	host wire.HostInForce
+	host wire.ActiveRevision
 	at   time.Time
 }
 
@@ -34,10 +34,10 @@
 }
 
 // list returns the reports with their age, and removes those past reportRetention.
-func (r *reports) list(now time.Time) []wire.HostInForce {
+func (r *reports) list(now time.Time) []wire.ActiveRevision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []wire.HostInForce
+	var out []wire.ActiveRevision
 	for name, rep := range r.byHost {
 		age := now.Sub(rep.at)
 		if age > reportRetention {
@@ -52,8 +52,8 @@
 }
 
 // mergeReports keeps the latest report of each host.
-func mergeReports(lists ...[]wire.HostInForce) map[string]wire.HostInForce {
-	merged := make(map[string]wire.HostInForce)
+func mergeReports(lists ...[]wire.ActiveRevision) map[string]wire.ActiveRevision {
+	merged := make(map[string]wire.ActiveRevision)
 	for _, list := range lists {
 		for _, h := range list {
 			if old, ok := merged[h.Host]; !ok || h.AgeMS < old.AgeMS {
--- a/internal/control/status_test.go
+++ b/internal/control/status_test.go
@@ -14,9 +14,9 @@
 // The status must count hosts by data centre, so that an operator of hundreds of hosts sees
 // which data centre lacks the current revision.
 func TestStatusCountsHostsByDataCentre(t *testing.T) {
-	hosts := make(map[string]wire.HostInForce)
+	hosts := make(map[string]wire.ActiveRevision)
 	for i := range 300 {
-		h := wire.HostInForce{Host: fmt.Sprintf("entry-%d", i), DataCentre: fmt.Sprintf("centre-%d", i%3), Revision: 5}
+		h := wire.ActiveRevision{Host: fmt.Sprintf("entry-%d", i), DataCentre: fmt.Sprintf("centre-%d", i%3), Revision: 5}
 		switch {
 		case i%3 == 1:
 			h.Revision = 4
--- a/internal/control/suspicions_test.go
+++ b/internal/control/suspicions_test.go
@@ -59,7 +59,7 @@
 			}
 			th.received <- m
 		}),
-		OnUp: func(s *peer.Session) {
+		OnSession: func(s *peer.Session) {
 			if control != nil && s.Remote().Replica != "" {
 				control.cfg.Transport.SessionUp(s)
 				control.ControlHostConnected(s)
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -83,7 +83,7 @@
 			r.silent = true
 		}
 	}
-	for _, name := range d.Heard {
+	for _, name := range d.NoLongerSilent {
 		if r := o.records[name]; r != nil {
 			r.silent = false
 		}
--- a/internal/journal/open.go
+++ b/internal/journal/open.go
@@ -11,12 +11,12 @@
 	"github.com/pkg/errors"
 )
 
-// diskIDBytes is the length of the random identity of a disk.
+// diskIDBytes is the length of the random disk ID.
 const diskIDBytes = 16
 
-// Open opens the folder and returns what it holds. It returns a *CorruptError
-// where the folder is damaged, and another error where it is in use or the disk
-// fails.
+// Open opens the data folder and returns the journal and the folder's content. The error
+// is a *CorruptError if the folder is damaged. Other errors mean that another process uses
+// the folder or that the disk failed.
 func Open(o Options) (*Journal, Recovered, error) {
 	j := newJournal(o)
 	if err := j.fs.MkdirAll(j.dir); err != nil {
@@ -53,16 +53,16 @@
 	return j
 }
 
-// folder is the listing of a data folder.
-type folder struct {
+// folderListing is the set of file names in a data folder.
+type folderListing struct {
 	names map[string]bool
 }
 
-func (f folder) has(name string) bool { return f.names[name] }
+func (f folderListing) has(name string) bool { return f.names[name] }
 
-// hasData tells whether the folder holds more than a first Open makes before it
-// writes the manifest.
-func (f folder) hasData() bool {
+// hasData reports whether the folder contains files that the first Open does not create
+// before it writes the manifest.
+func (f folderListing) hasData() bool {
 	for name := range f.names {
 		if _, ok := parseName(name, snapshotPrefix); ok {
 			return true
@@ -79,7 +79,8 @@
 	if err != nil {
 		return Recovered{}, err
 	}
-	// A rename whose sync failed may be visible and yet not on disk.
+	// Sync first: after a failed sync and a restart, a renamed file can be visible although
+	// the rename is not on disk.
 	if err := j.fs.SyncDir(j.dir); err != nil {
 		return Recovered{}, errors.Wrap(err, "sync folder")
 	}
@@ -89,33 +90,33 @@
 	return j.recover(files)
 }
 
-// list returns the files of the folder without those that a crash left half
-// written, which it removes.
-func (j *Journal) list() (folder, error) {
+// list returns the files of the folder. It deletes temporary files, which a crash left
+// behind.
+func (j *Journal) list() (folderListing, error) {
 	names, err := j.fs.List(j.dir)
 	if err != nil {
-		return folder{}, errors.Wrap(err, "list folder")
+		return folderListing{}, errors.Wrap(err, "list folder")
 	}
-	files := folder{names: map[string]bool{}}
+	files := folderListing{names: map[string]bool{}}
 	for _, name := range names {
 		if !strings.HasSuffix(name, tempSuffix) {
 			files.names[name] = true
 			continue
 		}
 		if err := j.fs.Remove(filepath.Join(j.dir, name)); err != nil {
-			return folder{}, errors.Wrap(err, "remove temporary file")
+			return folderListing{}, errors.Wrap(err, "remove temporary file")
 		}
 	}
 	return files, nil
 }
 
-// create fills a new folder. The manifest comes last, so that a folder without
-// one has never acknowledged anything.
-func (j *Journal) create(files folder) (Recovered, error) {
+// create writes the files of a new folder. It writes the manifest last, so a folder
+// without a manifest contains no acknowledged data.
+func (j *Journal) create(files folderListing) (Recovered, error) {
 	if files.hasData() {
 		return Recovered{}, &CorruptError{File: manifestName, Reason: "missing"}
 	}
-	if err := j.checkUnused(files, segmentName(1)); err != nil {
+	if err := j.checkSegmentEmpty(files, segmentName(1)); err != nil {
 		return Recovered{}, err
 	}
 	if err := j.fs.SyncDir(filepath.Dir(j.dir)); err != nil {
@@ -123,10 +124,10 @@
 	}
 	id := make([]byte, diskIDBytes)
 	if _, err := rand.Read(id); err != nil {
-		return Recovered{}, errors.Wrap(err, "draw disk id")
+		return Recovered{}, errors.Wrap(err, "generate disk id")
 	}
 	j.diskID = hex.EncodeToString(id)
-	if err := writeDurable(j.fs, j.dir, diskIDName, []byte(j.diskID+"\n")); err != nil {
+	if err := writeFileAtomic(j.fs, j.dir, diskIDName, []byte(j.diskID+"\n")); err != nil {
 		return Recovered{}, err
 	}
 	if err := j.createSegment(1); err != nil {
@@ -140,9 +141,10 @@
 	return Recovered{DiskID: j.diskID, Fresh: true}, nil
 }
 
-// checkUnused refuses a segment that the manifest does not name and that holds
-// more than its head: records are only written once the manifest names it.
-func (j *Journal) checkUnused(files folder, name string) error {
+// checkSegmentEmpty returns a *CorruptError if a segment that the manifest does not list
+// contains records after its head. Such records are only written once the manifest lists
+// the segment, so the manifest is missing or outdated.
+func (j *Journal) checkSegmentEmpty(files folderListing, name string) error {
 	if !files.has(name) {
 		return nil
 	}
@@ -157,24 +159,24 @@
 	return nil
 }
 
-// recover reads a folder that has a manifest.
-func (j *Journal) recover(files folder) (Recovered, error) {
+// recover restores the journal from a folder that has a manifest.
+func (j *Journal) recover(files folderListing) (Recovered, error) {
 	id, err := j.readDiskID(files)
 	if err != nil {
 		return Recovered{}, err
 	}
 	j.diskID = id
 	var m manifest
-	if err := j.readWhole(files, manifestName, kindManifest, &m); err != nil {
+	if err := j.readRecordFile(files, manifestName, kindManifest, &m); err != nil {
 		return Recovered{}, err
 	}
 	rec := Recovered{DiskID: id}
 	if m.Snapshot != 0 {
-		if err := j.readWhole(files, snapshotName(m.Snapshot), kindSnapshot, &rec.Snapshot); err != nil {
+		if err := j.readRecordFile(files, snapshotName(m.Snapshot), kindSnapshot, &rec.Snapshot); err != nil {
 			return Recovered{}, err
 		}
 		if rec.Snapshot.Meta.Index != m.Snapshot {
-			return Recovered{}, &CorruptError{File: snapshotName(m.Snapshot), Reason: "holds another index"}
+			return Recovered{}, &CorruptError{File: snapshotName(m.Snapshot), Reason: "snapshot has another index"}
 		}
 	}
 	r := replay{journal: j, snapshot: rec.Snapshot.Meta.Index}
@@ -184,8 +186,8 @@
 	if err := j.removeUnused(files, m); err != nil {
 		return Recovered{}, err
 	}
-	rec.HardState, rec.Entries, rec.Cut = r.hard, r.entries, r.cut
-	j.hard = r.hard
+	rec.HardState, rec.Entries, rec.Truncated = r.hardState, r.entries, r.truncated
+	j.hardState = r.hardState
 	j.snapshot = rec.Snapshot.Meta
 	for _, e := range r.entries {
 		j.terms = append(j.terms, e.Term)
@@ -193,7 +195,7 @@
 	return rec, nil
 }
 
-func (j *Journal) readDiskID(files folder) (string, error) {
+func (j *Journal) readDiskID(files folderListing) (string, error) {
 	if !files.has(diskIDName) {
 		return "", &CorruptError{File: diskIDName, Reason: "missing"}
 	}
@@ -204,8 +206,8 @@
 	return strings.TrimSuffix(string(data), "\n"), nil
 }
 
-// readWhole reads a file of a single record.
-func (j *Journal) readWhole(files folder, name string, kind frameKind, v any) error {
+// readRecordFile decodes a file that consists of a single record into v.
+func (j *Journal) readRecordFile(files folderListing, name string, kind frameKind, v any) error {
 	if !files.has(name) {
 		return &CorruptError{File: name, Reason: "missing"}
 	}
@@ -218,7 +220,7 @@
 		return &CorruptError{File: name, Reason: "unreadable: " + reason}
 	}
 	if f.kind != kind || f.end != len(data) {
-		return &CorruptError{File: name, Reason: "holds another kind of record"}
+		return &CorruptError{File: name, Reason: "contains another kind of record"}
 	}
 	if err := decoding.Unmarshal(f.payload, v); err != nil {
 		return &CorruptError{File: name, Reason: err.Error()}
@@ -226,8 +228,9 @@
 	return nil
 }
 
-// removeUnused removes what a crash kept a snapshot or a roll from removing.
-func (j *Journal) removeUnused(files folder, m manifest) error {
+// removeUnused deletes segments and snapshots that are not in the manifest. A crash can
+// leave them behind while a snapshot is saved or a segment is started.
+func (j *Journal) removeUnused(files folderListing, m manifest) error {
 	for name := range files.names {
 		snapshot, isSnapshot := parseName(name, snapshotPrefix)
 		number, isSegment := parseName(name, segmentPrefix)
@@ -237,7 +240,7 @@
 			continue
 		}
 		if isSegment && number > m.Last {
-			if err := j.checkUnused(files, name); err != nil {
+			if err := j.checkSegmentEmpty(files, name); err != nil {
 				return err
 			}
 		}
@@ -248,7 +251,7 @@
 	return errors.Wrap(j.fs.SyncDir(j.dir), "sync folder")
 }
 
-// parseName reads the number of a segment or snapshot.
+// parseName returns the number of a segment or the index of a snapshot from its file name.
 func parseName(name, prefix string) (uint64, bool) {
 	digits, ok := strings.CutPrefix(name, prefix)
 	if !ok {
--- a/internal/journal/patient_test.go
+++ b/internal/journal/spacewaiting_test.go
@@ -12,13 +12,14 @@
 	"github.com/sassafraspost/sassafraspost/internal/consensus"
 )
 
-// fullFS is a disk without room for some operations to come.
-type fullFS struct {
+// fullDiskFS is a file system on which the next operations that need space fail with
+// ENOSPC, as many as refusals says.
+type fullDiskFS struct {
 	FS
 	refusals *int
 }
 
-func (f fullFS) refuse() error {
+func (f fullDiskFS) nextError() error {
 	if *f.refusals == 0 {
 		return nil
 	}
@@ -26,38 +27,40 @@
 	return errors.WithStack(syscall.ENOSPC)
 }
 
-func (f fullFS) Create(name string) (File, error) {
-	if err := f.refuse(); err != nil {
+func (f fullDiskFS) Create(name string) (File, error) {
+	if err := f.nextError(); err != nil {
 		return nil, err
 	}
 	file, err := f.FS.Create(name)
-	return fullFile{file, f}, err
+	return fullDiskFile{file, f}, err
 }
 
-func (f fullFS) Open(name string) (File, error) {
+func (f fullDiskFS) Open(name string) (File, error) {
 	file, err := f.FS.Open(name)
-	return fullFile{file, f}, err
+	return fullDiskFile{file, f}, err
 }
 
-type fullFile struct {
+type fullDiskFile struct {
 	File
-	fs fullFS
+	fs fullDiskFS
 }
 
-// WriteAt takes half of the bytes before it finds the disk full.
-func (f fullFile) WriteAt(data []byte, offset int64) (int, error) {
-	if err := f.fs.refuse(); err != nil {
+// WriteAt writes half of the bytes before it fails on a full disk.
+func (f fullDiskFile) WriteAt(data []byte, offset int64) (int, error) {
+	if err := f.fs.nextError(); err != nil {
 		n, _ := f.File.WriteAt(data[:len(data)/2], offset)
 		return n, err
 	}
 	return f.File.WriteAt(data, offset)
 }
 
-func TestPatientWaitsForSpaceAndLosesNothing(t *testing.T) {
+// A replica on a full disk must wait for space. If a write is retried incompletely, or the
+// journal fails instead, the entry of the interrupted Append is lost.
+func TestFullDiskIsWaitedForWithoutLoss(t *testing.T) {
 	refusals, pauses := 0, 0
-	fs := Patient{
-		FS: fullFS{OS{}, &refusals}, Log: slog.New(slog.DiscardHandler),
-		Pause: func(time.Duration) { pauses++ },
+	fs := SpaceWaitingFS{
+		FS: fullDiskFS{OS{}, &refusals}, Log: slog.New(slog.DiscardHandler),
+		Sleep: func(time.Duration) { pauses++ },
 	}
 	dir := t.TempDir()
 	j, _, err := Open(Options{Dir: dir, FS: fs, Logger: slog.New(slog.DiscardHandler)})
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -230,7 +230,7 @@
 	if s := a.n.controlSession(); s != nil {
 		_ = s.Post(&wire.EngineLoad{
 			Address: a.n.settings.Agent.Upstream.String(), Running: r.Running, Waiting: r.Waiting, Pace: r.Pace,
-			IsOpen: r.IsOpen, IsStanding: a.checkProgress(r, time.Now()), Group: r.Group, Epoch: r.Epoch, Born: r.Born,
+			IsOpen: r.IsOpen, IsStalled: a.checkProgress(r, time.Now()), Group: r.Group, Epoch: r.Epoch, Born: r.Born,
 			Rank: uint32(r.Rank),
 		})
 	}
@@ -321,7 +321,7 @@
 	if address != "" {
 		return address, true
 	}
-	query := &wire.GroupQuery{Group: r.Group, Epoch: r.Epoch, IsFirst: true}
+	query := &wire.GroupQuery{Group: r.Group, Epoch: r.Epoch, FirstRankOnly: true}
 	found := a.queryControlHost(ctx, query)
 	if len(found) == 0 && a.n.controlSession() == nil {
 		found = a.queryAllAgents(ctx, name)
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -123,7 +123,7 @@
 	}
 	go func() {
 		<-s.Done()
-		f.n.log.Info("control host lost", "control_host", s.Remote().Host, "quiet_ms", s.Quiet().Milliseconds())
+		f.n.log.Info("control host lost", "control_host", s.Remote().Host, "quiet_ms", s.SilentFor().Milliseconds())
 		f.mu.Lock()
 		delete(f.loadDecoders, s)
 		f.mu.Unlock()
@@ -144,7 +144,7 @@
 	case *wire.Hosts:
 		f.controlHosts.Add(m.Control...)
 		if f.setEntryHostCount != nil {
-			f.setEntryHostCount(m.Entries)
+			f.setEntryHostCount(m.EntryHosts)
 		}
 	case *wire.EngineLoads:
 		if f.setLoads != nil {
@@ -271,7 +271,7 @@
 func (f *follower) fetchFrom(s *peer.Session, applied uint64, isLinearizable bool) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
-	reply, _, err := s.Call(ctx, &wire.ConfigurationQuery{Above: applied, Linearizable: isLinearizable})
+	reply, _, err := s.Call(ctx, &wire.ConfigurationQuery{NewerThan: applied, Linearizable: isLinearizable})
 	answer, ok := reply.(*wire.ConfigurationAnswer)
 	if err != nil || !ok {
 		f.n.log.Info("configuration not fetched", "from", s.Remote().Host, "held", applied,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -147,12 +147,12 @@
 		},
 		Secret:  peerSecret,
 		Handler: peer.HandlerFunc(func(s *peer.Session, call uint64, m wire.Message) { n.handleMessage(s, call, m) }),
-		OnUp: func(s *peer.Session) {
+		OnSession: func(s *peer.Session) {
 			if n.onSessionUp != nil {
 				n.onSessionUp(s)
 			}
 		},
-		PingInterval: pingInterval, HeldLimit: watchedSilenceLimit, DialTimeout: dialTimeout, Metrics: n.metrics, Log: n.log,
+		PingInterval: pingInterval, ProbeTimeout: watchedSilenceLimit, DialTimeout: dialTimeout, Metrics: n.metrics, Log: n.log,
 	})
 }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,15 +21,17 @@
 
 const testSecret = "a secret of the processes"
 
-type host struct {
+// testHost is a process with a peer listener. got receives its messages if it has no other
+// handler.
+type testHost struct {
 	pool    *Pool
 	address string
 	got     chan wire.Message
 }
 
-func startHost(t *testing.T, name string, h Handler) *host {
+func startHost(t *testing.T, name string, h Handler) *testHost {
 	t.Helper()
-	out := &host{got: make(chan wire.Message, 16)}
+	out := &testHost{got: make(chan wire.Message, 16)}
 	if h == nil {
 		h = HandlerFunc(func(_ *Session, _ uint64, m wire.Message) { out.got <- m })
 	}
@@ -88,10 +90,10 @@
 	_, err := p.Get(context.Background(), b.address)
 	require.Error(t, err)
 	require.Empty(t, b.pool.Sessions())
-	require.Equal(t, int64(1), b.pool.traffic.strangers.Count())
+	require.Equal(t, int64(1), b.pool.traffic.rejected.Count())
 }
 
-func TestAnotherVersionEndsTheSessionAndNotTheProcess(t *testing.T) {
+func TestUnknownVersionEndsOnlyTheSession(t *testing.T) {
 	a, b := startHost(t, "a", nil), startHost(t, "b", nil)
 	s, err := a.pool.Get(context.Background(), b.address)
 	require.NoError(t, err)
@@ -104,9 +106,9 @@
 	require.NoError(t, err, "a new session can begin")
 }
 
-// A frozen end of a held session is noticed within seconds, long before the pings
-// would tell. Without the probe in keepAlive this fails.
-func TestHeldSessionNoticesAFrozenEnd(t *testing.T) {
+// A frozen peer of a probed session must be detected within seconds, long before missed
+// pings reveal it. This fails if keepAlive does not probe the peer.
+func TestProbedSessionDetectsFrozenPeer(t *testing.T) {
 	b := startHost(t, "b", nil)
 	proxy, err := faultproxy.NewTCP(b.address)
 	require.NoError(t, err)
@@ -114,17 +116,18 @@
 	a := startHost(t, "a", nil)
 	s, err := a.pool.Get(context.Background(), proxy.Address())
 	require.NoError(t, err)
-	s.Hold()
+	s.StartProbing()
 	proxy.Freeze()
 	select {
 	case <-s.Done():
 	case <-time.After(DefaultPingInterval):
-		require.Fail(t, "the frozen end was not noticed")
+		require.Fail(t, "the frozen peer was not detected")
 	}
 }
 
-// Without the mark or the handshake in shutdown this fails: the last messages are lost.
-func TestShutdownLosesNoMessage(t *testing.T) {
+// A shutdown must deliver all queued messages. It would lose the last ones if it did not wait
+// for the flush marker or for the closing handshake.
+func TestShutdownDeliversQueuedMessages(t *testing.T) {
 	const count = 500
 	received := make(chan wire.Message, count)
 	b := startHost(t, "b", HandlerFunc(func(_ *Session, _ uint64, m wire.Message) { received <- m }))
@@ -145,8 +148,8 @@
 	}
 }
 
-func TestMessageThatWasNotBegunCanBeWithdrawn(t *testing.T) {
-	s := NewPool(Config{}).newSession(nil, wire.Hello{}) // no writer runs: nothing is ever begun
+func TestUnsentMessageIsWithdrawn(t *testing.T) {
+	s := NewPool(Config{}).newSession(nil, wire.Hello{}) // no writer runs, so no message is ever started
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	require.ErrorIs(t, s.Send(ctx, &wire.Ping{}), context.Canceled)
@@ -158,9 +161,10 @@
 	}
 }
 
-// An end that gives no answer in time loses its session, and the next one is a new one: a
-// connection that was cut may take seconds to find out that it is whole again.
-func TestUnansweredQuestionEndsTheSession(t *testing.T) {
+// If CallWithin gets no reply in time, it must close the session, so that the next caller
+// dials a new connection. After a network interruption, the old connection can take seconds
+// to recover. A caller that gives up itself must not close the session.
+func TestCallWithinTimeoutEndsTheSession(t *testing.T) {
 	b := startHost(t, "b", HandlerFunc(func(s *Session, call uint64, m wire.Message) {
 		if q := m.(*wire.GroupQuery); q.Group == "known" {
 			_ = s.Reply(call, &wire.GroupAnswer{})
@@ -174,20 +178,21 @@
 	require.NoError(t, err)
 	_, _, err = s.CallWithin(t.Context(), DefaultPingInterval, &wire.GroupQuery{Group: "known"})
 	require.NoError(t, err)
-	gone, leave := context.WithCancel(t.Context())
-	leave()
-	_, _, err = s.CallWithin(gone, DefaultPingInterval, &wire.GroupQuery{})
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
+	_, _, err = s.CallWithin(cancelled, DefaultPingInterval, &wire.GroupQuery{})
 	require.Error(t, err)
-	require.True(t, s.Alive(), "the asker left; that says nothing of the other end")
+	require.True(t, s.Alive(), "a cancelled caller says nothing about the peer")
 	proxy.Freeze()
 	_, _, err = s.CallWithin(t.Context(), 10*time.Millisecond, &wire.GroupQuery{Group: "known"})
 	require.Error(t, err)
 	require.False(t, s.Alive())
 }
 
-// A message that its reader can't serve ends the session that it came by, not the process that
-// serves callers: its sender sends it again to the next start, and to all others.
-func TestMessageThatCannotBeServedEndsItsSessionOnly(t *testing.T) {
+// A message on which the handler panics must end only its session, not the process, which
+// serves other callers. The sender sends the message again, so otherwise it would crash the
+// restarted process and all other hosts too.
+func TestHandlerPanicEndsOnlyTheSession(t *testing.T) {
 	served := make(chan wire.Message, 1)
 	b := startHost(t, "b", HandlerFunc(func(_ *Session, _ uint64, m wire.Message) {
 		if _, ok := m.(*wire.Cancel); ok {
@@ -204,13 +209,13 @@
 	require.NoError(t, err)
 	require.NoError(t, s.Post(&wire.Credit{Bytes: 1}))
 	require.Equal(t, &wire.Credit{Bytes: 1}, <-served)
-	require.EqualValues(t, 1, b.pool.traffic.harmful.Count())
+	require.EqualValues(t, 1, b.pool.traffic.panicked.Count())
 }
 
-// A host that shuts down answers every call that has left for it, or it never left: who asked
-// must not be told that its call may have run. Bookings in progress were told so while the
-// leader of the control hosts shut down.
-func TestShutdownAnswersTheCallsThatCrossIt(t *testing.T) {
+// When a host shuts down, each call to it must either get its reply or count as not sent.
+// Otherwise the caller has to report that the call may have run. That happened to
+// booking requests in progress while the leader of the control hosts shut down.
+func TestShutdownAnswersCallsInFlight(t *testing.T) {
 	for range 40 {
 		b := startHost(t, "b", HandlerFunc(func(s *Session, call uint64, _ wire.Message) {
 			go func() {
@@ -240,6 +245,6 @@
 		require.Eventually(t, func() bool { return answered.Load() > 30 }, 20*time.Second, time.Millisecond)
 		b.pool.Shutdown(t.Context())
 		wg.Wait()
-		require.Zero(t, lost.Load(), "calls that left and got no answer")
+		require.Zero(t, lost.Load(), "calls that were sent and got no reply")
 	}
 }
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -19,67 +19,75 @@
 )
 
 const (
-	// DefaultDialTimeout is what Config.DialTimeout is by default.
+	// DefaultDialTimeout is the default of Config.DialTimeout.
 	DefaultDialTimeout = 2 * time.Second
-	// greetFirst is how long a host that has taken a connection has for its greeting; the
-	// limit doubles up to greetMost with each greeting that does not come in time. A host
-	// that greets hundreds is at work on it: who dials it anew too soon only adds to that.
-	greetFirst = time.Second
-	greetMost  = 4 * time.Second
-	// redialDelay is how long a failed address is left alone, so that callers on
-	// their way to a dead host fail at once instead of each waiting for a dial.
+	// minHandshakeTimeout is how long a host that has accepted a connection may take for
+	// the handshake, which is the WebSocket upgrade and the exchange of Hello messages. The
+	// timeout doubles with each handshake that exceeds it, up to maxHandshakeTimeout. A host
+	// that has hundreds of handshakes to do needs that time; dialling it again too soon only
+	// adds to its work.
+	minHandshakeTimeout = time.Second
+	maxHandshakeTimeout = 4 * time.Second
+	// redialDelay is how long an address is not dialled again after a failure, so that
+	// callers that need a dead host fail at once instead of each waiting for a dial.
 	redialDelay = 50 * time.Millisecond
 )
 
-// Config is what a Pool needs.
+// Config configures a Pool.
 type Config struct {
-	Hello   wire.Hello
-	Secret  string
+	// Hello describes this host to its peers.
+	Hello wire.Hello
+	// Secret authenticates the processes of the system to each other.
+	Secret string
+	// Handler receives the messages of all sessions.
 	Handler Handler
-	// TLS is the client side of the peer listeners; nil means no TLS.
+	// TLS is the client configuration for dialling peers; nil means no TLS.
 	TLS *tls.Config
-	// OnUp, if set, is called once for each session that begins, dialled or accepted.
-	OnUp func(*Session)
-	// PingInterval is the longest silence of a live session; DefaultPingInterval
-	// if zero. A host with many sessions takes a longer one.
+	// OnSession, if set, is called once for each new session, dialled or accepted.
+	OnSession func(*Session)
+	// PingInterval is the longest time that this host sends nothing on a live session; zero
+	// means DefaultPingInterval. A host with many sessions should use a longer interval.
 	PingInterval time.Duration
-	// HeldLimit is how long the other end of a held session may be silent; DefaultHeldLimit
-	// if zero. The other end is probed four times in that span.
-	HeldLimit time.Duration
-	// DialTimeout bounds how long a host may take to accept a connection; DefaultDialTimeout
-	// if zero. It has longer for its greeting.
+	// ProbeTimeout is how long the peer of a probed session may be silent (see
+	// Session.StartProbing); zero means DefaultProbeTimeout. The peer is probed four times
+	// within this time.
+	ProbeTimeout time.Duration
+	// DialTimeout bounds how long a host may take to accept a connection; zero means
+	// DefaultDialTimeout. The handshake has a timeout of its own.
 	DialTimeout time.Duration
-	// BeforeGreeting, if set, is called before each greeting of a host that has dialled.
-	BeforeGreeting func()
-	// Metrics receives the counters of traffic; a registry of its own if nil.
+	// BeforeHandshake, if set, is called before each handshake with a host that dialled.
+	BeforeHandshake func()
+	// Metrics is the registry for the traffic counters; nil means a private one.
 	Metrics metrics.Registry
-	// Log, if set, gets messages that can't be served.
+	// Log receives the errors of messages whose handler panicked; nil discards them.
 	Log *slog.Logger
 }
 
-// Pool holds the live sessions by the address of the other host.
+// Pool holds the live sessions with other hosts, by the address of the host.
 type Pool struct {
 	cfg     Config
 	client  *http.Client
 	traffic *traffic
 
-	// mu guards the fields below. It is not held while dialling.
+	// mu guards the fields below. It is not locked while dialling.
 	mu sync.Mutex
-	// all holds every live session, sessions the last one by address.
-	all      map[*Session]bool
-	sessions map[string]*Session
-	dials    map[string]*dial
-	// greet is how long a host has for its greeting, by address; greetFirst where it is 0.
-	greet  map[string]time.Duration
-	closed bool
+	// allSessions contains every live session, sessionsByAddress the latest one of each
+	// address.
+	allSessions       map[*Session]bool
+	sessionsByAddress map[string]*Session
+	dials             map[string]*dial
+	// handshakeTimeouts are the handshake timeouts of hosts, by address. A host that is not
+	// listed has minHandshakeTimeout.
+	handshakeTimeouts map[string]time.Duration
+	closed            bool
 }
 
-// dial is one attempt to reach an address, shared by all who wait for it.
+// dial is one attempt to connect to an address, shared by all callers that wait for it.
 type dial struct {
-	done chan struct{}
-	s    *Session
-	err  error
-	at   time.Time
+	done       chan struct{}
+	s          *Session
+	err        error
+	finishedAt time.Time
 }
 
 // NewPool returns an empty Pool.
@@ -87,8 +95,8 @@
 	if cfg.PingInterval <= 0 {
 		cfg.PingInterval = DefaultPingInterval
 	}
-	if cfg.HeldLimit <= 0 {
-		cfg.HeldLimit = DefaultHeldLimit
+	if cfg.ProbeTimeout <= 0 {
+		cfg.ProbeTimeout = DefaultProbeTimeout
 	}
 	if cfg.DialTimeout <= 0 {
 		cfg.DialTimeout = DefaultDialTimeout
@@ -102,23 +110,23 @@
 	cfg.Hello.PingMS = uint64(cfg.PingInterval / time.Millisecond)
 	transport := &http.Transport{TLSClientConfig: cfg.TLS, DialContext: (&net.Dialer{Timeout: cfg.DialTimeout}).DialContext}
 	return &Pool{
-		cfg:      cfg,
-		client:   &http.Client{Transport: transport},
-		traffic:  newTraffic(cfg.Metrics),
-		all:      make(map[*Session]bool),
-		sessions: make(map[string]*Session),
-		dials:    make(map[string]*dial),
-		greet:    make(map[string]time.Duration),
+		cfg:               cfg,
+		client:            &http.Client{Transport: transport},
+		traffic:           newTraffic(cfg.Metrics),
+		allSessions:       make(map[*Session]bool),
+		sessionsByAddress: make(map[string]*Session),
+		dials:             make(map[string]*dial),
+		handshakeTimeouts: make(map[string]time.Duration),
 	}
 }
 
-// Get returns the live session with the host at address, and dials where there
-// is none. An error means that nothing was sent.
+// Get returns the live session with the host at address. It dials if there is none. If it
+// returns an error, nothing was sent.
 func (p *Pool) Get(ctx context.Context, address string) (*Session, error) {
 	if s := p.Live(address); s != nil {
 		return s, nil
 	}
-	d, err := p.join(address)
+	d, err := p.sharedDial(address)
 	if err != nil {
 		return nil, err
 	}
@@ -134,7 +142,7 @@
 func (p *Pool) Live(address string) *Session {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.sessions[address]
+	s := p.sessionsByAddress[address]
 	if s == nil || !s.Alive() {
 		return nil
 	}
@@ -145,8 +153,8 @@
 func (p *Pool) Sessions() []*Session {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make([]*Session, 0, len(p.all))
-	for s := range p.all {
+	out := make([]*Session, 0, len(p.allSessions))
+	for s := range p.allSessions {
 		if s.Alive() {
 			out = append(out, s)
 		}
@@ -154,14 +162,15 @@
 	return out
 }
 
-// join returns the running dial to address, or starts one.
-func (p *Pool) join(address string) (*dial, error) {
+// sharedDial returns the dial to address that is in progress or failed less than
+// redialDelay ago, or starts one.
+func (p *Pool) sharedDial(address string) (*dial, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return nil, ErrClosed
 	}
-	if d := p.dials[address]; d != nil && (!d.finished() || time.Since(d.at) < redialDelay && d.err != nil) {
+	if d := p.dials[address]; d != nil && (!d.finished() || time.Since(d.finishedAt) < redialDelay && d.err != nil) {
 		return d, nil
 	}
 	d := &dial{done: make(chan struct{})}
@@ -181,42 +190,43 @@
 
 func (p *Pool) dial(address string, d *dial) {
 	p.traffic.dials.Inc(1)
-	limit := p.greetLimit(address)
+	limit := p.handshakeTimeout(address)
 	ctx, cancel := context.WithTimeout(context.Background(), p.cfg.DialTimeout+limit)
 	defer cancel()
-	s, err := p.open(ctx, address)
-	p.noteGreeting(address, limit, ctx.Err() != nil)
+	s, err := p.connect(ctx, address)
+	p.recordHandshake(address, limit, ctx.Err() != nil)
 	if err == nil {
 		p.register(address, s)
 		go s.run(p.cfg.Handler)
 		p.notify(s)
 	}
-	d.s, d.err, d.at = s, err, time.Now()
+	d.s, d.err, d.finishedAt = s, err, time.Now()
 	close(d.done)
 }
 
-// greetLimit returns how long the host at address has for its greeting.
-func (p *Pool) greetLimit(address string) time.Duration {
+// handshakeTimeout returns how long the host at address may take for the handshake.
+func (p *Pool) handshakeTimeout(address string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(p.greet[address], greetFirst)
+	return max(p.handshakeTimeouts[address], minHandshakeTimeout)
 }
 
-// noteGreeting doubles the limit of a host whose greeting did not come in time.
-func (p *Pool) noteGreeting(address string, limit time.Duration, isLate bool) {
+// recordHandshake doubles the handshake timeout of a host that exceeded it, and resets it
+// otherwise.
+func (p *Pool) recordHandshake(address string, limit time.Duration, isLate bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.greet, address)
+	delete(p.handshakeTimeouts, address)
 	if isLate {
-		p.traffic.dialsLate.Inc(1)
-		p.greet[address] = min(2*limit, greetMost)
+		p.traffic.lateHandshakes.Inc(1)
+		p.handshakeTimeouts[address] = min(2*limit, maxHandshakeTimeout)
 	}
 }
 
-func (p *Pool) open(ctx context.Context, address string) (*Session, error) {
+func (p *Pool) connect(ctx context.Context, address string) (*Session, error) {
 	opts := &websocket.DialOptions{
 		HTTPClient:      p.client,
-		HTTPHeader:      p.header(),
+		HTTPHeader:      p.dialHeader(),
 		CompressionMode: websocket.CompressionDisabled,
 	}
 	conn, _, err := websocket.Dial(ctx, p.url(address), opts)
@@ -226,18 +236,18 @@
 	conn.SetReadLimit(wire.MaxMessageBytes)
 	if err := sendHello(ctx, conn, p.cfg.Hello); err != nil {
 		_ = conn.CloseNow()
-		return nil, errors.Wrapf(err, "peer: greet %s", address)
+		return nil, errors.Wrapf(err, "peer: send hello to %s", address)
 	}
 	remote, err := receiveHello(ctx, conn)
 	if err != nil {
 		_ = conn.CloseNow()
-		return nil, errors.Wrapf(err, "peer: greeting of %s", address)
+		return nil, errors.Wrapf(err, "peer: receive hello from %s", address)
 	}
 	return p.newSession(conn, remote), nil
 }
 
-// header is what a dial says before the greeting.
-func (p *Pool) header() http.Header {
+// dialHeader returns the HTTP header of the WebSocket upgrade request.
+func (p *Pool) dialHeader() http.Header {
 	h := http.Header{"Authorization": {"Bearer " + p.cfg.Secret}}
 	if p.cfg.Hello.Replica != "" {
 		h.Set(replicaHeader, p.cfg.Hello.Replica)
@@ -252,8 +262,8 @@
 	return "ws://" + address + Path
 }
 
-// adopt registers an accepted session under the address that the host names.
-func (p *Pool) adopt(s *Session) {
+// registerAccepted registers an accepted session under the address in the peer's Hello.
+func (p *Pool) registerAccepted(s *Session) {
 	p.register(s.remote.Address, s)
 	p.notify(s)
 }
@@ -265,9 +275,9 @@
 		s.Close()
 		return
 	}
-	p.all[s] = true
+	p.allSessions[s] = true
 	if address != "" {
-		p.sessions[address] = s
+		p.sessionsByAddress[address] = s
 	}
 	go p.removeWhenDone(address, s)
 }
@@ -276,24 +286,24 @@
 	<-s.Done()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.all, s)
-	if p.sessions[address] == s {
-		delete(p.sessions, address)
+	delete(p.allSessions, s)
+	if p.sessionsByAddress[address] == s {
+		delete(p.sessionsByAddress, address)
 	}
 }
 
 func (p *Pool) notify(s *Session) {
-	if p.cfg.OnUp != nil {
-		p.cfg.OnUp(s)
+	if p.cfg.OnSession != nil {
+		p.cfg.OnSession(s)
 	}
 }
 
-// Shutdown refuses new sessions and ends the live ones once the other ends have read
-// all that was sent to them, or ctx ends.
+// Shutdown refuses new sessions. It closes each live session when the peer has read
+// everything that was sent to it, or when ctx is done.
 func (p *Pool) Shutdown(ctx context.Context) {
 	p.mu.Lock()
 	p.closed = true
-	open := slices.Collect(maps.Keys(p.all))
+	open := slices.Collect(maps.Keys(p.allSessions))
 	p.mu.Unlock()
 	var wg sync.WaitGroup
 	for _, s := range open {
@@ -307,11 +317,11 @@
 	wg.Wait()
 }
 
-// Close ends all sessions at once and refuses new ones.
+// Close refuses new sessions and closes all live ones immediately.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
-	open := slices.Collect(maps.Keys(p.all))
+	open := slices.Collect(maps.Keys(p.allSessions))
 	p.mu.Unlock()
 	for _, s := range open {
 		s.Close()
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -12,84 +12,87 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// Path is where a host's peer listener accepts sessions.
+// Path is the URL path at which a host's peer listener accepts sessions.
 const Path = "/peer"
 
 const (
-	handshakeTimeout = 3 * time.Second
-	// greetedAtOnce is how many hosts are greeted at a time. The others wait in line, so that
-	// those who are greeted are through soon, and whoever has given up meanwhile costs nothing.
-	greetedAtOnce = 8
-	// turnTime is how long one of them keeps others waiting at most: it may be frozen or cut
-	// off by now.
-	turnTime = 250 * time.Millisecond
-	// replicaHeader names the replica of a control host that dials. Control hosts don't wait
-	// in line: the others need the leader that they elect.
+	// helloTimeout bounds the exchange of Hello messages with a host that dialled.
+	helloTimeout = 3 * time.Second
+	// maxConcurrentHandshakes limits the handshakes in progress. Other hosts wait for a
+	// permit, so that each handshake that has begun finishes soon, and a host that gives up
+	// while it waits costs nothing.
+	maxConcurrentHandshakes = 8
+	// maxPermitTime is how long a handshake holds its permit at most, since the host may be
+	// frozen or disconnected by now.
+	maxPermitTime = 250 * time.Millisecond
+	// replicaHeader contains the replica ID of a control host that dials. Control hosts need
+	// no permit, because all other hosts depend on the leader that they elect.
 	replicaHeader = "Sassafraspost-Replica"
 )
 
 // Server accepts sessions. It is an http.Handler for Path.
 type Server struct {
 	pool *Pool
-	// line has room for those who are greeted.
-	line chan struct{}
+	// handshakePermits contains an element for each permit in use.
+	handshakePermits chan struct{}
 }
 
-// NewServer returns a Server whose sessions join pool: a host that has dialled
-// here is not dialled back.
+// NewServer returns a Server that adds its sessions to pool, so that a host that has
+// connected to this one is not dialled.
 func NewServer(pool *Pool) *Server {
-	return &Server{pool: pool, line: make(chan struct{}, greetedAtOnce)}
+	return &Server{pool: pool, handshakePermits: make(chan struct{}, maxConcurrentHandshakes)}
 }
 
-// ServeHTTP implements http.Handler. A wrong secret gets 401 before the upgrade.
+// ServeHTTP implements http.Handler. It rejects a wrong secret with status 401 before the
+// upgrade.
 func (v *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !v.pool.secretMatches(r) {
-		v.pool.traffic.strangers.Inc(1)
+		v.pool.traffic.rejected.Inc(1)
 		http.Error(w, "wrong secret", http.StatusUnauthorized)
 		return
 	}
-	if s := v.greet(w, r); s != nil {
-		v.pool.adopt(s)
+	if s := v.handshake(w, r); s != nil {
+		v.pool.registerAccepted(s)
 		s.run(v.pool.cfg.Handler)
 	}
 }
 
-// next lets the next one in line.
-func (v *Server) next() { <-v.line }
+// releasePermit lets the next waiting host begin its handshake.
+func (v *Server) releasePermit() { <-v.handshakePermits }
 
-// greet exchanges greetings with who has dialled, in its turn. It returns nil where that
-// fails.
-func (v *Server) greet(w http.ResponseWriter, r *http.Request) *Session {
+// handshake waits for a permit, upgrades the connection and exchanges Hello messages. It
+// returns nil if that fails.
+func (v *Server) handshake(w http.ResponseWriter, r *http.Request) *Session {
 	if r.Header.Get(replicaHeader) == "" {
 		select {
-		case v.line <- struct{}{}:
-			turn := time.AfterFunc(turnTime, v.next)
+		case v.handshakePermits <- struct{}{}:
+			permitTimer := time.AfterFunc(maxPermitTime, v.releasePermit)
 			defer func() {
-				if turn.Stop() {
-					v.next()
+				if permitTimer.Stop() {
+					v.releasePermit()
 				}
 			}()
 		case <-r.Context().Done():
-			v.pool.traffic.gaveUp.Inc(1)
+			v.pool.traffic.abandoned.Inc(1)
 			return nil
 		}
 	}
-	if v.pool.cfg.BeforeGreeting != nil {
-		v.pool.cfg.BeforeGreeting()
+	if v.pool.cfg.BeforeHandshake != nil {
+		v.pool.cfg.BeforeHandshake()
 	}
 	conn, err := websocket.Accept(w, r, &websocket.AcceptOptions{CompressionMode: websocket.CompressionDisabled})
 	if err != nil {
 		return nil
 	}
 	conn.SetReadLimit(wire.MaxMessageBytes)
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), handshakeTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), helloTimeout)
 	defer cancel()
 	remote, err := receiveHello(ctx, conn)
 	if err == nil {
 		err = sendHello(ctx, conn, v.pool.cfg.Hello)
 	}
 	if err != nil {
-		v.pool.traffic.strangers.Inc(1)
+		v.pool.traffic.rejected.Inc(1)
 		_ = conn.Close(websocket.StatusPolicyViolation, "hello refused")
 		return nil
 	}
