--- a/cmd/sassafraspost-node/main.go
+++ b/cmd/sassafraspost-node/main.go
@@ -36,5 +36,5 @@
 	defer stop()
 	log, flush := telemetry.NewBoundedLogger(os.Stdout, slog.LevelInfo)
 	defer flush()
-	return node.Run(ctx, set, platform.Parts(path), log)
+	return node.Run(ctx, set, platform.New(path), log)
 }
