--- a/test/cmd/capacity/main.go
+++ b/test/cmd/capacity/main.go
@@ -56,11 +56,11 @@
 	for i := range o.centres {
 		layout.DataCentres = append(layout.DataCentres, fmt.Sprintf("centre-%d", i))
 	}
-	return local.With(layout, func(s *local.System) error { return measure(ctx, s, o) })
+	return local.WithSystem(layout, func(s *local.System) error { return measure(ctx, s, o) })
 }
 
 func measure(ctx context.Context, s *local.System, o options) error {
-	if err := s.Found(ctx); err != nil {
+	if err := s.Bootstrap(ctx); err != nil {
 		return err
 	}
 	m := measurement{System: s, o: o}
@@ -81,7 +81,7 @@
 func (m measurement) submitAll(ctx context.Context) error {
 	begin := time.Now()
 	for team := range m.o.teams {
-		if out, err := m.SubmitOver(ctx, 0, local.TeamDocument(team, m.o.workspaces, "v1")); err != nil {
+		if out, err := m.SubmitWithBase(ctx, 0, local.TeamDocument(team, m.o.workspaces, "v1")); err != nil {
 			return errors.Wrap(err, out)
 		}
 	}
@@ -101,7 +101,7 @@
 func (m measurement) await(ctx context.Context, team int) (uint64, error) {
 	var st status
 	err := local.Await(ctx, func() bool {
-		out, err := m.Tool(ctx, "status", fmt.Sprintf("team-%d", team), "-o", "json")
+		out, err := m.RunCLI(ctx, "status", fmt.Sprintf("team-%d", team), "-o", "json")
 		return err == nil && json.Unmarshal([]byte(out), &st) == nil && st.InForce == len(m.Entries)
 	})
 	return st.Revision, err
@@ -172,7 +172,7 @@
 func (m measurement) change(ctx context.Context) error {
 	var times []time.Duration
 	for i := range m.o.changes {
-		out, err := m.Tool(ctx, "status", "team-0", "-o", "json")
+		out, err := m.RunCLI(ctx, "status", "team-0", "-o", "json")
 		if err != nil {
 			return errors.Wrap(err, out)
 		}
@@ -181,7 +181,7 @@
 			return err
 		}
 		text := local.TeamDocument(0, m.o.workspaces, fmt.Sprintf("v%d", i+2))
-		if out, err := m.SubmitOver(ctx, st.Revision, text); err != nil {
+		if out, err := m.SubmitWithBase(ctx, st.Revision, text); err != nil {
 			return errors.Wrap(err, out)
 		}
 		accepted := time.Now()
--- a/test/cmd/demo/main.go
+++ b/test/cmd/demo/main.go
@@ -30,7 +30,7 @@
 func run(ctx context.Context) error {
 	fmt.Println("building, and starting 3 control hosts, 2 entry hosts, 3 agents and their stand-ins")
 	layout := local.Layout{Control: 3, Entries: 2, Engines: 2, Services: 1}
-	return local.With(layout, func(s *local.System) error { return present(ctx, s) })
+	return local.WithSystem(layout, func(s *local.System) error { return present(ctx, s) })
 }
 
 func present(ctx context.Context, s *local.System) error {
@@ -45,7 +45,7 @@
 
 func show(ctx context.Context, s *local.System) error {
 	for _, command := range []string{"cluster", "status local", "history"} {
-		out, err := s.Tool(ctx, strings.Fields(command)...)
+		out, err := s.RunCLI(ctx, strings.Fields(command)...)
 		fmt.Printf("$ sassafraspost %s\n%s\n", command, out)
 		if err != nil {
 			return err
@@ -58,7 +58,7 @@
 		local.Booking("club-7-rider-1", "Elena"),
 	}
 	for i, q := range requests {
-		a := local.Do(ctx, s.Entries[i%len(s.Entries)].Listen, q)
+		a := local.Do(ctx, s.Entries[i%len(s.Entries)].ListenAddress, q)
 		if a.Err != nil {
 			return a.Err
 		}
@@ -70,7 +70,7 @@
 
 func check(ctx context.Context, s *local.System) error {
 	want := standin.Text("draft a confirmation", 8)
-	a := local.Do(ctx, s.Entries[0].Listen, local.Completion("draft a confirmation", 8, false))
+	a := local.Do(ctx, s.Entries[0].ListenAddress, local.Completion("draft a confirmation", 8, false))
 	if a.Status != http.StatusOK || !strings.Contains(a.Body, want) {
 		return errors.Errorf("answer %d %q is not whole", a.Status, a.Body)
 	}
--- a/test/cmd/loadtool/load.go
+++ b/test/cmd/loadtool/load.go
@@ -149,7 +149,7 @@
 func offer(ctx context.Context, s *local.System, client *http.Client, sources []source) *phase {
 	p := &phase{client: client, pending: make(chan struct{}, maxPending), start: time.Now(), span: phaseTime}
 	for _, h := range s.Entries {
-		p.entries = append(p.entries, h.Listen)
+		p.entries = append(p.entries, h.ListenAddress)
 	}
 	var wg sync.WaitGroup
 	for i, from := range sources {
--- a/test/cmd/loadtool/main.go
+++ b/test/cmd/loadtool/main.go
@@ -49,7 +49,7 @@
 }
 
 func (sc *scenario) start(ctx context.Context) error {
-	return local.With(sc.layout, func(s *local.System) error { return sc.prepareAndRun(ctx, s) })
+	return local.WithSystem(sc.layout, func(s *local.System) error { return sc.prepareAndRun(ctx, s) })
 }
 
 func (sc *scenario) prepareAndRun(ctx context.Context, s *local.System) error {
--- a/test/cmd/loadtool/scenarios.go
+++ b/test/cmd/loadtool/scenarios.go
@@ -99,7 +99,7 @@
 		if on {
 			f = standin.Failure{Mode: standin.Die, Times: 1 << 30}
 		}
-		return local.Fail(ctx, h.Upstream, f)
+		return local.InjectFailure(ctx, h.Upstream, f)
 	}},
 	{"engine is gone", func(_ context.Context, h *local.Host, on bool) error {
 		if on {
@@ -199,7 +199,7 @@
 func addedLatency(ctx context.Context, s *local.System) error {
 	client := newClient()
 	names := []string{"direct", "path"}
-	targets := []string{s.StandIns[0].Listen, s.Entries[0].Listen}
+	targets := []string{s.StandIns[0].ListenAddress, s.Entries[0].ListenAddress}
 	times := []*hdrhistogram.Histogram{newResult(workspace{}).latency, newResult(workspace{}).latency}
 	token := workspaces()[0].token
 	for n := range pathCalls {
@@ -235,7 +235,7 @@
 		go func() {
 			defer wg.Done()
 			for n := 0; time.Since(began) < callersTime && ctx.Err() == nil; n++ {
-				if status, _ := call(ctx, client, s.Entries[0].Listen, token, fmt.Sprint(c, " asks ", n), pathTokens); status == http.StatusOK {
+				if status, _ := call(ctx, client, s.Entries[0].ListenAddress, token, fmt.Sprint(c, " asks ", n), pathTokens); status == http.StatusOK {
 					ok.Add(1)
 				} else {
 					other.Add(1)
--- a/test/cmd/streams/main.go
+++ b/test/cmd/streams/main.go
@@ -53,7 +53,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	layout := local.Layout{Control: 1, Entries: 1, Engines: 1, EngineArgs: []string{"--step", o.step.String()}}
-	return local.With(layout, func(s *local.System) error { return compare(ctx, s, o) })
+	return local.WithSystem(layout, func(s *local.System) error { return compare(ctx, s, o) })
 }
 
 // compare streams past the system and through it.
@@ -62,7 +62,7 @@
 		return err
 	}
 	for _, way := range []struct{ name, address string }{
-		{"direct", s.Agents[0].Upstream.Listen}, {"through the system", s.Entries[0].Listen},
+		{"direct", s.Agents[0].Upstream.ListenAddress}, {"through the system", s.Entries[0].ListenAddress},
 	} {
 		if err := measure(ctx, s, o, way.name, way.address); err != nil {
 			return err
--- a/test/integration/answers_test.go
+++ b/test/integration/answers_test.go
@@ -60,14 +60,14 @@
 		ctx, cancel := context.WithTimeout(a.s.ctx, sendingPatience)
 		e := a.s.Entries[(caller+n)%len(a.s.Entries)]
 		isStream := n%3 != 0
-		a.judge(prompt, isStream, local.Do(ctx, e.Listen, local.Completion(prompt, answerTokens, isStream)))
+		a.judge(prompt, isStream, local.Do(ctx, e.ListenAddress, local.Completion(prompt, answerTokens, isStream)))
 		cancel()
 	}
 }
 
 // judge notes every end that is neither the whole answer to the own prompt nor a
 // clear error. What came of an answer that broke off must be its beginning.
-func (a *asking) judge(prompt string, isStream bool, got local.Answer) {
+func (a *asking) judge(prompt string, isStream bool, got local.Response) {
 	want := strings.Join(standin.Stream(prompt, answerTokens), "")
 	if !isStream {
 		want = `{"choices":[{"index":0,"text":"` + standin.Text(prompt, answerTokens) + "\"}]}\n"
@@ -147,7 +147,7 @@
 func TestAnswersAreWholeAndTheCallersOwn(t *testing.T) {
 	t.Parallel()
 	s := start(t, local.Layout{
-		Control: 1, Entries: 2, Engines: 3, HasProxies: true, HasMessages: true,
+		Control: 1, Entries: 2, Engines: 3, HasProxies: true, HasMessageProxies: true,
 		EngineArgs: []string{"--step", "2ms"},
 	})
 	out, err := s.Submit(s.ctx, strings.Replace(local.Document("v1"), "deadline = 20s", "deadline = 6s", 1))
@@ -157,7 +157,7 @@
 	a.progress("nothing")
 	for _, mode := range []standin.Mode{standin.Die, standin.Truncate} {
 		for i, h := range s.StandIns {
-			require.NoError(t, local.Fail(s.ctx, h, standin.Failure{Mode: mode, After: 10 * (i + 1), Times: 20}))
+			require.NoError(t, local.InjectFailure(s.ctx, h, standin.Failure{Mode: mode, After: 10 * (i + 1), Times: 20}))
 		}
 		a.progress(string(mode))
 	}
@@ -202,7 +202,7 @@
 		wg.Go(func() {
 			q := local.Completion(fmt.Sprint("leaver ", i), leaverTokens, true)
 			q.ID = fmt.Sprint("leaver-", i)
-			local.Do(ctx, s.Entries[0].Listen, q)
+			local.Do(ctx, s.Entries[0].ListenAddress, q)
 		})
 	}
 	leavers := func(count func(standin.Executions) int) int {
@@ -261,7 +261,7 @@
 	counted := s.executed()
 	for i := range streams {
 		wg.Go(func() {
-			local.Do(ctx, frozen.Listen, local.Completion(fmt.Sprint("held ", i), heldTokens, true))
+			local.Do(ctx, frozen.ListenAddress, local.Completion(fmt.Sprint("held ", i), heldTokens, true))
 		})
 	}
 	ask := func(n int) time.Duration {
--- a/test/integration/disks_test.go
+++ b/test/integration/disks_test.go
@@ -185,7 +185,7 @@
 // membershipsAreInTheTrail checks that operators find the repairs in the history.
 func (s *system) membershipsAreInTheTrail() {
 	s.t.Helper()
-	out, err := s.Tool(s.ctx, "history")
+	out, err := s.RunCLI(s.ctx, "history")
 	require.NoError(s.t, err, out)
 	require.GreaterOrEqual(s.t, strings.Count(out, "membership"), 12, "three steps for each of four repairs")
 	require.Contains(s.t, out, "applied")
--- a/test/integration/experts_test.go
+++ b/test/integration/experts_test.go
@@ -17,7 +17,7 @@
 
 // group returns what the stand-in ranks have done.
 func (s *system) group() standin.GroupReport {
-	resp, err := http.Get("http://" + s.Agents[0].Upstream.Listen + "/group")
+	resp, err := http.Get("http://" + s.Agents[0].Upstream.ListenAddress + "/group")
 	require.NoError(s.t, err)
 	defer resp.Body.Close()
 	var r standin.GroupReport
@@ -27,7 +27,7 @@
 
 // restartRank makes the engine of a rank lose what it knew.
 func (s *system) restartRank(rank int) {
-	resp, err := http.Post(fmt.Sprintf("http://%s/ranks/%d/restart", s.Agents[0].Upstream.Listen, rank), "", nil)
+	resp, err := http.Post(fmt.Sprintf("http://%s/ranks/%d/restart", s.Agents[0].Upstream.ListenAddress, rank), "", nil)
 	require.NoError(s.t, err)
 	_ = resp.Body.Close()
 }
--- a/test/integration/load_test.go
+++ b/test/integration/load_test.go
@@ -59,7 +59,7 @@
 
 // judge notes every answer that is neither whole nor refused in a way that lets the
 // caller ask again.
-func (l *load) judge(prompt string, tokens int, a local.Answer) {
+func (l *load) judge(prompt string, tokens int, a local.Response) {
 	switch {
 	case a.Err != nil:
 		l.note("%s: %v after status %d", prompt, a.Err, a.Status)
--- a/test/integration/main_test.go
+++ b/test/integration/main_test.go
@@ -91,8 +91,8 @@
 }
 
 // do sends a request to an entry host.
-func (s *system) do(entry *local.Host, q local.Request) local.Answer {
-	return local.Do(s.ctx, entry.Listen, q)
+func (s *system) do(entry *local.Host, q local.Request) local.Response {
+	return local.Do(s.ctx, entry.ListenAddress, q)
 }
 
 // leader returns the control host that leads.
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -50,21 +50,21 @@
 }
 
 // book sends one booking.
-func (l *ledger) book(e *local.Host, key string) local.Answer {
-	return l.send(e.Listen, local.Booking(key, "rider of "+key))
+func (l *ledger) book(e *local.Host, key string) local.Response {
+	return l.send(e.ListenAddress, local.Booking(key, "rider of "+key))
 }
 
 // later sends one booking and gives the answer when it comes.
-func (l *ledger) later(address, key string) <-chan local.Answer {
-	out := make(chan local.Answer, 1)
+func (l *ledger) later(address, key string) <-chan local.Response {
+	out := make(chan local.Response, 1)
 	go func() { out <- l.send(address, local.Booking(key, "rider of "+key)) }()
 	return out
 }
 
 // awaitBooking resends a key through all entry hosts in turn until its answer comes.
-func (l *ledger) awaitBooking(key string) local.Answer {
+func (l *ledger) awaitBooking(key string) local.Response {
 	l.s.t.Helper()
-	var a local.Answer
+	var a local.Response
 	n := 0
 	l.s.await("a booking for "+key, func() bool {
 		e := l.s.Entries[n%len(l.s.Entries)]
@@ -95,7 +95,7 @@
 	})
 }
 
-func isReplay(a local.Answer) bool {
+func isReplay(a local.Response) bool {
 	return a.Status == http.StatusCreated && a.Header.Get("Idempotency-Replayed") == "true"
 }
 
@@ -132,9 +132,9 @@
 	one, two, three := s.Entries[0], s.Entries[1], s.Entries[2]
 
 	l.run(t, "one key through all entry hosts at once", func(t *testing.T) {
-		var answers []<-chan local.Answer
+		var answers []<-chan local.Response
 		for i := range 12 {
-			answers = append(answers, l.later(s.Entries[i%3].Listen, "at-once"))
+			answers = append(answers, l.later(s.Entries[i%3].ListenAddress, "at-once"))
 		}
 		created := 0
 		for _, c := range answers {
@@ -147,12 +147,12 @@
 		l.requireBegun(1, "at-once")
 	})
 	l.run(t, "the same key with another body", func(t *testing.T) {
-		a := l.send(two.Listen, local.Booking("at-once", "somebody else"))
+		a := l.send(two.ListenAddress, local.Booking("at-once", "somebody else"))
 		require.Equal(t, http.StatusUnprocessableEntity, a.Status)
 		require.Equal(t, verdict.NotRun, a.Verdict)
 	})
 	l.run(t, "the caller's connection is cut before the answer", func(t *testing.T) {
-		p, err := faultproxy.NewTCP(one.Listen)
+		p, err := faultproxy.NewTCP(one.ListenAddress)
 		require.NoError(t, err)
 		defer p.Close()
 		first := l.later(p.Address(), "lost-answer")
@@ -163,7 +163,7 @@
 		l.requireBegun(1, "lost-answer")
 	})
 	l.run(t, "the link between agent and entry host is cut before the answer", func(t *testing.T) {
-		first := l.later(one.Listen, "cut-link")
+		first := l.later(one.ListenAddress, "cut-link")
 		l.awaitBegun("cut-link")
 		s.Cut(l.service())
 		require.Equal(t, verdict.MayHaveRun, (<-first).Verdict)
@@ -173,7 +173,7 @@
 		l.awaitBooking("after-cut-link")
 	})
 	l.run(t, "the agent is killed and starts again", func(t *testing.T) {
-		first := l.later(one.Listen, "agent-killed")
+		first := l.later(one.ListenAddress, "agent-killed")
 		l.awaitBegun("agent-killed")
 		l.service().Kill()
 		require.Equal(t, verdict.MayHaveRun, (<-first).Verdict)
@@ -186,7 +186,7 @@
 	l.run(t, "the entry host is killed while its dispatch is on the way", func(t *testing.T) {
 		granted := s.counter(one, "entry_claims_granted")
 		l.service().Freeze()
-		first := l.later(one.Listen, "killed-on-the-way")
+		first := l.later(one.ListenAddress, "killed-on-the-way")
 		s.await("the claim", func() bool { return s.counter(one, "entry_claims_granted") > granted })
 		one.Kill()
 		require.Error(t, (<-first).Err)
@@ -197,7 +197,7 @@
 		l.restart(one)
 	})
 	l.run(t, "the entry host is killed after the dispatch", func(t *testing.T) {
-		first := l.later(one.Listen, "killed-after-dispatch")
+		first := l.later(one.ListenAddress, "killed-after-dispatch")
 		l.awaitBegun("killed-after-dispatch")
 		one.Kill()
 		require.Error(t, (<-first).Err)
@@ -221,7 +221,7 @@
 		l.service().Freeze()
 		s.Cut(l.service())
 		s.Heal(l.service())
-		first := l.later(one.Listen, "woke-late")
+		first := l.later(one.ListenAddress, "woke-late")
 		s.await("the claim", func() bool { return s.counter(one, "entry_claims_granted") > granted })
 		one.Freeze()
 		a := l.book(two, "woke-late")
@@ -260,7 +260,7 @@
 	})
 	l.run(t, "the leader is killed before the outcome is recorded", func(t *testing.T) {
 		leader := s.leader()
-		first := l.later(one.Listen, "outcome-lost")
+		first := l.later(one.ListenAddress, "outcome-lost")
 		l.awaitBegun("outcome-lost")
 		leader.Kill()
 		require.Equal(t, http.StatusCreated, (<-first).Status)
@@ -272,7 +272,7 @@
 	l.run(t, "the leader is frozen and wakes later", func(t *testing.T) {
 		leader := s.leader()
 		leader.Freeze()
-		first := l.later(one.Listen, "frozen-leader")
+		first := l.later(one.ListenAddress, "frozen-leader")
 		l.awaitBooking("frozen-leader")
 		leader.Thaw()
 		<-first
@@ -306,7 +306,7 @@
 func (s *system) awaitVoters(n int) error {
 	ctx, cancel := context.WithTimeout(s.ctx, patience)
 	defer cancel()
-	return local.Await(ctx, func() bool { return s.Leader(ctx) != "" && s.Voters(ctx) == n })
+	return local.Await(ctx, func() bool { return s.Leader(ctx) != "" && s.VoterCount(ctx) == n })
 }
 
 const (
@@ -351,11 +351,11 @@
 	defer cancel()
 	if r.IntN(3) == 0 {
 		m.wg.Go(func() {
-			m.l.sendIn(ctx, m.l.s.Entries[order[1]].Listen, local.Booking(key, "rider of "+key))
+			m.l.sendIn(ctx, m.l.s.Entries[order[1]].ListenAddress, local.Booking(key, "rider of "+key))
 			<-ctx.Done()
 		})
 	}
-	a := m.l.sendIn(ctx, m.l.s.Entries[order[0]].Listen, local.Booking(key, "rider of "+key))
+	a := m.l.sendIn(ctx, m.l.s.Entries[order[0]].ListenAddress, local.Booking(key, "rider of "+key))
 	switch {
 	case a.Status == http.StatusCreated && a.Err == nil:
 		m.whole.Add(1)
--- a/test/integration/operators_test.go
+++ b/test/integration/operators_test.go
@@ -32,7 +32,7 @@
 // api is the administration API of one control host.
 func (s *system) api(h *local.Host) *oas.Client {
 	s.t.Helper()
-	c, err := oas.NewClient("http://"+h.Listen, token(local.OperatorToken), oas.WithClient(keptClient))
+	c, err := oas.NewClient("http://"+h.ListenAddress, token(local.OperatorToken), oas.WithClient(keptClient))
 	require.NoError(s.t, err)
 	return c
 }
@@ -151,14 +151,14 @@
 // startBare runs a system without upstreams, with a document in force. It returns
 // the document's revision.
 func startBare(t require.TestingT, s *system) uint64 {
-	require.NoError(t, s.Found(s.ctx))
+	require.NoError(t, s.Bootstrap(s.ctx))
 	r := s.mustPut(change{id: "change-first", text: local.Document("v1")})
 	s.awaitInForce(r, s.Entries...)
 	return r
 }
 
 // inForce returns the revision in force on a host, and whether the host said so.
-func (s *system) inForce(h *local.Host) (uint64, bool) { return local.InForce(s.ctx, h) }
+func (s *system) inForce(h *local.Host) (uint64, bool) { return local.RevisionInForce(s.ctx, h) }
 
 // awaitInForce waits until a revision, or a later one, is in force on the hosts.
 func (s *system) awaitInForce(revision uint64, hosts ...*local.Host) {
--- a/test/integration/orders_test.go
+++ b/test/integration/orders_test.go
@@ -109,7 +109,7 @@
 			document := func(version string) string {
 				return strings.Replace(local.Document(version), "checks-fencing = true", fmt.Sprintf("checks-fencing = %t", args != nil), 1)
 			}
-			require.NoError(t, s.Found(s.ctx))
+			require.NoError(t, s.Bootstrap(s.ctx))
 			base := s.mustPut(change{id: "change-first", text: document("v1")})
 			w := s.watchEngines()
 			s.awaitOrders(1, "v1")
--- a/test/integration/path_test.go
+++ b/test/integration/path_test.go
@@ -17,7 +17,7 @@
 	s := start(t, local.Layout{Control: 3, Entries: 2, Engines: 2, Services: 1})
 
 	t.Run("a document comes back as it was submitted", func(t *testing.T) {
-		out, err := s.Tool(s.ctx, "get", "local")
+		out, err := s.RunCLI(s.ctx, "get", "local")
 		require.NoError(t, err, out)
 		require.Equal(t, local.Document("v1"), out)
 	})
@@ -60,7 +60,7 @@
 		require.Contains(t, out, "from")
 	})
 	t.Run("counters are served", func(t *testing.T) {
-		resp, err := http.Get("http://" + s.Entries[0].Metrics + "/metrics")
+		resp, err := http.Get("http://" + s.Entries[0].MetricsAddress + "/metrics")
 		require.NoError(t, err)
 		defer resp.Body.Close()
 		require.Equal(t, http.StatusOK, resp.StatusCode)
--- a/test/integration/shutdown_test.go
+++ b/test/integration/shutdown_test.go
@@ -44,7 +44,7 @@
 			leaving := s.Agents[0]
 			owners, others := s.owners(leaving)
 			// Long streams keep the agent from ending.
-			long := make(chan local.Answer, 4)
+			long := make(chan local.Response, 4)
 			for range cap(long) {
 				go func() { long <- s.do(others[0], local.Completion("long", 800, true)) }()
 			}
@@ -77,8 +77,8 @@
 	byAddress := make(map[string]*local.Host)
 	var hosts []directory.Host
 	for _, e := range s.Entries {
-		byAddress[e.Peer] = e
-		hosts = append(hosts, directory.Host{Name: e.Peer, Address: e.Peer})
+		byAddress[e.PeerAddress] = e
+		hosts = append(hosts, directory.Host{Name: e.PeerAddress, Address: e.PeerAddress})
 	}
 	for i, h := range directory.Owners(hosts, agent.Name) {
 		if i < directory.OwnersPerUpstream {
--- a/test/integration/tls_test.go
+++ b/test/integration/tls_test.go
@@ -16,12 +16,12 @@
 func TestEverythingGoesByTLS(t *testing.T) {
 	t.Parallel()
 	s := startEmpty(t, local.Layout{Control: 3, Entries: 2, Engines: 1, HasTLS: true})
-	require.NoError(t, s.Found(s.ctx))
+	require.NoError(t, s.Bootstrap(s.ctx))
 	out, err := s.Submit(s.ctx, local.Document("v1"))
 	require.NoError(t, err, out)
 	client, err := s.TLSClient()
 	require.NoError(t, err)
-	url := "https://" + s.Entries[0].Listen + "/v1/completions"
+	url := "https://" + s.Entries[0].ListenAddress + "/v1/completions"
 	s.await("an answer by TLS", func() bool {
 		q := local.Completion("by TLS", 5, false)
 		req, err := http.NewRequestWithContext(s.ctx, q.Method, url, strings.NewReader(q.Body))
--- a/test/integration/verdicts_test.go
+++ b/test/integration/verdicts_test.go
@@ -24,7 +24,7 @@
 type sending struct {
 	key, id  string
 	isKeyed  bool
-	answer   local.Answer
+	answer   local.Response
 	replayed bool
 }
 
@@ -37,13 +37,13 @@
 }
 
 // send gives the request an id of its own and sends it to an address.
-func (l *ledger) send(address string, q local.Request) local.Answer {
+func (l *ledger) send(address string, q local.Request) local.Response {
 	ctx, cancel := context.WithTimeout(l.s.ctx, sendingPatience)
 	defer cancel()
 	return l.sendIn(ctx, address, q)
 }
 
-func (l *ledger) sendIn(ctx context.Context, address string, q local.Request) local.Answer {
+func (l *ledger) sendIn(ctx context.Context, address string, q local.Request) local.Response {
 	l.mu.Lock()
 	q.ID = fmt.Sprintf("sending-%d", len(l.sendings))
 	n := len(l.sendings)
@@ -117,7 +117,7 @@
 
 // counter reads one counter of a host.
 func (s *system) counter(h *local.Host, name string) int {
-	resp, err := http.Get("http://" + h.Metrics + "/metrics")
+	resp, err := http.Get("http://" + h.MetricsAddress + "/metrics")
 	if err != nil {
 		return -1
 	}
@@ -147,24 +147,24 @@
 		for i := range n {
 			wg.Go(func() {
 				e := s.Entries[i%len(s.Entries)]
-				l.send(e.Listen, local.Completion(fmt.Sprintf("crowd of %d, caller %d", n, i), tokens, i%2 == 0))
+				l.send(e.ListenAddress, local.Completion(fmt.Sprintf("crowd of %d, caller %d", n, i), tokens, i%2 == 0))
 			})
 			wg.Go(func() {
 				q := local.Booking(fmt.Sprintf("crowd-%d-%d-%d", n, tokens, i/2), fmt.Sprint("rider ", i/2))
-				l.send(s.Entries[i%len(s.Entries)].Listen, q)
+				l.send(s.Entries[i%len(s.Entries)].ListenAddress, q)
 			})
 		}
 		return &wg
 	}
 	for _, e := range s.Entries {
-		l.send(e.Listen, local.Booking("sent-twice", "one rider"))
+		l.send(e.ListenAddress, local.Booking("sent-twice", "one rider"))
 	}
 	// More than capacity and queues hold.
 	crowd(300, 20).Wait()
 	// Upstreams that die, refuse and truncate.
 	for _, mode := range []standin.Mode{standin.Die, standin.Refuse, standin.Truncate} {
 		for _, h := range s.StandIns {
-			require.NoError(t, local.Fail(s.ctx, h, standin.Failure{Mode: mode, After: 3, Times: 10}))
+			require.NoError(t, local.InjectFailure(s.ctx, h, standin.Failure{Mode: mode, After: 3, Times: 10}))
 		}
 		crowd(20, 8).Wait()
 	}
@@ -183,7 +183,7 @@
 	}
 	// Agents that leave, until no upstream is left.
 	s.await("links", func() bool {
-		return local.Do(s.ctx, s.Entries[0].Listen, local.Completion("links", 1, false)).Status == http.StatusOK
+		return local.Do(s.ctx, s.Entries[0].ListenAddress, local.Completion("links", 1, false)).Status == http.StatusOK
 	})
 	wg = crowd(60, 30)
 	for _, a := range s.Agents {
--- a/test/local/client.go
+++ b/test/local/client.go
@@ -22,10 +22,10 @@
 // pollInterval is how often a condition is looked at.
 const pollInterval = 20 * time.Millisecond
 
-// Tool runs the operators' tool and returns what it printed as its result, and its
+// RunCLI runs the operators' tool and returns what it printed as its result, and its
 // messages too where it failed.
-func (s *System) Tool(ctx context.Context, args ...string) (string, error) {
-	token, err := s.OperatorTokenFile()
+func (s *System) RunCLI(ctx context.Context, args ...string) (string, error) {
+	token, err := s.WriteOperatorTokenFile()
 	if err != nil {
 		return "", err
 	}
@@ -33,7 +33,7 @@
 	if s.Layout.HasTLS {
 		all = append(all, "--ca-file", s.certificateFile())
 	}
-	cmd := exec.CommandContext(ctx, filepath.Join(s.Bin, "sassafraspost"), all...)
+	cmd := exec.CommandContext(ctx, filepath.Join(s.BinDir, "sassafraspost"), all...)
 	var messages bytes.Buffer
 	cmd.Stderr = &messages
 	out, err := cmd.Output()
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// Answer is what a caller got.
-type Answer struct {
+// Response is what a caller got.
+type Response struct {
 	Status  int
 	Header  http.Header
 	Body    string
@@ -74,13 +74,15 @@
 
 // Do sends a request to an entry host on a new connection. An answer that can't be read to
 // its end has Err.
-func Do(ctx context.Context, entry string, q Request) Answer { return DoBy(ctx, client, entry, q) }
+func Do(ctx context.Context, entry string, q Request) Response {
+	return DoWithClient(ctx, client, entry, q)
+}
 
-// DoBy is Do by the caller's own client.
-func DoBy(ctx context.Context, by *http.Client, entry string, q Request) Answer {
+// DoWithClient is Do by the caller's own client.
+func DoWithClient(ctx context.Context, by *http.Client, entry string, q Request) Response {
 	req, err := http.NewRequestWithContext(ctx, q.Method, "http://"+entry+q.Path, bytes.NewReader([]byte(q.Body)))
 	if err != nil {
-		return Answer{Err: err}
+		return Response{Err: err}
 	}
 	req.Header.Set("Authorization", "Bearer "+CallerToken)
 	req.Header.Set("Content-Type", "application/json")
@@ -92,11 +94,11 @@
 	}
 	resp, err := by.Do(req)
 	if err != nil {
-		return Answer{Err: err}
+		return Response{Err: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	a := Answer{Status: resp.StatusCode, Header: resp.Header, Body: string(body), Err: err}
+	a := Response{Status: resp.StatusCode, Header: resp.Header, Body: string(body), Err: err}
 	if v, perr := verdict.Parse(resp.Header.Get(verdict.Header)); perr == nil {
 		a.Verdict = v
 	}
@@ -124,7 +126,7 @@
 // Executions asks a stand-in what it has done.
 func Executions(ctx context.Context, h *Host) (standin.Report, error) {
 	var r standin.Report
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.Listen+"/executions", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.ListenAddress+"/executions", nil)
 	if err != nil {
 		return r, err
 	}
@@ -136,10 +138,10 @@
 	return r, errors.Wrap(json.NewDecoder(resp.Body).Decode(&r), "executions")
 }
 
-// Fail makes the next requests of a stand-in fail.
-func Fail(ctx context.Context, h *Host, f standin.Failure) error {
+// InjectFailure makes the next requests of a stand-in fail.
+func InjectFailure(ctx context.Context, h *Host, f standin.Failure) error {
 	body, _ := json.Marshal(f)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.Listen+"/admin/fail", bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.ListenAddress+"/admin/fail", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -152,7 +154,7 @@
 
 // IsReady reports whether an entry host takes callers.
 func IsReady(ctx context.Context, h *Host) bool {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.Listen+"/readyz", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.ListenAddress+"/readyz", nil)
 	if err != nil {
 		return false
 	}
@@ -169,9 +171,9 @@
 // keptClient keeps its connections: for requests by the hundred.
 var keptClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
 
-// InForce returns the revision in force on a host, and whether the host said so.
-func InForce(ctx context.Context, h *Host) (uint64, bool) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.Metrics+"/metrics", nil)
+// RevisionInForce returns the revision in force on a host, and whether the host said so.
+func RevisionInForce(ctx context.Context, h *Host) (uint64, bool) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.MetricsAddress+"/metrics", nil)
 	if err != nil {
 		return 0, false
 	}
@@ -203,7 +205,7 @@
 
 // cluster asks each control host in turn, until one that has a quorum answers.
 func (s *System) cluster(ctx context.Context) cluster {
-	out, err := s.Tool(ctx, "cluster", "-o", "json")
+	out, err := s.RunCLI(ctx, "cluster", "-o", "json")
 	var c cluster
 	if err != nil || json.Unmarshal([]byte(out), &c) != nil || !c.HasQuorum {
 		return cluster{}
@@ -211,8 +213,8 @@
 	return c
 }
 
-// Voters returns how many control hosts have a vote, zero without a quorum.
-func (s *System) Voters(ctx context.Context) int {
+// VoterCount returns how many control hosts have a vote, zero without a quorum.
+func (s *System) VoterCount(ctx context.Context) int {
 	n := 0
 	for _, r := range s.cluster(ctx).Replicas {
 		if r.Voter {
--- a/test/local/faults.go
+++ b/test/local/faults.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// DelaySends holds each piece that a host sends for a while, until Heal; what it gets comes
+// DelayOutbound holds each piece that a host sends for a while, until Heal; what it gets comes
 // as usual.
-func (s *System) DelaySends(h *Host, by time.Duration) {
+func (s *System) DelayOutbound(h *Host, by time.Duration) {
 	late := faultproxy.Fault{Delay: by}
 	for k, p := range s.links {
 		switch h.Name {
--- a/test/local/prepare.go
+++ b/test/local/prepare.go
@@ -14,7 +14,7 @@
 // Prepare founds the cluster, waits for all votes, submits a document and waits
 // until every entry host serves.
 func (s *System) Prepare(ctx context.Context, document string) error {
-	if err := s.Found(ctx); err != nil {
+	if err := s.Bootstrap(ctx); err != nil {
 		return err
 	}
 	if out, err := s.Submit(ctx, document); err != nil {
@@ -23,12 +23,12 @@
 	return s.AwaitServing(ctx)
 }
 
-// Found founds the cluster and waits until every control host has a vote.
-func (s *System) Found(ctx context.Context) error {
+// Bootstrap founds the cluster and waits until every control host has a vote.
+func (s *System) Bootstrap(ctx context.Context) error {
 	var out string
 	err := Await(ctx, func() bool {
 		var err error
-		out, err = s.Tool(ctx, "init")
+		out, err = s.RunCLI(ctx, "init")
 		return err == nil || s.dead() != ""
 	})
 	if name := s.dead(); name != "" {
@@ -37,7 +37,7 @@
 	if err != nil {
 		return errors.Wrapf(err, "init: %s", out)
 	}
-	err = Await(ctx, func() bool { return s.Voters(ctx) == len(s.Control) })
+	err = Await(ctx, func() bool { return s.VoterCount(ctx) == len(s.Control) })
 	return errors.Wrap(err, "votes")
 }
 
@@ -54,11 +54,11 @@
 // Submit submits a document over the revision that is accepted now.
 func (s *System) Submit(ctx context.Context, document string) (string, error) {
 	st, _ := s.status(ctx)
-	return s.SubmitOver(ctx, st.Revision, document)
+	return s.SubmitWithBase(ctx, st.Revision, document)
 }
 
-// SubmitOver submits a document over a base revision.
-func (s *System) SubmitOver(ctx context.Context, base uint64, document string, args ...string) (string, error) {
+// SubmitWithBase submits a document over a base revision.
+func (s *System) SubmitWithBase(ctx context.Context, base uint64, document string, args ...string) (string, error) {
 	f, err := os.CreateTemp(s.Dir, "document-*.ini")
 	if err != nil {
 		return "", err
@@ -68,7 +68,7 @@
 		return "", err
 	}
 	all := []string{"submit", f.Name(), "--base", strconv.FormatUint(base, 10)}
-	return s.Tool(ctx, append(all, args...)...)
+	return s.RunCLI(ctx, append(all, args...)...)
 }
 
 // status is what the tool prints of a document.
@@ -78,7 +78,7 @@
 }
 
 func (s *System) status(ctx context.Context) (status, error) {
-	out, err := s.Tool(ctx, "status", "local", "-o", "json")
+	out, err := s.RunCLI(ctx, "status", "local", "-o", "json")
 	if err != nil {
 		return status{}, err
 	}
@@ -114,7 +114,7 @@
 		}
 		entry := s.inCentre(a.DataCentre)[0]
 		err := Await(ctx, func() bool {
-			Do(ctx, entry.Listen, Completion("are you there", 1, false))
+			Do(ctx, entry.ListenAddress, Completion("are you there", 1, false))
 			r, err := Executions(ctx, a.Upstream)
 			return err == nil && len(r.ByRequest) > 0
 		})
@@ -126,12 +126,12 @@
 }
 
 func (s *System) awaitEntry(ctx context.Context, h *Host) error {
-	var last Answer
+	var last Response
 	err := Await(ctx, func() bool {
 		if !IsReady(ctx, h) {
 			return false
 		}
-		last = Do(ctx, h.Listen, Completion("are you there", 1, false))
+		last = Do(ctx, h.ListenAddress, Completion("are you there", 1, false))
 		return last.Status == http.StatusOK
 	})
 	return errors.Wrapf(err, "%s does not serve: %d %s %v", h.Name, last.Status, last.Body, last.Err)
--- a/test/local/settings.go
+++ b/test/local/settings.go
@@ -58,7 +58,7 @@
 [metrics]
 listen = %s
 
-%s`, h.Name, h.DataCentre, role, s.Layout.Grace, h.Peer, advertise, s.secret, s.peerTLS(), h.Metrics, body)
+%s`, h.Name, h.DataCentre, role, s.Layout.ShutdownGrace, h.PeerAddress, advertise, s.secret, s.peerTLS(), h.MetricsAddress, body)
 	return os.WriteFile(filepath.Join(s.Dir, h.Name+".ini"), []byte(text), 0o600)
 }
 
@@ -66,7 +66,7 @@
 // comes from settings and has a proxy for each pair.
 func (s *System) advertised(h *Host, role string) (string, error) {
 	if !s.Layout.HasProxies || role != "agent" {
-		return h.Peer, nil
+		return h.PeerAddress, nil
 	}
 	p, err := faultproxy.NewTCP(s.behindMessages(h))
 	if err != nil {
@@ -79,9 +79,9 @@
 // link returns the address under which from reaches to.
 func (s *System) link(from, to *Host) (string, error) {
 	if !s.Layout.HasProxies || from == to {
-		return to.Peer, nil
+		return to.PeerAddress, nil
 	}
-	target := to.Peer
+	target := to.PeerAddress
 	if s.isAgent(from) && !s.isControl(to) {
 		target = s.behindMessages(to)
 	}
@@ -96,10 +96,10 @@
 // behindMessages returns where h is reached through a proxy of its messages, and its
 // own address where the layout has none.
 func (s *System) behindMessages(h *Host) string {
-	if !s.Layout.HasMessages {
-		return h.Peer
+	if !s.Layout.HasMessageProxies {
+		return h.PeerAddress
 	}
-	m := faultproxy.NewMessages(h.Peer)
+	m := faultproxy.NewMessages(h.PeerAddress)
 	s.messages = append(s.messages, m)
 	return m.Address()
 }
@@ -146,7 +146,7 @@
 token-sha256 = %x
 documents = *
 admin = true
-`, s.DataFolder(h), h.Listen, peers, s.tlsKeys("api-"), sha256.Sum256([]byte(OperatorToken))), nil
+`, s.DataFolder(h), h.ListenAddress, peers, s.tlsKeys("api-"), sha256.Sum256([]byte(OperatorToken))), nil
 }
 
 // DataFolder is where a control host keeps its state.
@@ -169,7 +169,7 @@
 listen = %s
 control = %s
 entries = %s
-%s`, h.Listen, control, strings.Join(entries, ", "), s.tlsKeys("")), nil
+%s`, h.ListenAddress, control, strings.Join(entries, ", "), s.tlsKeys("")), nil
 }
 
 func (s *System) agentSection(h *Host) (string, error) {
@@ -196,5 +196,5 @@
 entries = %s
 control = %s
 announce-interval = 500ms
-%s`, h.Upstream.Listen, kind, pool, entries, control, group), nil
+%s`, h.Upstream.ListenAddress, kind, pool, entries, control, group), nil
 }
--- a/test/local/system.go
+++ b/test/local/system.go
@@ -35,23 +35,23 @@
 	DataCentres []string
 	// HasProxies puts a fault-injecting proxy on each link.
 	HasProxies bool
-	// HasMessages puts a proxy that can cross, duplicate and drop messages behind the
+	// HasMessageProxies puts a proxy that can cross, duplicate and drop messages behind the
 	// fault-injecting proxies of all links between agents and entry hosts.
-	HasMessages bool
+	HasMessageProxies bool
 	// HasTLS puts all listeners of the product behind TLS.
 	HasTLS bool
 	// EngineArgs and ServiceArgs go to the stand-ins.
 	EngineArgs, ServiceArgs []string
-	// Grace is the shutdown grace of the daemons; 30s if zero.
-	Grace time.Duration
+	// ShutdownGrace is the shutdown grace of the daemons; 30s if zero.
+	ShutdownGrace time.Duration
 }
 
 // Host is one process with its addresses.
 type Host struct {
 	*Process
 	DataCentre string
-	// Peer is its peer listener; Listen serves callers (entry) or operators (control).
-	Peer, Listen, Metrics string
+	// PeerAddress is its peer listener; Listen serves callers (entry) or operators (control).
+	PeerAddress, ListenAddress, MetricsAddress string
 	// Upstream is the stand-in behind an agent.
 	Upstream *Host
 	// FirstRank is the first rank of a host of a group.
@@ -60,12 +60,12 @@
 
 // System is a running local system.
 type System struct {
-	Dir, Bin string
-	Layout   Layout
-	Control  []*Host
-	Entries  []*Host
-	Agents   []*Host
-	StandIns []*Host
+	Dir, BinDir string
+	Layout      Layout
+	Control     []*Host
+	Entries     []*Host
+	Agents      []*Host
+	StandIns    []*Host
 
 	links   map[linkKey]*faultproxy.TCP
 	inbound map[string]*faultproxy.TCP
@@ -85,11 +85,11 @@
 	if len(layout.DataCentres) == 0 {
 		layout.DataCentres = []string{"centre-a"}
 	}
-	if layout.Grace == 0 {
-		layout.Grace = 30 * time.Second
+	if layout.ShutdownGrace == 0 {
+		layout.ShutdownGrace = 30 * time.Second
 	}
 	s := &System{
-		Dir: dir, Bin: bin, Layout: layout, secret: rand.Text(),
+		Dir: dir, BinDir: bin, Layout: layout, secret: rand.Text(),
 		links: make(map[linkKey]*faultproxy.TCP), inbound: make(map[string]*faultproxy.TCP),
 	}
 	if err := s.place(); err != nil {
@@ -138,7 +138,7 @@
 		}
 		name := fmt.Sprintf("%s-%s-%d", kind, dc, i+1)
 		all := append([]string{"--listen", address, "--kind", kind}, args...)
-		up := &Host{Process: newProcess(s.Dir, "upstream-"+name, filepath.Join(s.Bin, "standin"), all...), DataCentre: dc, Listen: address}
+		up := &Host{Process: newProcess(s.Dir, "upstream-"+name, filepath.Join(s.BinDir, "standin"), all...), DataCentre: dc, ListenAddress: address}
 		s.StandIns = append(s.StandIns, up)
 		if err := s.addDaemon(&s.Agents, name, dc); err != nil {
 			return err
@@ -160,7 +160,7 @@
 	}
 	ranks := strconv.Itoa(s.Layout.GroupHosts * s.Layout.RanksPerHost)
 	args := append([]string{"--listen", address, "--kind", "group", "--ranks", ranks}, s.Layout.GroupArgs...)
-	up := &Host{Process: newProcess(s.Dir, "upstream-group", filepath.Join(s.Bin, "standin"), args...), DataCentre: dc, Listen: address}
+	up := &Host{Process: newProcess(s.Dir, "upstream-group", filepath.Join(s.BinDir, "standin"), args...), DataCentre: dc, ListenAddress: address}
 	s.StandIns = append(s.StandIns, up)
 	for i := range s.Layout.GroupHosts {
 		if err := s.addDaemon(&s.Agents, fmt.Sprintf("group-%d", i), dc); err != nil {
@@ -175,7 +175,7 @@
 
 func (s *System) addDaemon(list *[]*Host, name, dc string) error {
 	h := &Host{DataCentre: dc}
-	for _, a := range []*string{&h.Peer, &h.Listen, &h.Metrics} {
+	for _, a := range []*string{&h.PeerAddress, &h.ListenAddress, &h.MetricsAddress} {
 		address, err := s.reserve()
 		if err != nil {
 			return err
@@ -183,7 +183,7 @@
 		*a = address
 	}
 	path := filepath.Join(s.Dir, name+".ini")
-	h.Process = newProcess(s.Dir, name, filepath.Join(s.Bin, "sassafraspostd"), "--settings", path)
+	h.Process = newProcess(s.Dir, name, filepath.Join(s.BinDir, "sassafraspostd"), "--settings", path)
 	*list = append(*list, h)
 	return nil
 }
@@ -223,8 +223,8 @@
 	s.release()
 }
 
-// OperatorTokenFile writes the operator's token and returns the file's path.
-func (s *System) OperatorTokenFile() (string, error) {
+// WriteOperatorTokenFile writes the operator's token and returns the file's path.
+func (s *System) WriteOperatorTokenFile() (string, error) {
 	path := filepath.Join(s.Dir, "operator.token")
 	return path, os.WriteFile(path, []byte(OperatorToken+"\n"), 0o600)
 }
@@ -237,7 +237,7 @@
 	}
 	var list []string
 	for _, h := range s.Control {
-		list = append(list, scheme+h.Listen)
+		list = append(list, scheme+h.ListenAddress)
 	}
 	return strings.Join(list, ",")
 }
--- a/test/local/usage.go
+++ b/test/local/usage.go
@@ -62,7 +62,7 @@
 }
 
 func addCounters(ctx context.Context, h *Host, sum map[string]int64) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.Metrics+"/metrics", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.MetricsAddress+"/metrics", nil)
 	if err != nil {
 		return err
 	}
--- a/test/local/with.go
+++ b/test/local/with.go
@@ -5,9 +5,9 @@
 	"path/filepath"
 )
 
-// With builds the programs, starts a system in a temporary folder, hands it to use and
+// WithSystem builds the programs, starts a system in a temporary folder, hands it to use and
 // stops it.
-func With(layout Layout, use func(*System) error) error {
+func WithSystem(layout Layout, use func(*System) error) error {
 	dir, err := os.MkdirTemp("", "sassafraspost-local-")
 	if err != nil {
 		return err
--- a/test/soak/callers.go
+++ b/test/soak/callers.go
@@ -97,11 +97,11 @@
 }
 
 // do sends a request to the caller's entry host.
-func (c *callers) do(ctx context.Context, me *caller, q local.Request) local.Answer {
+func (c *callers) do(ctx context.Context, me *caller, q local.Request) local.Response {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	e := c.s.Entries[me.at%len(c.s.Entries)]
-	return local.DoBy(ctx, me.client, e.Listen, q)
+	return local.DoWithClient(ctx, me.client, e.ListenAddress, q)
 }
 
 // stream asks for a streamed completion. It returns whether it was answered whole.
@@ -170,7 +170,7 @@
 }
 
 // failed notes a failure that the system told of. What may have run is as good as cut.
-func (c *callers) failed(what, id string, sent time.Time, a local.Answer) {
+func (c *callers) failed(what, id string, sent time.Time, a local.Response) {
 	c.noteHeld(id, a)
 	if a.Verdict != verdict.NotRun {
 		c.r.count(what + " failed")
@@ -183,7 +183,7 @@
 
 // lose notes a request whose answer broke off, never came or never will, if that was in a calm
 // time.
-func (c *callers) lose(id string, sent time.Time, a local.Answer) {
+func (c *callers) lose(id string, sent time.Time, a local.Response) {
 	if !c.r.isCalm(sent, time.Now(), aftermath) {
 		return
 	}
--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -68,7 +68,7 @@
 
 // checkGroup looks at the steps of the stand-in group.
 func checkGroup(ctx context.Context, s *local.System, r *record) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Agents[0].Upstream.Listen+"/group", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Agents[0].Upstream.ListenAddress+"/group", nil)
 	if err != nil {
 		return err
 	}
--- a/test/soak/operator.go
+++ b/test/soak/operator.go
@@ -58,7 +58,7 @@
 	text := document(o.n+1, o.size)
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, callTime)
-		out, err := o.s.SubmitOver(call, o.base, text, "--change-id", id, "-o", "json")
+		out, err := o.s.SubmitWithBase(call, o.base, text, "--change-id", id, "-o", "json")
 		cancel()
 		switch code := exitCode(err); {
 		case err == nil:
@@ -106,7 +106,7 @@
 			newest, life := uint64(0), h.Done()
 			for ctx.Err() == nil {
 				before := h.Done()
-				revision, ok := local.InForce(ctx, h)
+				revision, ok := local.RevisionInForce(ctx, h)
 				if before != life {
 					newest, life = 0, before
 				}
--- a/test/soak/poison.go
+++ b/test/soak/poison.go
@@ -29,7 +29,7 @@
 	defer cancel()
 	prompt := fmt.Sprintf("%s %d", standin.Poison, int(f.At/time.Millisecond)%poisons)
 	for n := int(f.At); ctx.Err() == nil; n++ {
-		a := local.Do(ctx, s.Entries[n%len(s.Entries)].Listen, local.Completion(prompt, tokens, true))
+		a := local.Do(ctx, s.Entries[n%len(s.Entries)].ListenAddress, local.Completion(prompt, tokens, true))
 		switch {
 		case strings.Contains(a.Body, string(verdict.CodeQuarantined)):
 			r.count("poison held")
@@ -53,7 +53,7 @@
 }
 
 // noteHeld notes an answer to an innocent request that was taken for one that ends upstreams.
-func (c *callers) noteHeld(id string, a local.Answer) {
+func (c *callers) noteHeld(id string, a local.Response) {
 	if strings.Contains(a.Body, `"`+string(verdict.CodeQuarantined)+`"`) {
 		c.r.fail(Contained, "%s is held, and has ended nobody", id)
 	}
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -43,7 +43,7 @@
 	}
 	return local.Layout{
 		Control: control, Entries: 3 * size, Engines: 3 * size, Services: 2 * size,
-		GroupHosts: groupHosts * size, RanksPerHost: ranksPerHost, HasProxies: true, Grace: grace,
+		GroupHosts: groupHosts * size, RanksPerHost: ranksPerHost, HasProxies: true, ShutdownGrace: grace,
 		EngineArgs: []string{"--step", "10ms", "--away", "1s"}, ServiceArgs: []string{"--delay", "30ms"},
 		GroupArgs: []string{"--step", "5ms", "--drift-steps", "150", "--load-time", "100ms"},
 	}
@@ -160,7 +160,7 @@
 	case Poison:
 		poison(ctx, s, r, f)
 	case Delay:
-		s.DelaySends(h, sendDelay)
+		s.DelayOutbound(h, sendDelay)
 		pause(ctx, f.For)
 		s.Heal(h)
 	}
@@ -186,7 +186,7 @@
 	for _, up := range s.StandIns {
 		if up.Name != groupStandIn {
 			// A stand-in that can't be told just answers.
-			_ = local.Fail(ctx, up, standin.Failure{Mode: standin.Die, After: tokens / 2, Times: brokenAnswers})
+			_ = local.InjectFailure(ctx, up, standin.Failure{Mode: standin.Die, After: tokens / 2, Times: brokenAnswers})
 		}
 	}
 	s.Cut(h)
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -79,7 +79,7 @@
 // Only what was cut while no unplanned fault went on, or had just ended, counts as a cut.
 func TestCutsCountInCalmTimesOnly(t *testing.T) {
 	c := newCallers(nil, newRecord())
-	cut := local.Answer{Err: os.ErrDeadlineExceeded, Verdict: verdict.MayHaveRun}
+	cut := local.Response{Err: os.ErrDeadlineExceeded, Verdict: verdict.MayHaveRun}
 	end := c.r.begin("terminate", false)
 	c.lose("calm", time.Now(), cut)
 	end()
