--- a/test/integration/centres_test.go
+++ b/test/integration/centres_test.go
@@ -18,7 +18,7 @@
 
 // A data centre that is cut off goes on with idempotent work, refuses what needs a
 // majority at once, and has what was accepted meanwhile in force after the heal.
-func TestCutOffDataCentreGoesOnAndCatchesUp(t *testing.T) {
+func TestIsolatedDataCentreServesAndCatchesUp(t *testing.T) {
 	t.Parallel()
 	s := start(t, local.Layout{
 		Control: 3, Entries: 1, Engines: 1, Services: 1,
@@ -27,18 +27,18 @@
 	inside := s.Entries[1]
 	require.Equal(t, "centre-b", inside.DataCentre)
 	s.await("a booking in the data centre", func() bool {
-		return s.do(inside, local.Booking("before", "Elena")).Status == http.StatusCreated
+		return s.sendRequest(inside, local.Booking("before", "Elena")).Status == http.StatusCreated
 	})
 
 	s.CutDataCentre("centre-b")
 	for n := range 20 {
 		prompt := fmt.Sprint("cut off ", n)
-		a := s.do(inside, local.Completion(prompt, 5, false))
+		a := s.sendRequest(inside, local.Completion(prompt, 5, false))
 		require.Equal(t, http.StatusOK, a.Status, a.Body)
 		require.Contains(t, a.Body, standin.Text(prompt, 5))
 	}
 	asked := time.Now()
-	a := s.do(inside, local.Booking("during", "Elena"))
+	a := s.sendRequest(inside, local.Booking("during", "Elena"))
 	require.Equal(t, http.StatusServiceUnavailable, a.Status, a.Body)
 	require.NotEqual(t, verdict.Ran, a.Verdict)
 	require.NotEmpty(t, a.Header.Get("Retry-After"))
@@ -54,7 +54,7 @@
 	require.NoError(t, s.AwaitInForce(s.ctx))
 	t.Logf("in force everywhere %v after the heal", time.Since(healed).Round(time.Millisecond))
 	s.await("the same booking after the heal", func() bool {
-		return s.do(inside, local.Booking("during", "Elena")).Status == http.StatusCreated
+		return s.sendRequest(inside, local.Booking("during", "Elena")).Status == http.StatusCreated
 	})
 	for _, h := range s.Agents {
 		r, err := local.Executions(s.ctx, h.Upstream)
--- a/test/integration/documents_test.go
+++ b/test/integration/documents_test.go
@@ -24,19 +24,19 @@
 	s    *system
 	stop chan struct{}
 	wg   sync.WaitGroup
-	// n counts the accepted changes, tried all.
-	n, tried atomic.Int64
-	// through is the control host to ask first; nil is each in turn.
-	through atomic.Pointer[local.Host]
+	// acceptedCount counts the accepted changes, tried all.
+	acceptedCount, triedCount atomic.Int64
+	// target is the control host to ask first; nil is each in turn.
+	target atomic.Pointer[local.Host]
 
-	isWrong atomic.Bool
+	hasUnexpected atomic.Bool
 
 	// The rest is read after end, or once isWrong is set. accepted and refused have change ids.
-	accepted  []string
-	revisions []uint64
-	refused   []string
-	wrong     []string
-	resent    int
+	accepted   []string
+	revisions  []uint64
+	refused    []string
+	unexpected []string
+	resent     int
 }
 
 func (s *system) startSubmitter(base uint64) *submitter {
@@ -48,7 +48,7 @@
 				return
 			default:
 			}
-			if w.isWrong.Load() {
+			if w.hasUnexpected.Load() {
 				return
 			}
 			w.submit(i)
@@ -61,51 +61,51 @@
 	c := change{base: w.revisions[len(w.revisions)-1], id: fmt.Sprintf("change-%05d", i)}
 	c.text = local.Document(fmt.Sprintf("v%d", i+2))
 	first := i
-	if h := w.through.Load(); h != nil {
+	if h := w.target.Load(); h != nil {
 		first = slices.Index(w.s.Control, h)
 	}
-	r := w.s.settle(c, first)
-	w.tried.Add(1)
+	r := w.s.putUntilKnown(c, first)
+	w.triedCount.Add(1)
 	switch {
 	case r.isAccepted():
 		w.accepted = append(w.accepted, c.id)
 		w.revisions = append(w.revisions, r.revision)
-		w.n.Add(1)
+		w.acceptedCount.Add(1)
 		if r.repeated {
 			w.resent++
 		}
 	case r.isNotRun() && (r.problem == nil || r.problem.StatusCode == http.StatusServiceUnavailable):
 		w.refused = append(w.refused, c.id)
 	default:
-		w.wrong = append(w.wrong, c.id+": "+r.String())
-		w.isWrong.Store(true)
+		w.unexpected = append(w.unexpected, c.id+": "+r.String())
+		w.hasUnexpected.Store(true)
 	}
 }
 
-// more waits for n changes more.
-func (w *submitter) more(n int) {
+// awaitAccepted waits for n changes more.
+func (w *submitter) awaitAccepted(n int) {
 	w.s.t.Helper()
-	want := w.n.Load() + int64(n)
-	w.s.await("more accepted changes", func() bool { return w.n.Load() >= want || w.isWrong.Load() })
-	w.requireRight()
+	want := w.acceptedCount.Load() + int64(n)
+	w.s.await("more accepted changes", func() bool { return w.acceptedCount.Load() >= want || w.hasUnexpected.Load() })
+	w.requireNoneUnexpected()
 }
 
-func (w *submitter) requireRight() {
+func (w *submitter) requireNoneUnexpected() {
 	w.s.t.Helper()
-	if w.isWrong.Load() {
-		require.Empty(w.s.t, w.wrong, "what came neither to be accepted nor to have not run")
+	if w.hasUnexpected.Load() {
+		require.Empty(w.s.t, w.unexpected, "what came neither to be accepted nor to have not run")
 	}
 }
 
-// try waits until n changes more have come to an outcome.
-func (w *submitter) try(n int) {
+// awaitTried waits until n changes more have come to an outcome.
+func (w *submitter) awaitTried(n int) {
 	w.s.t.Helper()
-	want := w.tried.Load() + int64(n)
-	w.s.await("more tried changes", func() bool { return w.tried.Load() >= want || w.isWrong.Load() })
-	w.requireRight()
+	want := w.triedCount.Load() + int64(n)
+	w.s.await("more tried changes", func() bool { return w.triedCount.Load() >= want || w.hasUnexpected.Load() })
+	w.requireNoneUnexpected()
 }
 
-func (w *submitter) end() {
+func (w *submitter) stopAndWait() {
 	close(w.stop)
 	w.wg.Wait()
 }
@@ -115,47 +115,47 @@
 // every second kill the leader's links are frozen, so that it goes on taking changes
 // by itself; what it has sent is lost the first time, and arrives after its end the
 // second time.
-func TestAcceptedChangesOutliveTheirLeaders(t *testing.T) {
+func TestAcceptedChangesSurviveLeaderCrashes(t *testing.T) {
 	t.Parallel()
 	s := startEmpty(t, local.Layout{Control: 3, Entries: 3, HasProxies: true})
-	first := startBare(t, s)
-	o := s.observe(s.Entries...)
+	first := bootstrapWithDocument(t, s)
+	o := s.observeRevisions(s.Entries...)
 	w := s.startSubmitter(first)
 	rng := rand.New(rand.NewPCG(7, 11))
 	for round := range 4 {
-		w.more(3 + rng.IntN(30))
+		w.awaitAccepted(3 + rng.IntN(30))
 		l := s.leader()
 		if round%2 == 1 {
-			w.through.Store(l)
-			w.try(1)
+			w.target.Store(l)
+			w.awaitTried(1)
 			s.FreezeLinks(l)
-			w.try(2)
-			w.through.Store(nil)
+			w.awaitTried(2)
+			w.target.Store(nil)
 		}
 		l.Kill()
 		if round == 1 {
 			s.Cut(l)
 		}
 		s.Heal(l)
-		w.more(1 + rng.IntN(10))
+		w.awaitAccepted(1 + rng.IntN(10))
 		require.NoError(t, l.Start())
 	}
-	w.more(10)
-	w.end()
-	w.requireRight()
+	w.awaitAccepted(10)
+	w.stopAndWait()
+	w.requireNoneUnexpected()
 	t.Logf("%d changes accepted, %d of them learnt by a resend, %d refused", len(w.accepted), w.resent, len(w.refused))
 	latest := w.revisions[len(w.revisions)-1]
 	s.awaitInForce(latest, s.Entries...)
-	o.requireNoFall(t, w.revisions)
+	o.requireNoRollback(t, w.revisions)
 	for _, h := range s.Control {
-		s.await("an answer of "+h.Name, func() bool { return s.reads(h) == latest })
+		s.await("an answer of "+h.Name, func() bool { return s.acceptedRevision(h) == latest })
 		require.Equal(t, append([]string{"change-first"}, w.accepted...), acceptedIDs(s.history(h, "local")), h.Name)
 	}
 }
 
-// reads returns the revision that a control host knows to be accepted, zero where
+// acceptedRevision returns the revision that a control host knows to be accepted, zero where
 // it can't tell.
-func (s *system) reads(h *local.Host) uint64 {
+func (s *system) acceptedRevision(h *local.Host) uint64 {
 	a, err := s.api(h).GetDocument(s.ctx, oas.GetDocumentParams{Name: "local"})
 	if err != nil {
 		return 0
@@ -165,15 +165,15 @@
 
 // Of operators that submit over one base at once, one wins, and the others are told
 // who did. One change sent through several hosts at once is made once.
-func TestOneOfSeveralOperatorsWins(t *testing.T) {
+func TestOneOfSeveralConcurrentChangesIsAccepted(t *testing.T) {
 	t.Parallel()
 	s := startEmpty(t, local.Layout{Control: 3, Entries: 1})
-	base := startBare(t, s)
+	base := bootstrapWithDocument(t, s)
 	for round := range 20 {
-		results := s.putAtOnce(2+round%2, func(i int) change {
+		results := s.putConcurrently(2+round%2, func(i int) change {
 			return change{base: base, id: fmt.Sprintf("change-%d-by-%d", round, i), text: local.Document(fmt.Sprintf("v%d-%d", round, i))}
 		})
-		winner := slices.IndexFunc(results, submitted.isAccepted)
+		winner := slices.IndexFunc(results, putResult.isAccepted)
 		require.GreaterOrEqual(t, winner, 0, "%v", results)
 		base = results[winner].revision
 		for i, r := range results {
@@ -189,7 +189,7 @@
 	}
 	for round := range 10 {
 		c := change{base: base, id: fmt.Sprintf("change-twice-%d", round), text: local.Document(fmt.Sprintf("w%d", round))}
-		results := s.putAtOnce(3, func(int) change { return c })
+		results := s.putConcurrently(3, func(int) change { return c })
 		repeated := 0
 		for _, r := range results {
 			require.NoError(t, r.err, "%s", r)
@@ -202,12 +202,12 @@
 		base = results[0].revision
 	}
 	s.await("the history", func() bool { return len(acceptedIDs(s.history(s.Control[0], "local"))) == 31 })
-	s.resendAfterAnotherTookTheToken(base)
+	s.testResendAfterTokenMoved(base)
 }
 
-// putAtOnce sends n changes at the same moment through different control hosts.
-func (s *system) putAtOnce(n int, c func(i int) change) []submitted {
-	results := make([]submitted, n)
+// putConcurrently sends n changes at the same moment through different control hosts.
+func (s *system) putConcurrently(n int, c func(i int) change) []putResult {
+	results := make([]putResult, n)
 	begin := make(chan struct{})
 	var wg sync.WaitGroup
 	for i := range n {
@@ -221,18 +221,18 @@
 	return results
 }
 
-// otherCallerToken makes the document bind another token than the local system's.
-func otherCallerToken(text string) string {
+// withOtherCallerToken makes the document bind another token than the local system's.
+func withOtherCallerToken(text string) string {
 	before, _, _ := strings.Cut(text, "token-sha256 = ")
 	return before + "token-sha256 = " + strings.Repeat("ab", 32) + "\n"
 }
 
 // A resend gets its first outcome although its text would be refused by now.
-func (s *system) resendAfterAnotherTookTheToken(base uint64) {
+func (s *system) testResendAfterTokenMoved(base uint64) {
 	s.t.Helper()
 	c := change{base: base, id: "change-resent", text: local.Document("x1")}
 	revision := s.mustPut(c)
-	s.mustPut(change{base: revision, id: "change-gives-token", text: otherCallerToken(local.Document("x2"))})
+	s.mustPut(change{base: revision, id: "change-gives-token", text: withOtherCallerToken(local.Document("x2"))})
 	_, binding, _ := strings.Cut(local.Document(""), "token-sha256")
 	other := "[service]\nname = other\n\n[model \"scorer\"]\nversion = v1\n\n[workspace \"riders\"]\nshare = 1\ntoken-sha256" + binding
 	s.mustPut(change{name: "other", id: "change-takes-token", text: other})
@@ -248,7 +248,7 @@
 // A leader that is cut off, or frozen, accepts nothing meanwhile; the entry hosts
 // that it served get new changes from other control hosts; back again, it reverts
 // nobody.
-func TestIsolatedLeaderRevertsNobody(t *testing.T) {
+func TestIsolatedLeaderRevertsNoChange(t *testing.T) {
 	for name, isolation := range map[string]struct {
 		begin, end func(s *system, h *local.Host)
 		// isAnswering tells that operators reach the host, isWatched that the entry
@@ -264,12 +264,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := startEmpty(t, local.Layout{Control: 3, Entries: 3, HasProxies: true})
-			base := startBare(t, s)
-			o := s.observe(s.Entries...)
+			base := bootstrapWithDocument(t, s)
+			o := s.observeRevisions(s.Entries...)
 			old := s.leader()
 			rest := slices.DeleteFunc(slices.Clone(s.Control), func(h *local.Host) bool { return h == old })
 			accepted := []uint64{base}
-			base = s.watchOnly(old, rest, base)
+			base = s.makeEntriesWatchOnly(old, rest, base)
 			accepted = append(accepted, base)
 			isolation.begin(s, old)
 			isolated := time.Now()
@@ -296,13 +296,13 @@
 				require.Less(t, time.Since(at), 15*time.Second)
 			}
 			if isolation.isWatched {
-				s.watchStale(old, rest)
+				s.makeEntriesTryStaleHost(old, rest)
 			}
 			isolation.end(s, old)
-			s.await("the old leader's catching up", func() bool { return s.reads(old) == base })
+			s.await("the old leader's catching up", func() bool { return s.acceptedRevision(old) == base })
 			last := s.mustPut(change{base: base, id: "change-after", text: local.Document("after")})
 			s.awaitInForce(last, s.Entries...)
-			o.requireNoFall(t, append(accepted, last))
+			o.requireNoRollback(t, append(accepted, last))
 			require.NotContains(t, acceptedIDs(s.history(old, "local")), lost.id)
 		})
 	}
@@ -318,9 +318,9 @@
 	}
 }
 
-// watchStale makes every entry host watch a control host that is not current, by
+// makeEntriesTryStaleHost makes every entry host watch a control host that is not current, by
 // cutting their links to the rest until each has given it up.
-func (s *system) watchStale(stale *local.Host, rest []*local.Host) {
+func (s *system) makeEntriesTryStaleHost(stale *local.Host, rest []*local.Host) {
 	s.t.Helper()
 	given := func(e *local.Host) int {
 		return strings.Count(e.Log(), `"control host is not current" host=`+e.Name+" host="+stale.Name)
@@ -339,9 +339,9 @@
 	}
 }
 
-// watchOnly makes every entry host watch one control host, by cutting their links to
+// makeEntriesWatchOnly makes every entry host watch one control host, by cutting their links to
 // the rest until a change over base has come through the one.
-func (s *system) watchOnly(one *local.Host, rest []*local.Host, base uint64) uint64 {
+func (s *system) makeEntriesWatchOnly(one *local.Host, rest []*local.Host, base uint64) uint64 {
 	s.t.Helper()
 	for _, h := range rest {
 		for _, e := range s.Entries {
@@ -361,17 +361,17 @@
 // An entry host has no disk. Restarted in a data centre that reaches no current
 // control host, it serves by what its mates know, not by what a control host that
 // was frozen meanwhile still believes.
-func TestRestartedEntryHostAsksItsMates(t *testing.T) {
+func TestRestartedEntryHostLearnsDocumentFromPeers(t *testing.T) {
 	t.Parallel()
 	s := startEmpty(t, local.Layout{Control: 3, Entries: 2, DataCentres: []string{"centre-a", "centre-b"}, HasProxies: true})
-	base := startBare(t, s)
+	base := bootstrapWithDocument(t, s)
 	stale, restarted := s.Control[1], s.Entries[2]
 	require.Equal(t, "centre-b", stale.DataCentre)
 	require.Equal(t, "centre-b", restarted.DataCentre)
 	stale.Freeze()
 	var newer uint64
 	s.await("a change without the frozen host", func() bool {
-		r := s.put(s.Control[0], change{base: base, id: "change-newer", text: otherCallerToken(local.Document("v2"))})
+		r := s.put(s.Control[0], change{base: base, id: "change-newer", text: withOtherCallerToken(local.Document("v2"))})
 		newer = r.revision
 		return r.isAccepted()
 	})
@@ -383,10 +383,10 @@
 	at := time.Now()
 	s.await("readiness", func() bool { return local.IsReady(s.ctx, restarted) })
 	t.Logf("ready %s after the restart", time.Since(at).Round(time.Millisecond))
-	r, ok := s.inForce(restarted)
+	r, ok := s.revisionInForce(restarted)
 	require.True(t, ok)
 	require.Equal(t, newer, r)
-	a := s.do(restarted, local.Completion("who am I", 1, false))
+	a := s.sendRequest(restarted, local.Completion("who am I", 1, false))
 	require.Equal(t, http.StatusUnauthorized, a.Status, "the newer document binds another token: %s", a.Body)
 	s.HealDataCentre("centre-b")
 	last := s.mustPut(change{base: newer, id: "change-after", text: local.Document("v3")})
@@ -395,11 +395,11 @@
 
 // Changes are in force on every entry host within seconds; a control host, and all
 // of them, come back from snapshot and log with the same state.
-func TestChangesReachAllAndOutliveRestarts(t *testing.T) {
+func TestChangesReachAllHostsAndSurviveRestarts(t *testing.T) {
 	t.Parallel()
 	s := startEmpty(t, local.Layout{Control: 3, Entries: 2, DataCentres: []string{"centre-a", "centre-b", "centre-c"}})
-	base := startBare(t, s)
-	o := s.observe(s.Entries...)
+	base := bootstrapWithDocument(t, s)
+	o := s.observeRevisions(s.Entries...)
 	accepted := []uint64{base}
 	spread := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	for i := range 50 {
@@ -411,7 +411,7 @@
 		accepted = append(accepted, base)
 		var all time.Time
 		s.await("the change on all entry hosts", func() (ok bool) {
-			all, ok = o.since(base, len(s.Entries))
+			all, ok = o.reachedAllAt(base, len(s.Entries))
 			return ok
 		})
 		require.NoError(t, spread.RecordValue(max(1, all.Sub(at).Microseconds())))
@@ -432,7 +432,7 @@
 	s.restartAndCompare(want, base, s.Control[1])
 	s.restartAndCompare(want, base, s.Control...)
 	s.awaitInForce(base, s.Entries...)
-	o.requireNoFall(t, accepted)
+	o.requireNoRollback(t, accepted)
 }
 
 // restartAndCompare kills control hosts, starts them, and compares their state.
@@ -446,7 +446,7 @@
 		require.NoError(s.t, h.Start())
 	}
 	for _, h := range hosts {
-		s.await(h.Name+" back", func() bool { return s.reads(h) == revision })
+		s.await(h.Name+" back", func() bool { return s.acceptedRevision(h) == revision })
 	}
 	s.t.Logf("%d control hosts back after %s", len(hosts), time.Since(begun).Round(time.Millisecond))
 	for _, h := range hosts {
--- a/test/integration/experts_test.go
+++ b/test/integration/experts_test.go
@@ -15,8 +15,8 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// group returns what the stand-in ranks have done.
-func (s *system) group() standin.GroupReport {
+// groupReport returns what the stand-in ranks have done.
+func (s *system) groupReport() standin.GroupReport {
 	resp, err := http.Get("http://" + s.Agents[0].Upstream.ListenAddress + "/group")
 	require.NoError(s.t, err)
 	defer resp.Body.Close()
@@ -41,10 +41,10 @@
 		Control: 1, Entries: 2, GroupHosts: 4, RanksPerHost: 2, HasProxies: true,
 		GroupArgs: []string{"--step", "5ms", "--drift-steps", "150", "--load-time", "100ms"},
 	})
-	s.await("a first change", func() bool { return s.group().Maps > 1 })
+	s.await("a first change", func() bool { return s.groupReport().Maps > 1 })
 	rng := rand.New(rand.NewPCG(7, 7))
 	for round := range 12 {
-		before := s.group()
+		before := s.groupReport()
 		h := s.Agents[rng.IntN(len(s.Agents))]
 		fault := []string{"kill", "freeze", "cut", "engine", "armed", "slow"}[round%6]
 		switch fault {
@@ -53,19 +53,19 @@
 			require.NoError(t, h.Start())
 		case "freeze":
 			h.Freeze()
-			s.await("a while", s.passes(30))
+			s.await("a while", s.afterPolls(30))
 			h.Thaw()
 		case "cut":
 			s.Cut(h)
-			s.await("a while", s.passes(30))
+			s.await("a while", s.afterPolls(30))
 			s.Heal(h)
 		case "slow":
 			// Orders of the planning host to the others come after the step that they name;
 			// its own ranks get theirs at once.
 			h = s.Agents[0]
 			s.delayOrders()
-			s.await("armed ranks", s.isArmed)
-			s.await("steps with late orders", func() bool { return s.group().Steps > before.Steps+100 })
+			s.await("armed ranks", s.isAnyRankArmed)
+			s.await("steps with late orders", func() bool { return s.groupReport().Steps > before.Steps+100 })
 			s.healOrders()
 		case "engine":
 			s.restartRank(rng.IntN(8))
@@ -73,18 +73,18 @@
 			// The planning agent, which coordinates, dies with its ranks armed.
 			h = s.Agents[0]
 			s.delayOrders()
-			s.await("armed ranks", s.isArmed)
+			s.await("armed ranks", s.isAnyRankArmed)
 			h.Kill()
 			s.healOrders()
 			require.NoError(t, h.Start())
 		}
 		s.await(fmt.Sprintf("steps and a change after %s of %s", fault, h.Name), func() bool {
-			r := s.group()
+			r := s.groupReport()
 			require.Zero(t, r.Mixed, "steps with two maps after %s of %s", fault, h.Name)
 			return r.Steps > before.Steps+50 && r.Maps > before.Maps
 		})
 	}
-	t.Logf("%+v", s.group())
+	t.Logf("%+v", s.groupReport())
 }
 
 // delayOrders delays what the planning host sends to the other hosts of the group, whichever
@@ -104,8 +104,8 @@
 	}
 }
 
-func (s *system) isArmed() bool {
-	for _, armed := range s.group().Armed {
+func (s *system) isAnyRankArmed() bool {
+	for _, armed := range s.groupReport().Armed {
 		if armed {
 			return true
 		}
@@ -113,8 +113,8 @@
 	return false
 }
 
-// passes returns a condition that holds after n looks.
-func (s *system) passes(n int) func() bool {
+// afterPolls returns a condition that holds after n looks.
+func (s *system) afterPolls(n int) func() bool {
 	return func() bool {
 		n--
 		return n <= 0
--- a/test/integration/main_test.go
+++ b/test/integration/main_test.go
@@ -14,15 +14,15 @@
 	"github.com/sassafraspost/sassafraspost/test/local"
 )
 
-// patience bounds the wait for any condition. Conditions are met much earlier; the
+// conditionTimeout bounds the wait for any condition. Conditions are met much earlier; the
 // bound only ends a test that has failed.
-const patience = 60 * time.Second
+const conditionTimeout = 60 * time.Second
 
 var binaries string
 
-// places bounds the systems that run at once, so that parallel tests don't starve
+// systemSemaphore bounds the systems that run at once, so that parallel tests don't starve
 // each other's timeouts.
-var places = make(chan struct{}, 5)
+var systemSemaphore = make(chan struct{}, 5)
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "sassafraspost-integration-")
@@ -44,8 +44,8 @@
 	*local.System
 	t   *testing.T
 	ctx context.Context
-	// lostAt is when a disk was last lost.
-	lostAt time.Time
+	// diskLostAt is when a disk was last lost.
+	diskLostAt time.Time
 }
 
 // start runs a system with a document in force. It is stopped at the test's end.
@@ -59,11 +59,11 @@
 // startEmpty runs a system that is not founded yet.
 func startEmpty(t *testing.T, layout local.Layout) *system {
 	t.Helper()
-	places <- struct{}{}
-	t.Cleanup(func() { <-places })
+	systemSemaphore <- struct{}{}
+	t.Cleanup(func() { <-systemSemaphore })
 	inner, err := local.New(t.TempDir(), binaries, layout)
 	require.NoError(t, err)
-	ctx, cancel := context.WithTimeout(context.Background(), 3*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 3*conditionTimeout)
 	s := &system{System: inner, t: t, ctx: ctx}
 	t.Cleanup(func() {
 		cancel()
@@ -85,13 +85,13 @@
 // await waits until ok.
 func (s *system) await(what string, ok func() bool) {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(s.ctx, patience)
+	ctx, cancel := context.WithTimeout(s.ctx, conditionTimeout)
 	defer cancel()
 	require.NoError(s.t, local.Await(ctx, ok), what)
 }
 
-// do sends a request to an entry host.
-func (s *system) do(entry *local.Host, q local.Request) local.Response {
+// sendRequest sends a request to an entry host.
+func (s *system) sendRequest(entry *local.Host, q local.Request) local.Response {
 	return local.Do(s.ctx, entry.ListenAddress, q)
 }
 
@@ -108,8 +108,8 @@
 	return h
 }
 
-// finish asks a process to shut down and waits for its end.
-func (s *system) finish(h *local.Host) {
+// shutDown asks a process to shut down and waits for its end.
+func (s *system) shutDown(h *local.Host) {
 	s.t.Helper()
 	h.Terminate()
 	select {
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -18,9 +18,9 @@
 	"github.com/sassafraspost/sassafraspost/test/local"
 )
 
-// startOnce runs a system whose bookings take some time, with a deadline short
+// startBookings runs a system whose bookings take some time, with a deadline short
 // enough to be outlived by a frozen host.
-func startOnce(t *testing.T, services int, delay string) *ledger {
+func startBookings(t *testing.T, services int, delay string) *requestLog {
 	s := start(t, local.Layout{
 		Control: 3, Entries: 3, Engines: 1, Services: services, HasProxies: true,
 		ServiceArgs: []string{"--delay", delay},
@@ -28,21 +28,21 @@
 	out, err := s.Submit(s.ctx, strings.Replace(local.Document("v1"), "deadline = 20s", "deadline = 4s", 1))
 	require.NoError(t, err, out)
 	require.NoError(t, s.AwaitInForce(s.ctx))
-	l := &ledger{s: s}
+	l := &requestLog{s: s}
 	l.awaitBooking("warm-up")
 	return l
 }
 
 // service is the agent of the only service.
-func (l *ledger) service() *local.Host { return l.s.Agents[1] }
+func (l *requestLog) service() *local.Host { return l.s.Agents[1] }
 
-// run runs a subtest, whose failures end it alone, once bookings go through the first
+// runSubtest runs a subtest, whose failures end it alone, once bookings go through the first
 // entry host again.
-func (l *ledger) run(t *testing.T, name string, test func(t *testing.T)) {
+func (l *requestLog) runSubtest(t *testing.T, name string, test func(t *testing.T)) {
 	t.Run(name, func(t *testing.T) {
 		l.s.t = t
 		l.s.await("bookings before "+name, func() bool {
-			return l.book(l.s.Entries[0], fmt.Sprint("before-", len(l.sendings))).Status == http.StatusCreated
+			return l.book(l.s.Entries[0], fmt.Sprint("before-", len(l.requests))).Status == http.StatusCreated
 		})
 		test(t)
 	})
@@ -50,19 +50,19 @@
 }
 
 // book sends one booking.
-func (l *ledger) book(e *local.Host, key string) local.Response {
+func (l *requestLog) book(e *local.Host, key string) local.Response {
 	return l.send(e.ListenAddress, local.Booking(key, "rider of "+key))
 }
 
-// later sends one booking and gives the answer when it comes.
-func (l *ledger) later(address, key string) <-chan local.Response {
+// bookAsync sends one booking and gives the answer when it comes.
+func (l *requestLog) bookAsync(address, key string) <-chan local.Response {
 	out := make(chan local.Response, 1)
 	go func() { out <- l.send(address, local.Booking(key, "rider of "+key)) }()
 	return out
 }
 
 // awaitBooking resends a key through all entry hosts in turn until its answer comes.
-func (l *ledger) awaitBooking(key string) local.Response {
+func (l *requestLog) awaitBooking(key string) local.Response {
 	l.s.t.Helper()
 	var a local.Response
 	n := 0
@@ -75,8 +75,8 @@
 	return a
 }
 
-// awaitUnknown resends a key until it is told that the call may have run for good.
-func (l *ledger) awaitUnknown(e *local.Host, key string) {
+// awaitMayHaveRun resends a key until it is told that the call may have run for good.
+func (l *requestLog) awaitMayHaveRun(e *local.Host, key string) {
 	l.s.t.Helper()
 	l.s.await("the end of the claim of "+key, func() bool {
 		a := l.book(e, key)
@@ -84,33 +84,33 @@
 	})
 }
 
-// awaitEnd resends a key until its end is known: its recorded answer, or that the call
+// awaitOutcome resends a key until its end is known: its recorded answer, or that the call
 // may have run for good.
-func (l *ledger) awaitEnd(e *local.Host, key string) {
+func (l *requestLog) awaitOutcome(e *local.Host, key string) {
 	l.s.t.Helper()
 	l.s.await("the end of "+key, func() bool {
 		a := l.book(e, key)
 		require.NotEqual(l.s.t, verdict.NotRun, a.Verdict, a.Body)
-		return isReplay(a) || strings.Contains(a.Body, `"conflict"`)
+		return isReplayed(a) || strings.Contains(a.Body, `"conflict"`)
 	})
 }
 
-func isReplay(a local.Response) bool {
+func isReplayed(a local.Response) bool {
 	return a.Status == http.StatusCreated && a.Header.Get("Idempotency-Replayed") == "true"
 }
 
-func (l *ledger) awaitBegun(key string) {
+func (l *requestLog) awaitStarted(key string) {
 	l.s.t.Helper()
-	l.s.await("the execution of "+key, func() bool { return l.s.executed().ByKey[key].Begun > 0 })
+	l.s.await("the execution of "+key, func() bool { return l.s.executions().ByKey[key].Begun > 0 })
 }
 
-func (l *ledger) requireBegun(times int, key string) {
+func (l *requestLog) requireExecutions(times int, key string) {
 	l.s.t.Helper()
-	require.Equal(l.s.t, times, l.s.executed().ByKey[key].Begun, "executions of %s", key)
+	require.Equal(l.s.t, times, l.s.executions().ByKey[key].Begun, "executions of %s", key)
 }
 
 // restart starts a process that was killed and waits until bookings go through it.
-func (l *ledger) restart(h *local.Host) {
+func (l *requestLog) restart(h *local.Host) {
 	l.s.t.Helper()
 	require.NoError(l.s.t, h.Start())
 	for _, e := range l.s.Entries {
@@ -125,16 +125,16 @@
 
 // A key runs at most once, whatever is killed, cut or frozen around the entry host
 // and the agent, and a resend through another entry host says so.
-func TestBookingRunsOnceThroughFaultsOfTheDataPath(t *testing.T) {
+func TestBookingRunsOnceDespiteDataPathFaults(t *testing.T) {
 	t.Parallel()
-	l := startOnce(t, 1, "300ms")
+	l := startBookings(t, 1, "300ms")
 	s := l.s
 	one, two, three := s.Entries[0], s.Entries[1], s.Entries[2]
 
-	l.run(t, "one key through all entry hosts at once", func(t *testing.T) {
+	l.runSubtest(t, "one key through all entry hosts at once", func(t *testing.T) {
 		var answers []<-chan local.Response
 		for i := range 12 {
-			answers = append(answers, l.later(s.Entries[i%3].ListenAddress, "at-once"))
+			answers = append(answers, l.bookAsync(s.Entries[i%3].ListenAddress, "at-once"))
 		}
 		created := 0
 		for _, c := range answers {
@@ -144,107 +144,107 @@
 			}
 		}
 		require.Equal(t, 1, created)
-		l.requireBegun(1, "at-once")
+		l.requireExecutions(1, "at-once")
 	})
-	l.run(t, "the same key with another body", func(t *testing.T) {
+	l.runSubtest(t, "the same key with another body", func(t *testing.T) {
 		a := l.send(two.ListenAddress, local.Booking("at-once", "somebody else"))
 		require.Equal(t, http.StatusUnprocessableEntity, a.Status)
 		require.Equal(t, verdict.NotRun, a.Verdict)
 	})
-	l.run(t, "the caller's connection is cut before the answer", func(t *testing.T) {
+	l.runSubtest(t, "the caller's connection is cut before the answer", func(t *testing.T) {
 		p, err := faultproxy.NewTCP(one.ListenAddress)
 		require.NoError(t, err)
 		defer p.Close()
-		first := l.later(p.Address(), "lost-answer")
-		l.awaitBegun("lost-answer")
+		first := l.bookAsync(p.Address(), "lost-answer")
+		l.awaitStarted("lost-answer")
 		p.Cut()
 		require.Error(t, (<-first).Err)
 		require.Contains(t, l.awaitBooking("lost-answer").Body, "lost-answer")
-		l.requireBegun(1, "lost-answer")
+		l.requireExecutions(1, "lost-answer")
 	})
-	l.run(t, "the link between agent and entry host is cut before the answer", func(t *testing.T) {
-		first := l.later(one.ListenAddress, "cut-link")
-		l.awaitBegun("cut-link")
+	l.runSubtest(t, "the link between agent and entry host is cut before the answer", func(t *testing.T) {
+		first := l.bookAsync(one.ListenAddress, "cut-link")
+		l.awaitStarted("cut-link")
 		s.Cut(l.service())
 		require.Equal(t, verdict.MayHaveRun, (<-first).Verdict)
 		s.Heal(l.service())
-		l.awaitEnd(two, "cut-link")
-		l.requireBegun(1, "cut-link")
+		l.awaitOutcome(two, "cut-link")
+		l.requireExecutions(1, "cut-link")
 		l.awaitBooking("after-cut-link")
 	})
-	l.run(t, "the agent is killed and starts again", func(t *testing.T) {
-		first := l.later(one.ListenAddress, "agent-killed")
-		l.awaitBegun("agent-killed")
+	l.runSubtest(t, "the agent is killed and starts again", func(t *testing.T) {
+		first := l.bookAsync(one.ListenAddress, "agent-killed")
+		l.awaitStarted("agent-killed")
 		l.service().Kill()
 		require.Equal(t, verdict.MayHaveRun, (<-first).Verdict)
 		require.NoError(t, l.service().Start())
 		l.awaitBooking("after-agent-killed")
 		a := l.book(two, "agent-killed")
 		require.Equal(t, verdict.MayHaveRun, a.Verdict, a.Body)
-		l.requireBegun(1, "agent-killed")
+		l.requireExecutions(1, "agent-killed")
 	})
-	l.run(t, "the entry host is killed while its dispatch is on the way", func(t *testing.T) {
+	l.runSubtest(t, "the entry host is killed while its dispatch is on the way", func(t *testing.T) {
 		granted := s.counter(one, "entry_claims_granted")
 		l.service().Freeze()
-		first := l.later(one.ListenAddress, "killed-on-the-way")
+		first := l.bookAsync(one.ListenAddress, "killed-on-the-way")
 		s.await("the claim", func() bool { return s.counter(one, "entry_claims_granted") > granted })
 		one.Kill()
 		require.Error(t, (<-first).Err)
 		a := l.book(two, "killed-on-the-way")
 		require.Equal(t, verdict.MayHaveRun, a.Verdict, a.Body)
 		l.service().Thaw()
-		l.awaitEnd(three, "killed-on-the-way")
+		l.awaitOutcome(three, "killed-on-the-way")
 		l.restart(one)
 	})
-	l.run(t, "the entry host is killed after the dispatch", func(t *testing.T) {
-		first := l.later(one.ListenAddress, "killed-after-dispatch")
-		l.awaitBegun("killed-after-dispatch")
+	l.runSubtest(t, "the entry host is killed after the dispatch", func(t *testing.T) {
+		first := l.bookAsync(one.ListenAddress, "killed-after-dispatch")
+		l.awaitStarted("killed-after-dispatch")
 		one.Kill()
 		require.Error(t, (<-first).Err)
 		a := l.book(two, "killed-after-dispatch")
 		require.Equal(t, verdict.MayHaveRun, a.Verdict, a.Body)
-		l.requireBegun(1, "killed-after-dispatch")
+		l.requireExecutions(1, "killed-after-dispatch")
 		l.restart(one)
 	})
-	l.run(t, "the entry host is killed after the answer", func(t *testing.T) {
+	l.runSubtest(t, "the entry host is killed after the answer", func(t *testing.T) {
 		first := l.book(one, "killed-after-answer")
 		require.Equal(t, http.StatusCreated, first.Status, first.Body)
 		one.Kill()
 		again := l.book(two, "killed-after-answer")
 		require.Equal(t, first.Body, again.Body)
-		l.requireBegun(1, "killed-after-answer")
+		l.requireExecutions(1, "killed-after-answer")
 		l.restart(one)
 	})
-	l.run(t, "the entry host is frozen between claim and dispatch and wakes late", func(t *testing.T) {
+	l.runSubtest(t, "the entry host is frozen between claim and dispatch and wakes late", func(t *testing.T) {
 		// The agent answers no new session: the dispatch can't leave.
 		granted := s.counter(one, "entry_claims_granted")
 		l.service().Freeze()
 		s.Cut(l.service())
 		s.Heal(l.service())
-		first := l.later(one.ListenAddress, "woke-late")
+		first := l.bookAsync(one.ListenAddress, "woke-late")
 		s.await("the claim", func() bool { return s.counter(one, "entry_claims_granted") > granted })
 		one.Freeze()
 		a := l.book(two, "woke-late")
 		require.Contains(t, a.Body, "in-progress", "its time is not over")
-		l.awaitUnknown(two, "woke-late")
+		l.awaitMayHaveRun(two, "woke-late")
 		l.service().Thaw()
 		one.Thaw()
 		<-first
 		l.awaitBooking("after-woke-late")
-		require.LessOrEqual(t, s.executed().ByKey["woke-late"].Begun, 1)
+		require.LessOrEqual(t, s.executions().ByKey["woke-late"].Begun, 1)
 	})
-	t.Logf("%d sendings: %+v", len(l.sendings), l.judge())
+	t.Logf("%d sendings: %+v", len(l.requests), l.checkVerdicts())
 }
 
 // A key runs at most once, and is not lost to its caller, whatever happens to the
 // leader of the control hosts.
-func TestBookingRunsOnceThroughFaultsOfTheLeader(t *testing.T) {
+func TestBookingRunsOnceDespiteLeaderFaults(t *testing.T) {
 	t.Parallel()
-	l := startOnce(t, 1, "100ms")
+	l := startBookings(t, 1, "100ms")
 	s := l.s
 	one, two := s.Entries[0], s.Entries[1]
 
-	l.run(t, "the leader is killed between the claim and its reply", func(t *testing.T) {
+	l.runSubtest(t, "the leader is killed between the claim and its reply", func(t *testing.T) {
 		leader := s.leader()
 		s.Link(one, leader).Set(faultproxy.Backward, faultproxy.Fault{Frozen: true})
 		first := l.book(one, "reply-lost")
@@ -254,34 +254,34 @@
 		leader.Kill()
 		s.Link(one, leader).Heal()
 		l.awaitBooking("reply-lost")
-		l.requireBegun(1, "reply-lost")
+		l.requireExecutions(1, "reply-lost")
 		require.NoError(t, leader.Start())
 		require.NoError(t, s.awaitVoters(3))
 	})
-	l.run(t, "the leader is killed before the outcome is recorded", func(t *testing.T) {
+	l.runSubtest(t, "the leader is killed before the outcome is recorded", func(t *testing.T) {
 		leader := s.leader()
-		first := l.later(one.ListenAddress, "outcome-lost")
-		l.awaitBegun("outcome-lost")
+		first := l.bookAsync(one.ListenAddress, "outcome-lost")
+		l.awaitStarted("outcome-lost")
 		leader.Kill()
 		require.Equal(t, http.StatusCreated, (<-first).Status)
 		require.Equal(t, (l.awaitBooking("outcome-lost")).Header.Get("Idempotency-Replayed"), "true")
-		l.requireBegun(1, "outcome-lost")
+		l.requireExecutions(1, "outcome-lost")
 		require.NoError(t, leader.Start())
 		require.NoError(t, s.awaitVoters(3))
 	})
-	l.run(t, "the leader is frozen and wakes later", func(t *testing.T) {
+	l.runSubtest(t, "the leader is frozen and wakes later", func(t *testing.T) {
 		leader := s.leader()
 		leader.Freeze()
-		first := l.later(one.ListenAddress, "frozen-leader")
+		first := l.bookAsync(one.ListenAddress, "frozen-leader")
 		l.awaitBooking("frozen-leader")
 		leader.Thaw()
 		<-first
 		s.await("a leader", func() bool { return s.Leader(s.ctx) != "" })
 		again := l.awaitBooking("frozen-leader")
 		require.Equal(t, "true", again.Header.Get("Idempotency-Replayed"))
-		l.requireBegun(1, "frozen-leader")
+		l.requireExecutions(1, "frozen-leader")
 	})
-	l.run(t, "no quorum: the key stays open, and nothing runs", func(t *testing.T) {
+	l.runSubtest(t, "no quorum: the key stays open, and nothing runs", func(t *testing.T) {
 		ran := l.awaitBooking("before-no-quorum")
 		s.Control[0].Freeze()
 		s.Control[1].Freeze()
@@ -294,44 +294,44 @@
 			require.Contains(t, a.Body, "SAME key")
 			require.NotEmpty(t, a.Header.Get("Retry-After"))
 		}
-		l.requireBegun(0, "in-no-quorum")
+		l.requireExecutions(0, "in-no-quorum")
 		s.Control[0].Thaw()
 		s.Control[1].Thaw()
 		require.Equal(t, ran.Body, l.awaitBooking("before-no-quorum").Body)
 		l.awaitBooking("in-no-quorum")
 	})
-	t.Logf("%d sendings: %+v", len(l.sendings), l.judge())
+	t.Logf("%d sendings: %+v", len(l.requests), l.checkVerdicts())
 }
 
 func (s *system) awaitVoters(n int) error {
-	ctx, cancel := context.WithTimeout(s.ctx, patience)
+	ctx, cancel := context.WithTimeout(s.ctx, conditionTimeout)
 	defer cancel()
 	return local.Await(ctx, func() bool { return s.Leader(ctx) != "" && s.VoterCount(ctx) == n })
 }
 
 const (
-	mixSeed    = 20260915
-	mixCallers = 12
-	mixRounds  = 10
-	// mixProgress is how many bookings come whole between two faults.
-	mixProgress = 25
+	bookingSeed        = 20260915
+	bookingCallerCount = 12
+	faultRounds        = 10
+	// bookingsPerFault is how many bookings come whole between two faults.
+	bookingsPerFault = 25
 )
 
-// mix is a crowd of callers that resend each key until they know its end.
-type mix struct {
-	l    *ledger
+// bookingCallers is a crowd of callers that resend each key until they know its end.
+type bookingCallers struct {
+	l    *requestLog
 	stop chan struct{}
 	wg   sync.WaitGroup
-	// whole counts the keys whose answer came, unknown those that may have run.
-	whole, unknown atomic.Int64
-	// keys is the number of the key that each caller asks for.
-	keys [mixCallers]atomic.Int64
+	// complete counts the keys whose answer came, unknown those that may have run.
+	complete, unknown atomic.Int64
+	// currentKeys is the number of the key that each caller asks for.
+	currentKeys [bookingCallerCount]atomic.Int64
 }
 
-func (m *mix) run(caller int, r *rand.Rand) {
+func (m *bookingCallers) run(caller int, r *rand.Rand) {
 	defer m.wg.Done()
 	for n := 0; ; n++ {
-		m.keys[caller].Store(int64(n))
+		m.currentKeys[caller].Store(int64(n))
 		key := fmt.Sprintf("mix-%d-%d", caller, n)
 		for ended := false; !ended; {
 			select {
@@ -345,20 +345,20 @@
 }
 
 // tryKey sends a key to one or two entry hosts and reports whether its end is known.
-func (m *mix) tryKey(key string, r *rand.Rand) bool {
+func (m *bookingCallers) tryKey(key string, r *rand.Rand) bool {
 	order := r.Perm(len(m.l.s.Entries))
 	ctx, cancel := context.WithTimeout(m.l.s.ctx, 3*time.Second)
 	defer cancel()
 	if r.IntN(3) == 0 {
 		m.wg.Go(func() {
-			m.l.sendIn(ctx, m.l.s.Entries[order[1]].ListenAddress, local.Booking(key, "rider of "+key))
+			m.l.sendWithContext(ctx, m.l.s.Entries[order[1]].ListenAddress, local.Booking(key, "rider of "+key))
 			<-ctx.Done()
 		})
 	}
-	a := m.l.sendIn(ctx, m.l.s.Entries[order[0]].ListenAddress, local.Booking(key, "rider of "+key))
+	a := m.l.sendWithContext(ctx, m.l.s.Entries[order[0]].ListenAddress, local.Booking(key, "rider of "+key))
 	switch {
 	case a.Status == http.StatusCreated && a.Err == nil:
-		m.whole.Add(1)
+		m.complete.Add(1)
 		return true
 	case a.Verdict == verdict.MayHaveRun && strings.Contains(a.Body, `"conflict"`):
 		m.unknown.Add(1)
@@ -369,54 +369,54 @@
 
 // Callers, kills, freezes and cuts in a seeded order: no key runs twice, and every
 // verdict is true.
-func TestBookingsRunOnceThroughARandomMix(t *testing.T) {
+func TestBookingsRunOnceDespiteRandomFaults(t *testing.T) {
 	t.Parallel()
-	l := startOnce(t, 2, "30ms")
+	l := startBookings(t, 2, "30ms")
 	s := l.s
-	r := rand.New(rand.NewPCG(mixSeed, 0))
-	m := &mix{l: l, stop: make(chan struct{})}
-	for i := range mixCallers {
+	r := rand.New(rand.NewPCG(bookingSeed, 0))
+	m := &bookingCallers{l: l, stop: make(chan struct{})}
+	for i := range bookingCallerCount {
 		m.wg.Add(1)
-		go m.run(i, rand.New(rand.NewPCG(mixSeed, uint64(i+1))))
+		go m.run(i, rand.New(rand.NewPCG(bookingSeed, uint64(i+1))))
 	}
 	progress := func() {
-		from := m.whole.Load()
-		s.await("bookings", func() bool { return m.whole.Load() >= from+mixProgress })
+		from := m.complete.Load()
+		s.await("bookings", func() bool { return m.complete.Load() >= from+bookingsPerFault })
 	}
 	progress()
-	for range mixRounds {
-		lift := m.fault(r)
+	for range faultRounds {
+		lift := m.injectFault(r)
 		progress()
 		lift()
 		progress()
 	}
-	m.outliveClaims(r)
+	m.testCrashOfAllClaimHolders(r)
 	close(m.stop)
 	m.wg.Wait()
-	count := l.judge()
-	t.Logf("seed %d: %d keys whole, %d unknown; %d sendings: %+v", mixSeed, m.whole.Load(), m.unknown.Load(), len(l.sendings), count)
+	count := l.checkVerdicts()
+	t.Logf("seed %d: %d keys whole, %d unknown; %d sendings: %+v", bookingSeed, m.complete.Load(), m.unknown.Load(), len(l.requests), count)
 }
 
-// outliveClaims kills an entry host and the agents at once, with bookings on their way,
+// testCrashOfAllClaimHolders kills an entry host and the agents at once, with bookings on their way,
 // so that nobody is left who knows their ends, and goes on until each caller has
 // learnt the end of the key that it had then.
-func (m *mix) outliveClaims(r *rand.Rand) {
+func (m *bookingCallers) testCrashOfAllClaimHolders(r *rand.Rand) {
 	s := m.l.s
 	h := s.Entries[r.IntN(len(s.Entries))]
 	h.Kill()
 	for _, a := range s.Agents[1:] {
 		a.Kill()
 	}
-	var keys [mixCallers]int64
+	var keys [bookingCallerCount]int64
 	for i := range keys {
-		keys[i] = m.keys[i].Load()
+		keys[i] = m.currentKeys[i].Load()
 	}
 	for _, a := range s.Agents[1:] {
 		require.NoError(s.t, a.Start())
 	}
 	s.await("the ends of all keys", func() bool {
 		for i := range keys {
-			if m.keys[i].Load() == keys[i] {
+			if m.currentKeys[i].Load() == keys[i] {
 				return false
 			}
 		}
@@ -425,8 +425,8 @@
 	require.NoError(s.t, h.Start())
 }
 
-// fault puts one fault on the system and returns what lifts it.
-func (m *mix) fault(r *rand.Rand) (lift func()) {
+// injectFault puts one fault on the system and returns what lifts it.
+func (m *bookingCallers) injectFault(r *rand.Rand) (lift func()) {
 	s := m.l.s
 	pick := func(list []*local.Host) *local.Host { return list[r.IntN(len(list))] }
 	restart := func(h *local.Host) func() {
--- a/test/integration/operators_test.go
+++ b/test/integration/operators_test.go
@@ -26,13 +26,13 @@
 	return oas.Bearer{Token: string(t)}, nil
 }
 
-// keptClient keeps its connections: for requests by the hundred.
-var keptClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
+// keepAliveClient keeps its connections: for requests by the hundred.
+var keepAliveClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
 
 // api is the administration API of one control host.
 func (s *system) api(h *local.Host) *oas.Client {
 	s.t.Helper()
-	c, err := oas.NewClient("http://"+h.ListenAddress, token(local.OperatorToken), oas.WithClient(keptClient))
+	c, err := oas.NewClient("http://"+h.ListenAddress, token(local.OperatorToken), oas.WithClient(keepAliveClient))
 	require.NoError(s.t, err)
 	return c
 }
@@ -44,8 +44,8 @@
 	id, text string
 }
 
-// submitted is what one attempt at a change came to.
-type submitted struct {
+// putResult is what one attempt at a change came to.
+type putResult struct {
 	revision uint64
 	repeated bool
 	problem  *oas.ProblemStatusCodeWithHeaders
@@ -53,7 +53,7 @@
 }
 
 // put sends a change to one control host, once.
-func (s *system) put(h *local.Host, c change) submitted {
+func (s *system) put(h *local.Host, c change) putResult {
 	ctx, cancel := context.WithTimeout(s.ctx, 15*time.Second)
 	defer cancel()
 	name := "local"
@@ -62,7 +62,7 @@
 	}
 	a, err := s.api(h).PutDocument(ctx, &oas.PutDocumentReqTextPlain{Data: bytes.NewReader([]byte(c.text))},
 		oas.PutDocumentParams{Name: name, IfMatch: strconv.Quote(strconv.FormatUint(c.base, 10)), ChangeID: c.id})
-	r := submitted{err: err}
+	r := putResult{err: err}
 	if err == nil {
 		r.revision, r.repeated = a.Response.Revision, a.Response.Repeated
 	}
@@ -70,11 +70,11 @@
 	return r
 }
 
-func (r submitted) isAccepted() bool { return r.err == nil }
+func (r putResult) isAccepted() bool { return r.err == nil }
 
 // isNotRun tells that the attempt had no effect, as the answer says or as there was
 // no connection.
-func (r submitted) isNotRun() bool {
+func (r putResult) isNotRun() bool {
 	if r.problem != nil {
 		return r.problem.Response.Verdict == oas.ProblemVerdictNotRun
 	}
@@ -82,17 +82,17 @@
 	return errors.As(r.err, &operation) && operation.Op == "dial"
 }
 
-func (r submitted) String() string {
+func (r putResult) String() string {
 	if r.problem != nil {
 		return fmt.Sprintf("status %d, %+v", r.problem.StatusCode, r.problem.Response)
 	}
 	return fmt.Sprintf("revision %d, repeated %v, %v", r.revision, r.repeated, r.err)
 }
 
-// settle sends a change to one control host after the other until its outcome is
+// putUntilKnown sends a change to one control host after the other until its outcome is
 // sure. An attempt that may have run is resent under the same id; not-run is sure
 // only where no attempt before may have run.
-func (s *system) settle(c change, first int) submitted {
+func (s *system) putUntilKnown(c change, first int) putResult {
 	mayHaveRun := false
 	for i := first; ; i++ {
 		r := s.put(s.Control[i%len(s.Control)], c)
@@ -109,9 +109,9 @@
 // mustPut sends a change until it is accepted.
 func (s *system) mustPut(c change) uint64 {
 	s.t.Helper()
-	var r submitted
+	var r putResult
 	s.await("change "+c.id, func() bool {
-		r = s.settle(c, 0)
+		r = s.putUntilKnown(c, 0)
 		return r.isAccepted() || !r.isNotRun() || r.problem != nil && r.problem.StatusCode < 500
 	})
 	require.True(s.t, r.isAccepted(), "change %s: %s", c.id, r)
@@ -148,53 +148,55 @@
 	return ids
 }
 
-// startBare runs a system without upstreams, with a document in force. It returns
+// bootstrapWithDocument runs a system without upstreams, with a document in force. It returns
 // the document's revision.
-func startBare(t require.TestingT, s *system) uint64 {
+func bootstrapWithDocument(t require.TestingT, s *system) uint64 {
 	require.NoError(t, s.Bootstrap(s.ctx))
 	r := s.mustPut(change{id: "change-first", text: local.Document("v1")})
 	s.awaitInForce(r, s.Entries...)
 	return r
 }
 
-// inForce returns the revision in force on a host, and whether the host said so.
-func (s *system) inForce(h *local.Host) (uint64, bool) { return local.RevisionInForce(s.ctx, h) }
+// revisionInForce returns the revision in force on a host, and whether the host said so.
+func (s *system) revisionInForce(h *local.Host) (uint64, bool) {
+	return local.RevisionInForce(s.ctx, h)
+}
 
 // awaitInForce waits until a revision, or a later one, is in force on the hosts.
 func (s *system) awaitInForce(revision uint64, hosts ...*local.Host) {
 	s.t.Helper()
 	for _, h := range hosts {
 		s.await(fmt.Sprintf("revision %d on %s", revision, h.Name), func() bool {
-			r, ok := s.inForce(h)
+			r, ok := s.revisionInForce(h)
 			return ok && r >= revision
 		})
 	}
 }
 
-// observer watches the revision in force on hosts, all the time.
-type observer struct {
+// revisionObserver watches the revision in force on hosts, all the time.
+type revisionObserver struct {
 	stop chan struct{}
 	wg   sync.WaitGroup
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// falls tells of every revision below one seen before on the same host.
-	falls []string
+	// rollbacks tells of every revision below one seen before on the same host.
+	rollbacks []string
 	// seen has the revisions that were ever in force on any host.
 	seen map[uint64]bool
 	// last has the newest revision of each host, and when it was first seen.
-	last map[string]sighting
+	last map[string]observedRevision
 }
 
-type sighting struct {
+type observedRevision struct {
 	revision uint64
 	at       time.Time
 }
 
 const observeInterval = 4 * time.Millisecond
 
-func (s *system) observe(hosts ...*local.Host) *observer {
-	o := &observer{stop: make(chan struct{}), seen: make(map[uint64]bool), last: make(map[string]sighting)}
+func (s *system) observeRevisions(hosts ...*local.Host) *revisionObserver {
+	o := &revisionObserver{stop: make(chan struct{}), seen: make(map[uint64]bool), last: make(map[string]observedRevision)}
 	for _, h := range hosts {
 		o.wg.Go(func() {
 			ticker := time.NewTicker(observeInterval)
@@ -205,31 +207,31 @@
 					return
 				case <-ticker.C:
 				}
-				if r, ok := s.inForce(h); ok {
-					o.take(h.Name, r)
+				if r, ok := s.revisionInForce(h); ok {
+					o.record(h.Name, r)
 				}
 			}
 		})
 	}
-	s.t.Cleanup(o.end)
+	s.t.Cleanup(o.stopAndWait)
 	return o
 }
 
-func (o *observer) take(host string, revision uint64) {
+func (o *revisionObserver) record(host string, revision uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	before := o.last[host]
 	if revision < before.revision {
-		o.falls = append(o.falls, fmt.Sprintf("%s went from revision %d back to %d", host, before.revision, revision))
+		o.rollbacks = append(o.rollbacks, fmt.Sprintf("%s went from revision %d back to %d", host, before.revision, revision))
 	}
 	if revision != before.revision {
-		o.last[host] = sighting{revision: revision, at: time.Now()}
+		o.last[host] = observedRevision{revision: revision, at: time.Now()}
 	}
 	o.seen[revision] = true
 }
 
-// since returns when the last of n hosts came to a revision; false where one has not.
-func (o *observer) since(revision uint64, n int) (time.Time, bool) {
+// reachedAllAt returns when the last of n hosts came to a revision; false where one has not.
+func (o *revisionObserver) reachedAllAt(revision uint64, n int) (time.Time, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var latest time.Time
@@ -244,8 +246,8 @@
 	return latest, len(o.last) == n
 }
 
-// end stops the observer.
-func (o *observer) end() {
+// stopAndWait stops the observer.
+func (o *revisionObserver) stopAndWait() {
 	o.mu.Lock()
 	select {
 	case <-o.stop:
@@ -256,11 +258,11 @@
 	o.wg.Wait()
 }
 
-// requireNoFall ends the observer and fails where a host went back, or had a
+// requireNoRollback ends the observer and fails where a host went back, or had a
 // revision in force that was never accepted.
-func (o *observer) requireNoFall(t require.TestingT, accepted []uint64) {
-	o.end()
-	require.Empty(t, o.falls)
+func (o *revisionObserver) requireNoRollback(t require.TestingT, accepted []uint64) {
+	o.stopAndWait()
+	require.Empty(t, o.rollbacks)
 	for r := range o.seen {
 		require.True(t, r == 0 || slices.Contains(accepted, r), "revision %d was in force and not accepted", r)
 	}
--- a/test/integration/orders_test.go
+++ b/test/integration/orders_test.go
@@ -15,8 +15,8 @@
 	"github.com/sassafraspost/sassafraspost/test/local"
 )
 
-// engineWatch notes every change of the order that engines have carried out.
-type engineWatch struct {
+// orderWatch notes every change of the order that engines have carried out.
+type orderWatch struct {
 	stop chan struct{}
 	once sync.Once
 	wg   sync.WaitGroup
@@ -26,8 +26,8 @@
 	orders map[string][]agent.OrderReport
 }
 
-func (s *system) watchEngines() *engineWatch {
-	w := &engineWatch{stop: make(chan struct{}), orders: make(map[string][]agent.OrderReport)}
+func (s *system) watchOrders() *orderWatch {
+	w := &orderWatch{stop: make(chan struct{}), orders: make(map[string][]agent.OrderReport)}
 	for _, h := range s.StandIns {
 		w.wg.Go(func() {
 			ticker := time.NewTicker(observeInterval)
@@ -41,7 +41,7 @@
 				case <-ticker.C:
 				}
 				if r, err := local.Executions(s.ctx, h); err == nil && r.Orders > 0 {
-					w.take(h.Name, r.Order)
+					w.record(h.Name, r.Order)
 				}
 				if isLast {
 					return
@@ -49,11 +49,11 @@
 			}
 		})
 	}
-	s.t.Cleanup(w.end)
+	s.t.Cleanup(w.stopAndWait)
 	return w
 }
 
-func (w *engineWatch) take(name string, o agent.OrderReport) {
+func (w *orderWatch) record(name string, o agent.OrderReport) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	list := w.orders[name]
@@ -62,16 +62,16 @@
 	}
 }
 
-func (w *engineWatch) end() {
+func (w *orderWatch) stopAndWait() {
 	w.once.Do(func() { close(w.stop) })
 	w.wg.Wait()
 }
 
 // requireVersions ends the watch and fails where an engine carried out other orders
 // than these, or in another order.
-func (w *engineWatch) requireVersions(t *testing.T, want ...string) {
+func (w *orderWatch) requireVersions(t *testing.T, want ...string) {
 	t.Helper()
-	w.end()
+	w.stopAndWait()
 	for name, list := range w.orders {
 		var versions []string
 		for i, o := range list {
@@ -101,7 +101,7 @@
 // that it gives late, after it was frozen, and not to agents that know no fencing
 // number since they have just started. It makes no difference whether the engine
 // checks fencing numbers.
-func TestOldLeadersOrdersAreNotCarriedOut(t *testing.T) {
+func TestStaleLeadersOrdersAreNotCarriedOut(t *testing.T) {
 	for name, args := range map[string][]string{"engines check fencing": {"--checks-fencing"}, "engines ignore fencing": nil} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -111,7 +111,7 @@
 			}
 			require.NoError(t, s.Bootstrap(s.ctx))
 			base := s.mustPut(change{id: "change-first", text: document("v1")})
-			w := s.watchEngines()
+			w := s.watchOrders()
 			s.awaitOrders(1, "v1")
 			submit := func(version string, through ...*local.Host) {
 				c := change{base: base, id: "change-to-" + version, text: document(version)}
@@ -123,23 +123,23 @@
 			}
 
 			// The agents' questions lie in the frozen leader's queue; it answers late.
-			old, rest := s.splitLeader()
+			old, rest := s.leaderAndOthers()
 			old.Freeze()
 			submit("v2", rest...)
 			s.awaitOrders(2, "v2")
 			old.Thaw()
-			s.await("the old leader's catching up", func() bool { return s.reads(old) == base })
+			s.await("the old leader's catching up", func() bool { return s.acceptedRevision(old) == base })
 
 			// The links hold the answers back; they come late, and after the next one.
-			old, rest = s.splitLeader()
+			old, rest = s.leaderAndOthers()
 			s.FreezeLinks(old)
 			submit("v3", rest...)
 			s.awaitOrders(3, "v3")
 			s.Heal(old)
-			s.await("the old leader's catching up", func() bool { return s.reads(old) == base })
+			s.await("the old leader's catching up", func() bool { return s.acceptedRevision(old) == base })
 
 			// Agents that can't reach the leader have their orders through the others.
-			old, rest = s.splitLeader()
+			old, rest = s.leaderAndOthers()
 			s.setAgentLinks((*faultproxy.TCP).Cut, old)
 			submit("v3-1", rest...)
 			s.awaitOrders(4, "v3-1")
@@ -147,11 +147,11 @@
 
 			// The leader is cut off from the others but not from the agents, which start
 			// anew and reach no other.
-			old, rest = s.splitLeader()
+			old, rest = s.leaderAndOthers()
 			s.setControlLinks(old, (*faultproxy.TCP).Cut)
 			submit("v4", rest...)
 			s.awaitOrders(5, "v4")
-			s.restartAgentsWith(old, rest)
+			s.restartAgentsReachingOnly(old, rest)
 			s.awaitOrders(5, "v4")
 			s.setAgentLinks((*faultproxy.TCP).Heal, rest...)
 			// A new agent asks first, and passes the order in force on again.
@@ -164,16 +164,16 @@
 	}
 }
 
-// splitLeader returns the leader and the other control hosts.
-func (s *system) splitLeader() (leader *local.Host, rest []*local.Host) {
+// leaderAndOthers returns the leader and the other control hosts.
+func (s *system) leaderAndOthers() (leader *local.Host, rest []*local.Host) {
 	s.t.Helper()
 	leader = s.leader()
 	return leader, slices.DeleteFunc(slices.Clone(s.Control), func(h *local.Host) bool { return h == leader })
 }
 
-// restartAgentsWith restarts the agents so that they reach one control host only, and
+// restartAgentsReachingOnly restarts the agents so that they reach one control host only, and
 // waits until they have gone on for a while: until each has answered many requests.
-func (s *system) restartAgentsWith(one *local.Host, rest []*local.Host) {
+func (s *system) restartAgentsReachingOnly(one *local.Host, rest []*local.Host) {
 	s.t.Helper()
 	for _, a := range s.Agents {
 		a.Kill()
@@ -184,11 +184,11 @@
 	}
 	before := make(map[*local.Host]int)
 	for _, a := range s.Agents {
-		before[a] = s.begun(a)
+		before[a] = s.startedRequests(a)
 	}
 	s.await("answers of the new agents", func() bool {
-		s.do(s.Entries[0], local.Completion("a while", 20, false))
-		return !slices.ContainsFunc(s.Agents, func(a *local.Host) bool { return s.begun(a) < before[a]+20 })
+		s.sendRequest(s.Entries[0], local.Completion("a while", 20, false))
+		return !slices.ContainsFunc(s.Agents, func(a *local.Host) bool { return s.startedRequests(a) < before[a]+20 })
 	})
 }
 
--- a/test/integration/path_test.go
+++ b/test/integration/path_test.go
@@ -12,7 +12,7 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-func TestWholePath(t *testing.T) {
+func TestRequestPathEndToEnd(t *testing.T) {
 	t.Parallel()
 	s := start(t, local.Layout{Control: 3, Entries: 2, Engines: 2, Services: 1})
 
@@ -24,37 +24,37 @@
 	t.Run("answers are whole, streamed and not", func(t *testing.T) {
 		for i, e := range s.Entries {
 			prompt := strings.Repeat("route question ", i+1)
-			a := s.do(e, local.Completion(prompt, 20, false))
+			a := s.sendRequest(e, local.Completion(prompt, 20, false))
 			require.NoError(t, a.Err)
 			require.Equal(t, http.StatusOK, a.Status)
 			require.Equal(t, verdict.Ran, a.Verdict)
 			require.Contains(t, a.Body, standin.Text(prompt, 20))
-			a = s.do(e, local.Completion(prompt, 20, true))
+			a = s.sendRequest(e, local.Completion(prompt, 20, true))
 			require.NoError(t, a.Err)
 			require.Equal(t, strings.Join(standin.Stream(prompt, 20), ""), a.Body)
 		}
 	})
 	t.Run("a booking runs once and is replayed through any entry host", func(t *testing.T) {
-		first := s.do(s.Entries[0], local.Booking("key-1", "Elena"))
+		first := s.sendRequest(s.Entries[0], local.Booking("key-1", "Elena"))
 		require.Equal(t, http.StatusCreated, first.Status, first.Body)
-		again := s.do(s.Entries[1], local.Booking("key-1", "Elena"))
+		again := s.sendRequest(s.Entries[1], local.Booking("key-1", "Elena"))
 		require.Equal(t, http.StatusCreated, again.Status, again.Body)
 		require.Equal(t, first.Body, again.Body)
 		require.Equal(t, "true", again.Header.Get("Idempotency-Replayed"))
-		other := s.do(s.Entries[1], local.Booking("key-1", "Ivan"))
+		other := s.sendRequest(s.Entries[1], local.Booking("key-1", "Ivan"))
 		require.Equal(t, http.StatusUnprocessableEntity, other.Status)
-		none := s.do(s.Entries[0], local.Booking("", "Elena"))
+		none := s.sendRequest(s.Entries[0], local.Booking("", "Elena"))
 		require.Equal(t, http.StatusBadRequest, none.Status)
 		require.Equal(t, verdict.NotRun, none.Verdict)
 	})
 	t.Run("bad input gets a clear error and harms nobody", func(t *testing.T) {
 		unknown := local.Completion("x", 1, false)
 		unknown.Body = `{"model":"nobody","prompt":"x"}`
-		a := s.do(s.Entries[0], unknown)
+		a := s.sendRequest(s.Entries[0], unknown)
 		require.Equal(t, http.StatusNotFound, a.Status)
 		require.Equal(t, verdict.NotRun, a.Verdict)
 		huge := local.Completion(strings.Repeat("x", 2<<20), 1, false)
-		require.Equal(t, http.StatusRequestEntityTooLarge, s.do(s.Entries[0], huge).Status)
+		require.Equal(t, http.StatusRequestEntityTooLarge, s.sendRequest(s.Entries[0], huge).Status)
 		out, err := s.Submit(s.ctx, "[service]\nname = local\nfrom = nowhere\n")
 		require.Error(t, err)
 		require.Contains(t, out, "from")
@@ -67,7 +67,7 @@
 	})
 	t.Run("every role shuts down gracefully", func(t *testing.T) {
 		for _, h := range append(append(append([]*local.Host{}, s.Entries...), s.Agents...), s.Control...) {
-			s.finish(h)
+			s.shutDown(h)
 		}
 	})
 }
--- a/test/integration/shutdown_test.go
+++ b/test/integration/shutdown_test.go
@@ -24,19 +24,19 @@
 	require.NoError(t, err, out)
 	require.NoError(t, s.AwaitInForce(s.ctx))
 	l := s.startLoad(24, 40, s.Entries...)
-	s.await("answers", func() bool { return l.whole.Load() > 50 })
-	s.finish(s.Agents[0])
-	s.await("answers after an agent left", func() bool { return l.whole.Load() > 150 })
-	s.finish(s.Entries[0])
-	s.await("answers after an entry host left", func() bool { return l.whole.Load() > 250 })
-	require.Empty(t, l.end())
-	require.Positive(t, l.unreached.Load(), "the entry host that left was asked no more")
+	s.await("answers", func() bool { return l.complete.Load() > 50 })
+	s.shutDown(s.Agents[0])
+	s.await("answers after an agent left", func() bool { return l.complete.Load() > 150 })
+	s.shutDown(s.Entries[0])
+	s.await("answers after an entry host left", func() bool { return l.complete.Load() > 250 })
+	require.Empty(t, l.stopAndWait())
+	require.Positive(t, l.notReady.Load(), "the entry host that left was asked no more")
 }
 
 // No new work reaches an upstream that leaves: the announcement keeps it away, and
 // where the directory hosts that own the upstream are frozen, the agent's refusal.
 // Without the refusal the second case fails: requests begin after the signal.
-func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
+func TestDrainingUpstreamGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	for name, isFrozen := range map[string]bool{"announced": false, "owners frozen": true} {
 		t.Run(name, func(t *testing.T) {
@@ -46,11 +46,11 @@
 			// Long streams keep the agent from ending.
 			long := make(chan local.Response, 4)
 			for range cap(long) {
-				go func() { long <- s.do(others[0], local.Completion("long", 800, true)) }()
+				go func() { long <- s.sendRequest(others[0], local.Completion("long", 800, true)) }()
 			}
-			s.await("the long streams", func() bool { return s.begun(leaving) >= 1 })
+			s.await("the long streams", func() bool { return s.startedRequests(leaving) >= 1 })
 			l := s.startLoad(8, 4, others...)
-			s.await("load on the upstream", func() bool { return s.begun(leaving) > 10 })
+			s.await("load on the upstream", func() bool { return s.startedRequests(leaving) > 10 })
 			if isFrozen {
 				for _, h := range owners {
 					h.Freeze()
@@ -58,11 +58,11 @@
 			}
 			leaving.Terminate()
 			s.await("the refusal", func() bool { return strings.Contains(leaving.Log(), "shutting down") })
-			before := s.begun(leaving)
-			wholeAt := l.whole.Load()
-			s.await("load elsewhere", func() bool { return l.whole.Load() > wholeAt+200 })
-			require.LessOrEqual(t, s.begun(leaving)-before, 8, "at most what each caller had on its way at the signal")
-			require.Empty(t, l.end())
+			before := s.startedRequests(leaving)
+			wholeAt := l.complete.Load()
+			s.await("load elsewhere", func() bool { return l.complete.Load() > wholeAt+200 })
+			require.LessOrEqual(t, s.startedRequests(leaving)-before, 8, "at most what each caller had on its way at the signal")
+			require.Empty(t, l.stopAndWait())
 			for range cap(long) {
 				a := <-long
 				require.NoError(t, a.Err)
@@ -90,8 +90,8 @@
 	return owners, others
 }
 
-// begun returns how many requests the stand-in behind an agent has begun.
-func (s *system) begun(agent *local.Host) int {
+// startedRequests returns how many requests the stand-in behind an agent has begun.
+func (s *system) startedRequests(agent *local.Host) int {
 	r, err := local.Executions(s.ctx, agent.Upstream)
 	require.NoError(s.t, err)
 	n := 0
@@ -104,7 +104,7 @@
 // A leader that shuts down hands its place over: no booking is cut, and none is
 // refused, since the hand-over is shorter than what a host waits for a leader.
 // Without the hand-over bookings are refused until an election.
-func TestLeaderShutsDownWithoutCuttingABooking(t *testing.T) {
+func TestLeaderShutdownFailsNoBooking(t *testing.T) {
 	t.Parallel()
 	s := start(t, local.Layout{Control: 3, Entries: 2, Engines: 1, Services: 1})
 	leader := s.leader()
@@ -123,7 +123,7 @@
 					return
 				default:
 				}
-				a := s.do(s.Entries[c%2], local.Booking(fmt.Sprintf("caller-%d-%d", c, n), "Elena"))
+				a := s.sendRequest(s.Entries[c%2], local.Booking(fmt.Sprintf("caller-%d-%d", c, n), "Elena"))
 				mu.Lock()
 				switch {
 				case a.Status == http.StatusCreated:
@@ -141,7 +141,7 @@
 		return booked
 	}
 	s.await("bookings", func() bool { return count() > 50 })
-	s.finish(leader)
+	s.shutDown(leader)
 	at := count()
 	s.await("bookings under the next leader", func() bool { return count() > at+50 })
 	close(stop)
--- a/test/integration/tls_test.go
+++ b/test/integration/tls_test.go
@@ -13,7 +13,7 @@
 
 // With certificates in the settings, callers, operators and the sessions between
 // processes all go by TLS, and nobody is served without.
-func TestEverythingGoesByTLS(t *testing.T) {
+func TestAllConnectionsUseTLS(t *testing.T) {
 	t.Parallel()
 	s := startEmpty(t, local.Layout{Control: 3, Entries: 2, Engines: 1, HasTLS: true})
 	require.NoError(t, s.Bootstrap(s.ctx))
@@ -36,6 +36,6 @@
 		require.NoError(t, resp.Write(body))
 		return resp.StatusCode == http.StatusOK && strings.Contains(body.String(), standin.Text("by TLS", 5))
 	})
-	plain := s.do(s.Entries[0], local.Completion("in the clear", 5, false))
+	plain := s.sendRequest(s.Entries[0], local.Completion("in the clear", 5, false))
 	require.NotEqual(t, http.StatusOK, plain.Status)
 }
--- a/test/integration/verdicts_test.go
+++ b/test/integration/verdicts_test.go
@@ -17,48 +17,48 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// sendingPatience bounds one sending of a caller.
-const sendingPatience = 15 * time.Second
+// requestTimeout bounds one sending of a caller.
+const requestTimeout = 15 * time.Second
 
-// sending is one request of a caller and what came back.
-type sending struct {
+// sentRequest is one request of a caller and what came back.
+type sentRequest struct {
 	key, id  string
 	isKeyed  bool
-	answer   local.Response
+	response local.Response
 	replayed bool
 }
 
-// ledger holds all sendings of a test, to be held against what was executed.
-type ledger struct {
+// requestLog holds all sendings of a test, to be held against what was executed.
+type requestLog struct {
 	s *system
 
 	mu       sync.Mutex
-	sendings []sending
+	requests []sentRequest
 }
 
 // send gives the request an id of its own and sends it to an address.
-func (l *ledger) send(address string, q local.Request) local.Response {
-	ctx, cancel := context.WithTimeout(l.s.ctx, sendingPatience)
+func (l *requestLog) send(address string, q local.Request) local.Response {
+	ctx, cancel := context.WithTimeout(l.s.ctx, requestTimeout)
 	defer cancel()
-	return l.sendIn(ctx, address, q)
+	return l.sendWithContext(ctx, address, q)
 }
 
-func (l *ledger) sendIn(ctx context.Context, address string, q local.Request) local.Response {
+func (l *requestLog) sendWithContext(ctx context.Context, address string, q local.Request) local.Response {
 	l.mu.Lock()
-	q.ID = fmt.Sprintf("sending-%d", len(l.sendings))
-	n := len(l.sendings)
-	l.sendings = append(l.sendings, sending{key: q.Key, id: q.ID, isKeyed: q.Key != ""})
+	q.ID = fmt.Sprintf("sending-%d", len(l.requests))
+	n := len(l.requests)
+	l.requests = append(l.requests, sentRequest{key: q.Key, id: q.ID, isKeyed: q.Key != ""})
 	l.mu.Unlock()
 	a := local.Do(ctx, address, q)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sendings[n].answer = a
-	l.sendings[n].replayed = a.Header.Get("Idempotency-Replayed") != ""
+	l.requests[n].response = a
+	l.requests[n].replayed = a.Header.Get("Idempotency-Replayed") != ""
 	return a
 }
 
-// executed sums what all stand-ins have done.
-func (s *system) executed() standin.Report {
+// executions sums what all stand-ins have done.
+func (s *system) executions() standin.Report {
 	sum := standin.Report{ByRequest: map[string]standin.Executions{}, ByKey: map[string]standin.Executions{}}
 	for _, h := range s.StandIns {
 		r, err := local.Executions(s.ctx, h)
@@ -79,33 +79,33 @@
 	}
 }
 
-// tally counts the verdicts that callers saw.
-type tally struct{ ran, replayed, notRun, mayHaveRun, noAnswer int }
+// verdictCounts counts the verdicts that callers saw.
+type verdictCounts struct{ ran, replayed, notRun, mayHaveRun, noResponse int }
 
-// judge holds every verdict against the executions: what is called not run was not
+// checkVerdicts holds every verdict against the executions: what is called not run was not
 // begun, what ran was, and no key was begun twice.
-func (l *ledger) judge() tally {
+func (l *requestLog) checkVerdicts() verdictCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	done := l.s.executed()
-	var count tally
+	done := l.s.executions()
+	var count verdictCounts
 	for key, e := range done.ByKey {
 		require.LessOrEqual(l.s.t, e.Begun, 1, "key %s ran more than once", key)
 	}
-	for _, x := range l.sendings {
+	for _, x := range l.requests {
 		begun := done.ByRequest[x.id].Begun
 		switch {
-		case x.answer.Status == 0:
-			count.noAnswer++
+		case x.response.Status == 0:
+			count.noResponse++
 		case x.replayed:
 			count.replayed++
 			require.Equal(l.s.t, 1, done.ByKey[x.key].Begun, "%s was replayed", x.key)
-		case x.answer.Verdict == verdict.NotRun:
+		case x.response.Verdict == verdict.NotRun:
 			count.notRun++
 			require.Zero(l.s.t, begun, "%s of key %q was called not run", x.id, x.key)
-		case x.answer.Verdict == verdict.Ran && x.isKeyed && x.answer.Status >= http.StatusBadRequest:
+		case x.response.Verdict == verdict.Ran && x.isKeyed && x.response.Status >= http.StatusBadRequest:
 			require.Equal(l.s.t, 1, done.ByKey[x.key].Begun)
-		case x.answer.Verdict == verdict.Ran:
+		case x.response.Verdict == verdict.Ran:
 			count.ran++
 			require.Positive(l.s.t, begun, "%s was called run", x.id)
 		default:
@@ -141,7 +141,7 @@
 		Control: 1, Entries: 2, Engines: 2, Services: 1, HasProxies: true,
 		EngineArgs: []string{"--step", "5ms"}, ServiceArgs: []string{"--delay", "50ms"},
 	})
-	l := &ledger{s: s}
+	l := &requestLog{s: s}
 	crowd := func(n, tokens int) *sync.WaitGroup {
 		var wg sync.WaitGroup
 		for i := range n {
@@ -169,7 +169,7 @@
 		crowd(20, 8).Wait()
 	}
 	// Links that are cut in the middle.
-	engines := func() int { return s.begun(s.Agents[0]) + s.begun(s.Agents[1]) }
+	engines := func() int { return s.startedRequests(s.Agents[0]) + s.startedRequests(s.Agents[1]) }
 	begun := engines()
 	wg := crowd(60, 40)
 	s.await("work in progress", func() bool { return engines() > begun })
@@ -194,8 +194,8 @@
 		s.await("the end of "+a.Name, func() bool { return !a.IsRunning() })
 	}
 	crowd(10, 9).Wait()
-	count := l.judge()
-	t.Logf("%d sendings: %+v", len(l.sendings), count)
+	count := l.checkVerdicts()
+	t.Logf("%d sendings: %+v", len(l.requests), count)
 	require.Positive(t, count.notRun)
 	require.Positive(t, count.ran)
 	require.Positive(t, count.replayed)
--- a/test/local/client.go
+++ b/test/local/client.go
@@ -75,7 +75,7 @@
 // Do sends a request to an entry host on a new connection. An answer that can't be read to
 // its end has Err.
 func Do(ctx context.Context, entry string, q Request) Response {
-	return DoWithClient(ctx, client, entry, q)
+	return DoWithClient(ctx, freshClient, entry, q)
 }
 
 // DoWithClient is Do by the caller's own client.
@@ -105,9 +105,9 @@
 	return a
 }
 
-// client dials anew for each request: connections to hosts that were killed must
+// freshClient dials anew for each request: connections to hosts that were killed must
 // not stand in for faults of the system.
-var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+var freshClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 // Completion returns the request for a completion of tokens tokens.
 func Completion(prompt string, tokens int, isStream bool) Request {
@@ -130,7 +130,7 @@
 	if err != nil {
 		return r, err
 	}
-	resp, err := client.Do(req)
+	resp, err := freshClient.Do(req)
 	if err != nil {
 		return r, err
 	}
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	resp, err := client.Do(req)
+	resp, err := freshClient.Do(req)
 	if err != nil {
 		return err
 	}
@@ -158,7 +158,7 @@
 	if err != nil {
 		return false
 	}
-	resp, err := client.Do(req)
+	resp, err := freshClient.Do(req)
 	if err != nil {
 		return false
 	}
@@ -168,8 +168,8 @@
 
 var revisionLine = regexp.MustCompile(`(?m)^sassafraspost_catalog_revision (\d+)$`)
 
-// keptClient keeps its connections: for requests by the hundred.
-var keptClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
+// keepAliveClient keeps its connections: for requests by the hundred.
+var keepAliveClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
 
 // RevisionInForce returns the revision in force on a host, and whether the host said so.
 func RevisionInForce(ctx context.Context, h *Host) (uint64, bool) {
@@ -177,7 +177,7 @@
 	if err != nil {
 		return 0, false
 	}
-	resp, err := keptClient.Do(req)
+	resp, err := keepAliveClient.Do(req)
 	if err != nil {
 		return 0, false
 	}
@@ -194,8 +194,8 @@
 	return revision, err == nil
 }
 
-// cluster is what the tool prints of a cluster.
-type cluster struct {
+// clusterStatus is what the tool prints of a cluster.
+type clusterStatus struct {
 	Leader    string `json:"leader"`
 	HasQuorum bool   `json:"hasQuorum"`
 	Replicas  []struct {
@@ -203,12 +203,12 @@
 	} `json:"replicas"`
 }
 
-// cluster asks each control host in turn, until one that has a quorum answers.
-func (s *System) cluster(ctx context.Context) cluster {
+// clusterStatus asks each control host in turn, until one that has a quorum answers.
+func (s *System) clusterStatus(ctx context.Context) clusterStatus {
 	out, err := s.RunCLI(ctx, "cluster", "-o", "json")
-	var c cluster
+	var c clusterStatus
 	if err != nil || json.Unmarshal([]byte(out), &c) != nil || !c.HasQuorum {
-		return cluster{}
+		return clusterStatus{}
 	}
 	return c
 }
@@ -216,7 +216,7 @@
 // VoterCount returns how many control hosts have a vote, zero without a quorum.
 func (s *System) VoterCount(ctx context.Context) int {
 	n := 0
-	for _, r := range s.cluster(ctx).Replicas {
+	for _, r := range s.clusterStatus(ctx).Replicas {
 		if r.Voter {
 			n++
 		}
@@ -226,6 +226,6 @@
 
 // Leader returns the name of the control host that leads, empty without a quorum.
 func (s *System) Leader(ctx context.Context) string {
-	host, _, _ := strings.Cut(s.cluster(ctx).Leader, "/")
+	host, _, _ := strings.Cut(s.clusterStatus(ctx).Leader, "/")
 	return host
 }
--- a/test/local/prepare.go
+++ b/test/local/prepare.go
@@ -29,9 +29,9 @@
 	err := Await(ctx, func() bool {
 		var err error
 		out, err = s.RunCLI(ctx, "init")
-		return err == nil || s.dead() != ""
+		return err == nil || s.endedControlHost() != ""
 	})
-	if name := s.dead(); name != "" {
+	if name := s.endedControlHost(); name != "" {
 		return errors.Errorf("%s has ended", name)
 	}
 	if err != nil {
@@ -41,8 +41,8 @@
 	return errors.Wrap(err, "votes")
 }
 
-// dead returns the name of a control host that has ended, empty if all run.
-func (s *System) dead() string {
+// endedControlHost returns the name of a control host that has ended, empty if all run.
+func (s *System) endedControlHost() string {
 	for _, h := range s.Control {
 		if !h.IsRunning() {
 			return h.Name
@@ -53,7 +53,7 @@
 
 // Submit submits a document over the revision that is accepted now.
 func (s *System) Submit(ctx context.Context, document string) (string, error) {
-	st, _ := s.status(ctx)
+	st, _ := s.documentStatus(ctx)
 	return s.SubmitWithBase(ctx, st.Revision, document)
 }
 
@@ -71,31 +71,31 @@
 	return s.RunCLI(ctx, append(all, args...)...)
 }
 
-// status is what the tool prints of a document.
-type status struct {
+// documentStatus is what the tool prints of a document.
+type documentStatus struct {
 	Revision uint64 `json:"revision"`
 	InForce  int    `json:"inForce"`
 }
 
-func (s *System) status(ctx context.Context) (status, error) {
+func (s *System) documentStatus(ctx context.Context) (documentStatus, error) {
 	out, err := s.RunCLI(ctx, "status", "local", "-o", "json")
 	if err != nil {
-		return status{}, err
+		return documentStatus{}, err
 	}
-	var st status
+	var st documentStatus
 	return st, json.Unmarshal([]byte(out), &st)
 }
 
 // Revision returns the accepted revision, zero where none is known.
 func (s *System) Revision(ctx context.Context) uint64 {
-	st, _ := s.status(ctx)
+	st, _ := s.documentStatus(ctx)
 	return st.Revision
 }
 
 // AwaitInForce waits until the accepted revision is in force on every entry host.
 func (s *System) AwaitInForce(ctx context.Context) error {
 	return Await(ctx, func() bool {
-		st, err := s.status(ctx)
+		st, err := s.documentStatus(ctx)
 		return err == nil && st.InForce == len(s.Entries)
 	})
 }
@@ -112,7 +112,7 @@
 		if strings.HasPrefix(a.Name, "service-") {
 			continue
 		}
-		entry := s.inCentre(a.DataCentre)[0]
+		entry := s.entriesIn(a.DataCentre)[0]
 		err := Await(ctx, func() bool {
 			Do(ctx, entry.ListenAddress, Completion("are you there", 1, false))
 			r, err := Executions(ctx, a.Upstream)
--- a/test/local/process.go
+++ b/test/local/process.go
@@ -17,10 +17,10 @@
 type Process struct {
 	Name string
 	// Env is the program's environment; nil is that of the test.
-	Env  []string
-	path string
-	args []string
-	log  string
+	Env     []string
+	path    string
+	args    []string
+	logPath string
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
@@ -34,14 +34,14 @@
 }
 
 func newProcess(dir, name, path string, args ...string) *Process {
-	return &Process{Name: name, path: path, args: args, log: filepath.Join(dir, name+".log")}
+	return &Process{Name: name, path: path, args: args, logPath: filepath.Join(dir, name+".log")}
 }
 
 // Start starts the program; its output goes to the end of its log file.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -123,6 +123,6 @@
 
 // Log returns what the program has written.
 func (p *Process) Log() string {
-	data, _ := os.ReadFile(p.log)
+	data, _ := os.ReadFile(p.logPath)
 	return string(data)
 }
--- a/test/local/settings.go
+++ b/test/local/settings.go
@@ -14,25 +14,25 @@
 // writeSettings writes the INI file of each daemon.
 func (s *System) writeSettings() error {
 	for _, h := range s.Control {
-		if err := s.write(h, "control", s.controlSection); err != nil {
+		if err := s.writeSettingsFile(h, "control", s.controlSection); err != nil {
 			return err
 		}
 	}
 	for _, h := range s.Entries {
-		if err := s.write(h, "entry", s.entrySection); err != nil {
+		if err := s.writeSettingsFile(h, "entry", s.entrySection); err != nil {
 			return err
 		}
 	}
 	for _, h := range s.Agents {
-		if err := s.write(h, "agent", s.agentSection); err != nil {
+		if err := s.writeSettingsFile(h, "agent", s.agentSection); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *System) write(h *Host, role string, section func(*Host) (string, error)) error {
-	advertise, err := s.advertised(h, role)
+func (s *System) writeSettingsFile(h *Host, role string, section func(*Host) (string, error)) error {
+	advertise, err := s.advertisedAddress(h, role)
 	if err != nil {
 		return err
 	}
@@ -58,49 +58,49 @@
 [metrics]
 listen = %s
 
-%s`, h.Name, h.DataCentre, role, s.Layout.ShutdownGrace, h.PeerAddress, advertise, s.secret, s.peerTLS(), h.MetricsAddress, body)
+%s`, h.Name, h.DataCentre, role, s.Layout.ShutdownGrace, h.PeerAddress, advertise, s.secret, s.peerTLSSettings(), h.MetricsAddress, body)
 	return os.WriteFile(filepath.Join(s.Dir, h.Name+".ini"), []byte(text), 0o600)
 }
 
-// advertised is where other hosts reach h. Agents are reached only so; all else
+// advertisedAddress is where other hosts reach h. Agents are reached only so; all else
 // comes from settings and has a proxy for each pair.
-func (s *System) advertised(h *Host, role string) (string, error) {
+func (s *System) advertisedAddress(h *Host, role string) (string, error) {
 	if !s.Layout.HasProxies || role != "agent" {
 		return h.PeerAddress, nil
 	}
-	p, err := faultproxy.NewTCP(s.behindMessages(h))
+	p, err := faultproxy.NewTCP(s.messageProxyAddress(h))
 	if err != nil {
 		return "", err
 	}
-	s.inbound[h.Name] = p
+	s.inboundProxies[h.Name] = p
 	return p.Address(), nil
 }
 
-// link returns the address under which from reaches to.
-func (s *System) link(from, to *Host) (string, error) {
+// proxyLink returns the address under which from reaches to.
+func (s *System) proxyLink(from, to *Host) (string, error) {
 	if !s.Layout.HasProxies || from == to {
 		return to.PeerAddress, nil
 	}
 	target := to.PeerAddress
 	if s.isAgent(from) && !s.isControl(to) {
-		target = s.behindMessages(to)
+		target = s.messageProxyAddress(to)
 	}
 	p, err := faultproxy.NewTCP(target)
 	if err != nil {
 		return "", err
 	}
-	s.links[linkKey{from.Name, to.Name}] = p
+	s.linkProxies[linkKey{from.Name, to.Name}] = p
 	return p.Address(), nil
 }
 
-// behindMessages returns where h is reached through a proxy of its messages, and its
+// messageProxyAddress returns where h is reached through a proxy of its messages, and its
 // own address where the layout has none.
-func (s *System) behindMessages(h *Host) string {
+func (s *System) messageProxyAddress(h *Host) string {
 	if !s.Layout.HasMessageProxies {
 		return h.PeerAddress
 	}
 	m := faultproxy.NewMessages(h.PeerAddress)
-	s.messages = append(s.messages, m)
+	s.messageProxies = append(s.messageProxies, m)
 	return m.Address()
 }
 
@@ -108,10 +108,10 @@
 
 func (s *System) isControl(h *Host) bool { return slices.Contains(s.Control, h) }
 
-func (s *System) linkList(from *Host, to []*Host) (string, error) {
+func (s *System) proxyLinks(from *Host, to []*Host) (string, error) {
 	var list []string
 	for _, h := range to {
-		address, err := s.link(from, h)
+		address, err := s.proxyLink(from, h)
 		if err != nil {
 			return "", err
 		}
@@ -120,7 +120,7 @@
 	return strings.Join(list, ", "), nil
 }
 
-func (s *System) inCentre(dc string) []*Host {
+func (s *System) entriesIn(dc string) []*Host {
 	var out []*Host
 	for _, h := range s.Entries {
 		if h.DataCentre == dc {
@@ -131,7 +131,7 @@
 }
 
 func (s *System) controlSection(h *Host) (string, error) {
-	peers, err := s.linkList(h, s.Control)
+	peers, err := s.proxyLinks(h, s.Control)
 	if err != nil {
 		return "", err
 	}
@@ -146,20 +146,20 @@
 token-sha256 = %x
 documents = *
 admin = true
-`, s.DataFolder(h), h.ListenAddress, peers, s.tlsKeys("api-"), sha256.Sum256([]byte(OperatorToken))), nil
+`, s.DataFolder(h), h.ListenAddress, peers, s.tlsSettings("api-"), sha256.Sum256([]byte(OperatorToken))), nil
 }
 
 // DataFolder is where a control host keeps its state.
 func (s *System) DataFolder(h *Host) string { return filepath.Join(s.Dir, h.Name+".data") }
 
 func (s *System) entrySection(h *Host) (string, error) {
-	control, err := s.linkList(h, s.Control)
+	control, err := s.proxyLinks(h, s.Control)
 	if err != nil {
 		return "", err
 	}
 	var entries []string
-	for _, e := range s.inCentre(h.DataCentre) {
-		address, err := s.link(h, e)
+	for _, e := range s.entriesIn(h.DataCentre) {
+		address, err := s.proxyLink(h, e)
 		if err != nil {
 			return "", err
 		}
@@ -169,15 +169,15 @@
 listen = %s
 control = %s
 entries = %s
-%s`, h.ListenAddress, control, strings.Join(entries, ", "), s.tlsKeys("")), nil
+%s`, h.ListenAddress, control, strings.Join(entries, ", "), s.tlsSettings("")), nil
 }
 
 func (s *System) agentSection(h *Host) (string, error) {
-	control, err := s.linkList(h, s.Control)
+	control, err := s.proxyLinks(h, s.Control)
 	if err != nil {
 		return "", err
 	}
-	entries, err := s.linkList(h, s.inCentre(h.DataCentre))
+	entries, err := s.proxyLinks(h, s.entriesIn(h.DataCentre))
 	if err != nil {
 		return "", err
 	}
--- a/test/local/system.go
+++ b/test/local/system.go
@@ -67,15 +67,15 @@
 	Agents      []*Host
 	StandIns    []*Host
 
-	links   map[linkKey]*faultproxy.TCP
-	inbound map[string]*faultproxy.TCP
-	// messages are between agents and entry hosts, in both ways of dialling.
-	messages []*faultproxy.Messages
+	linkProxies    map[linkKey]*faultproxy.TCP
+	inboundProxies map[string]*faultproxy.TCP
+	// messageProxies are between agents and entry hosts, in both ways of dialling.
+	messageProxies []*faultproxy.Messages
 	// secret is the system's own, so that processes of another one that a test left
 	// behind are strangers here, also where they come by a port that was theirs.
 	secret string
-	// reserved holds the sockets that keep the ports of the processes from others.
-	reserved []int
+	// reservedSockets holds the sockets that keep the ports of the processes from others.
+	reservedSockets []int
 }
 
 type linkKey struct{ from, to string }
@@ -90,9 +90,9 @@
 	}
 	s := &System{
 		Dir: dir, BinDir: bin, Layout: layout, secret: rand.Text(),
-		links: make(map[linkKey]*faultproxy.TCP), inbound: make(map[string]*faultproxy.TCP),
+		linkProxies: make(map[linkKey]*faultproxy.TCP), inboundProxies: make(map[string]*faultproxy.TCP),
 	}
-	if err := s.place(); err != nil {
+	if err := s.createHosts(); err != nil {
 		return nil, err
 	}
 	if layout.HasTLS {
@@ -103,15 +103,15 @@
 	return s, s.writeSettings()
 }
 
-// place gives every process its name and addresses.
-func (s *System) place() error {
+// createHosts gives every process its name and addresses.
+func (s *System) createHosts() error {
 	for i := range s.Layout.Control {
 		dc := s.Layout.DataCentres[i%len(s.Layout.DataCentres)]
 		if err := s.addDaemon(&s.Control, fmt.Sprintf("control-%d", i+1), dc); err != nil {
 			return err
 		}
 	}
-	if err := s.placeGroup(); err != nil {
+	if err := s.createGroup(); err != nil {
 		return err
 	}
 	for _, dc := range s.Layout.DataCentres {
@@ -120,19 +120,19 @@
 				return err
 			}
 		}
-		if err := s.placeUpstreams(dc, "engine", s.Layout.Engines, s.Layout.EngineArgs); err != nil {
+		if err := s.createUpstreams(dc, "engine", s.Layout.Engines, s.Layout.EngineArgs); err != nil {
 			return err
 		}
-		if err := s.placeUpstreams(dc, "service", s.Layout.Services, s.Layout.ServiceArgs); err != nil {
+		if err := s.createUpstreams(dc, "service", s.Layout.Services, s.Layout.ServiceArgs); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *System) placeUpstreams(dc, kind string, n int, args []string) error {
+func (s *System) createUpstreams(dc, kind string, n int, args []string) error {
 	for i := range n {
-		address, err := s.reserve()
+		address, err := s.reservePort()
 		if err != nil {
 			return err
 		}
@@ -148,13 +148,13 @@
 	return nil
 }
 
-// placeGroup places the hosts of a group before one stand-in that runs all ranks.
-func (s *System) placeGroup() error {
+// createGroup places the hosts of a group before one stand-in that runs all ranks.
+func (s *System) createGroup() error {
 	if s.Layout.GroupHosts == 0 {
 		return nil
 	}
 	dc := s.Layout.DataCentres[0]
-	address, err := s.reserve()
+	address, err := s.reservePort()
 	if err != nil {
 		return err
 	}
@@ -176,7 +176,7 @@
 func (s *System) addDaemon(list *[]*Host, name, dc string) error {
 	h := &Host{DataCentre: dc}
 	for _, a := range []*string{&h.PeerAddress, &h.ListenAddress, &h.MetricsAddress} {
-		address, err := s.reserve()
+		address, err := s.reservePort()
 		if err != nil {
 			return err
 		}
@@ -211,16 +211,16 @@
 		h.Thaw()
 		h.Kill()
 	}
-	for _, p := range s.links {
+	for _, p := range s.linkProxies {
 		p.Close()
 	}
-	for _, p := range s.inbound {
+	for _, p := range s.inboundProxies {
 		p.Close()
 	}
-	for _, p := range s.messages {
+	for _, p := range s.messageProxies {
 		p.Close()
 	}
-	s.release()
+	s.releasePorts()
 }
 
 // WriteOperatorTokenFile writes the operator's token and returns the file's path.
--- a/test/local/tls.go
+++ b/test/local/tls.go
@@ -17,8 +17,8 @@
 	"github.com/pkg/errors"
 )
 
-// certificateLife is how long the certificate of a local system is valid.
-const certificateLife = time.Hour
+// certificateValidity is how long the certificate of a local system is valid.
+const certificateValidity = time.Hour
 
 func (s *System) certificateFile() string { return filepath.Join(s.Dir, "certificate.pem") }
 
@@ -32,8 +32,8 @@
 	}
 	template := &x509.Certificate{
 		SerialNumber:          big.NewInt(1),
-		NotBefore:             time.Now().Add(-certificateLife),
-		NotAfter:              time.Now().Add(certificateLife),
+		NotBefore:             time.Now().Add(-certificateValidity),
+		NotAfter:              time.Now().Add(certificateValidity),
 		IsCA:                  true,
 		BasicConstraintsValid: true,
 		IPAddresses:           []net.IP{net.IPv4(127, 0, 0, 1)},
@@ -69,18 +69,18 @@
 	return &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}, nil
 }
 
-// tlsKeys returns the settings' lines for a section, with a prefix to the keys.
-func (s *System) tlsKeys(prefix string) string {
+// tlsSettings returns the settings' lines for a section, with a prefix to the keys.
+func (s *System) tlsSettings(prefix string) string {
 	if !s.Layout.HasTLS {
 		return ""
 	}
 	return prefix + "tls-certificate = " + s.certificateFile() + "\n" + prefix + "tls-key = " + s.keyFile() + "\n"
 }
 
-// peerTLS returns the settings' lines of the sessions between processes.
-func (s *System) peerTLS() string {
+// peerTLSSettings returns the settings' lines of the sessions between processes.
+func (s *System) peerTLSSettings() string {
 	if !s.Layout.HasTLS {
 		return ""
 	}
-	return s.tlsKeys("") + "tls-ca = " + s.certificateFile() + "\n"
+	return s.tlsSettings("") + "tls-ca = " + s.certificateFile() + "\n"
 }
--- a/test/local/usage.go
+++ b/test/local/usage.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	resp, err := client.Do(req)
+	resp, err := freshClient.Do(req)
 	if err != nil {
 		return err
 	}
