--- a/test/local/build.go
+++ b/test/local/build.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// programs are what a system is made of.
+// programs are the main packages that a local system runs.
 var programs = []string{"./cmd/sassafraspostd", "./cmd/sassafraspost", "./cmd/sassafraspost-node", "./test/cmd/standin"}
 
 // Build compiles the programs into dir.
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// moduleRoot is the folder above this one that holds go.mod.
+// moduleRoot returns the closest folder with a go.mod file, from the working folder upwards.
 func moduleRoot() (string, error) {
 	dir, err := os.Getwd()
 	if err != nil {
--- a/test/local/client.go
+++ b/test/local/client.go
@@ -19,11 +19,11 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// pollInterval is how often a condition is looked at.
+// pollInterval is the time between two checks of a condition in Await.
 const pollInterval = 20 * time.Millisecond
 
-// RunCLI runs the operators' tool and returns what it printed as its result, and its
-// messages too where it failed.
+// RunCLI runs the operators' command-line tool and returns its standard output. If the tool
+// fails, its standard error is appended.
 func (s *System) RunCLI(ctx context.Context, args ...string) (string, error) {
 	token, err := s.WriteOperatorTokenFile()
 	if err != nil {
@@ -43,7 +43,7 @@
 	return string(out), nil
 }
 
-// Await polls until ok or ctx ends.
+// Await polls until ok returns true or ctx ends.
 func Await(ctx context.Context, ok func() bool) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -57,59 +57,59 @@
 	return nil
 }
 
-// Response is what a caller got.
+// Response is the HTTP response that a caller received.
 type Response struct {
 	Status  int
 	Header  http.Header
 	Body    string
 	Verdict verdict.Verdict
-	// Err is set where the answer broke off or never began.
+	// Err is set if the response broke off or never began.
 	Err error
 }
 
-// Request is what a caller asks.
+// Request is an HTTP request of a caller. Key is its idempotency key and ID its request id.
 type Request struct {
 	Method, Path, Key, ID, Body string
 }
 
-// Do sends a request to an entry host on a new connection. An answer that can't be read to
-// its end has Err.
-func Do(ctx context.Context, entry string, q Request) Response {
-	return DoWithClient(ctx, freshClient, entry, q)
+// Do sends a request to an entry host on a new connection. Err of the response is set if its
+// body can't be read to the end.
+func Do(ctx context.Context, entry string, request Request) Response {
+	return DoWithClient(ctx, freshClient, entry, request)
 }
 
-// DoWithClient is Do by the caller's own client.
-func DoWithClient(ctx context.Context, by *http.Client, entry string, q Request) Response {
-	req, err := http.NewRequestWithContext(ctx, q.Method, "http://"+entry+q.Path, bytes.NewReader([]byte(q.Body)))
+// DoWithClient sends a request as Do does, with an HTTP client of the caller's choice.
+func DoWithClient(ctx context.Context, httpClient *http.Client, entry string, request Request) Response {
+	req, err := http.NewRequestWithContext(ctx, request.Method, "http://"+entry+request.Path, bytes.NewReader([]byte(request.Body)))
 	if err != nil {
 		return Response{Err: err}
 	}
 	req.Header.Set("Authorization", "Bearer "+CallerToken)
 	req.Header.Set("Content-Type", "application/json")
-	if q.Key != "" {
-		req.Header.Set("Idempotency-Key", q.Key)
+	if request.Key != "" {
+		req.Header.Set("Idempotency-Key", request.Key)
 	}
-	if q.ID != "" {
-		req.Header.Set("X-Request-Id", q.ID)
+	if request.ID != "" {
+		req.Header.Set("X-Request-Id", request.ID)
 	}
-	resp, err := by.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return Response{Err: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	a := Response{Status: resp.StatusCode, Header: resp.Header, Body: string(body), Err: err}
-	if v, perr := verdict.Parse(resp.Header.Get(verdict.Header)); perr == nil {
-		a.Verdict = v
+	response := Response{Status: resp.StatusCode, Header: resp.Header, Body: string(body), Err: err}
+	if v, parseErr := verdict.Parse(resp.Header.Get(verdict.Header)); parseErr == nil {
+		response.Verdict = v
 	}
-	return a
+	return response
 }
 
-// freshClient dials anew for each request: connections to hosts that were killed must
-// not stand in for faults of the system.
+// freshClient opens a new connection for each request. A kept connection to a host that was
+// killed would fail the next request, which would look like a fault of the system.
 var freshClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Completion returns the request for a completion of tokens tokens.
+// Completion returns a completion request with max_tokens set to tokens.
 func Completion(prompt string, tokens int, isStream bool) Request {
 	body, _ := json.Marshal(map[string]any{
 		"model": "drafter", "prompt": prompt, "max_tokens": tokens, "stream": isStream,
@@ -117,13 +117,13 @@
 	return Request{Method: http.MethodPost, Path: "/v1/completions", Body: string(body)}
 }
 
-// Booking returns the request for a booking, which may not repeat.
+// Booking returns a booking request, a call that is not idempotent: it must not run twice.
 func Booking(key, rider string) Request {
 	body, _ := json.Marshal(standin.Booking{Slot: "dawn", Rider: rider})
 	return Request{Method: http.MethodPost, Path: "/slots/book", Key: key, Body: string(body)}
 }
 
-// Executions asks a stand-in what it has done.
+// Executions fetches a stand-in's counts of the requests and orders that it has executed.
 func Executions(ctx context.Context, h *Host) (standin.Report, error) {
 	var r standin.Report
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.ListenAddress+"/executions", nil)
@@ -138,9 +138,9 @@
 	return r, errors.Wrap(json.NewDecoder(resp.Body).Decode(&r), "executions")
 }
 
-// InjectFailure makes the next requests of a stand-in fail.
-func InjectFailure(ctx context.Context, h *Host, f standin.Failure) error {
-	body, _ := json.Marshal(f)
+// InjectFailure makes the next requests to a stand-in fail.
+func InjectFailure(ctx context.Context, h *Host, failure standin.Failure) error {
+	body, _ := json.Marshal(failure)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.ListenAddress+"/admin/fail", bytes.NewReader(body))
 	if err != nil {
 		return err
@@ -152,7 +152,7 @@
 	return resp.Body.Close()
 }
 
-// IsReady reports whether an entry host takes callers.
+// IsReady reports whether an entry host's readiness check succeeds.
 func IsReady(ctx context.Context, h *Host) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.ListenAddress+"/readyz", nil)
 	if err != nil {
@@ -168,10 +168,11 @@
 
 var revisionLine = regexp.MustCompile(`(?m)^sassafraspost_catalog_revision (\d+)$`)
 
-// keepAliveClient keeps its connections: for requests by the hundred.
+// keepAliveClient reuses connections, for metrics that are polled hundreds of times.
 var keepAliveClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
 
-// RevisionInForce returns the revision in force on a host, and whether the host said so.
+// RevisionInForce returns the document revision in force on a host, as its metrics report it,
+// and false if the host did not answer.
 func RevisionInForce(ctx context.Context, h *Host) (uint64, bool) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.MetricsAddress+"/metrics", nil)
 	if err != nil {
@@ -186,15 +187,15 @@
 	if err != nil {
 		return 0, false
 	}
-	found := revisionLine.FindSubmatch(body)
-	if found == nil {
+	match := revisionLine.FindSubmatch(body)
+	if match == nil {
 		return 0, false
 	}
-	revision, err := strconv.ParseUint(string(found[1]), 10, 64)
+	revision, err := strconv.ParseUint(string(match[1]), 10, 64)
 	return revision, err == nil
 }
 
-// clusterStatus is what the tool prints of a cluster.
+// clusterStatus is the part of the tool's JSON output for `cluster` that is read here.
 type clusterStatus struct {
 	Leader    string `json:"leader"`
 	HasQuorum bool   `json:"hasQuorum"`
@@ -203,7 +204,8 @@
 	} `json:"replicas"`
 }
 
-// clusterStatus asks each control host in turn, until one that has a quorum answers.
+// clusterStatus returns the status of the cluster, empty if no control host that the tool
+// reaches has a quorum.
 func (s *System) clusterStatus(ctx context.Context) clusterStatus {
 	out, err := s.RunCLI(ctx, "cluster", "-o", "json")
 	var c clusterStatus
@@ -213,7 +215,7 @@
 	return c
 }
 
-// VoterCount returns how many control hosts have a vote, zero without a quorum.
+// VoterCount returns the number of voters in the cluster, zero without a quorum.
 func (s *System) VoterCount(ctx context.Context) int {
 	n := 0
 	for _, r := range s.clusterStatus(ctx).Replicas {
@@ -224,7 +226,7 @@
 	return n
 }
 
-// Leader returns the name of the control host that leads, empty without a quorum.
+// Leader returns the name of the control host that is the leader, empty without a quorum.
 func (s *System) Leader(ctx context.Context) string {
 	host, _, _ := strings.Cut(s.clusterStatus(ctx).Leader, "/")
 	return host
--- a/test/local/ports.go
+++ b/test/local/ports.go
@@ -7,9 +7,10 @@
 	"github.com/pkg/errors"
 )
 
-// reservePort returns a loopback address with a port from the kernel that nobody else
-// gets before the system stops: a socket stays bound to it without listening, which
-// keeps the kernel from giving the port away and lets a process listen on it.
+// reservePort returns a loopback address with a free port that no other process is assigned
+// before the system stops. A socket stays bound to the port without listening: the kernel then
+// does not assign the port again, and a process of the system can still listen on it, as both
+// sockets set SO_REUSEADDR.
 func (s *System) reservePort() (string, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -29,6 +30,7 @@
 	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port), nil
 }
 
+// releasePorts closes the sockets that reserve ports.
 func (s *System) releasePorts() {
 	for _, fd := range s.reservedSockets {
 		_ = syscall.Close(fd)
--- a/test/local/prepare.go
+++ b/test/local/prepare.go
@@ -11,8 +11,8 @@
 	"github.com/pkg/errors"
 )
 
-// Prepare founds the cluster, waits for all votes, submits a document and waits
-// until every entry host serves.
+// Prepare bootstraps the cluster, submits a document and waits until every entry host and
+// every engine serves.
 func (s *System) Prepare(ctx context.Context, document string) error {
 	if err := s.Bootstrap(ctx); err != nil {
 		return err
@@ -23,7 +23,7 @@
 	return s.AwaitServing(ctx)
 }
 
-// Bootstrap founds the cluster and waits until every control host has a vote.
+// Bootstrap initializes the cluster and waits until every control host is a voter.
 func (s *System) Bootstrap(ctx context.Context) error {
 	var out string
 	err := Await(ctx, func() bool {
@@ -41,7 +41,7 @@
 	return errors.Wrap(err, "votes")
 }
 
-// endedControlHost returns the name of a control host that has ended, empty if all run.
+// endedControlHost returns the name of a control host whose process has ended, empty if all run.
 func (s *System) endedControlHost() string {
 	for _, h := range s.Control {
 		if !h.IsRunning() {
@@ -51,13 +51,14 @@
 	return ""
 }
 
-// Submit submits a document over the revision that is accepted now.
+// Submit submits a document that replaces the accepted revision.
 func (s *System) Submit(ctx context.Context, document string) (string, error) {
 	st, _ := s.documentStatus(ctx)
 	return s.SubmitWithBase(ctx, st.Revision, document)
 }
 
-// SubmitWithBase submits a document over a base revision.
+// SubmitWithBase submits a document that replaces the revision base. It is refused if another
+// revision has been accepted since.
 func (s *System) SubmitWithBase(ctx context.Context, base uint64, document string, args ...string) (string, error) {
 	f, err := os.CreateTemp(s.Dir, "document-*.ini")
 	if err != nil {
@@ -71,7 +72,8 @@
 	return s.RunCLI(ctx, append(all, args...)...)
 }
 
-// documentStatus is what the tool prints of a document.
+// documentStatus is the part of the tool's JSON output for `status` that is read here. InForce
+// is the number of hosts on which the accepted revision is in force.
 type documentStatus struct {
 	Revision uint64 `json:"revision"`
 	InForce  int    `json:"inForce"`
@@ -86,7 +88,7 @@
 	return st, json.Unmarshal([]byte(out), &st)
 }
 
-// Revision returns the accepted revision, zero where none is known.
+// Revision returns the accepted revision of the document, zero if the cluster doesn't answer.
 func (s *System) Revision(ctx context.Context) uint64 {
 	st, _ := s.documentStatus(ctx)
 	return st.Revision
@@ -100,8 +102,8 @@
 	})
 }
 
-// AwaitServing waits until every entry host is ready and every engine has answered a
-// completion.
+// AwaitServing waits until every entry host has answered a completion and every engine has
+// executed one.
 func (s *System) AwaitServing(ctx context.Context) error {
 	for _, h := range s.Entries {
 		if err := s.awaitEntry(ctx, h); err != nil {
@@ -125,6 +127,7 @@
 	return nil
 }
 
+// awaitEntry waits until an entry host is ready and answers a completion.
 func (s *System) awaitEntry(ctx context.Context, h *Host) error {
 	var last Response
 	err := Await(ctx, func() bool {
--- a/test/local/process.go
+++ b/test/local/process.go
@@ -1,6 +1,6 @@
 // Package local runs a whole system as real processes on loopback, with stand-in
-// upstreams and, where asked for, a fault-injecting proxy on each link. The
-// integration tests and the demonstration use it; the product does not.
+// upstreams and, if the layout asks for it, a fault-injecting proxy on each link.
+// Only tests, the demonstration and measuring tools use it.
 package local
 
 import (
@@ -13,10 +13,10 @@
 	"github.com/pkg/errors"
 )
 
-// Process is one running program of the system.
+// Process is one program of the system, which can be started again after it has ended.
 type Process struct {
 	Name string
-	// Env is the program's environment; nil is that of the test.
+	// Env is the program's environment. If it is nil, the program inherits that of this process.
 	Env     []string
 	path    string
 	args    []string
@@ -28,7 +28,7 @@
 	err  error
 }
 
-// NewProcess returns a program that writes its log into dir; Start starts it.
+// NewProcess returns a process that is not started yet. Its output goes to a file in dir.
 func NewProcess(dir, name, path string, args ...string) *Process {
 	return newProcess(dir, name, path, args...)
 }
@@ -37,7 +37,7 @@
 	return &Process{Name: name, path: path, args: args, logPath: filepath.Join(dir, name+".log")}
 }
 
-// Start starts the program; its output goes to the end of its log file.
+// Start starts the program and appends its output to its log file.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// Kill ends the program at once, as a crash does, and waits until it is gone.
+// Kill sends SIGKILL, which leaves the program no time to shut down, and waits until it has ended.
 func (p *Process) Kill() {
 	if !p.IsRunning() {
 		return
@@ -82,13 +82,13 @@
 	<-p.Done()
 }
 
-// Freeze stops the program without ending it, until Thaw.
+// Freeze suspends the program with SIGSTOP until Thaw. Its connections stay open.
 func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen program go on.
+// Thaw resumes a frozen program.
 func (p *Process) Thaw() { p.signal(syscall.SIGCONT) }
 
-// Terminate asks the program to shut down gracefully.
+// Terminate asks the program with SIGTERM to shut down gracefully.
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM) }
 
 // Done is closed when the program has ended.
@@ -114,14 +114,14 @@
 	}
 }
 
-// Err is how the program ended, nil for exit status 0.
+// Err returns the error with which the program ended, nil for exit status 0.
 func (p *Process) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.err
 }
 
-// Log returns what the program has written.
+// Log returns everything that the program has written to its output.
 func (p *Process) Log() string {
 	data, _ := os.ReadFile(p.logPath)
 	return string(data)
--- a/test/local/settings.go
+++ b/test/local/settings.go
@@ -31,6 +31,7 @@
 	return nil
 }
 
+// writeSettingsFile writes the settings that all roles share and those of the host's role.
 func (s *System) writeSettingsFile(h *Host, role string, section func(*Host) (string, error)) error {
 	advertise, err := s.advertisedAddress(h, role)
 	if err != nil {
@@ -62,8 +63,9 @@
 	return os.WriteFile(filepath.Join(s.Dir, h.Name+".ini"), []byte(text), 0o600)
 }
 
-// advertisedAddress is where other hosts reach h. Agents are reached only so; all else
-// comes from settings and has a proxy for each pair.
+// advertisedAddress returns the address that h announces to other hosts. Only agents are dialled
+// by their announced address, so one inbound proxy per agent is enough. Control and entry hosts
+// are dialled by the addresses in settings files, with a proxy for each pair of hosts.
 func (s *System) advertisedAddress(h *Host, role string) (string, error) {
 	if !s.Layout.HasProxies || role != "agent" {
 		return h.PeerAddress, nil
@@ -76,7 +78,8 @@
 	return p.Address(), nil
 }
 
-// proxyLink returns the address under which from reaches to.
+// proxyLink returns the address by which from dials to, and starts a proxy there if the layout
+// has proxies.
 func (s *System) proxyLink(from, to *Host) (string, error) {
 	if !s.Layout.HasProxies || from == to {
 		return to.PeerAddress, nil
@@ -93,8 +96,8 @@
 	return p.Address(), nil
 }
 
-// messageProxyAddress returns where h is reached through a proxy of its messages, and its
-// own address where the layout has none.
+// messageProxyAddress starts a message proxy in front of h and returns its address. If the layout
+// has no message proxies, it returns the address of h itself.
 func (s *System) messageProxyAddress(h *Host) string {
 	if !s.Layout.HasMessageProxies {
 		return h.PeerAddress
@@ -108,26 +111,28 @@
 
 func (s *System) isControl(h *Host) bool { return slices.Contains(s.Control, h) }
 
+// proxyLinks returns a settings list with the addresses by which from dials each of the hosts.
 func (s *System) proxyLinks(from *Host, to []*Host) (string, error) {
-	var list []string
+	var addresses []string
 	for _, h := range to {
 		address, err := s.proxyLink(from, h)
 		if err != nil {
 			return "", err
 		}
-		list = append(list, address)
+		addresses = append(addresses, address)
 	}
-	return strings.Join(list, ", "), nil
+	return strings.Join(addresses, ", "), nil
 }
 
+// entriesIn returns the entry hosts of a data centre.
 func (s *System) entriesIn(dc string) []*Host {
-	var out []*Host
+	var entries []*Host
 	for _, h := range s.Entries {
 		if h.DataCentre == dc {
-			out = append(out, h)
+			entries = append(entries, h)
 		}
 	}
-	return out
+	return entries
 }
 
 func (s *System) controlSection(h *Host) (string, error) {
@@ -149,7 +154,7 @@
 `, s.DataFolder(h), h.ListenAddress, peers, s.tlsSettings("api-"), sha256.Sum256([]byte(OperatorToken))), nil
 }
 
-// DataFolder is where a control host keeps its state.
+// DataFolder returns the folder of a control host's journal and snapshots.
 func (s *System) DataFolder(h *Host) string { return filepath.Join(s.Dir, h.Name+".data") }
 
 func (s *System) entrySection(h *Host) (string, error) {
--- a/test/local/system.go
+++ b/test/local/system.go
@@ -15,50 +15,54 @@
 	"github.com/sassafraspost/sassafraspost/test/faultproxy"
 )
 
-// Tokens of the local system.
+// Bearer tokens of the local system.
 const (
 	OperatorToken = "local-operator-token"
 	CallerToken   = "local-caller-token"
 )
 
-// Layout says what to start.
+// Layout describes the processes of a system.
 type Layout struct {
-	// Control is the number of control hosts. They spread over the data centres.
+	// Control is the number of control hosts, which are spread over the data centres.
 	Control int
-	// Entries, Engines and Services are numbers of hosts in each data centre.
+	// Entries, Engines and Services are the numbers of entry hosts, agents of model engines
+	// and agents of plain services in each data centre.
 	Entries, Engines, Services int
-	// GroupHosts is the number of hosts of one group in the first data centre, with
-	// RanksPerHost ranks each. They share one stand-in, started with GroupArgs.
+	// GroupHosts is the number of hosts of one engine group in the first data centre, with
+	// RanksPerHost ranks each. They share one stand-in, which is started with GroupArgs.
 	GroupHosts, RanksPerHost int
 	GroupArgs                []string
-	// DataCentres are the names; one is the default.
+	// DataCentres has the names of the data centres. The default is one, centre-a.
 	DataCentres []string
-	// HasProxies puts a fault-injecting proxy on each link.
+	// HasProxies puts a fault-injecting TCP proxy on each link between two hosts.
 	HasProxies bool
-	// HasMessageProxies puts a proxy that can cross, duplicate and drop messages behind the
-	// fault-injecting proxies of all links between agents and entry hosts.
+	// HasMessageProxies also puts a proxy that can reorder, duplicate and drop messages on each
+	// link between agents and entry hosts, behind the TCP proxy.
 	HasMessageProxies bool
-	// HasTLS puts all listeners of the product behind TLS.
+	// HasTLS makes all listeners of the daemons use TLS, except those of metrics.
 	HasTLS bool
-	// EngineArgs and ServiceArgs go to the stand-ins.
+	// EngineArgs and ServiceArgs are command-line arguments of the stand-ins.
 	EngineArgs, ServiceArgs []string
-	// ShutdownGrace is the shutdown grace of the daemons; 30s if zero.
+	// ShutdownGrace is the setting shutdown-grace of the daemons. Zero means 30s.
 	ShutdownGrace time.Duration
 }
 
-// Host is one process with its addresses.
+// Host is one process, a daemon or a stand-in, with its addresses.
 type Host struct {
 	*Process
 	DataCentre string
-	// PeerAddress is its peer listener; Listen serves callers (entry) or operators (control).
+	// PeerAddress serves the sessions between hosts. ListenAddress serves callers on an entry
+	// host or a stand-in, and operators on a control host.
 	PeerAddress, ListenAddress, MetricsAddress string
-	// Upstream is the stand-in behind an agent.
+	// Upstream is the stand-in that an agent sends requests to, nil on other hosts.
 	Upstream *Host
-	// FirstRank is the first rank of a host of a group.
+	// FirstRank is the lowest rank on a host of a group.
 	FirstRank int
 }
 
-// System is a running local system.
+// System is a set of processes on loopback that form a whole system, with proxies between them.
+//
+// BinDir is the folder of the programs. Dir has the settings, data and logs of all processes.
 type System struct {
 	Dir, BinDir string
 	Layout      Layout
@@ -69,18 +73,20 @@
 
 	linkProxies    map[linkKey]*faultproxy.TCP
 	inboundProxies map[string]*faultproxy.TCP
-	// messageProxies are between agents and entry hosts, in both ways of dialling.
+	// messageProxies are on the links between agents and entry hosts, whichever of the two dials.
 	messageProxies []*faultproxy.Messages
-	// secret is the system's own, so that processes of another one that a test left
-	// behind are strangers here, also where they come by a port that was theirs.
+	// secret is the peer secret, a different one for each system. A process that an earlier
+	// test left running can't join this system, even if it dials a port that has been reused.
 	secret string
-	// reservedSockets holds the sockets that keep the ports of the processes from others.
+	// reservedSockets has the file descriptors of the sockets that reserve ports.
 	reservedSockets []int
 }
 
+// linkKey has the names of the dialling and the dialled host.
 type linkKey struct{ from, to string }
 
-// New lays out a system in dir, with programs that Build put in bin. Nothing runs yet.
+// New writes the settings of a system to dir and starts its proxies. The programs are those that
+// Build has put into bin; they are not started yet.
 func New(dir, bin string, layout Layout) (*System, error) {
 	if len(layout.DataCentres) == 0 {
 		layout.DataCentres = []string{"centre-a"}
@@ -103,7 +109,7 @@
 	return s, s.writeSettings()
 }
 
-// createHosts gives every process its name and addresses.
+// createHosts creates every host of the layout, with its name and addresses.
 func (s *System) createHosts() error {
 	for i := range s.Layout.Control {
 		dc := s.Layout.DataCentres[i%len(s.Layout.DataCentres)]
@@ -130,6 +136,7 @@
 	return nil
 }
 
+// createUpstreams creates n stand-ins in a data centre, each with its agent.
 func (s *System) createUpstreams(dc, kind string, n int, args []string) error {
 	for i := range n {
 		address, err := s.reservePort()
@@ -137,18 +144,18 @@
 			return err
 		}
 		name := fmt.Sprintf("%s-%s-%d", kind, dc, i+1)
-		all := append([]string{"--listen", address, "--kind", kind}, args...)
-		up := &Host{Process: newProcess(s.Dir, "upstream-"+name, filepath.Join(s.BinDir, "standin"), all...), DataCentre: dc, ListenAddress: address}
-		s.StandIns = append(s.StandIns, up)
+		allArgs := append([]string{"--listen", address, "--kind", kind}, args...)
+		standIn := &Host{Process: newProcess(s.Dir, "upstream-"+name, filepath.Join(s.BinDir, "standin"), allArgs...), DataCentre: dc, ListenAddress: address}
+		s.StandIns = append(s.StandIns, standIn)
 		if err := s.addDaemon(&s.Agents, name, dc); err != nil {
 			return err
 		}
-		s.Agents[len(s.Agents)-1].Upstream = up
+		s.Agents[len(s.Agents)-1].Upstream = standIn
 	}
 	return nil
 }
 
-// createGroup places the hosts of a group before one stand-in that runs all ranks.
+// createGroup creates the agents of a group and the one stand-in that runs all its ranks.
 func (s *System) createGroup() error {
 	if s.Layout.GroupHosts == 0 {
 		return nil
@@ -160,19 +167,20 @@
 	}
 	ranks := strconv.Itoa(s.Layout.GroupHosts * s.Layout.RanksPerHost)
 	args := append([]string{"--listen", address, "--kind", "group", "--ranks", ranks}, s.Layout.GroupArgs...)
-	up := &Host{Process: newProcess(s.Dir, "upstream-group", filepath.Join(s.BinDir, "standin"), args...), DataCentre: dc, ListenAddress: address}
-	s.StandIns = append(s.StandIns, up)
+	standIn := &Host{Process: newProcess(s.Dir, "upstream-group", filepath.Join(s.BinDir, "standin"), args...), DataCentre: dc, ListenAddress: address}
+	s.StandIns = append(s.StandIns, standIn)
 	for i := range s.Layout.GroupHosts {
 		if err := s.addDaemon(&s.Agents, fmt.Sprintf("group-%d", i), dc); err != nil {
 			return err
 		}
 		h := s.Agents[len(s.Agents)-1]
-		h.Upstream = up
+		h.Upstream = standIn
 		h.FirstRank = i * s.Layout.RanksPerHost
 	}
 	return nil
 }
 
+// addDaemon appends a daemon to a list of hosts.
 func (s *System) addDaemon(list *[]*Host, name, dc string) error {
 	h := &Host{DataCentre: dc}
 	for _, a := range []*string{&h.PeerAddress, &h.ListenAddress, &h.MetricsAddress} {
@@ -188,14 +196,14 @@
 	return nil
 }
 
-// Daemons returns every process of the product.
+// Daemons returns every control host, entry host and agent, but no stand-ins.
 func (s *System) Daemons() []*Host {
 	all := append([]*Host{}, s.Control...)
 	all = append(all, s.Entries...)
 	return append(all, s.Agents...)
 }
 
-// Start starts everything.
+// Start starts all processes, stand-ins first.
 func (s *System) Start() error {
 	for _, h := range append(append([]*Host{}, s.StandIns...), s.Daemons()...) {
 		if err := h.Start(); err != nil {
@@ -205,7 +213,7 @@
 	return nil
 }
 
-// Stop ends everything at once.
+// Stop kills all processes and closes the proxies.
 func (s *System) Stop() {
 	for _, h := range append(s.Daemons(), s.StandIns...) {
 		h.Thaw()
@@ -223,26 +231,27 @@
 	s.releasePorts()
 }
 
-// WriteOperatorTokenFile writes the operator's token and returns the file's path.
+// WriteOperatorTokenFile writes the operator's token to a file and returns the path.
 func (s *System) WriteOperatorTokenFile() (string, error) {
 	path := filepath.Join(s.Dir, "operator.token")
 	return path, os.WriteFile(path, []byte(OperatorToken+"\n"), 0o600)
 }
 
-// APIServers lists the addresses of the administration API.
+// APIServers returns the URLs of the administration API of all control hosts, separated by
+// commas.
 func (s *System) APIServers() string {
 	scheme := "http://"
 	if s.Layout.HasTLS {
 		scheme = "https://"
 	}
-	var list []string
+	var servers []string
 	for _, h := range s.Control {
-		list = append(list, scheme+h.ListenAddress)
+		servers = append(servers, scheme+h.ListenAddress)
 	}
-	return strings.Join(list, ",")
+	return strings.Join(servers, ",")
 }
 
-// Document returns a service document for the stand-ins. version is that of the model.
+// Document returns a service document that fits the stand-ins, with the given model version.
 func Document(version string) string {
 	return fmt.Sprintf(`[service]
 name = local
@@ -277,7 +286,7 @@
 `, version, sha256.Sum256([]byte(CallerToken)))
 }
 
-// Find returns the host of this name.
+// Find returns the daemon or stand-in with this name.
 func (s *System) Find(name string) (*Host, error) {
 	for _, h := range append(s.Daemons(), s.StandIns...) {
 		if h.Name == name {
--- a/test/local/tls.go
+++ b/test/local/tls.go
@@ -17,14 +17,14 @@
 	"github.com/pkg/errors"
 )
 
-// certificateValidity is how long the certificate of a local system is valid.
+// certificateValidity is how long the certificate of a local system stays valid.
 const certificateValidity = time.Hour
 
 func (s *System) certificateFile() string { return filepath.Join(s.Dir, "certificate.pem") }
 
 func (s *System) keyFile() string { return filepath.Join(s.Dir, "key.pem") }
 
-// makeCertificate writes a certificate for loopback that signs itself.
+// makeCertificate writes a self-signed certificate for the loopback address, and its key.
 func (s *System) makeCertificate() error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: data}), 0o600)
 }
 
-// TLSClient returns a client that trusts the system's certificate.
+// TLSClient returns an HTTP client that trusts the system's certificate.
 func (s *System) TLSClient() (*http.Client, error) {
 	data, err := os.ReadFile(s.certificateFile())
 	if err != nil {
@@ -69,7 +69,8 @@
 	return &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}, nil
 }
 
-// tlsSettings returns the settings' lines for a section, with a prefix to the keys.
+// tlsSettings returns the lines of a settings section that name the certificate and its key. The
+// names of both settings begin with prefix. Without TLS it returns nothing.
 func (s *System) tlsSettings(prefix string) string {
 	if !s.Layout.HasTLS {
 		return ""
@@ -77,7 +78,7 @@
 	return prefix + "tls-certificate = " + s.certificateFile() + "\n" + prefix + "tls-key = " + s.keyFile() + "\n"
 }
 
-// peerTLSSettings returns the settings' lines of the sessions between processes.
+// peerTLSSettings returns the TLS lines of the settings section for sessions between hosts.
 func (s *System) peerTLSSettings() string {
 	if !s.Layout.HasTLS {
 		return ""
--- a/test/local/usage.go
+++ b/test/local/usage.go
@@ -13,17 +13,18 @@
 	"github.com/pkg/errors"
 )
 
-// ticksPerSecond is the kernel's unit of process times.
+// ticksPerSecond is the number of clock ticks a second (USER_HZ) in which /proc/PID/stat counts
+// CPU time.
 const ticksPerSecond = 100
 
-// Usage is what a process has used.
+// Usage is the memory that a process uses and the CPU time that it has used.
 type Usage struct {
-	// Resident is the resident memory, in bytes.
+	// Resident is the resident set size in bytes.
 	Resident int64
 	CPU      time.Duration
 }
 
-// Usage reads what the process has used.
+// Usage reads the usage of the running process from /proc.
 func (p *Process) Usage() (Usage, error) {
 	p.mu.Lock()
 	dir := fmt.Sprintf("/proc/%d", p.cmd.Process.Pid)
@@ -32,25 +33,25 @@
 	if err != nil {
 		return Usage{}, err
 	}
-	_, rest, _ := strings.Cut(string(stat), ") ")
-	fields := strings.Fields(rest)
+	_, afterName, _ := strings.Cut(string(stat), ") ")
+	fields := strings.Fields(afterName)
 	const user, system, resident = 11, 12, 21
 	if len(fields) <= resident {
 		return Usage{}, errors.Errorf("no usage of %s", p.Name)
 	}
-	var n [3]int64
+	var values [3]int64
 	for i, f := range []int{user, system, resident} {
-		if n[i], err = strconv.ParseInt(fields[f], 10, 64); err != nil {
+		if values[i], err = strconv.ParseInt(fields[f], 10, 64); err != nil {
 			return Usage{}, err
 		}
 	}
 	return Usage{
-		Resident: n[2] * int64(os.Getpagesize()),
-		CPU:      time.Duration(n[0]+n[1]) * time.Second / ticksPerSecond,
+		Resident: values[2] * int64(os.Getpagesize()),
+		CPU:      time.Duration(values[0]+values[1]) * time.Second / ticksPerSecond,
 	}, nil
 }
 
-// Counters sums the counters of some hosts by name.
+// Counters returns the counters of the hosts, summed by metric name.
 func Counters(ctx context.Context, hosts []*Host) (map[string]int64, error) {
 	sum := make(map[string]int64)
 	for _, h := range hosts {
@@ -61,6 +62,7 @@
 	return sum, nil
 }
 
+// addCounters adds the counters of one host to sum.
 func addCounters(ctx context.Context, h *Host, sum map[string]int64) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.MetricsAddress+"/metrics", nil)
 	if err != nil {
--- a/test/local/with.go
+++ b/test/local/with.go
@@ -5,8 +5,8 @@
 	"path/filepath"
 )
 
-// WithSystem builds the programs, starts a system in a temporary folder, hands it to use and
-// stops it.
+// WithSystem builds the programs, starts a system in a temporary folder, calls use with it and
+// stops it again.
 func WithSystem(layout Layout, use func(*System) error) error {
 	dir, err := os.MkdirTemp("", "sassafraspost-local-")
 	if err != nil {
