--- a/test/integration/centres_test.go
+++ b/test/integration/centres_test.go
@@ -13,48 +13,49 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// refusalBound is how soon a booking is refused where no majority can be reached.
+// refusalBound is how soon a booking must be refused if no majority of control hosts is reachable.
 const refusalBound = 3 * time.Second
 
-// A data centre that is cut off goes on with idempotent work, refuses what needs a
-// majority at once, and has what was accepted meanwhile in force after the heal.
+// A data centre without a link to the others still serves idempotent requests, and refuses at
+// once those that need a majority of control hosts. Once the links are back, documents that were
+// accepted meanwhile come into force there, and a booking that was refused runs at most once.
 func TestIsolatedDataCentreServesAndCatchesUp(t *testing.T) {
 	t.Parallel()
 	s := start(t, local.Layout{
 		Control: 3, Entries: 1, Engines: 1, Services: 1,
 		DataCentres: []string{"centre-a", "centre-b"}, HasProxies: true,
 	})
-	inside := s.Entries[1]
-	require.Equal(t, "centre-b", inside.DataCentre)
+	isolatedEntry := s.Entries[1]
+	require.Equal(t, "centre-b", isolatedEntry.DataCentre)
 	s.await("a booking in the data centre", func() bool {
-		return s.sendRequest(inside, local.Booking("before", "Elena")).Status == http.StatusCreated
+		return s.sendRequest(isolatedEntry, local.Booking("before", "Elena")).Status == http.StatusCreated
 	})
 
 	s.CutDataCentre("centre-b")
 	for n := range 20 {
 		prompt := fmt.Sprint("cut off ", n)
-		a := s.sendRequest(inside, local.Completion(prompt, 5, false))
+		a := s.sendRequest(isolatedEntry, local.Completion(prompt, 5, false))
 		require.Equal(t, http.StatusOK, a.Status, a.Body)
 		require.Contains(t, a.Body, standin.Text(prompt, 5))
 	}
-	asked := time.Now()
-	a := s.sendRequest(inside, local.Booking("during", "Elena"))
+	sentAt := time.Now()
+	a := s.sendRequest(isolatedEntry, local.Booking("during", "Elena"))
 	require.Equal(t, http.StatusServiceUnavailable, a.Status, a.Body)
 	require.NotEqual(t, verdict.Ran, a.Verdict)
 	require.NotEmpty(t, a.Header.Get("Retry-After"))
-	require.Less(t, time.Since(asked), refusalBound)
-	// Where the leader was cut off, the others elect one first.
+	require.Less(t, time.Since(sentAt), refusalBound)
+	// If the leader is in the isolated data centre, the other control hosts first elect a new one.
 	s.await("a change by the others", func() bool {
 		_, err := s.Submit(s.ctx, local.Document("v2"))
 		return err == nil
 	})
 
 	s.HealDataCentre("centre-b")
-	healed := time.Now()
+	healedAt := time.Now()
 	require.NoError(t, s.AwaitInForce(s.ctx))
-	t.Logf("in force everywhere %v after the heal", time.Since(healed).Round(time.Millisecond))
+	t.Logf("in force everywhere %v after the heal", time.Since(healedAt).Round(time.Millisecond))
 	s.await("the same booking after the heal", func() bool {
-		return s.sendRequest(inside, local.Booking("during", "Elena")).Status == http.StatusCreated
+		return s.sendRequest(isolatedEntry, local.Booking("during", "Elena")).Status == http.StatusCreated
 	})
 	for _, h := range s.Agents {
 		r, err := local.Executions(s.ctx, h.Upstream)
--- a/test/integration/disks_test.go
+++ b/test/integration/disks_test.go
@@ -19,21 +19,21 @@
 	"github.com/sassafraspost/sassafraspost/test/local"
 )
 
-// crashAndLoseDisk ends a control host as a crash does, takes its data folder away and
-// starts it. The folder is kept under the name that is returned.
+// crashAndLoseDisk kills a control host, moves its data folder away and starts it again without
+// one. It returns the path to which the folder was moved.
 func (s *system) crashAndLoseDisk(h *local.Host) string {
 	s.t.Helper()
 	h.Kill()
-	kept := s.DataFolder(h) + ".kept"
-	require.NoError(s.t, os.RemoveAll(kept))
-	require.NoError(s.t, os.Rename(s.DataFolder(h), kept))
+	movedTo := s.DataFolder(h) + ".kept"
+	require.NoError(s.t, os.RemoveAll(movedTo))
+	require.NoError(s.t, os.Rename(s.DataFolder(h), movedTo))
 	require.NoError(s.t, h.Start())
 	s.diskLostAt = time.Now()
-	return kept
+	return movedTo
 }
 
-// voterIDs returns the ids of the replicas with a vote, as one control host that has a
-// quorum knows them; none without a quorum.
+// voterIDs returns the ids of the voters as one control host reports them, none if it has no
+// quorum.
 func (s *system) voterIDs(h *local.Host) []string {
 	c, err := s.api(h).GetCluster(s.ctx)
 	if err != nil || !c.HasQuorum {
@@ -49,18 +49,19 @@
 	return ids
 }
 
-// awaitRepair waits until n replicas vote, the lost ones not among them.
-func (s *system) awaitRepair(witness *local.Host, n int, lost ...string) {
+// awaitRepair waits until a control host reports n voters, with none of the replicas whose disk
+// was lost among them.
+func (s *system) awaitRepair(reporter *local.Host, n int, lost ...string) {
 	s.t.Helper()
-	begun := s.diskLostAt
+	lostAt := s.diskLostAt
 	s.await("the repair", func() bool {
-		now := s.voterIDs(witness)
-		return len(now) == n && !slices.ContainsFunc(now, func(id string) bool { return slices.Contains(lost, id) })
+		voters := s.voterIDs(reporter)
+		return len(voters) == n && !slices.ContainsFunc(voters, func(id string) bool { return slices.Contains(lost, id) })
 	})
-	s.t.Logf("%d voters again %s after the last loss", n, time.Since(begun).Round(time.Millisecond))
+	s.t.Logf("%d voters again %s after the last loss", n, time.Since(lostAt).Round(time.Millisecond))
 }
 
-// replicaIDOf returns the replica of a host.
+// replicaIDOf returns the id, out of ids, of a host's replica; empty if there is none.
 func replicaIDOf(ids []string, h *local.Host) string {
 	i := slices.IndexFunc(ids, func(id string) bool { return strings.HasPrefix(id, h.Name+"/") })
 	if i < 0 {
@@ -69,7 +70,7 @@
 	return ids[i]
 }
 
-// requireInitRefused reports that a control host does not begin a new cluster.
+// requireInitRefused fails the test if a control host agrees to bootstrap a new cluster.
 func (s *system) requireInitRefused(h *local.Host) {
 	s.t.Helper()
 	_, err := s.api(h).InitCluster(s.ctx)
@@ -78,8 +79,9 @@
 	require.Equal(s.t, oas.ProblemVerdictNotRun, problem.Response.Verdict)
 }
 
-// requireRefusals awaits n refusals of changes, each of which has not run. An attempt that no
-// process answered, since the host is still starting, is repeated and not counted.
+// requireRefusals sends a change until it has been refused n times, each time with the verdict
+// not-run. An attempt that got no response, because the host is still starting, is repeated and
+// not counted.
 func (s *system) requireRefusals(n int, c change, hosts ...*local.Host) {
 	s.t.Helper()
 	for i := range n {
@@ -95,15 +97,17 @@
 	}
 }
 
-// A host that lost its disk does not vote for what it has forgotten: with a host that
-// missed a change it elects nobody, and the change is there when its witness is back.
+// A control host that lost its disk must not vote, since it no longer knows which changes it has
+// acknowledged. Together with a host that missed a change it could otherwise elect a leader
+// without the change. Here the two elect none, and the change is still there once the only host
+// that stored it is back.
 func TestControlHostWithLostDiskDoesNotVote(t *testing.T) {
 	t.Parallel()
 	s := startEmpty(t, local.Layout{Control: 3, Entries: 2, HasProxies: true})
 	base := bootstrapWithDocument(t, s)
-	o := s.observeRevisions(s.Entries...)
-	late := s.Control[2]
-	s.Cut(late)
+	observer := s.observeRevisions(s.Entries...)
+	lagging := s.Control[2]
+	s.Cut(lagging)
 	var newer uint64
 	s.await("a change without the late host", func() bool {
 		r := s.put(s.Control[0], change{base: base, id: "change-newer", text: local.Document("v2")})
@@ -113,35 +117,34 @@
 	s.awaitInForce(newer, s.Entries...)
 	before := s.voterIDs(s.Control[0])
 	lost := s.Control[1]
-	witness := s.Control[0]
-	witness.Kill()
+	upToDate := s.Control[0]
+	upToDate.Kill()
 	s.crashAndLoseDisk(lost)
-	s.Heal(late)
-	s.requireRefusals(25, change{base: base, id: "change-reverts", text: local.Document("v3")}, late, lost)
+	s.Heal(lagging)
+	s.requireRefusals(25, change{base: base, id: "change-reverts", text: local.Document("v3")}, lagging, lost)
 	s.requireInitRefused(lost)
-	s.requireInitRefused(late)
+	s.requireInitRefused(lagging)
 	s.Cut(lost)
 	s.requireInitRefused(lost)
 	s.Heal(lost)
-	require.NoError(t, witness.Start())
-	s.awaitRepair(witness, 3, replicaIDOf(before, lost))
+	require.NoError(t, upToDate.Start())
+	s.awaitRepair(upToDate, 3, replicaIDOf(before, lost))
 	s.requireInitRefused(lost)
 	for _, h := range s.Control {
 		s.await("the change on "+h.Name, func() bool { return s.acceptedRevision(h) == newer })
 		require.Equal(t, []string{"change-first", "change-newer"}, acceptedIDs(s.history(h, "local")))
 	}
-	o.requireNoRollback(t, []uint64{base, newer})
+	observer.requireNoRollback(t, []uint64{base, newer})
 }
 
-// Each of three control hosts loses its disk in turn, each right after the repair of
-// the one before; then two lose it at once. The first leaves all in place; the second
-// is the loss of a majority, after which nothing is accepted, begun anew or reverted
-// until a disk is found again.
+// Three control hosts lose their disks in turn, each right after the repair of the one before:
+// no change is lost. Then two lose their disks at once, which is the loss of a majority: until one
+// of the disks is back, no change may be accepted or reverted and no new cluster bootstrapped.
 func TestThreeControlHostsLoseDisks(t *testing.T) {
 	t.Parallel()
 	s := startEmpty(t, local.Layout{Control: 3, Entries: 2})
 	base := bootstrapWithDocument(t, s)
-	o := s.observeRevisions(s.Entries...)
+	observer := s.observeRevisions(s.Entries...)
 	accepted, ids := []uint64{base}, []string{"change-first"}
 	submit := func() {
 		c := change{base: base, id: fmt.Sprintf("change-%05d", len(ids)), text: local.Document(fmt.Sprintf("v%d", len(ids)+1))}
@@ -149,11 +152,11 @@
 		accepted, ids = append(accepted, base), append(ids, c.id)
 	}
 	for i, h := range s.Control {
-		witness := s.Control[(i+1)%3]
-		before := s.voterIDs(witness)
+		otherHost := s.Control[(i+1)%3]
+		before := s.voterIDs(otherHost)
 		s.crashAndLoseDisk(h)
 		submit()
-		s.awaitRepair(witness, 3, replicaIDOf(before, h))
+		s.awaitRepair(otherHost, 3, replicaIDOf(before, h))
 	}
 	s.awaitInForce(base, s.Entries...)
 	for _, h := range s.Control {
@@ -162,14 +165,14 @@
 
 	before := s.voterIDs(s.Control[0])
 	s.crashAndLoseDisk(s.Control[1])
-	kept := s.crashAndLoseDisk(s.Control[2])
+	movedTo := s.crashAndLoseDisk(s.Control[2])
 	s.requireRefusals(6, change{base: base, id: "change-refused", text: local.Document("lost")}, s.Control...)
 	for _, h := range s.Control {
 		s.requireInitRefused(h)
 	}
 	s.Control[2].Kill()
 	require.NoError(t, os.RemoveAll(s.DataFolder(s.Control[2])))
-	require.NoError(t, os.Rename(kept, s.DataFolder(s.Control[2])))
+	require.NoError(t, os.Rename(movedTo, s.DataFolder(s.Control[2])))
 	require.NoError(t, s.Control[2].Start())
 	s.awaitRepair(s.Control[0], 3, replicaIDOf(before, s.Control[1]))
 	submit()
@@ -178,11 +181,12 @@
 		s.await("the change on "+h.Name, func() bool { return s.acceptedRevision(h) == base })
 		require.Equal(t, ids, acceptedIDs(s.history(h, "local")), h.Name)
 	}
-	o.requireNoRollback(t, accepted)
+	observer.requireNoRollback(t, accepted)
 	s.requireMembershipChangesInHistory()
 }
 
-// requireMembershipChangesInHistory checks that operators find the repairs in the history.
+// requireMembershipChangesInHistory checks that the history that operators read lists the
+// membership changes of the repairs.
 func (s *system) requireMembershipChangesInHistory() {
 	s.t.Helper()
 	out, err := s.RunCLI(s.ctx, "history")
@@ -192,13 +196,14 @@
 	require.Contains(s.t, out, "voters [control-")
 }
 
-// Of five control hosts two lose their disks at once, one of them the leader, and a
-// third one while the first two are under repair, as soon as the quorum allows it.
+// Of five control hosts two lose their disks at once, one of them the leader. A third one loses
+// its disk once the first of the two is repaired, the earliest moment at which a quorum survives
+// it. No accepted change may be lost.
 func TestFiveControlHostsLoseDisks(t *testing.T) {
 	t.Parallel()
 	s := startEmpty(t, local.Layout{Control: 5, Entries: 2})
 	base := bootstrapWithDocument(t, s)
-	o := s.observeRevisions(s.Entries...)
+	observer := s.observeRevisions(s.Entries...)
 	accepted := []uint64{base}
 	before := s.voterIDs(s.Control[0])
 	leader := s.leader()
@@ -211,8 +216,8 @@
 	}
 	first, second := replicaIDOf(before, leader), replicaIDOf(before, others[0])
 	s.await("the first repair", func() bool {
-		now := s.voterIDs(others[3])
-		return len(now) == 5 && (!slices.Contains(now, first) || !slices.Contains(now, second))
+		voters := s.voterIDs(others[3])
+		return len(voters) == 5 && (!slices.Contains(voters, first) || !slices.Contains(voters, second))
 	})
 	s.crashAndLoseDisk(others[1])
 	base = s.mustPut(change{base: base, id: "change-between", text: local.Document("between")})
@@ -223,11 +228,11 @@
 		s.await("the change on "+h.Name, func() bool { return s.acceptedRevision(h) == base })
 		require.Len(t, acceptedIDs(s.history(h, "local")), len(accepted))
 	}
-	o.requireNoRollback(t, accepted)
+	observer.requireNoRollback(t, accepted)
 }
 
-// corruptJournal kills a control host and changes the newest segment of its journal, of
-// which change gets what is written.
+// corruptJournal kills a control host and replaces the newest segment of its journal by what
+// change returns for it. The segment is passed without the zeros that pad it.
 func (s *system) corruptJournal(h *local.Host, change func([]byte) []byte) {
 	s.t.Helper()
 	h.Kill()
@@ -240,8 +245,8 @@
 	require.NoError(s.t, os.WriteFile(path, change(bytes.TrimRight(data, "\x00")), 0o600))
 }
 
-// A last record that was not written whole is cut; a damaged one before it keeps the
-// host from starting, with a clear error.
+// A journal whose last record is incomplete is truncated before that record, and the host starts.
+// A corrupt record before the last one makes the host exit with an error that names the segment.
 func TestTornJournalIsRepairedAndCorruptJournalPreventsStart(t *testing.T) {
 	t.Parallel()
 	s := startEmpty(t, local.Layout{Control: 3, Entries: 1})
@@ -251,15 +256,15 @@
 	}
 	leader := s.leader()
 	others := slices.DeleteFunc(slices.Clone(s.Control), func(h *local.Host) bool { return h == leader })
-	torn, flipped := others[0], others[1]
+	torn, corrupted := others[0], others[1]
 
-	// The next record's write had begun: nobody was told of it.
+	// The crash interrupts the write of a next record, which was therefore never acknowledged.
 	s.corruptJournal(torn, func(data []byte) []byte { return append(data, data[:20]...) })
 	require.NoError(t, torn.Start())
 	s.await("the torn host", func() bool { return s.acceptedRevision(torn) == base })
 	require.Equal(t, 1, strings.Count(torn.Log(), "unfinished last record was cut"))
-	// The last record, which the leader knows to be acknowledged, is not whole. The
-	// host can't win an election by what is left; the next leader catches it up.
+	// The last record is incomplete although the leader knows it as acknowledged. The host's log
+	// is now too short to win an election, and the next leader sends it the record again.
 	s.corruptJournal(torn, func(data []byte) []byte { return data[:len(data)-7] })
 	require.NoError(t, torn.Start())
 	s.await("the cut", func() bool { return strings.Count(torn.Log(), "unfinished last record was cut") == 2 })
@@ -269,27 +274,27 @@
 	require.Len(t, acceptedIDs(s.history(torn, "local")), 21)
 
 	before := s.voterIDs(leader)
-	s.corruptJournal(flipped, func(data []byte) []byte {
+	s.corruptJournal(corrupted, func(data []byte) []byte {
 		data[len(data)/2] ^= 4
 		return data
 	})
-	require.NoError(t, flipped.Start())
+	require.NoError(t, corrupted.Start())
 	select {
-	case <-flipped.Done():
+	case <-corrupted.Done():
 	case <-s.ctx.Done():
 		require.Fail(t, "the daemon runs with a damaged journal")
 	}
 	var exit *exec.ExitError
-	require.True(t, errors.As(flipped.Err(), &exit), "%v", flipped.Err())
+	require.True(t, errors.As(corrupted.Err(), &exit), "%v", corrupted.Err())
 	require.Positive(t, exit.ExitCode())
-	require.Contains(t, flipped.Log(), "journal is corrupt: segment-")
+	require.Contains(t, corrupted.Log(), "journal is corrupt: segment-")
 
 	s.diskLostAt = time.Now()
-	require.NoError(t, os.RemoveAll(s.DataFolder(flipped)))
-	require.NoError(t, flipped.Start())
-	s.awaitRepair(leader, 3, replicaIDOf(before, flipped))
-	s.await("the repaired host", func() bool { return s.acceptedRevision(flipped) == base })
-	r := s.put(flipped, change{base: base, id: "change-after", text: local.Document("after")})
+	require.NoError(t, os.RemoveAll(s.DataFolder(corrupted)))
+	require.NoError(t, corrupted.Start())
+	s.awaitRepair(leader, 3, replicaIDOf(before, corrupted))
+	s.await("the repaired host", func() bool { return s.acceptedRevision(corrupted) == base })
+	r := s.put(corrupted, change{base: base, id: "change-after", text: local.Document("after")})
 	require.True(t, r.isAccepted(), "%s", r)
 	s.awaitInForce(r.revision, s.Entries...)
 	require.Equal(t, http.StatusConflict, s.put(torn, change{base: base, id: "change-too-late", text: local.Document("late")}).problem.StatusCode)
--- a/test/integration/documents_test.go
+++ b/test/integration/documents_test.go
@@ -19,19 +19,21 @@
 	"github.com/sassafraspost/sassafraspost/test/local"
 )
 
-// submitter makes one change after the other, each over the one accepted before.
+// submitter submits one change after another, each with the last accepted revision as its base.
 type submitter struct {
 	s    *system
 	stop chan struct{}
 	wg   sync.WaitGroup
-	// acceptedCount counts the accepted changes, tried all.
+	// acceptedCount counts the accepted changes, triedCount all changes with a known outcome.
 	acceptedCount, triedCount atomic.Int64
-	// target is the control host to ask first; nil is each in turn.
+	// target is the control host that gets each change first. If it is nil, they take turns.
 	target atomic.Pointer[local.Host]
 
+	// hasUnexpected is set with the first change that was neither accepted nor refused as not run.
 	hasUnexpected atomic.Bool
 
-	// The rest is read after end, or once isWrong is set. accepted and refused have change ids.
+	// The fields below may be read after stopAndWait, or once hasUnexpected is set. accepted and
+	// refused have change ids; resent counts changes that were accepted before a resend.
 	accepted   []string
 	revisions  []uint64
 	refused    []string
@@ -39,122 +41,125 @@
 	resent     int
 }
 
+// startSubmitter starts a submitter whose first change replaces the revision base.
 func (s *system) startSubmitter(base uint64) *submitter {
-	w := &submitter{s: s, stop: make(chan struct{}), revisions: []uint64{base}}
-	w.wg.Go(func() {
+	sub := &submitter{s: s, stop: make(chan struct{}), revisions: []uint64{base}}
+	sub.wg.Go(func() {
 		for i := 0; ; i++ {
 			select {
-			case <-w.stop:
+			case <-sub.stop:
 				return
 			default:
 			}
-			if w.hasUnexpected.Load() {
+			if sub.hasUnexpected.Load() {
 				return
 			}
-			w.submit(i)
+			sub.submit(i)
 		}
 	})
-	return w
+	return sub
 }
 
-func (w *submitter) submit(i int) {
-	c := change{base: w.revisions[len(w.revisions)-1], id: fmt.Sprintf("change-%05d", i)}
+// submit submits change i and records its outcome.
+func (sub *submitter) submit(i int) {
+	c := change{base: sub.revisions[len(sub.revisions)-1], id: fmt.Sprintf("change-%05d", i)}
 	c.text = local.Document(fmt.Sprintf("v%d", i+2))
 	first := i
-	if h := w.target.Load(); h != nil {
-		first = slices.Index(w.s.Control, h)
+	if h := sub.target.Load(); h != nil {
+		first = slices.Index(sub.s.Control, h)
 	}
-	r := w.s.putUntilKnown(c, first)
-	w.triedCount.Add(1)
+	r := sub.s.putUntilKnown(c, first)
+	sub.triedCount.Add(1)
 	switch {
 	case r.isAccepted():
-		w.accepted = append(w.accepted, c.id)
-		w.revisions = append(w.revisions, r.revision)
-		w.acceptedCount.Add(1)
+		sub.accepted = append(sub.accepted, c.id)
+		sub.revisions = append(sub.revisions, r.revision)
+		sub.acceptedCount.Add(1)
 		if r.repeated {
-			w.resent++
+			sub.resent++
 		}
 	case r.isNotRun() && (r.problem == nil || r.problem.StatusCode == http.StatusServiceUnavailable):
-		w.refused = append(w.refused, c.id)
+		sub.refused = append(sub.refused, c.id)
 	default:
-		w.unexpected = append(w.unexpected, c.id+": "+r.String())
-		w.hasUnexpected.Store(true)
+		sub.unexpected = append(sub.unexpected, c.id+": "+r.String())
+		sub.hasUnexpected.Store(true)
 	}
 }
 
-// awaitAccepted waits for n changes more.
-func (w *submitter) awaitAccepted(n int) {
-	w.s.t.Helper()
-	want := w.acceptedCount.Load() + int64(n)
-	w.s.await("more accepted changes", func() bool { return w.acceptedCount.Load() >= want || w.hasUnexpected.Load() })
-	w.requireNoneUnexpected()
+// awaitAccepted waits until n more changes are accepted.
+func (sub *submitter) awaitAccepted(n int) {
+	sub.s.t.Helper()
+	want := sub.acceptedCount.Load() + int64(n)
+	sub.s.await("more accepted changes", func() bool { return sub.acceptedCount.Load() >= want || sub.hasUnexpected.Load() })
+	sub.requireNoneUnexpected()
 }
 
-func (w *submitter) requireNoneUnexpected() {
-	w.s.t.Helper()
-	if w.hasUnexpected.Load() {
-		require.Empty(w.s.t, w.unexpected, "what came neither to be accepted nor to have not run")
+// requireNoneUnexpected fails the test if a change had an outcome that is not allowed.
+func (sub *submitter) requireNoneUnexpected() {
+	sub.s.t.Helper()
+	if sub.hasUnexpected.Load() {
+		require.Empty(sub.s.t, sub.unexpected, "changes that were neither accepted nor refused as not run")
 	}
 }
 
-// awaitTried waits until n changes more have come to an outcome.
-func (w *submitter) awaitTried(n int) {
-	w.s.t.Helper()
-	want := w.triedCount.Load() + int64(n)
-	w.s.await("more tried changes", func() bool { return w.triedCount.Load() >= want || w.hasUnexpected.Load() })
-	w.requireNoneUnexpected()
+// awaitTried waits until n more changes have a known outcome.
+func (sub *submitter) awaitTried(n int) {
+	sub.s.t.Helper()
+	want := sub.triedCount.Load() + int64(n)
+	sub.s.await("more tried changes", func() bool { return sub.triedCount.Load() >= want || sub.hasUnexpected.Load() })
+	sub.requireNoneUnexpected()
 }
 
-func (w *submitter) stopAndWait() {
-	close(w.stop)
-	w.wg.Wait()
+func (sub *submitter) stopAndWait() {
+	close(sub.stop)
+	sub.wg.Wait()
 }
 
-// Every submit that was told accepted is there at the end, in its order, whichever
-// leader is killed meanwhile; none that was refused is there; none reverts. Before
-// every second kill the leader's links are frozen, so that it goes on taking changes
-// by itself; what it has sent is lost the first time, and arrives after its end the
-// second time.
+// Every change that a submit reported as accepted is in the history at the end, in order, although
+// leaders are killed meanwhile. No refused change is in it, and no host goes back to an older
+// revision. Before every second kill the leader's links are frozen, so that it still takes changes
+// but can't replicate them. The first time the frozen messages are lost; the second time they are
+// delivered after the leader has been killed.
 func TestAcceptedChangesSurviveLeaderCrashes(t *testing.T) {
 	t.Parallel()
 	s := startEmpty(t, local.Layout{Control: 3, Entries: 3, HasProxies: true})
 	first := bootstrapWithDocument(t, s)
-	o := s.observeRevisions(s.Entries...)
-	w := s.startSubmitter(first)
+	observer := s.observeRevisions(s.Entries...)
+	submitter := s.startSubmitter(first)
 	rng := rand.New(rand.NewPCG(7, 11))
 	for round := range 4 {
-		w.awaitAccepted(3 + rng.IntN(30))
-		l := s.leader()
+		submitter.awaitAccepted(3 + rng.IntN(30))
+		leader := s.leader()
 		if round%2 == 1 {
-			w.target.Store(l)
-			w.awaitTried(1)
-			s.FreezeLinks(l)
-			w.awaitTried(2)
-			w.target.Store(nil)
+			submitter.target.Store(leader)
+			submitter.awaitTried(1)
+			s.FreezeLinks(leader)
+			submitter.awaitTried(2)
+			submitter.target.Store(nil)
 		}
-		l.Kill()
+		leader.Kill()
 		if round == 1 {
-			s.Cut(l)
+			s.Cut(leader)
 		}
-		s.Heal(l)
-		w.awaitAccepted(1 + rng.IntN(10))
-		require.NoError(t, l.Start())
+		s.Heal(leader)
+		submitter.awaitAccepted(1 + rng.IntN(10))
+		require.NoError(t, leader.Start())
 	}
-	w.awaitAccepted(10)
-	w.stopAndWait()
-	w.requireNoneUnexpected()
-	t.Logf("%d changes accepted, %d of them learnt by a resend, %d refused", len(w.accepted), w.resent, len(w.refused))
-	latest := w.revisions[len(w.revisions)-1]
+	submitter.awaitAccepted(10)
+	submitter.stopAndWait()
+	submitter.requireNoneUnexpected()
+	t.Logf("%d changes accepted, %d of them known only after a resend, %d refused", len(submitter.accepted), submitter.resent, len(submitter.refused))
+	latest := submitter.revisions[len(submitter.revisions)-1]
 	s.awaitInForce(latest, s.Entries...)
-	o.requireNoRollback(t, w.revisions)
+	observer.requireNoRollback(t, submitter.revisions)
 	for _, h := range s.Control {
 		s.await("an answer of "+h.Name, func() bool { return s.acceptedRevision(h) == latest })
-		require.Equal(t, append([]string{"change-first"}, w.accepted...), acceptedIDs(s.history(h, "local")), h.Name)
+		require.Equal(t, append([]string{"change-first"}, submitter.accepted...), acceptedIDs(s.history(h, "local")), h.Name)
 	}
 }
 
-// acceptedRevision returns the revision that a control host knows to be accepted, zero where
-// it can't tell.
+// acceptedRevision returns the accepted revision as a control host reports it, zero if its read
+// fails.
 func (s *system) acceptedRevision(h *local.Host) uint64 {
 	a, err := s.api(h).GetDocument(s.ctx, oas.GetDocumentParams{Name: "local"})
 	if err != nil {
@@ -163,8 +168,9 @@
 	return a.Response.Revision
 }
 
-// Of operators that submit over one base at once, one wins, and the others are told
-// who did. One change sent through several hosts at once is made once.
+// If operators concurrently submit changes with the same base, one is accepted, and the conflict
+// that the others get names it. One change that is sent through several hosts concurrently is made
+// once.
 func TestOneOfSeveralConcurrentChangesIsAccepted(t *testing.T) {
 	t.Parallel()
 	s := startEmpty(t, local.Layout{Control: 3, Entries: 1})
@@ -205,7 +211,7 @@
 	s.testResendAfterTokenMoved(base)
 }
 
-// putConcurrently sends n changes at the same moment through different control hosts.
+// putConcurrently sends n changes concurrently through different control hosts.
 func (s *system) putConcurrently(n int, c func(i int) change) []putResult {
 	results := make([]putResult, n)
 	begin := make(chan struct{})
@@ -221,37 +227,38 @@
 	return results
 }
 
-// withOtherCallerToken makes the document bind another token than the local system's.
+// withOtherCallerToken returns the document with another caller token in place of
+// local.CallerToken.
 func withOtherCallerToken(text string) string {
 	before, _, _ := strings.Cut(text, "token-sha256 = ")
 	return before + "token-sha256 = " + strings.Repeat("ab", 32) + "\n"
 }
 
-// A resend gets its first outcome although its text would be refused by now.
+// testResendAfterTokenMoved checks that a resent change gets its recorded outcome even if its text
+// would be refused by now: another document has since taken the token that it contains.
 func (s *system) testResendAfterTokenMoved(base uint64) {
 	s.t.Helper()
 	c := change{base: base, id: "change-resent", text: local.Document("x1")}
 	revision := s.mustPut(c)
 	s.mustPut(change{base: revision, id: "change-gives-token", text: withOtherCallerToken(local.Document("x2"))})
-	_, binding, _ := strings.Cut(local.Document(""), "token-sha256")
-	other := "[service]\nname = other\n\n[model \"scorer\"]\nversion = v1\n\n[workspace \"riders\"]\nshare = 1\ntoken-sha256" + binding
+	_, tokenHash, _ := strings.Cut(local.Document(""), "token-sha256")
+	other := "[service]\nname = other\n\n[model \"scorer\"]\nversion = v1\n\n[workspace \"riders\"]\nshare = 1\ntoken-sha256" + tokenHash
 	s.mustPut(change{name: "other", id: "change-takes-token", text: other})
-	again := s.put(s.Control[1], c)
-	require.NoError(s.t, again.err, "%s", again)
-	require.True(s.t, again.repeated)
-	require.Equal(s.t, revision, again.revision)
-	fresh := c
-	fresh.id = "change-is-new"
-	require.Equal(s.t, http.StatusUnprocessableEntity, s.put(s.Control[1], fresh).problem.StatusCode)
+	resent := s.put(s.Control[1], c)
+	require.NoError(s.t, resent.err, "%s", resent)
+	require.True(s.t, resent.repeated)
+	require.Equal(s.t, revision, resent.revision)
+	newChange := c
+	newChange.id = "change-is-new"
+	require.Equal(s.t, http.StatusUnprocessableEntity, s.put(s.Control[1], newChange).problem.StatusCode)
 }
 
-// A leader that is cut off, or frozen, accepts nothing meanwhile; the entry hosts
-// that it served get new changes from other control hosts; back again, it reverts
-// nobody.
+// An isolated or frozen leader must not accept a change. Entry hosts that watched it get new
+// changes from other control hosts. When it is back, no host goes back to an older revision.
 func TestIsolatedLeaderRevertsNoChange(t *testing.T) {
 	for name, isolation := range map[string]struct {
 		begin, end func(s *system, h *local.Host)
-		// isAnswering tells that operators reach the host, isWatched that the entry
+		// isAnswering tells whether operators still reach the host, isWatched whether entry
 		// hosts do.
 		isAnswering, isWatched bool
 	}{
@@ -265,50 +272,51 @@
 			t.Parallel()
 			s := startEmpty(t, local.Layout{Control: 3, Entries: 3, HasProxies: true})
 			base := bootstrapWithDocument(t, s)
-			o := s.observeRevisions(s.Entries...)
-			old := s.leader()
-			rest := slices.DeleteFunc(slices.Clone(s.Control), func(h *local.Host) bool { return h == old })
+			observer := s.observeRevisions(s.Entries...)
+			oldLeader := s.leader()
+			others := slices.DeleteFunc(slices.Clone(s.Control), func(h *local.Host) bool { return h == oldLeader })
 			accepted := []uint64{base}
-			base = s.makeEntriesWatchOnly(old, rest, base)
+			base = s.makeEntriesWatchOnly(oldLeader, others, base)
 			accepted = append(accepted, base)
-			isolation.begin(s, old)
-			isolated := time.Now()
+			isolation.begin(s, oldLeader)
+			isolatedAt := time.Now()
 			lost := change{base: base, id: "change-lost", text: local.Document("lost")}
 			if isolation.isAnswering {
-				r := s.put(old, lost)
+				r := s.put(oldLeader, lost)
 				require.NotNil(t, r.problem, "%s", r)
 				require.True(t, r.isNotRun(), "%s", r)
 				require.Equal(t, http.StatusServiceUnavailable, r.problem.StatusCode)
-				require.Positive(t, r.problem.RetryAfter.Or(0), "when to come back")
+				require.Positive(t, r.problem.RetryAfter.Or(0), "Retry-After is missing")
 			}
 			for i := range 5 {
 				c := change{base: base, id: fmt.Sprintf("change-%05d", i), text: local.Document(fmt.Sprintf("v%d", i+2))}
 				s.await("change "+c.id, func() bool {
-					r := s.put(rest[i%2], c)
+					r := s.put(others[i%2], c)
 					base = r.revision
 					return r.isAccepted()
 				})
-				at := time.Now()
+				acceptedAt := time.Now()
 				accepted = append(accepted, base)
 				s.awaitInForce(base, s.Entries...)
 				t.Logf("change %d in force everywhere %s after it was accepted, %s after the isolation",
-					i, time.Since(at).Round(time.Millisecond), time.Since(isolated).Round(time.Millisecond))
-				require.Less(t, time.Since(at), 15*time.Second)
+					i, time.Since(acceptedAt).Round(time.Millisecond), time.Since(isolatedAt).Round(time.Millisecond))
+				require.Less(t, time.Since(acceptedAt), 15*time.Second)
 			}
 			if isolation.isWatched {
-				s.makeEntriesTryStaleHost(old, rest)
+				s.makeEntriesTryStaleHost(oldLeader, others)
 			}
-			isolation.end(s, old)
-			s.await("the old leader's catching up", func() bool { return s.acceptedRevision(old) == base })
+			isolation.end(s, oldLeader)
+			s.await("the old leader's catching up", func() bool { return s.acceptedRevision(oldLeader) == base })
 			last := s.mustPut(change{base: base, id: "change-after", text: local.Document("after")})
 			s.awaitInForce(last, s.Entries...)
-			o.requireNoRollback(t, append(accepted, last))
-			require.NotContains(t, acceptedIDs(s.history(old, "local")), lost.id)
+			observer.requireNoRollback(t, append(accepted, last))
+			require.NotContains(t, acceptedIDs(s.history(oldLeader, "local")), lost.id)
 		})
 	}
 }
 
-// setControlLinks sets a fault on the links between a control host and the others.
+// setControlLinks applies set to the proxies on the links between a control host and the other
+// control hosts.
 func (s *system) setControlLinks(h *local.Host, set func(*faultproxy.TCP)) {
 	for _, other := range s.Control {
 		if other != h {
@@ -318,39 +326,39 @@
 	}
 }
 
-// makeEntriesTryStaleHost makes every entry host watch a control host that is not current, by
-// cutting their links to the rest until each has given it up.
-func (s *system) makeEntriesTryStaleHost(stale *local.Host, rest []*local.Host) {
+// makeEntriesTryStaleHost cuts the links of every entry host to all control hosts but the stale
+// one, until each has tried that one and logged that it is not current.
+func (s *system) makeEntriesTryStaleHost(stale *local.Host, others []*local.Host) {
 	s.t.Helper()
-	given := func(e *local.Host) int {
+	rejections := func(e *local.Host) int {
 		return strings.Count(e.Log(), `"control host is not current" host=`+e.Name+" host="+stale.Name)
 	}
 	for _, e := range s.Entries {
-		before := given(e)
-		for _, h := range rest {
+		before := rejections(e)
+		for _, h := range others {
 			s.Link(e, h).Cut()
 		}
 		defer func() {
-			s.await(e.Name+" gives the stale host up", func() bool { return given(e) > before })
-			for _, h := range rest {
+			s.await(e.Name+" gives the stale host up", func() bool { return rejections(e) > before })
+			for _, h := range others {
 				s.Link(e, h).Heal()
 			}
 		}()
 	}
 }
 
-// makeEntriesWatchOnly makes every entry host watch one control host, by cutting their links to
-// the rest until a change over base has come through the one.
-func (s *system) makeEntriesWatchOnly(one *local.Host, rest []*local.Host, base uint64) uint64 {
+// makeEntriesWatchOnly makes every entry host watch one control host: it cuts their links to the
+// others until a new change, with the given base, has reached them. It returns the new revision.
+func (s *system) makeEntriesWatchOnly(watched *local.Host, others []*local.Host, base uint64) uint64 {
 	s.t.Helper()
-	for _, h := range rest {
+	for _, h := range others {
 		for _, e := range s.Entries {
 			s.Link(e, h).Cut()
 		}
 	}
 	base = s.mustPut(change{base: base, id: "change-watched", text: local.Document("watched")})
 	s.awaitInForce(base, s.Entries...)
-	for _, h := range rest {
+	for _, h := range others {
 		for _, e := range s.Entries {
 			s.Link(e, h).Heal()
 		}
@@ -358,9 +366,9 @@
 	return base
 }
 
-// An entry host has no disk. Restarted in a data centre that reaches no current
-// control host, it serves by what its mates know, not by what a control host that
-// was frozen meanwhile still believes.
+// An entry host stores nothing on disk. If it restarts in an isolated data centre, it must take the
+// document from the other entry hosts there, and not the older one of a control host that was
+// frozen while the document changed.
 func TestRestartedEntryHostLearnsDocumentFromPeers(t *testing.T) {
 	t.Parallel()
 	s := startEmpty(t, local.Layout{Control: 3, Entries: 2, DataCentres: []string{"centre-a", "centre-b"}, HasProxies: true})
@@ -380,75 +388,75 @@
 	restarted.Kill()
 	stale.Thaw()
 	require.NoError(t, restarted.Start())
-	at := time.Now()
+	restartedAt := time.Now()
 	s.await("readiness", func() bool { return local.IsReady(s.ctx, restarted) })
-	t.Logf("ready %s after the restart", time.Since(at).Round(time.Millisecond))
+	t.Logf("ready %s after the restart", time.Since(restartedAt).Round(time.Millisecond))
 	r, ok := s.revisionInForce(restarted)
 	require.True(t, ok)
 	require.Equal(t, newer, r)
-	a := s.sendRequest(restarted, local.Completion("who am I", 1, false))
-	require.Equal(t, http.StatusUnauthorized, a.Status, "the newer document binds another token: %s", a.Body)
+	response := s.sendRequest(restarted, local.Completion("who am I", 1, false))
+	require.Equal(t, http.StatusUnauthorized, response.Status, "the newer document binds another token: %s", response.Body)
 	s.HealDataCentre("centre-b")
 	last := s.mustPut(change{base: newer, id: "change-after", text: local.Document("v3")})
 	s.awaitInForce(last, s.Entries...)
 }
 
-// Changes are in force on every entry host within seconds; a control host, and all
-// of them, come back from snapshot and log with the same state.
+// A change is in force on every entry host within seconds. After a restart of one control host, and
+// of all at once, snapshot and journal yield the same history as before.
 func TestChangesReachAllHostsAndSurviveRestarts(t *testing.T) {
 	t.Parallel()
 	s := startEmpty(t, local.Layout{Control: 3, Entries: 2, DataCentres: []string{"centre-a", "centre-b", "centre-c"}})
 	base := bootstrapWithDocument(t, s)
-	o := s.observeRevisions(s.Entries...)
+	observer := s.observeRevisions(s.Entries...)
 	accepted := []uint64{base}
-	spread := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
+	latencies := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	for i := range 50 {
 		c := change{base: base, id: fmt.Sprintf("change-%05d", i), text: local.Document(fmt.Sprintf("v%d", i+2))}
 		r := s.put(s.Control[i%3], c)
-		at := time.Now()
+		acceptedAt := time.Now()
 		require.True(t, r.isAccepted(), "%s", r)
 		base = r.revision
 		accepted = append(accepted, base)
-		var all time.Time
+		var reachedAt time.Time
 		s.await("the change on all entry hosts", func() (ok bool) {
-			all, ok = o.reachedAllAt(base, len(s.Entries))
+			reachedAt, ok = observer.reachedAllAt(base, len(s.Entries))
 			return ok
 		})
-		require.NoError(t, spread.RecordValue(max(1, all.Sub(at).Microseconds())))
+		require.NoError(t, latencies.RecordValue(max(1, reachedAt.Sub(acceptedAt).Microseconds())))
 	}
 	t.Logf("accepted to in force on %d entry hosts: p50 %dµs, p99 %dµs, max %dµs",
-		len(s.Entries), spread.ValueAtQuantile(50), spread.ValueAtQuantile(99), spread.Max())
-	require.Less(t, spread.Max(), int64(5*time.Second/time.Microsecond))
+		len(s.Entries), latencies.ValueAtQuantile(50), latencies.ValueAtQuantile(99), latencies.Max())
+	require.Less(t, latencies.Max(), int64(5*time.Second/time.Microsecond))
 
-	begun := time.Now()
+	startedAt := time.Now()
 	for i := 50; i < 1050; i++ {
 		c := change{base: base, id: fmt.Sprintf("change-%05d", i), text: local.Document(fmt.Sprintf("v%d", i+2))}
 		base = s.mustPut(c)
 		accepted = append(accepted, base)
 	}
-	t.Logf("1000 changes in %s", time.Since(begun).Round(time.Millisecond))
+	t.Logf("1000 changes in %s", time.Since(startedAt).Round(time.Millisecond))
 	want := s.history(s.Control[0], "local")
 	require.Len(t, acceptedIDs(want), 1051)
 	s.restartAndCompare(want, base, s.Control[1])
 	s.restartAndCompare(want, base, s.Control...)
 	s.awaitInForce(base, s.Entries...)
-	o.requireNoRollback(t, accepted)
+	observer.requireNoRollback(t, accepted)
 }
 
-// restartAndCompare kills control hosts, starts them, and compares their state.
+// restartAndCompare kills control hosts, starts them again and compares their history with want.
 func (s *system) restartAndCompare(want []oas.Change, revision uint64, hosts ...*local.Host) {
 	s.t.Helper()
 	for _, h := range hosts {
 		h.Kill()
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	for _, h := range hosts {
 		require.NoError(s.t, h.Start())
 	}
 	for _, h := range hosts {
 		s.await(h.Name+" back", func() bool { return s.acceptedRevision(h) == revision })
 	}
-	s.t.Logf("%d control hosts back after %s", len(hosts), time.Since(begun).Round(time.Millisecond))
+	s.t.Logf("%d control hosts back after %s", len(hosts), time.Since(startedAt).Round(time.Millisecond))
 	for _, h := range hosts {
 		require.Equal(s.t, want, s.history(h, "local"), h.Name)
 	}
--- a/test/integration/experts_test.go
+++ b/test/integration/experts_test.go
@@ -15,7 +15,7 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// groupReport returns what the stand-in ranks have done.
+// groupReport fetches the report of the stand-in that runs all ranks of the group.
 func (s *system) groupReport() standin.GroupReport {
 	resp, err := http.Get("http://" + s.Agents[0].Upstream.ListenAddress + "/group")
 	require.NoError(s.t, err)
@@ -25,16 +25,16 @@
 	return r
 }
 
-// restartRank makes the engine of a rank lose what it knew.
+// restartRank makes the stand-in engine of a rank lose its state, as a crash and restart does.
 func (s *system) restartRank(rank int) {
 	resp, err := http.Post(fmt.Sprintf("http://%s/ranks/%d/restart", s.Agents[0].Upstream.ListenAddress, rank), "", nil)
 	require.NoError(s.t, err)
 	_ = resp.Body.Close()
 }
 
-// In every step all ranks use one map, while the map changes with the experts'
-// popularity and agents are killed, frozen and cut off, and engines restart, at any
-// moment of a change. The group goes on after each fault.
+// All ranks must use the same expert map in every step. Expert popularity drifts, so that the map
+// keeps changing, while agents are killed, frozen and cut off and engines restart at any point of a
+// change. After each fault the group runs steps and changes its map again.
 func TestRanksNeverMixExpertMaps(t *testing.T) {
 	t.Parallel()
 	s := start(t, local.Layout{
@@ -60,8 +60,8 @@
 			s.await("a while", s.afterPolls(30))
 			s.Heal(h)
 		case "slow":
-			// Orders of the planning host to the others come after the step that they name;
-			// its own ranks get theirs at once.
+			// The planning host's orders reach the other hosts only after the step that they
+			// name, while its own ranks get theirs at once.
 			h = s.Agents[0]
 			s.delayOrders()
 			s.await("armed ranks", s.isAnyRankArmed)
@@ -70,7 +70,7 @@
 		case "engine":
 			s.restartRank(rng.IntN(8))
 		case "armed":
-			// The planning agent, which coordinates, dies with its ranks armed.
+			// The planning agent, which coordinates the change, is killed while ranks are armed.
 			h = s.Agents[0]
 			s.delayOrders()
 			s.await("armed ranks", s.isAnyRankArmed)
@@ -87,23 +87,24 @@
 	t.Logf("%+v", s.groupReport())
 }
 
-// delayOrders delays what the planning host sends to the other hosts of the group, whichever
-// of the two has dialled.
+// delayOrders delays what the planning host sends to the other hosts of the group, on connections
+// that it has dialled and on those that the others have.
 func (s *system) delayOrders() {
-	late := faultproxy.Fault{Delay: 300 * time.Millisecond}
-	s.Inbound(s.Agents[0]).Set(faultproxy.Backward, late)
+	delay := faultproxy.Fault{Delay: 300 * time.Millisecond}
+	s.Inbound(s.Agents[0]).Set(faultproxy.Backward, delay)
 	for _, h := range s.Agents[1:] {
-		s.Inbound(h).Set(faultproxy.Forward, late)
+		s.Inbound(h).Set(faultproxy.Forward, delay)
 	}
 }
 
-// healOrders lifts the delay of delayOrders.
+// healOrders removes the delay that delayOrders has set.
 func (s *system) healOrders() {
 	for _, h := range s.Agents {
 		s.Inbound(h).Heal()
 	}
 }
 
+// isAnyRankArmed reports whether a rank is armed: it switches to a prepared map at a coming step.
 func (s *system) isAnyRankArmed() bool {
 	for _, armed := range s.groupReport().Armed {
 		if armed {
@@ -113,7 +114,8 @@
 	return false
 }
 
-// afterPolls returns a condition that holds after n looks.
+// afterPolls returns a condition for await that is true when it is checked for the nth time. It
+// makes a test wait for n poll intervals.
 func (s *system) afterPolls(n int) func() bool {
 	return func() bool {
 		n--
--- a/test/integration/load_test.go
+++ b/test/integration/load_test.go
@@ -13,19 +13,20 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// callerLoad is a crowd of callers that ask until they are stopped.
+// callerLoad is a set of concurrent callers that send requests until they are stopped.
 type callerLoad struct {
 	stop chan struct{}
 	wg   sync.WaitGroup
-	// complete and refused count the answers that came whole and those that say not-run.
+	// complete and refused count the responses that were complete and those with the verdict
+	// not-run; notReady counts the times that a caller found its entry host not ready.
 	complete, refused, notReady atomic.Int64
 
 	mu         sync.Mutex
 	unexpected []string
 }
 
-// startLoad lets callers ask each of the entry hosts for streamed completions of
-// tokens tokens, each caller one after another.
+// startLoad starts callers, spread over the entry hosts. Each sends streamed completions with the
+// given number of tokens, one after another.
 func (s *system) startLoad(callers, tokens int, entries ...*local.Host) *callerLoad {
 	l := &callerLoad{stop: make(chan struct{})}
 	for i := range callers {
@@ -47,7 +48,8 @@
 		default:
 		}
 		if !local.IsReady(s.ctx, e) {
-			// The platform's balancer sends nobody to a host that is not ready.
+			// In production the load balancer of the platform sends no request to an entry host
+			// that is not ready.
 			l.notReady.Add(1)
 			runtime.Gosched()
 			continue
@@ -57,8 +59,8 @@
 	}
 }
 
-// check notes every answer that is neither whole nor refused in a way that lets the
-// caller ask again.
+// check records as unexpected every response that is neither complete nor a refusal that the
+// caller may retry.
 func (l *callerLoad) check(prompt string, tokens int, a local.Response) {
 	switch {
 	case a.Err != nil:
@@ -72,13 +74,14 @@
 	}
 }
 
+// addUnexpected records a response that should not have come, for the error message of the test.
 func (l *callerLoad) addUnexpected(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.unexpected = append(l.unexpected, fmt.Sprintf(format, args...))
 }
 
-// stopAndWait stops the callers and returns what was neither whole nor refused.
+// stopAndWait stops the callers and returns the unexpected responses.
 func (l *callerLoad) stopAndWait() []string {
 	close(l.stop)
 	l.wg.Wait()
--- a/test/integration/main_test.go
+++ b/test/integration/main_test.go
@@ -1,5 +1,5 @@
-// Package integration proves the system's promises with real processes on
-// loopback, behind fault-injecting proxies.
+// Package integration tests the guarantees of the whole system with real processes on loopback,
+// connected through fault-injecting proxies.
 package integration
 
 import (
@@ -14,14 +14,15 @@
 	"github.com/sassafraspost/sassafraspost/test/local"
 )
 
-// conditionTimeout bounds the wait for any condition. Conditions are met much earlier; the
-// bound only ends a test that has failed.
+// conditionTimeout is how long await waits for a condition. Conditions are met much earlier in a
+// test that passes.
 const conditionTimeout = 60 * time.Second
 
+// binaries is the folder of the programs that TestMain has built.
 var binaries string
 
-// systemSemaphore bounds the systems that run at once, so that parallel tests don't starve
-// each other's timeouts.
+// systemSemaphore limits the number of systems that run at once. With more, parallel tests would
+// take so much CPU time from each other that timeouts expire.
 var systemSemaphore = make(chan struct{}, 5)
 
 func TestMain(m *testing.M) {
@@ -39,16 +40,16 @@
 	os.Exit(code)
 }
 
-// system is a running system under test.
+// system is the system that a test runs, with helpers that fail the test.
 type system struct {
 	*local.System
 	t   *testing.T
 	ctx context.Context
-	// diskLostAt is when a disk was last lost.
+	// diskLostAt is when a control host last lost its disk.
 	diskLostAt time.Time
 }
 
-// start runs a system with a document in force. It is stopped at the test's end.
+// start starts a system with a document in force, and stops it when the test ends.
 func start(t *testing.T, layout local.Layout) *system {
 	t.Helper()
 	s := startEmpty(t, layout)
@@ -56,7 +57,8 @@
 	return s
 }
 
-// startEmpty runs a system that is not founded yet.
+// startEmpty starts a system whose cluster is not bootstrapped yet, and stops it when the test
+// ends.
 func startEmpty(t *testing.T, layout local.Layout) *system {
 	t.Helper()
 	systemSemaphore <- struct{}{}
@@ -82,7 +84,7 @@
 	}
 }
 
-// await waits until ok.
+// await polls until ok returns true. It fails the test after conditionTimeout.
 func (s *system) await(what string, ok func() bool) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.ctx, conditionTimeout)
@@ -95,7 +97,7 @@
 	return local.Do(s.ctx, entry.ListenAddress, q)
 }
 
-// leader returns the control host that leads.
+// leader waits until the cluster has a leader and returns its host.
 func (s *system) leader() *local.Host {
 	s.t.Helper()
 	var name string
@@ -108,7 +110,8 @@
 	return h
 }
 
-// shutDown asks a process to shut down and waits for its end.
+// shutDown asks a process to shut down gracefully, waits until it has ended and requires exit
+// status 0.
 func (s *system) shutDown(h *local.Host) {
 	s.t.Helper()
 	h.Terminate()
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -18,8 +18,8 @@
 	"github.com/sassafraspost/sassafraspost/test/local"
 )
 
-// startBookings runs a system whose bookings take some time, with a deadline short
-// enough to be outlived by a frozen host.
+// startBookings starts a system in which a booking takes the given delay. The deadline of requests
+// is so short that a host can stay frozen for longer.
 func startBookings(t *testing.T, services int, delay string) *requestLog {
 	s := start(t, local.Layout{
 		Control: 3, Entries: 3, Engines: 1, Services: services, HasProxies: true,
@@ -33,11 +33,11 @@
 	return l
 }
 
-// service is the agent of the only service.
+// service returns the agent of the first plain service.
 func (l *requestLog) service() *local.Host { return l.s.Agents[1] }
 
-// runSubtest runs a subtest, whose failures end it alone, once bookings go through the first
-// entry host again.
+// runSubtest waits until bookings through the first entry host succeed again and runs a subtest.
+// A check that fails in it ends the subtest only.
 func (l *requestLog) runSubtest(t *testing.T, name string, test func(t *testing.T)) {
 	t.Run(name, func(t *testing.T) {
 		l.s.t = t
@@ -49,19 +49,19 @@
 	l.s.t = t
 }
 
-// book sends one booking.
+// book sends one booking through an entry host.
 func (l *requestLog) book(e *local.Host, key string) local.Response {
 	return l.send(e.ListenAddress, local.Booking(key, "rider of "+key))
 }
 
-// bookAsync sends one booking and gives the answer when it comes.
+// bookAsync sends one booking and returns a channel that receives the response.
 func (l *requestLog) bookAsync(address, key string) <-chan local.Response {
 	out := make(chan local.Response, 1)
 	go func() { out <- l.send(address, local.Booking(key, "rider of "+key)) }()
 	return out
 }
 
-// awaitBooking resends a key through all entry hosts in turn until its answer comes.
+// awaitBooking sends a booking again and again, through all entry hosts in turn, until it succeeds.
 func (l *requestLog) awaitBooking(key string) local.Response {
 	l.s.t.Helper()
 	var a local.Response
@@ -75,7 +75,7 @@
 	return a
 }
 
-// awaitMayHaveRun resends a key until it is told that the call may have run for good.
+// awaitMayHaveRun resends a key until the response is final and says that the call may have run.
 func (l *requestLog) awaitMayHaveRun(e *local.Host, key string) {
 	l.s.t.Helper()
 	l.s.await("the end of the claim of "+key, func() bool {
@@ -84,8 +84,8 @@
 	})
 }
 
-// awaitOutcome resends a key until its end is known: its recorded answer, or that the call
-// may have run for good.
+// awaitOutcome resends a key until its outcome is final: the recorded response is replayed, or the
+// response says that the call may have run.
 func (l *requestLog) awaitOutcome(e *local.Host, key string) {
 	l.s.t.Helper()
 	l.s.await("the end of "+key, func() bool {
@@ -95,21 +95,25 @@
 	})
 }
 
+// isReplayed reports whether a response is the recorded response of an earlier booking.
 func isReplayed(a local.Response) bool {
 	return a.Status == http.StatusCreated && a.Header.Get("Idempotency-Replayed") == "true"
 }
 
+// awaitStarted waits until a stand-in has started to execute a key.
 func (l *requestLog) awaitStarted(key string) {
 	l.s.t.Helper()
 	l.s.await("the execution of "+key, func() bool { return l.s.executions().ByKey[key].Begun > 0 })
 }
 
+// requireExecutions requires that the stand-ins have started to execute a key so many times.
 func (l *requestLog) requireExecutions(times int, key string) {
 	l.s.t.Helper()
 	require.Equal(l.s.t, times, l.s.executions().ByKey[key].Begun, "executions of %s", key)
 }
 
-// restart starts a process that was killed and waits until bookings go through it.
+// restart starts a process that was killed. If it is an entry host, it waits until bookings
+// through it succeed.
 func (l *requestLog) restart(h *local.Host) {
 	l.s.t.Helper()
 	require.NoError(l.s.t, h.Start())
@@ -123,13 +127,14 @@
 	}
 }
 
-// A key runs at most once, whatever is killed, cut or frozen around the entry host
-// and the agent, and a resend through another entry host says so.
+// A call runs at most once per idempotency key, whichever of the entry host, the agent and their
+// links is killed, cut or frozen. A resend through another entry host gets the recorded response,
+// or the verdict that the call may have run.
 func TestBookingRunsOnceDespiteDataPathFaults(t *testing.T) {
 	t.Parallel()
 	l := startBookings(t, 1, "300ms")
 	s := l.s
-	one, two, three := s.Entries[0], s.Entries[1], s.Entries[2]
+	entry1, entry2, entry3 := s.Entries[0], s.Entries[1], s.Entries[2]
 
 	l.runSubtest(t, "one key through all entry hosts at once", func(t *testing.T) {
 		var answers []<-chan local.Response
@@ -147,12 +152,12 @@
 		l.requireExecutions(1, "at-once")
 	})
 	l.runSubtest(t, "the same key with another body", func(t *testing.T) {
-		a := l.send(two.ListenAddress, local.Booking("at-once", "somebody else"))
+		a := l.send(entry2.ListenAddress, local.Booking("at-once", "somebody else"))
 		require.Equal(t, http.StatusUnprocessableEntity, a.Status)
 		require.Equal(t, verdict.NotRun, a.Verdict)
 	})
 	l.runSubtest(t, "the caller's connection is cut before the answer", func(t *testing.T) {
-		p, err := faultproxy.NewTCP(one.ListenAddress)
+		p, err := faultproxy.NewTCP(entry1.ListenAddress)
 		require.NoError(t, err)
 		defer p.Close()
 		first := l.bookAsync(p.Address(), "lost-answer")
@@ -163,96 +168,96 @@
 		l.requireExecutions(1, "lost-answer")
 	})
 	l.runSubtest(t, "the link between agent and entry host is cut before the answer", func(t *testing.T) {
-		first := l.bookAsync(one.ListenAddress, "cut-link")
+		first := l.bookAsync(entry1.ListenAddress, "cut-link")
 		l.awaitStarted("cut-link")
 		s.Cut(l.service())
 		require.Equal(t, verdict.MayHaveRun, (<-first).Verdict)
 		s.Heal(l.service())
-		l.awaitOutcome(two, "cut-link")
+		l.awaitOutcome(entry2, "cut-link")
 		l.requireExecutions(1, "cut-link")
 		l.awaitBooking("after-cut-link")
 	})
 	l.runSubtest(t, "the agent is killed and starts again", func(t *testing.T) {
-		first := l.bookAsync(one.ListenAddress, "agent-killed")
+		first := l.bookAsync(entry1.ListenAddress, "agent-killed")
 		l.awaitStarted("agent-killed")
 		l.service().Kill()
 		require.Equal(t, verdict.MayHaveRun, (<-first).Verdict)
 		require.NoError(t, l.service().Start())
 		l.awaitBooking("after-agent-killed")
-		a := l.book(two, "agent-killed")
+		a := l.book(entry2, "agent-killed")
 		require.Equal(t, verdict.MayHaveRun, a.Verdict, a.Body)
 		l.requireExecutions(1, "agent-killed")
 	})
 	l.runSubtest(t, "the entry host is killed while its dispatch is on the way", func(t *testing.T) {
-		granted := s.counter(one, "entry_claims_granted")
+		claimsBefore := s.counter(entry1, "entry_claims_granted")
 		l.service().Freeze()
-		first := l.bookAsync(one.ListenAddress, "killed-on-the-way")
-		s.await("the claim", func() bool { return s.counter(one, "entry_claims_granted") > granted })
-		one.Kill()
+		first := l.bookAsync(entry1.ListenAddress, "killed-on-the-way")
+		s.await("the claim", func() bool { return s.counter(entry1, "entry_claims_granted") > claimsBefore })
+		entry1.Kill()
 		require.Error(t, (<-first).Err)
-		a := l.book(two, "killed-on-the-way")
+		a := l.book(entry2, "killed-on-the-way")
 		require.Equal(t, verdict.MayHaveRun, a.Verdict, a.Body)
 		l.service().Thaw()
-		l.awaitOutcome(three, "killed-on-the-way")
-		l.restart(one)
+		l.awaitOutcome(entry3, "killed-on-the-way")
+		l.restart(entry1)
 	})
 	l.runSubtest(t, "the entry host is killed after the dispatch", func(t *testing.T) {
-		first := l.bookAsync(one.ListenAddress, "killed-after-dispatch")
+		first := l.bookAsync(entry1.ListenAddress, "killed-after-dispatch")
 		l.awaitStarted("killed-after-dispatch")
-		one.Kill()
+		entry1.Kill()
 		require.Error(t, (<-first).Err)
-		a := l.book(two, "killed-after-dispatch")
+		a := l.book(entry2, "killed-after-dispatch")
 		require.Equal(t, verdict.MayHaveRun, a.Verdict, a.Body)
 		l.requireExecutions(1, "killed-after-dispatch")
-		l.restart(one)
+		l.restart(entry1)
 	})
 	l.runSubtest(t, "the entry host is killed after the answer", func(t *testing.T) {
-		first := l.book(one, "killed-after-answer")
+		first := l.book(entry1, "killed-after-answer")
 		require.Equal(t, http.StatusCreated, first.Status, first.Body)
-		one.Kill()
-		again := l.book(two, "killed-after-answer")
+		entry1.Kill()
+		again := l.book(entry2, "killed-after-answer")
 		require.Equal(t, first.Body, again.Body)
 		l.requireExecutions(1, "killed-after-answer")
-		l.restart(one)
+		l.restart(entry1)
 	})
 	l.runSubtest(t, "the entry host is frozen between claim and dispatch and wakes late", func(t *testing.T) {
-		// The agent answers no new session: the dispatch can't leave.
-		granted := s.counter(one, "entry_claims_granted")
+		// The frozen agent does not accept a new session, so the entry host can't send the dispatch.
+		claimsBefore := s.counter(entry1, "entry_claims_granted")
 		l.service().Freeze()
 		s.Cut(l.service())
 		s.Heal(l.service())
-		first := l.bookAsync(one.ListenAddress, "woke-late")
-		s.await("the claim", func() bool { return s.counter(one, "entry_claims_granted") > granted })
-		one.Freeze()
-		a := l.book(two, "woke-late")
+		first := l.bookAsync(entry1.ListenAddress, "woke-late")
+		s.await("the claim", func() bool { return s.counter(entry1, "entry_claims_granted") > claimsBefore })
+		entry1.Freeze()
+		a := l.book(entry2, "woke-late")
 		require.Contains(t, a.Body, "in-progress", "its time is not over")
-		l.awaitMayHaveRun(two, "woke-late")
+		l.awaitMayHaveRun(entry2, "woke-late")
 		l.service().Thaw()
-		one.Thaw()
+		entry1.Thaw()
 		<-first
 		l.awaitBooking("after-woke-late")
 		require.LessOrEqual(t, s.executions().ByKey["woke-late"].Begun, 1)
 	})
-	t.Logf("%d sendings: %+v", len(l.requests), l.checkVerdicts())
+	t.Logf("%d requests: %+v", len(l.requests), l.checkVerdicts())
 }
 
-// A key runs at most once, and is not lost to its caller, whatever happens to the
-// leader of the control hosts.
+// A call runs at most once per idempotency key, and its caller learns the outcome by resending the
+// key, although the leader is killed or frozen or the quorum is lost.
 func TestBookingRunsOnceDespiteLeaderFaults(t *testing.T) {
 	t.Parallel()
 	l := startBookings(t, 1, "100ms")
 	s := l.s
-	one, two := s.Entries[0], s.Entries[1]
+	entry1, entry2 := s.Entries[0], s.Entries[1]
 
 	l.runSubtest(t, "the leader is killed between the claim and its reply", func(t *testing.T) {
 		leader := s.leader()
-		s.Link(one, leader).Set(faultproxy.Backward, faultproxy.Fault{Frozen: true})
-		first := l.book(one, "reply-lost")
+		s.Link(entry1, leader).Set(faultproxy.Backward, faultproxy.Fault{Frozen: true})
+		first := l.book(entry1, "reply-lost")
 		require.Equal(t, verdict.MayHaveRun, first.Verdict)
 		require.Contains(t, first.Body, "SAME key")
 		require.NotEmpty(t, first.Header.Get("Retry-After"))
 		leader.Kill()
-		s.Link(one, leader).Heal()
+		s.Link(entry1, leader).Heal()
 		l.awaitBooking("reply-lost")
 		l.requireExecutions(1, "reply-lost")
 		require.NoError(t, leader.Start())
@@ -260,7 +265,7 @@
 	})
 	l.runSubtest(t, "the leader is killed before the outcome is recorded", func(t *testing.T) {
 		leader := s.leader()
-		first := l.bookAsync(one.ListenAddress, "outcome-lost")
+		first := l.bookAsync(entry1.ListenAddress, "outcome-lost")
 		l.awaitStarted("outcome-lost")
 		leader.Kill()
 		require.Equal(t, http.StatusCreated, (<-first).Status)
@@ -272,7 +277,7 @@
 	l.runSubtest(t, "the leader is frozen and wakes later", func(t *testing.T) {
 		leader := s.leader()
 		leader.Freeze()
-		first := l.bookAsync(one.ListenAddress, "frozen-leader")
+		first := l.bookAsync(entry1.ListenAddress, "frozen-leader")
 		l.awaitBooking("frozen-leader")
 		leader.Thaw()
 		<-first
@@ -282,14 +287,14 @@
 		l.requireExecutions(1, "frozen-leader")
 	})
 	l.runSubtest(t, "no quorum: the key stays open, and nothing runs", func(t *testing.T) {
-		ran := l.awaitBooking("before-no-quorum")
+		recorded := l.awaitBooking("before-no-quorum")
 		s.Control[0].Freeze()
 		s.Control[1].Freeze()
 		s.await("the loss of the quorum", func() bool {
-			return strings.Contains(l.book(two, "probe").Body, "no-quorum")
+			return strings.Contains(l.book(entry2, "probe").Body, "no-quorum")
 		})
 		for _, key := range []string{"before-no-quorum", "in-no-quorum"} {
-			a := l.book(two, key)
+			a := l.book(entry2, key)
 			require.Equal(t, verdict.MayHaveRun, a.Verdict, a.Body)
 			require.Contains(t, a.Body, "SAME key")
 			require.NotEmpty(t, a.Header.Get("Retry-After"))
@@ -297,12 +302,13 @@
 		l.requireExecutions(0, "in-no-quorum")
 		s.Control[0].Thaw()
 		s.Control[1].Thaw()
-		require.Equal(t, ran.Body, l.awaitBooking("before-no-quorum").Body)
+		require.Equal(t, recorded.Body, l.awaitBooking("before-no-quorum").Body)
 		l.awaitBooking("in-no-quorum")
 	})
-	t.Logf("%d sendings: %+v", len(l.requests), l.checkVerdicts())
+	t.Logf("%d requests: %+v", len(l.requests), l.checkVerdicts())
 }
 
+// awaitVoters waits until the cluster has a leader and n voters.
 func (s *system) awaitVoters(n int) error {
 	ctx, cancel := context.WithTimeout(s.ctx, conditionTimeout)
 	defer cancel()
@@ -313,110 +319,112 @@
 	bookingSeed        = 20260915
 	bookingCallerCount = 12
 	faultRounds        = 10
-	// bookingsPerFault is how many bookings come whole between two faults.
+	// bookingsPerFault is the number of successful bookings that the test awaits after each
+	// injected or removed fault.
 	bookingsPerFault = 25
 )
 
-// bookingCallers is a crowd of callers that resend each key until they know its end.
+// bookingCallers are concurrent callers that resend each key until they know its outcome.
 type bookingCallers struct {
 	l    *requestLog
 	stop chan struct{}
 	wg   sync.WaitGroup
-	// complete counts the keys whose answer came, unknown those that may have run.
+	// complete counts the keys with a successful response, unknown those that finally may have run.
 	complete, unknown atomic.Int64
-	// currentKeys is the number of the key that each caller asks for.
+	// currentKeys has the number of the key that each caller is sending now.
 	currentKeys [bookingCallerCount]atomic.Int64
 }
 
-func (m *bookingCallers) run(caller int, r *rand.Rand) {
-	defer m.wg.Done()
+// run sends one key after another until stop is closed, each until its outcome is known.
+func (c *bookingCallers) run(caller int, r *rand.Rand) {
+	defer c.wg.Done()
 	for n := 0; ; n++ {
-		m.currentKeys[caller].Store(int64(n))
+		c.currentKeys[caller].Store(int64(n))
 		key := fmt.Sprintf("mix-%d-%d", caller, n)
 		for ended := false; !ended; {
 			select {
-			case <-m.stop:
+			case <-c.stop:
 				return
 			default:
 			}
-			ended = m.tryKey(key, r)
+			ended = c.tryKey(key, r)
 		}
 	}
 }
 
-// tryKey sends a key to one or two entry hosts and reports whether its end is known.
-func (m *bookingCallers) tryKey(key string, r *rand.Rand) bool {
-	order := r.Perm(len(m.l.s.Entries))
-	ctx, cancel := context.WithTimeout(m.l.s.ctx, 3*time.Second)
+// tryKey sends a key to one or two entry hosts and reports whether its outcome is known.
+func (c *bookingCallers) tryKey(key string, r *rand.Rand) bool {
+	order := r.Perm(len(c.l.s.Entries))
+	ctx, cancel := context.WithTimeout(c.l.s.ctx, 3*time.Second)
 	defer cancel()
 	if r.IntN(3) == 0 {
-		m.wg.Go(func() {
-			m.l.sendWithContext(ctx, m.l.s.Entries[order[1]].ListenAddress, local.Booking(key, "rider of "+key))
+		c.wg.Go(func() {
+			c.l.sendWithContext(ctx, c.l.s.Entries[order[1]].ListenAddress, local.Booking(key, "rider of "+key))
 			<-ctx.Done()
 		})
 	}
-	a := m.l.sendWithContext(ctx, m.l.s.Entries[order[0]].ListenAddress, local.Booking(key, "rider of "+key))
+	a := c.l.sendWithContext(ctx, c.l.s.Entries[order[0]].ListenAddress, local.Booking(key, "rider of "+key))
 	switch {
 	case a.Status == http.StatusCreated && a.Err == nil:
-		m.complete.Add(1)
+		c.complete.Add(1)
 		return true
 	case a.Verdict == verdict.MayHaveRun && strings.Contains(a.Body, `"conflict"`):
-		m.unknown.Add(1)
+		c.unknown.Add(1)
 		return true
 	}
 	return false
 }
 
-// Callers, kills, freezes and cuts in a seeded order: no key runs twice, and every
-// verdict is true.
+// Concurrent callers resend keys while hosts are killed and frozen and links cut, in an order that a
+// seed determines. No key may run twice, and every verdict must agree with what the stand-ins ran.
 func TestBookingsRunOnceDespiteRandomFaults(t *testing.T) {
 	t.Parallel()
 	l := startBookings(t, 2, "30ms")
 	s := l.s
 	r := rand.New(rand.NewPCG(bookingSeed, 0))
-	m := &bookingCallers{l: l, stop: make(chan struct{})}
+	callers := &bookingCallers{l: l, stop: make(chan struct{})}
 	for i := range bookingCallerCount {
-		m.wg.Add(1)
-		go m.run(i, rand.New(rand.NewPCG(bookingSeed, uint64(i+1))))
+		callers.wg.Add(1)
+		go callers.run(i, rand.New(rand.NewPCG(bookingSeed, uint64(i+1))))
 	}
-	progress := func() {
-		from := m.complete.Load()
-		s.await("bookings", func() bool { return m.complete.Load() >= from+bookingsPerFault })
+	awaitProgress := func() {
+		from := callers.complete.Load()
+		s.await("bookings", func() bool { return callers.complete.Load() >= from+bookingsPerFault })
 	}
-	progress()
+	awaitProgress()
 	for range faultRounds {
-		lift := m.injectFault(r)
-		progress()
-		lift()
-		progress()
+		removeFault := callers.injectFault(r)
+		awaitProgress()
+		removeFault()
+		awaitProgress()
 	}
-	m.testCrashOfAllClaimHolders(r)
-	close(m.stop)
-	m.wg.Wait()
-	count := l.checkVerdicts()
-	t.Logf("seed %d: %d keys whole, %d unknown; %d sendings: %+v", bookingSeed, m.complete.Load(), m.unknown.Load(), len(l.requests), count)
+	callers.testCrashOfAllClaimHolders(r)
+	close(callers.stop)
+	callers.wg.Wait()
+	counts := l.checkVerdicts()
+	t.Logf("seed %d: %d keys complete, %d unknown; %d requests: %+v", bookingSeed, callers.complete.Load(), callers.unknown.Load(), len(l.requests), counts)
 }
 
-// testCrashOfAllClaimHolders kills an entry host and the agents at once, with bookings on their way,
-// so that nobody is left who knows their ends, and goes on until each caller has
-// learnt the end of the key that it had then.
-func (m *bookingCallers) testCrashOfAllClaimHolders(r *rand.Rand) {
-	s := m.l.s
+// testCrashOfAllClaimHolders kills an entry host and the service agents at once while bookings are
+// in progress, so that no process is left that knows their outcomes. It then waits until every
+// caller has a final outcome for the key that it was sending.
+func (c *bookingCallers) testCrashOfAllClaimHolders(r *rand.Rand) {
+	s := c.l.s
 	h := s.Entries[r.IntN(len(s.Entries))]
 	h.Kill()
 	for _, a := range s.Agents[1:] {
 		a.Kill()
 	}
-	var keys [bookingCallerCount]int64
-	for i := range keys {
-		keys[i] = m.currentKeys[i].Load()
+	var keysAtCrash [bookingCallerCount]int64
+	for i := range keysAtCrash {
+		keysAtCrash[i] = c.currentKeys[i].Load()
 	}
 	for _, a := range s.Agents[1:] {
 		require.NoError(s.t, a.Start())
 	}
 	s.await("the ends of all keys", func() bool {
-		for i := range keys {
-			if m.currentKeys[i].Load() == keys[i] {
+		for i := range keysAtCrash {
+			if c.currentKeys[i].Load() == keysAtCrash[i] {
 				return false
 			}
 		}
@@ -425,9 +433,9 @@
 	require.NoError(s.t, h.Start())
 }
 
-// injectFault puts one fault on the system and returns what lifts it.
-func (m *bookingCallers) injectFault(r *rand.Rand) (lift func()) {
-	s := m.l.s
+// injectFault injects one random fault and returns a function that removes it.
+func (c *bookingCallers) injectFault(r *rand.Rand) (remove func()) {
+	s := c.l.s
 	pick := func(list []*local.Host) *local.Host { return list[r.IntN(len(list))] }
 	restart := func(h *local.Host) func() {
 		h.Kill()
--- a/test/integration/operators_test.go
+++ b/test/integration/operators_test.go
@@ -18,7 +18,7 @@
 	"github.com/sassafraspost/sassafraspost/test/local"
 )
 
-// token gives the operator's token to the generated client.
+// token is a bearer token that the generated API client sends.
 type token string
 
 // Bearer implements oas.SecuritySource.
@@ -26,10 +26,10 @@
 	return oas.Bearer{Token: string(t)}, nil
 }
 
-// keepAliveClient keeps its connections: for requests by the hundred.
+// keepAliveClient reuses connections, since tests send hundreds of API requests.
 var keepAliveClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
 
-// api is the administration API of one control host.
+// api returns a client of one control host's administration API.
 func (s *system) api(h *local.Host) *oas.Client {
 	s.t.Helper()
 	c, err := oas.NewClient("http://"+h.ListenAddress, token(local.OperatorToken), oas.WithClient(keepAliveClient))
@@ -37,14 +37,15 @@
 	return c
 }
 
-// change is one submission of the document "local", unless name is set.
+// change is one change of a document that is submitted. An empty name means the document "local".
 type change struct {
 	name     string
 	base     uint64
 	id, text string
 }
 
-// putResult is what one attempt at a change came to.
+// putResult is the result of one attempt to submit a change. problem is set if the control host
+// answered with an error, err on any failure.
 type putResult struct {
 	revision uint64
 	repeated bool
@@ -52,7 +53,7 @@
 	err      error
 }
 
-// put sends a change to one control host, once.
+// put sends a change to one control host, without retries.
 func (s *system) put(h *local.Host, c change) putResult {
 	ctx, cancel := context.WithTimeout(s.ctx, 15*time.Second)
 	defer cancel()
@@ -72,8 +73,8 @@
 
 func (r putResult) isAccepted() bool { return r.err == nil }
 
-// isNotRun tells that the attempt had no effect, as the answer says or as there was
-// no connection.
+// isNotRun reports whether the attempt certainly had no effect: the response says so, or no
+// connection was made.
 func (r putResult) isNotRun() bool {
 	if r.problem != nil {
 		return r.problem.Response.Verdict == oas.ProblemVerdictNotRun
@@ -89,9 +90,9 @@
 	return fmt.Sprintf("revision %d, repeated %v, %v", r.revision, r.repeated, r.err)
 }
 
-// putUntilKnown sends a change to one control host after the other until its outcome is
-// sure. An attempt that may have run is resent under the same id; not-run is sure
-// only where no attempt before may have run.
+// putUntilKnown sends a change to one control host after another until its outcome is certain. An
+// attempt that may have taken effect is resent with the same change id. The verdict not-run is
+// certain only if no earlier attempt may have taken effect.
 func (s *system) putUntilKnown(c change, first int) putResult {
 	mayHaveRun := false
 	for i := first; ; i++ {
@@ -106,7 +107,7 @@
 	}
 }
 
-// mustPut sends a change until it is accepted.
+// mustPut sends a change until it is accepted and returns its revision.
 func (s *system) mustPut(c change) uint64 {
 	s.t.Helper()
 	var r putResult
@@ -118,8 +119,7 @@
 	return r.revision
 }
 
-// history returns every change of a document as one control host tells of it, the
-// first one first.
+// history returns all changes of a document as one control host reports them, the oldest first.
 func (s *system) history(h *local.Host, name string) []oas.Change {
 	s.t.Helper()
 	params := oas.GetHistoryParams{Document: oas.NewOptString(name)}
@@ -148,8 +148,8 @@
 	return ids
 }
 
-// bootstrapWithDocument runs a system without upstreams, with a document in force. It returns
-// the document's revision.
+// bootstrapWithDocument bootstraps the cluster, waits until a first document is in force on all
+// entry hosts and returns its revision. It does not wait for upstreams.
 func bootstrapWithDocument(t require.TestingT, s *system) uint64 {
 	require.NoError(t, s.Bootstrap(s.ctx))
 	r := s.mustPut(change{id: "change-first", text: local.Document("v1")})
@@ -157,12 +157,13 @@
 	return r
 }
 
-// revisionInForce returns the revision in force on a host, and whether the host said so.
+// revisionInForce returns the document revision in force on a host, and false if the host did not
+// answer.
 func (s *system) revisionInForce(h *local.Host) (uint64, bool) {
 	return local.RevisionInForce(s.ctx, h)
 }
 
-// awaitInForce waits until a revision, or a later one, is in force on the hosts.
+// awaitInForce waits until a revision or a later one is in force on all of the hosts.
 func (s *system) awaitInForce(revision uint64, hosts ...*local.Host) {
 	s.t.Helper()
 	for _, h := range hosts {
@@ -173,18 +174,18 @@
 	}
 }
 
-// revisionObserver watches the revision in force on hosts, all the time.
+// revisionObserver polls the revision in force on hosts until it is stopped.
 type revisionObserver struct {
 	stop chan struct{}
 	wg   sync.WaitGroup
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// rollbacks tells of every revision below one seen before on the same host.
+	// rollbacks describes each time that a host's revision was lower than before.
 	rollbacks []string
-	// seen has the revisions that were ever in force on any host.
+	// seen has all revisions that were in force on any host.
 	seen map[uint64]bool
-	// last has the newest revision of each host, and when it was first seen.
+	// last has the latest revision of each host and when it was first observed.
 	last map[string]observedRevision
 }
 
@@ -230,7 +231,7 @@
 	o.seen[revision] = true
 }
 
-// reachedAllAt returns when the last of n hosts came to a revision; false where one has not.
+// reachedAllAt returns when the last of n hosts reached a revision, or false if one has not yet.
 func (o *revisionObserver) reachedAllAt(revision uint64, n int) (time.Time, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -246,7 +247,7 @@
 	return latest, len(o.last) == n
 }
 
-// stopAndWait stops the observer.
+// stopAndWait stops the observer and waits for its goroutines. It may be called twice.
 func (o *revisionObserver) stopAndWait() {
 	o.mu.Lock()
 	select {
@@ -258,8 +259,8 @@
 	o.wg.Wait()
 }
 
-// requireNoRollback ends the observer and fails where a host went back, or had a
-// revision in force that was never accepted.
+// requireNoRollback stops the observer. It fails the test if a host went back to an older revision,
+// or had a revision in force that was never accepted.
 func (o *revisionObserver) requireNoRollback(t require.TestingT, accepted []uint64) {
 	o.stopAndWait()
 	require.Empty(t, o.rollbacks)
--- a/test/integration/orders_test.go
+++ b/test/integration/orders_test.go
@@ -15,13 +15,15 @@
 	"github.com/sassafraspost/sassafraspost/test/local"
 )
 
-// orderWatch notes every change of the order that engines have carried out.
+// orderWatch polls the stand-in engines and records each order that they have carried out. An order
+// tells an engine which model version to serve.
 type orderWatch struct {
 	stop chan struct{}
 	once sync.Once
 	wg   sync.WaitGroup
 
-	// mu guards orders, by stand-in, without repetitions.
+	// mu guards orders, which has the orders of each stand-in by its name. An order that an
+	// engine gets again under the same fencing token is recorded once.
 	mu     sync.Mutex
 	orders map[string][]agent.OrderReport
 }
@@ -36,7 +38,7 @@
 				isLast := false
 				select {
 				case <-w.stop:
-					// What came since the last look belongs to it too.
+					// Polls once more, for orders since the last poll.
 					isLast = true
 				case <-ticker.C:
 				}
@@ -67,8 +69,8 @@
 	w.wg.Wait()
 }
 
-// requireVersions ends the watch and fails where an engine carried out other orders
-// than these, or in another order.
+// requireVersions stops the watch. It fails the test unless every engine carried out orders for
+// exactly these versions, in this sequence.
 func (w *orderWatch) requireVersions(t *testing.T, want ...string) {
 	t.Helper()
 	w.stopAndWait()
@@ -76,14 +78,14 @@
 		var versions []string
 		for i, o := range list {
 			versions = append(versions, o.Version)
-			require.True(t, i == 0 || o.Fence > list[i-1].Fence, "%s: fencing number fell: %+v", name, list)
+			require.True(t, i == 0 || o.Fence > list[i-1].Fence, "%s: fencing token did not increase: %+v", name, list)
 		}
 		require.Equal(t, want, versions, name)
 	}
 }
 
-// awaitOrders waits until every engine has carried out n orders, the last one of
-// this version, and fails where one has carried out more.
+// awaitOrders waits until every engine has carried out n orders, the last one for this version. It
+// fails the test if an engine has carried out more.
 func (s *system) awaitOrders(n int, version string) {
 	s.t.Helper()
 	for _, h := range s.StandIns {
@@ -97,10 +99,10 @@
 	}
 }
 
-// A control host that was the leader never makes an engine go back: not by answers
-// that it gives late, after it was frozen, and not to agents that know no fencing
-// number since they have just started. It makes no difference whether the engine
-// checks fencing numbers.
+// A control host that is no longer the leader must not make an engine return to an old model
+// version: neither by answers that it sends late, after it was frozen, nor through agents that have
+// just started and know no fencing token yet. This holds whether or not the engine itself checks
+// fencing tokens.
 func TestStaleLeadersOrdersAreNotCarriedOut(t *testing.T) {
 	for name, args := range map[string][]string{"engines check fencing": {"--checks-fencing"}, "engines ignore fencing": nil} {
 		t.Run(name, func(t *testing.T) {
@@ -111,74 +113,75 @@
 			}
 			require.NoError(t, s.Bootstrap(s.ctx))
 			base := s.mustPut(change{id: "change-first", text: document("v1")})
-			w := s.watchOrders()
+			watch := s.watchOrders()
 			s.awaitOrders(1, "v1")
-			submit := func(version string, through ...*local.Host) {
+			submit := func(version string, hosts ...*local.Host) {
 				c := change{base: base, id: "change-to-" + version, text: document(version)}
 				s.await(version, func() bool {
-					r := s.put(through[0], c)
+					r := s.put(hosts[0], c)
 					base = r.revision
 					return r.isAccepted()
 				})
 			}
 
-			// The agents' questions lie in the frozen leader's queue; it answers late.
-			old, rest := s.leaderAndOthers()
-			old.Freeze()
-			submit("v2", rest...)
+			// The frozen leader has received the agents' order queries but answers them only after
+			// the thaw.
+			oldLeader, others := s.leaderAndOthers()
+			oldLeader.Freeze()
+			submit("v2", others...)
 			s.awaitOrders(2, "v2")
-			old.Thaw()
-			s.await("the old leader's catching up", func() bool { return s.acceptedRevision(old) == base })
+			oldLeader.Thaw()
+			s.await("the old leader's catching up", func() bool { return s.acceptedRevision(oldLeader) == base })
 
-			// The links hold the answers back; they come late, and after the next one.
-			old, rest = s.leaderAndOthers()
-			s.FreezeLinks(old)
-			submit("v3", rest...)
+			// The frozen links deliver the old leader's answers only after the new leader's order.
+			oldLeader, others = s.leaderAndOthers()
+			s.FreezeLinks(oldLeader)
+			submit("v3", others...)
 			s.awaitOrders(3, "v3")
-			s.Heal(old)
-			s.await("the old leader's catching up", func() bool { return s.acceptedRevision(old) == base })
+			s.Heal(oldLeader)
+			s.await("the old leader's catching up", func() bool { return s.acceptedRevision(oldLeader) == base })
 
-			// Agents that can't reach the leader have their orders through the others.
-			old, rest = s.leaderAndOthers()
-			s.setAgentLinks((*faultproxy.TCP).Cut, old)
-			submit("v3-1", rest...)
+			// Agents that can't reach the leader get their orders through the other control hosts.
+			oldLeader, others = s.leaderAndOthers()
+			s.setAgentLinks((*faultproxy.TCP).Cut, oldLeader)
+			submit("v3-1", others...)
 			s.awaitOrders(4, "v3-1")
-			s.setAgentLinks((*faultproxy.TCP).Heal, old)
+			s.setAgentLinks((*faultproxy.TCP).Heal, oldLeader)
 
-			// The leader is cut off from the others but not from the agents, which start
-			// anew and reach no other.
-			old, rest = s.leaderAndOthers()
-			s.setControlLinks(old, (*faultproxy.TCP).Cut)
-			submit("v4", rest...)
+			// The leader is cut off from the other control hosts. The agents restart and reach only
+			// this leader.
+			oldLeader, others = s.leaderAndOthers()
+			s.setControlLinks(oldLeader, (*faultproxy.TCP).Cut)
+			submit("v4", others...)
 			s.awaitOrders(5, "v4")
-			s.restartAgentsReachingOnly(old, rest)
+			s.restartAgentsReachingOnly(oldLeader, others)
 			s.awaitOrders(5, "v4")
-			s.setAgentLinks((*faultproxy.TCP).Heal, rest...)
-			// A new agent asks first, and passes the order in force on again.
+			s.setAgentLinks((*faultproxy.TCP).Heal, others...)
+			// A restarted agent queries the order in force and sends it to its engine once more.
 			s.awaitOrders(6, "v4")
-			s.setControlLinks(old, (*faultproxy.TCP).Heal)
-			submit("v5", rest...)
+			s.setControlLinks(oldLeader, (*faultproxy.TCP).Heal)
+			submit("v5", others...)
 			s.awaitOrders(7, "v5")
-			w.requireVersions(t, "v1", "v2", "v3", "v3-1", "v4", "v5")
+			watch.requireVersions(t, "v1", "v2", "v3", "v3-1", "v4", "v5")
 		})
 	}
 }
 
 // leaderAndOthers returns the leader and the other control hosts.
-func (s *system) leaderAndOthers() (leader *local.Host, rest []*local.Host) {
+func (s *system) leaderAndOthers() (leader *local.Host, others []*local.Host) {
 	s.t.Helper()
 	leader = s.leader()
 	return leader, slices.DeleteFunc(slices.Clone(s.Control), func(h *local.Host) bool { return h == leader })
 }
 
-// restartAgentsReachingOnly restarts the agents so that they reach one control host only, and
-// waits until they have gone on for a while: until each has answered many requests.
-func (s *system) restartAgentsReachingOnly(one *local.Host, rest []*local.Host) {
+// restartAgentsReachingOnly restarts the agents with links to one control host only, and waits
+// until each has served 20 requests, which gives them time to carry out a wrong order.
+func (s *system) restartAgentsReachingOnly(reachable *local.Host, others []*local.Host) {
 	s.t.Helper()
 	for _, a := range s.Agents {
 		a.Kill()
 	}
-	s.setAgentLinks((*faultproxy.TCP).Cut, rest...)
+	s.setAgentLinks((*faultproxy.TCP).Cut, others...)
 	for _, a := range s.Agents {
 		require.NoError(s.t, a.Start())
 	}
@@ -192,7 +195,7 @@
 	})
 }
 
-// setAgentLinks sets a fault on the links from every agent to control hosts.
+// setAgentLinks applies set to the proxies on the links from every agent to the control hosts.
 func (s *system) setAgentLinks(set func(*faultproxy.TCP), hosts ...*local.Host) {
 	for _, a := range s.Agents {
 		for _, h := range hosts {
--- a/test/integration/path_test.go
+++ b/test/integration/path_test.go
@@ -12,6 +12,8 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
+// Guards the basic path of each kind of request through a system without faults: completions,
+// bookings, documents, bad input, metrics and a graceful shutdown of every role.
 func TestRequestPathEndToEnd(t *testing.T) {
 	t.Parallel()
 	s := start(t, local.Layout{Control: 3, Entries: 2, Engines: 2, Services: 1})
--- a/test/integration/shutdown_test.go
+++ b/test/integration/shutdown_test.go
@@ -14,9 +14,9 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// A shutdown of an agent or an entry host in the middle of streams cuts none of
-// them. The engines can't resume, so that a stream that is cut stays cut. Without
-// Drained in the agent's drain this fails: streams break off.
+// An agent or entry host that shuts down gracefully must complete its running streams. Resumption
+// is turned off, so that a stream that breaks off can't be continued. If the agent did not wait in
+// Drained while it drains, streams would break off.
 func TestGracefulShutdownCutsNoStream(t *testing.T) {
 	t.Parallel()
 	s := start(t, local.Layout{Control: 1, Entries: 3, Engines: 3, EngineArgs: []string{"--step", "10ms"}})
@@ -30,41 +30,41 @@
 	s.shutDown(s.Entries[0])
 	s.await("answers after an entry host left", func() bool { return l.complete.Load() > 250 })
 	require.Empty(t, l.stopAndWait())
-	require.Positive(t, l.notReady.Load(), "the entry host that left was asked no more")
+	require.Positive(t, l.notReady.Load(), "no caller noticed that the entry host stopped being ready")
 }
 
-// No new work reaches an upstream that leaves: the announcement keeps it away, and
-// where the directory hosts that own the upstream are frozen, the agent's refusal.
-// Without the refusal the second case fails: requests begin after the signal.
+// A draining upstream gets no new requests. Usually its announcement tells the entry hosts. If the
+// hosts that own its directory record are frozen, the announcement does not spread, and the agent
+// refuses requests itself; without that refusal, requests would start after the signal.
 func TestDrainingUpstreamGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	for name, isFrozen := range map[string]bool{"announced": false, "owners frozen": true} {
 		t.Run(name, func(t *testing.T) {
 			s := start(t, local.Layout{Control: 1, Entries: 4, Engines: 2, EngineArgs: []string{"--step", "10ms"}})
-			leaving := s.Agents[0]
-			owners, others := s.owners(leaving)
-			// Long streams keep the agent from ending.
-			long := make(chan local.Response, 4)
-			for range cap(long) {
-				go func() { long <- s.sendRequest(others[0], local.Completion("long", 800, true)) }()
+			draining := s.Agents[0]
+			owners, others := s.owners(draining)
+			// The agent does not exit while long streams are running.
+			longResponses := make(chan local.Response, 4)
+			for range cap(longResponses) {
+				go func() { longResponses <- s.sendRequest(others[0], local.Completion("long", 800, true)) }()
 			}
-			s.await("the long streams", func() bool { return s.startedRequests(leaving) >= 1 })
+			s.await("the long streams", func() bool { return s.startedRequests(draining) >= 1 })
 			l := s.startLoad(8, 4, others...)
-			s.await("load on the upstream", func() bool { return s.startedRequests(leaving) > 10 })
+			s.await("load on the upstream", func() bool { return s.startedRequests(draining) > 10 })
 			if isFrozen {
 				for _, h := range owners {
 					h.Freeze()
 				}
 			}
-			leaving.Terminate()
-			s.await("the refusal", func() bool { return strings.Contains(leaving.Log(), "shutting down") })
-			before := s.startedRequests(leaving)
-			wholeAt := l.complete.Load()
-			s.await("load elsewhere", func() bool { return l.complete.Load() > wholeAt+200 })
-			require.LessOrEqual(t, s.startedRequests(leaving)-before, 8, "at most what each caller had on its way at the signal")
+			draining.Terminate()
+			s.await("the refusal", func() bool { return strings.Contains(draining.Log(), "shutting down") })
+			before := s.startedRequests(draining)
+			completeBefore := l.complete.Load()
+			s.await("load elsewhere", func() bool { return l.complete.Load() > completeBefore+200 })
+			require.LessOrEqual(t, s.startedRequests(draining)-before, 8, "at most one request per caller was in flight at the signal")
 			require.Empty(t, l.stopAndWait())
-			for range cap(long) {
-				a := <-long
+			for range cap(longResponses) {
+				a := <-longResponses
 				require.NoError(t, a.Err)
 				require.Equal(t, strings.Join(standin.Stream("long", 800), ""), a.Body)
 			}
@@ -72,7 +72,7 @@
 	}
 }
 
-// owners splits the entry hosts into those that own an agent's record and the others.
+// owners splits the entry hosts into those that own an agent's directory record and the others.
 func (s *system) owners(agent *local.Host) (owners, others []*local.Host) {
 	byAddress := make(map[string]*local.Host)
 	var hosts []directory.Host
@@ -90,7 +90,7 @@
 	return owners, others
 }
 
-// startedRequests returns how many requests the stand-in behind an agent has begun.
+// startedRequests returns how many executions the stand-in behind an agent has started.
 func (s *system) startedRequests(agent *local.Host) int {
 	r, err := local.Executions(s.ctx, agent.Upstream)
 	require.NoError(s.t, err)
@@ -101,9 +101,9 @@
 	return n
 }
 
-// A leader that shuts down hands its place over: no booking is cut, and none is
-// refused, since the hand-over is shorter than what a host waits for a leader.
-// Without the hand-over bookings are refused until an election.
+// A leader that shuts down transfers its leadership, so no booking breaks off. None is refused
+// either, since the transfer takes less time than hosts wait for a leader. Without the transfer,
+// bookings would be refused until the next election.
 func TestLeaderShutdownFailsNoBooking(t *testing.T) {
 	t.Parallel()
 	s := start(t, local.Layout{Control: 3, Entries: 2, Engines: 1, Services: 1})
@@ -135,15 +135,15 @@
 			}
 		}()
 	}
-	count := func() int {
+	bookedCount := func() int {
 		mu.Lock()
 		defer mu.Unlock()
 		return booked
 	}
-	s.await("bookings", func() bool { return count() > 50 })
+	s.await("bookings", func() bool { return bookedCount() > 50 })
 	s.shutDown(leader)
-	at := count()
-	s.await("bookings under the next leader", func() bool { return count() > at+50 })
+	bookedBefore := bookedCount()
+	s.await("bookings under the next leader", func() bool { return bookedCount() > bookedBefore+50 })
 	close(stop)
 	wg.Wait()
 	require.Empty(t, bad)
--- a/test/integration/tls_test.go
+++ b/test/integration/tls_test.go
@@ -11,8 +11,8 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// With certificates in the settings, callers, operators and the sessions between
-// processes all go by TLS, and nobody is served without.
+// With certificates in the settings, callers, operators and the sessions between hosts all use TLS,
+// and an entry host does not serve a request without TLS.
 func TestAllConnectionsUseTLS(t *testing.T) {
 	t.Parallel()
 	s := startEmpty(t, local.Layout{Control: 3, Entries: 2, Engines: 1, HasTLS: true})
@@ -23,8 +23,8 @@
 	require.NoError(t, err)
 	url := "https://" + s.Entries[0].ListenAddress + "/v1/completions"
 	s.await("an answer by TLS", func() bool {
-		q := local.Completion("by TLS", 5, false)
-		req, err := http.NewRequestWithContext(s.ctx, q.Method, url, strings.NewReader(q.Body))
+		request := local.Completion("by TLS", 5, false)
+		req, err := http.NewRequestWithContext(s.ctx, request.Method, url, strings.NewReader(request.Body))
 		require.NoError(t, err)
 		req.Header.Set("Authorization", "Bearer "+local.CallerToken)
 		resp, err := client.Do(req)
--- a/test/integration/verdicts_test.go
+++ b/test/integration/verdicts_test.go
@@ -17,10 +17,10 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// requestTimeout bounds one sending of a caller.
+// requestTimeout limits one request of a caller, without its retries.
 const requestTimeout = 15 * time.Second
 
-// sentRequest is one request of a caller and what came back.
+// sentRequest is one request of a caller and its response.
 type sentRequest struct {
 	key, id  string
 	isKeyed  bool
@@ -28,7 +28,8 @@
 	replayed bool
 }
 
-// requestLog holds all sendings of a test, to be held against what was executed.
+// requestLog records all requests of a test, so that their verdicts can be compared with what the
+// stand-ins have executed.
 type requestLog struct {
 	s *system
 
@@ -36,13 +37,14 @@
 	requests []sentRequest
 }
 
-// send gives the request an id of its own and sends it to an address.
+// send sends a request with a new request id to an address and records it.
 func (l *requestLog) send(address string, q local.Request) local.Response {
 	ctx, cancel := context.WithTimeout(l.s.ctx, requestTimeout)
 	defer cancel()
 	return l.sendWithContext(ctx, address, q)
 }
 
+// sendWithContext is send with a context in place of the timeout.
 func (l *requestLog) sendWithContext(ctx context.Context, address string, q local.Request) local.Response {
 	l.mu.Lock()
 	q.ID = fmt.Sprintf("sending-%d", len(l.requests))
@@ -57,7 +59,7 @@
 	return a
 }
 
-// executions sums what all stand-ins have done.
+// executions returns the summed counts of all stand-ins, by request id and by idempotency key.
 func (s *system) executions() standin.Report {
 	sum := standin.Report{ByRequest: map[string]standin.Executions{}, ByKey: map[string]standin.Executions{}}
 	for _, h := range s.StandIns {
@@ -69,6 +71,7 @@
 	return sum
 }
 
+// add adds the counts of one stand-in to sum.
 func add(sum, more map[string]standin.Executions) {
 	for name, e := range more {
 		t := sum[name]
@@ -79,43 +82,43 @@
 	}
 }
 
-// verdictCounts counts the verdicts that callers saw.
+// verdictCounts counts requests by the verdict that callers got.
 type verdictCounts struct{ ran, replayed, notRun, mayHaveRun, noResponse int }
 
-// checkVerdicts holds every verdict against the executions: what is called not run was not
-// begun, what ran was, and no key was begun twice.
+// checkVerdicts compares every verdict with the executions: a request with the verdict not-run was
+// never started, one with the verdict ran was, and no key was started twice.
 func (l *requestLog) checkVerdicts() verdictCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	done := l.s.executions()
-	var count verdictCounts
-	for key, e := range done.ByKey {
+	executed := l.s.executions()
+	var counts verdictCounts
+	for key, e := range executed.ByKey {
 		require.LessOrEqual(l.s.t, e.Begun, 1, "key %s ran more than once", key)
 	}
-	for _, x := range l.requests {
-		begun := done.ByRequest[x.id].Begun
+	for _, sent := range l.requests {
+		started := executed.ByRequest[sent.id].Begun
 		switch {
-		case x.response.Status == 0:
-			count.noResponse++
-		case x.replayed:
-			count.replayed++
-			require.Equal(l.s.t, 1, done.ByKey[x.key].Begun, "%s was replayed", x.key)
-		case x.response.Verdict == verdict.NotRun:
-			count.notRun++
-			require.Zero(l.s.t, begun, "%s of key %q was called not run", x.id, x.key)
-		case x.response.Verdict == verdict.Ran && x.isKeyed && x.response.Status >= http.StatusBadRequest:
-			require.Equal(l.s.t, 1, done.ByKey[x.key].Begun)
-		case x.response.Verdict == verdict.Ran:
-			count.ran++
-			require.Positive(l.s.t, begun, "%s was called run", x.id)
+		case sent.response.Status == 0:
+			counts.noResponse++
+		case sent.replayed:
+			counts.replayed++
+			require.Equal(l.s.t, 1, executed.ByKey[sent.key].Begun, "%s was replayed", sent.key)
+		case sent.response.Verdict == verdict.NotRun:
+			counts.notRun++
+			require.Zero(l.s.t, started, "%s of key %q has the verdict not-run", sent.id, sent.key)
+		case sent.response.Verdict == verdict.Ran && sent.isKeyed && sent.response.Status >= http.StatusBadRequest:
+			require.Equal(l.s.t, 1, executed.ByKey[sent.key].Begun)
+		case sent.response.Verdict == verdict.Ran:
+			counts.ran++
+			require.Positive(l.s.t, started, "%s has the verdict ran", sent.id)
 		default:
-			count.mayHaveRun++
+			counts.mayHaveRun++
 		}
 	}
-	return count
+	return counts
 }
 
-// counter reads one counter of a host.
+// counter reads one counter from a host's metrics, -1 if it can't.
 func (s *system) counter(h *local.Host, name string) int {
 	resp, err := http.Get("http://" + h.MetricsAddress + "/metrics")
 	if err != nil {
@@ -132,9 +135,9 @@
 	return -1
 }
 
-// Every verdict agrees with what the upstreams did, over refusals of each kind.
-// Where the agent's refusals of a full queue came after the upstream had the
-// request, or a lost session counted as not run, this would fail.
+// Every verdict must agree with what the upstreams executed, for refusals of each kind. The test
+// fails if, for example, an agent with a full queue refuses a request that its upstream already has,
+// or if a request on a lost session counts as not run.
 func TestVerdictsAgreeWithExecutions(t *testing.T) {
 	t.Parallel()
 	s := start(t, local.Layout{
@@ -142,7 +145,7 @@
 		EngineArgs: []string{"--step", "5ms"}, ServiceArgs: []string{"--delay", "50ms"},
 	})
 	l := &requestLog{s: s}
-	crowd := func(n, tokens int) *sync.WaitGroup {
+	startCallers := func(n, tokens int) *sync.WaitGroup {
 		var wg sync.WaitGroup
 		for i := range n {
 			wg.Go(func() {
@@ -159,33 +162,33 @@
 	for _, e := range s.Entries {
 		l.send(e.ListenAddress, local.Booking("sent-twice", "one rider"))
 	}
-	// More than capacity and queues hold.
-	crowd(300, 20).Wait()
-	// Upstreams that die, refuse and truncate.
+	// More requests than slots and queues take, so that some are refused.
+	startCallers(300, 20).Wait()
+	// Upstreams close connections, refuse requests and truncate responses.
 	for _, mode := range []standin.Mode{standin.Die, standin.Refuse, standin.Truncate} {
 		for _, h := range s.StandIns {
 			require.NoError(t, local.InjectFailure(s.ctx, h, standin.Failure{Mode: mode, After: 3, Times: 10}))
 		}
-		crowd(20, 8).Wait()
+		startCallers(20, 8).Wait()
 	}
-	// Links that are cut in the middle.
-	engines := func() int { return s.startedRequests(s.Agents[0]) + s.startedRequests(s.Agents[1]) }
-	begun := engines()
-	wg := crowd(60, 40)
-	s.await("work in progress", func() bool { return engines() > begun })
+	// Links are cut while requests run.
+	startedByEngines := func() int { return s.startedRequests(s.Agents[0]) + s.startedRequests(s.Agents[1]) }
+	startedBefore := startedByEngines()
+	wg := startCallers(60, 40)
+	s.await("work in progress", func() bool { return startedByEngines() > startedBefore })
 	for _, a := range s.Agents {
 		s.Cut(a)
 	}
 	wg.Wait()
-	crowd(10, 7).Wait()
+	startCallers(10, 7).Wait()
 	for _, a := range s.Agents {
 		s.Heal(a)
 	}
-	// Agents that leave, until no upstream is left.
+	// Agents shut down until no upstream is left.
 	s.await("links", func() bool {
 		return local.Do(s.ctx, s.Entries[0].ListenAddress, local.Completion("links", 1, false)).Status == http.StatusOK
 	})
-	wg = crowd(60, 30)
+	wg = startCallers(60, 30)
 	for _, a := range s.Agents {
 		a.Terminate()
 	}
@@ -193,10 +196,10 @@
 	for _, a := range s.Agents {
 		s.await("the end of "+a.Name, func() bool { return !a.IsRunning() })
 	}
-	crowd(10, 9).Wait()
-	count := l.checkVerdicts()
-	t.Logf("%d sendings: %+v", len(l.requests), count)
-	require.Positive(t, count.notRun)
-	require.Positive(t, count.ran)
-	require.Positive(t, count.replayed)
+	startCallers(10, 9).Wait()
+	counts := l.checkVerdicts()
+	t.Logf("%d requests: %+v", len(l.requests), counts)
+	require.Positive(t, counts.notRun)
+	require.Positive(t, counts.ran)
+	require.Positive(t, counts.replayed)
 }
