--- a/test/integration/tls_test.go
+++ b/test/integration/tls_test.go
@@ -11,20 +11,20 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// With certificates in the settings, callers, operators and the sessions between
-// processes all go by TLS, and nobody is served without.
-func TestEverythingGoesByTLS(t *testing.T) {
+// With certificates in the settings, callers, operators and the sessions between hosts all use TLS,
+// and an entry host does not serve a request without TLS.
+func TestAllConnectionsUseTLS(t *testing.T) {
 	t.Parallel()
 	s := startEmpty(t, local.Layout{Control: 3, Entries: 2, Engines: 1, HasTLS: true})
-	require.NoError(t, s.Found(s.ctx))
+	require.NoError(t, s.Bootstrap(s.ctx))
 	out, err := s.Submit(s.ctx, local.Document("v1"))
 	require.NoError(t, err, out)
 	client, err := s.TLSClient()
 	require.NoError(t, err)
-	url := "https://" + s.Entries[0].Listen + "/v1/completions"
+	url := "https://" + s.Entries[0].ListenAddress + "/v1/completions"
 	s.await("an answer by TLS", func() bool {
-		q := local.Completion("by TLS", 5, false)
-		req, err := http.NewRequestWithContext(s.ctx, q.Method, url, strings.NewReader(q.Body))
+		request := local.Completion("by TLS", 5, false)
+		req, err := http.NewRequestWithContext(s.ctx, request.Method, url, strings.NewReader(request.Body))
 		require.NoError(t, err)
 		req.Header.Set("Authorization", "Bearer "+local.CallerToken)
 		resp, err := client.Do(req)
@@ -36,6 +36,6 @@
 		require.NoError(t, resp.Write(body))
 		return resp.StatusCode == http.StatusOK && strings.Contains(body.String(), standin.Text("by TLS", 5))
 	})
-	plain := s.do(s.Entries[0], local.Completion("in the clear", 5, false))
+	plain := s.sendRequest(s.Entries[0], local.Completion("in the clear", 5, false))
 	require.NotEqual(t, http.StatusOK, plain.Status)
 }
--- a/test/local/prepare.go
+++ b/test/local/prepare.go
@@ -11,10 +11,10 @@
 	"github.com/pkg/errors"
 )
 
-// Prepare founds the cluster, waits for all votes, submits a document and waits
-// until every entry host serves.
+// Prepare bootstraps the cluster, submits a document and waits until every entry host and
+// every engine serves.
 func (s *System) Prepare(ctx context.Context, document string) error {
-	if err := s.Found(ctx); err != nil {
+	if err := s.Bootstrap(ctx); err != nil {
 		return err
 	}
 	if out, err := s.Submit(ctx, document); err != nil {
@@ -23,26 +23,26 @@
 	return s.AwaitServing(ctx)
 }
 
-// Found founds the cluster and waits until every control host has a vote.
-func (s *System) Found(ctx context.Context) error {
+// Bootstrap initializes the cluster and waits until every control host is a voter.
+func (s *System) Bootstrap(ctx context.Context) error {
 	var out string
 	err := Await(ctx, func() bool {
 		var err error
-		out, err = s.Tool(ctx, "init")
-		return err == nil || s.dead() != ""
+		out, err = s.RunCLI(ctx, "init")
+		return err == nil || s.endedControlHost() != ""
 	})
-	if name := s.dead(); name != "" {
+	if name := s.endedControlHost(); name != "" {
 		return errors.Errorf("%s has ended", name)
 	}
 	if err != nil {
 		return errors.Wrapf(err, "init: %s", out)
 	}
-	err = Await(ctx, func() bool { return s.Voters(ctx) == len(s.Control) })
+	err = Await(ctx, func() bool { return s.VoterCount(ctx) == len(s.Control) })
 	return errors.Wrap(err, "votes")
 }
 
-// dead returns the name of a control host that has ended, empty if all run.
-func (s *System) dead() string {
+// endedControlHost returns the name of a control host whose process has ended, empty if all run.
+func (s *System) endedControlHost() string {
 	for _, h := range s.Control {
 		if !h.IsRunning() {
 			return h.Name
@@ -51,14 +51,15 @@
 	return ""
 }
 
-// Submit submits a document over the revision that is accepted now.
+// Submit submits a document that replaces the accepted revision.
 func (s *System) Submit(ctx context.Context, document string) (string, error) {
-	st, _ := s.status(ctx)
-	return s.SubmitOver(ctx, st.Revision, document)
+	st, _ := s.documentStatus(ctx)
+	return s.SubmitWithBase(ctx, st.Revision, document)
 }
 
-// SubmitOver submits a document over a base revision.
-func (s *System) SubmitOver(ctx context.Context, base uint64, document string, args ...string) (string, error) {
+// SubmitWithBase submits a document that replaces the revision base. It is refused if another
+// revision has been accepted since.
+func (s *System) SubmitWithBase(ctx context.Context, base uint64, document string, args ...string) (string, error) {
 	f, err := os.CreateTemp(s.Dir, "document-*.ini")
 	if err != nil {
 		return "", err
@@ -68,40 +69,41 @@
 		return "", err
 	}
 	all := []string{"submit", f.Name(), "--base", strconv.FormatUint(base, 10)}
-	return s.Tool(ctx, append(all, args...)...)
+	return s.RunCLI(ctx, append(all, args...)...)
 }
 
-// status is what the tool prints of a document.
-type status struct {
+// documentStatus is the part of the tool's JSON output for `status` that is read here. InForce
+// is the number of hosts on which the accepted revision is in force.
+type documentStatus struct {
 	Revision uint64 `json:"revision"`
 	InForce  int    `json:"inForce"`
 }
 
-func (s *System) status(ctx context.Context) (status, error) {
-	out, err := s.Tool(ctx, "status", "local", "-o", "json")
+func (s *System) documentStatus(ctx context.Context) (documentStatus, error) {
+	out, err := s.RunCLI(ctx, "status", "local", "-o", "json")
 	if err != nil {
-		return status{}, err
+		return documentStatus{}, err
 	}
-	var st status
+	var st documentStatus
 	return st, json.Unmarshal([]byte(out), &st)
 }
 
-// Revision returns the accepted revision, zero where none is known.
+// Revision returns the accepted revision of the document, zero if the cluster doesn't answer.
 func (s *System) Revision(ctx context.Context) uint64 {
-	st, _ := s.status(ctx)
+	st, _ := s.documentStatus(ctx)
 	return st.Revision
 }
 
 // AwaitInForce waits until the accepted revision is in force on every entry host.
 func (s *System) AwaitInForce(ctx context.Context) error {
 	return Await(ctx, func() bool {
-		st, err := s.status(ctx)
+		st, err := s.documentStatus(ctx)
 		return err == nil && st.InForce == len(s.Entries)
 	})
 }
 
-// AwaitServing waits until every entry host is ready and every engine has answered a
-// completion.
+// AwaitServing waits until every entry host has answered a completion and every engine has
+// executed one.
 func (s *System) AwaitServing(ctx context.Context) error {
 	for _, h := range s.Entries {
 		if err := s.awaitEntry(ctx, h); err != nil {
@@ -112,9 +114,9 @@
 		if strings.HasPrefix(a.Name, "service-") {
 			continue
 		}
-		entry := s.inCentre(a.DataCentre)[0]
+		entry := s.entriesIn(a.DataCentre)[0]
 		err := Await(ctx, func() bool {
-			Do(ctx, entry.Listen, Completion("are you there", 1, false))
+			Do(ctx, entry.ListenAddress, Completion("are you there", 1, false))
 			r, err := Executions(ctx, a.Upstream)
 			return err == nil && len(r.ByRequest) > 0
 		})
@@ -125,13 +127,14 @@
 	return nil
 }
 
+// awaitEntry waits until an entry host is ready and answers a completion.
 func (s *System) awaitEntry(ctx context.Context, h *Host) error {
-	var last Answer
+	var last Response
 	err := Await(ctx, func() bool {
 		if !IsReady(ctx, h) {
 			return false
 		}
-		last = Do(ctx, h.Listen, Completion("are you there", 1, false))
+		last = Do(ctx, h.ListenAddress, Completion("are you there", 1, false))
 		return last.Status == http.StatusOK
 	})
 	return errors.Wrapf(err, "%s does not serve: %d %s %v", h.Name, last.Status, last.Body, last.Err)
--- a/test/local/system.go
+++ b/test/local/system.go
@@ -15,84 +15,90 @@
 	"github.com/sassafraspost/sassafraspost/test/faultproxy"
 )
 
-// Tokens of the local system.
+// Bearer tokens of the local system.
 const (
 	OperatorToken = "local-operator-token"
 	CallerToken   = "local-caller-token"
 )
 
-// Layout says what to start.
+// Layout describes the processes of a system.
 type Layout struct {
-	// Control is the number of control hosts. They spread over the data centres.
+	// Control is the number of control hosts, which are spread over the data centres.
 	Control int
-	// Entries, Engines and Services are numbers of hosts in each data centre.
+	// Entries, Engines and Services are the numbers of entry hosts, agents of model engines
+	// and agents of plain services in each data centre.
 	Entries, Engines, Services int
-	// GroupHosts is the number of hosts of one group in the first data centre, with
-	// RanksPerHost ranks each. They share one stand-in, started with GroupArgs.
+	// GroupHosts is the number of hosts of one engine group in the first data centre, with
+	// RanksPerHost ranks each. They share one stand-in, which is started with GroupArgs.
 	GroupHosts, RanksPerHost int
 	GroupArgs                []string
-	// DataCentres are the names; one is the default.
+	// DataCentres has the names of the data centres. The default is one, centre-a.
 	DataCentres []string
-	// HasProxies puts a fault-injecting proxy on each link.
+	// HasProxies puts a fault-injecting TCP proxy on each link between two hosts.
 	HasProxies bool
-	// HasMessages puts a proxy that can cross, duplicate and drop messages behind the
-	// fault-injecting proxies of all links between agents and entry hosts.
-	HasMessages bool
-	// HasTLS puts all listeners of the product behind TLS.
+	// HasMessageProxies also puts a proxy that can reorder, duplicate and drop messages on each
+	// link between agents and entry hosts, behind the TCP proxy.
+	HasMessageProxies bool
+	// HasTLS makes all listeners of the daemons use TLS, except those of metrics.
 	HasTLS bool
-	// EngineArgs and ServiceArgs go to the stand-ins.
+	// EngineArgs and ServiceArgs are command-line arguments of the stand-ins.
 	EngineArgs, ServiceArgs []string
-	// Grace is the shutdown grace of the daemons; 30s if zero.
-	Grace time.Duration
+	// ShutdownGrace is the setting shutdown-grace of the daemons. Zero means 30s.
+	ShutdownGrace time.Duration
 }
 
-// Host is one process with its addresses.
+// Host is one process, a daemon or a stand-in, with its addresses.
 type Host struct {
 	*Process
 	DataCentre string
-	// Peer is its peer listener; Listen serves callers (entry) or operators (control).
-	Peer, Listen, Metrics string
-	// Upstream is the stand-in behind an agent.
+	// PeerAddress serves the sessions between hosts. ListenAddress serves callers on an entry
+	// host or a stand-in, and operators on a control host.
+	PeerAddress, ListenAddress, MetricsAddress string
+	// Upstream is the stand-in that an agent sends requests to, nil on other hosts.
 	Upstream *Host
-	// FirstRank is the first rank of a host of a group.
+	// FirstRank is the lowest rank on a host of a group.
 	FirstRank int
 }
 
-// System is a running local system.
+// System is a set of processes on loopback that form a whole system, with proxies between them.
+//
+// BinDir is the folder of the programs. Dir has the settings, data and logs of all processes.
 type System struct {
-	Dir, Bin string
-	Layout   Layout
-	Control  []*Host
-	Entries  []*Host
-	Agents   []*Host
-	StandIns []*Host
+	Dir, BinDir string
+	Layout      Layout
+	Control     []*Host
+	Entries     []*Host
+	Agents      []*Host
+	StandIns    []*Host
 
-	links   map[linkKey]*faultproxy.TCP
-	inbound map[string]*faultproxy.TCP
-	// messages are between agents and entry hosts, in both ways of dialling.
-	messages []*faultproxy.Messages
-	// secret is the system's own, so that processes of another one that a test left
-	// behind are strangers here, also where they come by a port that was theirs.
+	linkProxies    map[linkKey]*faultproxy.TCP
+	inboundProxies map[string]*faultproxy.TCP
+	// messageProxies are on the links between agents and entry hosts, whichever of the two dials.
+	messageProxies []*faultproxy.Messages
+	// secret is the peer secret, a different one for each system. A process that an earlier
+	// test left running can't join this system, even if it dials a port that has been reused.
 	secret string
-	// reserved holds the sockets that keep the ports of the processes from others.
-	reserved []int
+	// reservedSockets has the file descriptors of the sockets that reserve ports.
+	reservedSockets []int
 }
 
+// linkKey has the names of the dialling and the dialled host.
 type linkKey struct{ from, to string }
 
-// New lays out a system in dir, with programs that Build put in bin. Nothing runs yet.
+// New writes the settings of a system to dir and starts its proxies. The programs are those that
+// Build has put into bin; they are not started yet.
 func New(dir, bin string, layout Layout) (*System, error) {
 	if len(layout.DataCentres) == 0 {
 		layout.DataCentres = []string{"centre-a"}
 	}
-	if layout.Grace == 0 {
-		layout.Grace = 30 * time.Second
+	if layout.ShutdownGrace == 0 {
+		layout.ShutdownGrace = 30 * time.Second
 	}
 	s := &System{
-		Dir: dir, Bin: bin, Layout: layout, secret: rand.Text(),
-		links: make(map[linkKey]*faultproxy.TCP), inbound: make(map[string]*faultproxy.TCP),
+		Dir: dir, BinDir: bin, Layout: layout, secret: rand.Text(),
+		linkProxies: make(map[linkKey]*faultproxy.TCP), inboundProxies: make(map[string]*faultproxy.TCP),
 	}
-	if err := s.place(); err != nil {
+	if err := s.createHosts(); err != nil {
 		return nil, err
 	}
 	if layout.HasTLS {
@@ -103,15 +109,15 @@
 	return s, s.writeSettings()
 }
 
-// place gives every process its name and addresses.
-func (s *System) place() error {
+// createHosts creates every host of the layout, with its name and addresses.
+func (s *System) createHosts() error {
 	for i := range s.Layout.Control {
 		dc := s.Layout.DataCentres[i%len(s.Layout.DataCentres)]
 		if err := s.addDaemon(&s.Control, fmt.Sprintf("control-%d", i+1), dc); err != nil {
 			return err
 		}
 	}
-	if err := s.placeGroup(); err != nil {
+	if err := s.createGroup(); err != nil {
 		return err
 	}
 	for _, dc := range s.Layout.DataCentres {
@@ -120,82 +126,84 @@
 				return err
 			}
 		}
-		if err := s.placeUpstreams(dc, "engine", s.Layout.Engines, s.Layout.EngineArgs); err != nil {
+		if err := s.createUpstreams(dc, "engine", s.Layout.Engines, s.Layout.EngineArgs); err != nil {
 			return err
 		}
-		if err := s.placeUpstreams(dc, "service", s.Layout.Services, s.Layout.ServiceArgs); err != nil {
+		if err := s.createUpstreams(dc, "service", s.Layout.Services, s.Layout.ServiceArgs); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *System) placeUpstreams(dc, kind string, n int, args []string) error {
+// createUpstreams creates n stand-ins in a data centre, each with its agent.
+func (s *System) createUpstreams(dc, kind string, n int, args []string) error {
 	for i := range n {
-		address, err := s.reserve()
+		address, err := s.reservePort()
 		if err != nil {
 			return err
 		}
 		name := fmt.Sprintf("%s-%s-%d", kind, dc, i+1)
-		all := append([]string{"--listen", address, "--kind", kind}, args...)
-		up := &Host{Process: newProcess(s.Dir, "upstream-"+name, filepath.Join(s.Bin, "standin"), all...), DataCentre: dc, Listen: address}
-		s.StandIns = append(s.StandIns, up)
+		allArgs := append([]string{"--listen", address, "--kind", kind}, args...)
+		standIn := &Host{Process: newProcess(s.Dir, "upstream-"+name, filepath.Join(s.BinDir, "standin"), allArgs...), DataCentre: dc, ListenAddress: address}
+		s.StandIns = append(s.StandIns, standIn)
 		if err := s.addDaemon(&s.Agents, name, dc); err != nil {
 			return err
 		}
-		s.Agents[len(s.Agents)-1].Upstream = up
+		s.Agents[len(s.Agents)-1].Upstream = standIn
 	}
 	return nil
 }
 
-// placeGroup places the hosts of a group before one stand-in that runs all ranks.
-func (s *System) placeGroup() error {
+// createGroup creates the agents of a group and the one stand-in that runs all its ranks.
+func (s *System) createGroup() error {
 	if s.Layout.GroupHosts == 0 {
 		return nil
 	}
 	dc := s.Layout.DataCentres[0]
-	address, err := s.reserve()
+	address, err := s.reservePort()
 	if err != nil {
 		return err
 	}
 	ranks := strconv.Itoa(s.Layout.GroupHosts * s.Layout.RanksPerHost)
 	args := append([]string{"--listen", address, "--kind", "group", "--ranks", ranks}, s.Layout.GroupArgs...)
-	up := &Host{Process: newProcess(s.Dir, "upstream-group", filepath.Join(s.Bin, "standin"), args...), DataCentre: dc, Listen: address}
-	s.StandIns = append(s.StandIns, up)
+	standIn := &Host{Process: newProcess(s.Dir, "upstream-group", filepath.Join(s.BinDir, "standin"), args...), DataCentre: dc, ListenAddress: address}
+	s.StandIns = append(s.StandIns, standIn)
 	for i := range s.Layout.GroupHosts {
 		if err := s.addDaemon(&s.Agents, fmt.Sprintf("group-%d", i), dc); err != nil {
 			return err
 		}
 		h := s.Agents[len(s.Agents)-1]
-		h.Upstream = up
+		h.Upstream = standIn
 		h.FirstRank = i * s.Layout.RanksPerHost
 	}
 	return nil
 }
 
+// addDaemon appends a daemon to a list of hosts.
 func (s *System) addDaemon(list *[]*Host, name, dc string) error {
 	h := &Host{DataCentre: dc}
-	for _, a := range []*string{&h.Peer, &h.Listen, &h.Metrics} {
-		address, err := s.reserve()
+	for _, a := range []*string{&h.PeerAddress, &h.ListenAddress, &h.MetricsAddress} {
+		address, err := s.reservePort()
 		if err != nil {
 			return err
 		}
 		*a = address
 	}
 	path := filepath.Join(s.Dir, name+".ini")
-	h.Process = newProcess(s.Dir, name, filepath.Join(s.Bin, "sassafraspostd"), "--settings", path)
+	h.Process = newProcess(s.Dir, name, filepath.Join(s.BinDir, "sassafraspostd"), "--settings", path)
 	*list = append(*list, h)
 	return nil
 }
 
-// Daemons returns every process of the product.
+// Daemons returns every control host, entry host and agent, but no stand-ins.
 func (s *System) Daemons() []*Host {
 	all := append([]*Host{}, s.Control...)
 	all = append(all, s.Entries...)
 	return append(all, s.Agents...)
 }
 
-// Start starts everything.
+// Start starts all processes, stand-ins first.
 func (s *System) Start() error {
 	for _, h := range append(append([]*Host{}, s.StandIns...), s.Daemons()...) {
 		if err := h.Start(); err != nil {
@@ -205,44 +213,45 @@
 	return nil
 }
 
-// Stop ends everything at once.
+// Stop kills all processes and closes the proxies.
 func (s *System) Stop() {
 	for _, h := range append(s.Daemons(), s.StandIns...) {
 		h.Thaw()
 		h.Kill()
 	}
-	for _, p := range s.links {
+	for _, p := range s.linkProxies {
 		p.Close()
 	}
-	for _, p := range s.inbound {
+	for _, p := range s.inboundProxies {
 		p.Close()
 	}
-	for _, p := range s.messages {
+	for _, p := range s.messageProxies {
 		p.Close()
 	}
-	s.release()
+	s.releasePorts()
 }
 
-// OperatorTokenFile writes the operator's token and returns the file's path.
-func (s *System) OperatorTokenFile() (string, error) {
+// WriteOperatorTokenFile writes the operator's token to a file and returns the path.
+func (s *System) WriteOperatorTokenFile() (string, error) {
 	path := filepath.Join(s.Dir, "operator.token")
 	return path, os.WriteFile(path, []byte(OperatorToken+"\n"), 0o600)
 }
 
-// APIServers lists the addresses of the administration API.
+// APIServers returns the URLs of the administration API of all control hosts, separated by
+// commas.
 func (s *System) APIServers() string {
 	scheme := "http://"
 	if s.Layout.HasTLS {
 		scheme = "https://"
 	}
-	var list []string
+	var servers []string
 	for _, h := range s.Control {
-		list = append(list, scheme+h.Listen)
+		servers = append(servers, scheme+h.ListenAddress)
 	}
-	return strings.Join(list, ",")
+	return strings.Join(servers, ",")
 }
 
-// Document returns a service document for the stand-ins. version is that of the model.
+// Document returns a service document that fits the stand-ins, with the given model version.
 func Document(version string) string {
 	return fmt.Sprintf(`[service]
 name = local
@@ -277,7 +286,7 @@
 `, version, sha256.Sum256([]byte(CallerToken)))
 }
 
-// Find returns the host of this name.
+// Find returns the daemon or stand-in with this name.
 func (s *System) Find(name string) (*Host, error) {
 	for _, h := range append(s.Daemons(), s.StandIns...) {
 		if h.Name == name {
--- a/test/local/tls.go
+++ b/test/local/tls.go
@@ -17,14 +17,14 @@
 	"github.com/pkg/errors"
 )
 
-// certificateLife is how long the certificate of a local system is valid.
-const certificateLife = time.Hour
+// certificateValidity is how long the certificate of a local system stays valid.
+const certificateValidity = time.Hour
 
 func (s *System) certificateFile() string { return filepath.Join(s.Dir, "certificate.pem") }
 
 func (s *System) keyFile() string { return filepath.Join(s.Dir, "key.pem") }
 
-// makeCertificate writes a certificate for loopback that signs itself.
+// makeCertificate writes a self-signed certificate for the loopback address, and its key.
 func (s *System) makeCertificate() error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -32,8 +32,8 @@
 	}
 	template := &x509.Certificate{
 		SerialNumber:          big.NewInt(1),
-		NotBefore:             time.Now().Add(-certificateLife),
-		NotAfter:              time.Now().Add(certificateLife),
+		NotBefore:             time.Now().Add(-certificateValidity),
+		NotAfter:              time.Now().Add(certificateValidity),
 		IsCA:                  true,
 		BasicConstraintsValid: true,
 		IPAddresses:           []net.IP{net.IPv4(127, 0, 0, 1)},
@@ -56,7 +56,7 @@
 	return os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: data}), 0o600)
 }
 
-// TLSClient returns a client that trusts the system's certificate.
+// TLSClient returns an HTTP client that trusts the system's certificate.
 func (s *System) TLSClient() (*http.Client, error) {
 	data, err := os.ReadFile(s.certificateFile())
 	if err != nil {
@@ -69,18 +69,19 @@
 	return &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}, nil
 }
 
-// tlsKeys returns the settings' lines for a section, with a prefix to the keys.
-func (s *System) tlsKeys(prefix string) string {
+// tlsSettings returns the lines of a settings section that name the certificate and its key. The
+// names of both settings begin with prefix. Without TLS it returns nothing.
+func (s *System) tlsSettings(prefix string) string {
 	if !s.Layout.HasTLS {
 		return ""
 	}
 	return prefix + "tls-certificate = " + s.certificateFile() + "\n" + prefix + "tls-key = " + s.keyFile() + "\n"
 }
 
-// peerTLS returns the settings' lines of the sessions between processes.
-func (s *System) peerTLS() string {
+// peerTLSSettings returns the TLS lines of the settings section for sessions between hosts.
+func (s *System) peerTLSSettings() string {
 	if !s.Layout.HasTLS {
 		return ""
 	}
-	return s.tlsKeys("") + "tls-ca = " + s.certificateFile() + "\n"
+	return s.tlsSettings("") + "tls-ca = " + s.certificateFile() + "\n"
 }
