--- a/internal/daemon/group.go
+++ b/internal/daemon/group.go
@@ -42,7 +42,7 @@
 		Pool:         d.pool,
 		Members:      func(ctx context.Context) ([]wire.GroupMember, error) { return d.askMembers(ctx, set.Group, entries) },
 		Shape:        shape.Load,
-		Unique:       rand.Uint64,
+		NewID:        rand.Uint64,
 		PlanInterval: set.PlanInterval,
 		Log:          d.log,
 		Metrics:      d.metrics,
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -26,8 +26,8 @@
 // Config is one run.
 type Config struct {
 	Seed uint64
-	// Length is for how long callers come. The run ends when the last of them has left.
-	Length time.Duration
+	// ArrivalPeriod is for how long callers come. The run ends when the last of them has left.
+	ArrivalPeriod time.Duration
 	// Hosts is the number of entry hosts; each caller asks one of them, drawn evenly.
 	Hosts int
 	// Groups of Ranks engines each serve, with the figures of Engine.
@@ -35,11 +35,11 @@
 	Engine        routetable.Engine
 	// Skew is the load of the most loaded rank over the mean one, 1 if zero.
 	Skew float64
-	// Rate is how many callers come a second, at a time from the start.
-	Rate func(at time.Duration) float64
+	// ArrivalRate is how many callers come a second, at a time from the start.
+	ArrivalRate func(at time.Duration) float64
 	// Target is within what the first event is on time, Gap the longest pause between events
 	// that is, Patience the time that a caller has.
-	Target, Gap, Patience time.Duration
+	Target, Gap, CallerTimeout time.Duration
 	// Budget bounds the repeats of all hosts together.
 	Budget retrybudget.Params
 	// Outages are when groups do not serve.
@@ -55,13 +55,13 @@
 // check returns the first fault of a configuration.
 func (c *Config) check() error {
 	switch {
-	case c.Length <= 0 || c.Rate == nil:
+	case c.ArrivalPeriod <= 0 || c.ArrivalRate == nil:
 		return errors.New("emulator: nobody comes")
 	case c.Hosts <= 0 || c.Groups <= 0 || c.Ranks <= 0:
 		return errors.New("emulator: there have to be hosts, groups and ranks")
 	case c.Engine.Slots <= 0 || c.Engine.Step <= 0 || c.Engine.Answer <= 0 || c.Engine.ReadRate <= 0:
 		return errors.New("emulator: engines need slots, a step, an answer and a rate of reading")
-	case c.Target <= 0 || c.Patience < c.Target:
+	case c.Target <= 0 || c.CallerTimeout < c.Target:
 		return errors.New("emulator: callers need a target, and a patience that is no shorter")
 	}
 	for _, o := range c.Outages {
@@ -136,7 +136,7 @@
 	}
 }
 
-func (r *run) isOver() bool { return r.clock.now >= r.cfg.Length && r.open == 0 }
+func (r *run) isOver() bool { return r.clock.now >= r.cfg.ArrivalPeriod && r.open == 0 }
 
 // tell lets all hosts know the loads of all engines, again and again.
 func (r *run) tell() {
@@ -152,10 +152,10 @@
 // next lets a caller come, and draws when the next one does.
 func (r *run) next() {
 	now := r.clock.now
-	if now >= r.cfg.Length {
+	if now >= r.cfg.ArrivalPeriod {
 		return
 	}
-	rate := r.cfg.Rate(now)
+	rate := r.cfg.ArrivalRate(now)
 	if rate <= 0 {
 		r.clock.after(reportInterval, r.next)
 		return
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -20,13 +20,13 @@
 // bear twelve requests at a rank while the most loaded one has 2.4 times the mean.
 func usual(seed uint64, rate float64) Config {
 	return Config{
-		Seed: seed, Length: 20 * time.Second, Hosts: 9, Groups: 2, Ranks: 8,
+		Seed: seed, ArrivalPeriod: 20 * time.Second, Hosts: 9, Groups: 2, Ranks: 8,
 		Engine: routetable.Engine{
 			Slots: 20, Step: 5 * time.Millisecond, PerRequest: 500 * time.Microsecond, Stride: 4, Prompt: 200, Answer: 128, ReadRate: 10_000,
 			Experts: routetable.Experts{Sets: 1, Count: 16, Slots: 4, Share: 0.5},
 		},
-		Rate:   func(time.Duration) float64 { return rate },
-		Target: 500 * time.Millisecond, Gap: 80 * time.Millisecond, Patience: 7500 * time.Millisecond,
+		ArrivalRate: func(time.Duration) float64 { return rate },
+		Target:      500 * time.Millisecond, Gap: 80 * time.Millisecond, CallerTimeout: 7500 * time.Millisecond,
 		Budget: retrybudget.Params{Ratio: 0.2, Extra: 10, Window: 10 * time.Second},
 	}
 }
@@ -75,8 +75,8 @@
 func requireMostInAim(t *testing.T, cfg Config) {
 	t.Helper()
 	r := play(t, cfg)
-	require.Greater(t, float64(r.InAim), 0.75*capacity*cfg.Length.Seconds(), "%+v", r)
-	require.LessOrEqual(t, r.LongestHeld(0), schedule.LongestWait)
+	require.Greater(t, float64(r.InAim), 0.75*capacity*cfg.ArrivalPeriod.Seconds(), "%+v", r)
+	require.LessOrEqual(t, r.LongestRefusalTime(0), schedule.LongestWait)
 }
 
 // Nothing is sent into a broken group once that is heard, so that all callers are served by
@@ -86,7 +86,7 @@
 	cfg.Outages = []Outage{{Group: 1, From: 5 * time.Second, To: 15 * time.Second}}
 	r := play(t, cfg)
 	require.Zero(t, r.Refused, "%+v", r)
-	require.Greater(t, r.Share(r.InAim), 0.95, "%+v", r)
+	require.Greater(t, r.Fraction(r.InAim), 0.95, "%+v", r)
 }
 
 // Where nothing serves callers come back after the outage if that is in their time.
@@ -97,7 +97,7 @@
 	asked := 2 * capacity / 3
 	require.Greater(t, float64(r.Returned), 0.8*asked, "%+v", r)
 	require.Less(t, float64(r.Refused), 0.1*asked, "%+v", r)
-	require.LessOrEqual(t, r.LongestHeld(0), schedule.LongestWait)
+	require.LessOrEqual(t, r.LongestRefusalTime(0), schedule.LongestWait)
 }
 
 // What can't be served is refused at once: in an outage that is much older than the longest
@@ -107,7 +107,7 @@
 	cfg.Outages = []Outage{{Group: 0, To: time.Minute}, {Group: 1, To: time.Minute}}
 	r := play(t, cfg)
 	require.Equal(t, r.Asked, r.Refused, "%+v", r)
-	require.LessOrEqual(t, r.LongestHeld(10*schedule.LongestWait), 100*time.Millisecond)
+	require.LessOrEqual(t, r.LongestRefusalTime(10*schedule.LongestWait), 100*time.Millisecond)
 }
 
 // Whatever the deployment and its outages, everybody has one answer, within the patience, and
@@ -115,7 +115,7 @@
 func TestEverybodyIsAnswered(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := usual(rapid.Uint64().Draw(t, "seed"), rapid.Float64Range(1, 3*capacity).Draw(t, "rate"))
-		cfg.Length = 4 * time.Second
+		cfg.ArrivalPeriod = 4 * time.Second
 		cfg.Hosts = rapid.IntRange(1, 40).Draw(t, "hosts")
 		cfg.Groups = rapid.IntRange(1, 3).Draw(t, "groups")
 		cfg.Ranks = rapid.IntRange(1, 16).Draw(t, "ranks")
@@ -127,16 +127,16 @@
 		}
 		r := play(t, cfg)
 		require.LessOrEqual(t, r.Returned, r.Asked)
-		require.Less(t, r.Ended, cfg.Length+cfg.Patience+time.Minute)
+		require.Less(t, r.Ended, cfg.ArrivalPeriod+cfg.CallerTimeout+time.Minute)
 	})
 }
 
 func TestFaultsOfAConfigurationAreTold(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){
-		"nobody comes":   func(c *Config) { c.Rate = nil },
+		"nobody comes":   func(c *Config) { c.ArrivalRate = nil },
 		"no hosts":       func(c *Config) { c.Hosts = 0 },
 		"no slots":       func(c *Config) { c.Engine.Slots = 0 },
-		"no patience":    func(c *Config) { c.Patience = c.Target / 2 },
+		"no patience":    func(c *Config) { c.CallerTimeout = c.Target / 2 },
 		"unknown group":  func(c *Config) { c.Outages = []Outage{{Group: 2, To: time.Second}} },
 		"empty outage":   func(c *Config) { c.Outages = []Outage{{From: time.Second, To: time.Second}} },
 		"negative group": func(c *Config) { c.Outages = []Outage{{Group: -1, To: time.Second}} },
@@ -151,7 +151,7 @@
 func BenchmarkSixteenRanks(b *testing.B) {
 	for range b.N {
 		cfg := usual(1, capacity)
-		cfg.Length = time.Minute
+		cfg.ArrivalPeriod = time.Minute
 		play(b, cfg)
 	}
 }
@@ -160,7 +160,7 @@
 func BenchmarkSixHundredRanks(b *testing.B) {
 	for range b.N {
 		cfg := usual(1, 600.0/16*capacity)
-		cfg.Length, cfg.Hosts, cfg.Groups, cfg.Ranks = 5*time.Second, 330, 5, 120
+		cfg.ArrivalPeriod, cfg.Hosts, cfg.Groups, cfg.Ranks = 5*time.Second, 330, 5, 120
 		play(b, cfg)
 	}
 }
--- a/internal/emulator/host.go
+++ b/internal/emulator/host.go
@@ -38,7 +38,7 @@
 	now := h.run.clock.now
 	d := h.scheduler.Admit(&schedule.Request{
 		Service: serviceName, Engine: &h.run.cfg.Engine, Gap: h.run.cfg.Gap, OnTimeUntil: c.onTimeUntil(), Tried: c.tried,
-		Left: c.deadline() - now, MayReturn: float64(c.deadline()-now) > mayReturnPart*float64(h.run.cfg.Patience),
+		Left: c.deadline() - now, MayReturn: float64(c.deadline()-now) > mayReturnPart*float64(h.run.cfg.CallerTimeout),
 	}, now)
 	if d.Waiter == nil {
 		c.decided(d)
@@ -86,7 +86,7 @@
 	c.ask()
 }
 
-func (c *call) deadline() time.Duration { return c.began + c.run.cfg.Patience }
+func (c *call) deadline() time.Duration { return c.began + c.run.cfg.CallerTimeout }
 
 // onTimeUntil is when the first event has to be there. A caller that has been here before is
 // late: its time began with its first try.
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -11,22 +11,22 @@
 	InAim, Late, Refused, Cut int
 	// Returned were refused once and came back.
 	Returned int
-	// Held is the longest time from a try to its refusal, by the second of the try.
-	Held []time.Duration
+	// RefusalTimes is the longest time from a try to its refusal, by the second of the try.
+	RefusalTimes []time.Duration
 	// Busiest is how many requests the engine with the most of them was given, over the mean.
 	Busiest float64
 	// Ended is when the last caller left.
 	Ended time.Duration
 }
 
-// Share is the part of those who asked, without unit.
-func (r *Report) Share(n int) float64 { return float64(n) / float64(max(r.Asked, 1)) }
+// Fraction is the part of those who asked, without unit.
+func (r *Report) Fraction(n int) float64 { return float64(n) / float64(max(r.Asked, 1)) }
 
-// LongestHeld is the longest time from a try to its refusal, of those who asked from then on.
-func (r *Report) LongestHeld(from time.Duration) time.Duration {
+// LongestRefusalTime is the longest time from a try to its refusal, of those who asked from then on.
+func (r *Report) LongestRefusalTime(from time.Duration) time.Duration {
 	longest := time.Duration(0)
-	for second := int(from / time.Second); second < len(r.Held); second++ {
-		longest = max(longest, r.Held[second])
+	for second := int(from / time.Second); second < len(r.RefusalTimes); second++ {
+		longest = max(longest, r.RefusalTimes[second])
 	}
 	return longest
 }
@@ -34,10 +34,10 @@
 // refused notes a try that was refused.
 func (r *Report) refused(asked, held time.Duration) {
 	second := int(asked / time.Second)
-	for len(r.Held) <= second {
-		r.Held = append(r.Held, 0)
+	for len(r.RefusalTimes) <= second {
+		r.RefusalTimes = append(r.RefusalTimes, 0)
 	}
-	r.Held[second] = max(r.Held[second], held)
+	r.RefusalTimes[second] = max(r.RefusalTimes[second], held)
 }
 
 func (r *Report) finish(run *run) {
--- a/internal/group/coordinate.go
+++ b/internal/group/coordinate.go
@@ -30,22 +30,22 @@
 func (r *Runner) ahead(now time.Time) uint64 {
 	step := r.pace.mean()
 	if step == 0 {
-		return min(r.cfg.ArmAhead+r.extra, r.cfg.MostAhead)
+		return min(r.cfg.ArmAhead+r.extra, r.cfg.MaxArmAhead)
 	}
 	if late := r.lateStep(); late > 0 && step >= late {
 		return 1
 	}
 	short := max(r.orders.expect()-r.pace.toNext(now), 0)
 	steps := 1 + uint64((short+step-1)/step)
-	return min(min(steps, r.cfg.ArmAhead)+r.extra, r.cfg.MostAhead)
+	return min(min(steps, r.cfg.ArmAhead)+r.extra, r.cfg.MaxArmAhead)
 }
 
 // lateStep is how long a step may take without its streams being late, 0 if unknown.
 func (r *Runner) lateStep() time.Duration {
-	if r.cfg.LateStep == nil {
+	if r.cfg.MaxStepTime == nil {
 		return 0
 	}
-	return r.cfg.LateStep()
+	return r.cfg.MaxStepTime()
 }
 
 // gather asks the directory for the group's hosts, beside the loop.
@@ -67,12 +67,12 @@
 // group: a participant left out could be the one that has committed.
 func (r *Runner) begin(members []wire.GroupMember) {
 	shape := r.cfg.Shape()
-	if r.coordinator != nil || shape == nil || !IsWhole(members, shape.Ranks) {
+	if r.coordinator != nil || shape == nil || !CoversAllRanks(members, shape.Ranks) {
 		return
 	}
 	r.members = make(map[expertmap.Address]string, len(members))
 	cfg := expertmap.Config{
-		ID: r.cfg.Unique(), LastKnownBallot: r.participant.Promised(), LocalParticipant: r.address, RetryTicks: retryTicks, PausedRetryTicks: r.heldTicks(),
+		ID: r.cfg.NewID(), LastKnownBallot: r.participant.Promised(), LocalParticipant: r.address, RetryTicks: retryTicks, PausedRetryTicks: r.heldTicks(),
 		KeepaliveTicks: basePatience / 2,
 	}
 	if r.cfg.Start != nil {
@@ -90,14 +90,14 @@
 	r.rounds = rounds{}
 	proposal := r.want.proposal
 	if r.want.isRecovery {
-		proposal = &expertmap.Proposal{Map: FirstMap(shape)}
+		proposal = &expertmap.Proposal{Map: InitialMap(shape)}
 	}
 	known := r.want.known
 	if proposal != nil {
 		if base, ok := r.participant.Map(proposal.Base); ok {
 			known = append(known, base)
 		}
-		if first := r.cfg.First; proposal.Base != first.Version && len(first.Layers) > 0 {
+		if first := r.cfg.Initial; proposal.Base != first.Version && len(first.Layers) > 0 {
 			known = append(known, first)
 		}
 	}
@@ -118,8 +118,8 @@
 	return min(max(usual, leastHeld), retryTicks)
 }
 
-// IsWhole reports whether the members hold each rank of a group once.
-func IsWhole(members []wire.GroupMember, ranks uint32) bool {
+// CoversAllRanks reports whether the members hold each rank of a group once.
+func CoversAllRanks(members []wire.GroupMember, ranks uint32) bool {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b wire.GroupMember) int { return int(a.FirstRank) - int(b.FirstRank) })
 	next := uint32(0)
@@ -171,8 +171,8 @@
 	}
 }
 
-// FirstMap places the experts of a new group in turn, spare slots included.
-func FirstMap(shape *wire.GroupShape) expertmap.Map {
+// InitialMap places the experts of a new group in turn, spare slots included.
+func InitialMap(shape *wire.GroupShape) expertmap.Map {
 	m := expertmap.Map{SlotsPerRank: int(shape.SlotsPerRank)}
 	slots := int(shape.Ranks * shape.SlotsPerRank)
 	for range shape.Layers {
--- a/internal/group/engine.go
+++ b/internal/group/engine.go
@@ -17,8 +17,8 @@
 // engineTimeout bounds one call of an engine; all of them return soon.
 const engineTimeout = 2 * time.Second
 
-// CommitOrder is the body of a commit or abort at an engine.
-type CommitOrder struct{ Ballot expertmap.Ballot }
+// BallotRequest is the body of a commit or abort at an engine.
+type BallotRequest struct{ Ballot expertmap.Ballot }
 
 // Engine reaches one rank's engine over HTTP, below base + "/ranks/RANK". It
 // implements expertmap.Engine.
@@ -55,12 +55,12 @@
 
 // Commit implements expertmap.Engine.
 func (e *Engine) Commit(ctx context.Context, b expertmap.Ballot) error {
-	return e.post(ctx, "/commit", CommitOrder{Ballot: b})
+	return e.post(ctx, "/commit", BallotRequest{Ballot: b})
 }
 
 // Abort implements expertmap.Engine.
 func (e *Engine) Abort(ctx context.Context, b expertmap.Ballot) error {
-	return e.post(ctx, "/abort", CommitOrder{Ballot: b})
+	return e.post(ctx, "/abort", BallotRequest{Ballot: b})
 }
 
 func (e *Engine) get(ctx context.Context, path string, out any) error {
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -63,13 +63,13 @@
 	PlanningHost func(ctx context.Context) (string, bool)
 	// Shape returns what the document in force says of the group, nil if nothing.
 	Shape func() *wire.GroupShape
-	// First is the map that the group begins with, where a rule gives it; without content
+	// Initial is the map that the group begins with, where a rule gives it; without content
 	// otherwise.
-	First expertmap.Map
+	Initial expertmap.Map
 	// LinkRate is what the host's link carries, in bytes a second; 0 if that is not known.
 	LinkRate float64
-	// Unique returns numbers that differ between all starts of all hosts.
-	Unique func() uint64
+	// NewID returns numbers that differ between all starts of all hosts.
+	NewID func() uint64
 	// Load is what was known of popularity when the host took part in an earlier epoch of
 	// the group, nil if nothing; see Runner.Load.
 	Load placement.Load
@@ -80,14 +80,14 @@
 	// ArmAhead is how many steps ahead a change is armed at most; DefaultArmAhead if zero.
 	// Fewer are taken where steps are long.
 	ArmAhead uint64
-	// MostAhead bounds it where changes had to be given up since a step came too soon;
+	// MaxArmAhead bounds it where changes had to be given up since a step came too soon;
 	// ArmAhead if zero.
-	MostAhead uint64
-	// LateStep is how long a step may take without its streams being late; nil or 0 if
+	MaxArmAhead uint64
+	// MaxStepTime is how long a step may take without its streams being late; nil or 0 if
 	// nothing is known of that.
-	LateStep func() time.Duration
-	Log      *slog.Logger
-	Metrics  metrics.Registry
+	MaxStepTime func() time.Duration
+	Log         *slog.Logger
+	Metrics     metrics.Registry
 }
 
 // inbound is a message of another host, or of this one to itself.
@@ -171,7 +171,7 @@
 	if cfg.ArmAhead == 0 {
 		cfg.ArmAhead = DefaultArmAhead
 	}
-	cfg.MostAhead = max(cfg.MostAhead, cfg.ArmAhead)
+	cfg.MaxArmAhead = max(cfg.MaxArmAhead, cfg.ArmAhead)
 	if cfg.PlanInterval <= 0 {
 		cfg.PlanInterval = DefaultPlanInterval
 	}
@@ -184,7 +184,7 @@
 		worked:      make(chan statuses, 1),
 		observed:    make(chan statuses, 1),
 		ready:       make(chan []wire.GroupMember, 1),
-		participant: expertmap.NewParticipant(cfg.Unique(), patience(cfg.FirstRank), cfg.First),
+		participant: expertmap.NewParticipant(cfg.NewID(), patience(cfg.FirstRank), cfg.Initial),
 		origin:      make(map[expertmap.Address]origin),
 		planner:     planner.New(cfg.Load),
 		holds:       holds{held: metrics.GetOrRegisterCounter("group.held-ms", cfg.Metrics)},
@@ -226,8 +226,8 @@
 	return true
 }
 
-// Own returns the ranks of this host, without its address.
-func (r *Runner) Own() []wire.GroupMember {
+// LocalMembers returns the ranks of this host, without its address.
+func (r *Runner) LocalMembers() []wire.GroupMember {
 	return []wire.GroupMember{{FirstRank: r.cfg.FirstRank, Ranks: uint32(len(r.cfg.Ranks))}}
 }
 
@@ -235,7 +235,7 @@
 func (r *Runner) answerQuery(s *peer.Session, call uint64, m *wire.GroupQuery) {
 	answer := &wire.GroupAnswer{}
 	if m.Group == r.cfg.Group {
-		answer.Members = r.Own()
+		answer.Members = r.LocalMembers()
 	}
 	_ = s.Reply(call, answer)
 }
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -37,13 +37,13 @@
 		"a host of nobody": {members([2]uint32{0, 0}, [2]uint32{0, 8}), false},
 	}
 	for name, c := range cases {
-		require.Equal(t, c.isWhole, IsWhole(c.members, 8), name)
+		require.Equal(t, c.isWhole, CoversAllRanks(c.members, 8), name)
 	}
-	require.False(t, IsWhole(nil, 0))
+	require.False(t, CoversAllRanks(nil, 0))
 }
 
 func TestFirstMapHoldsEveryExpert(t *testing.T) {
-	m := FirstMap(&wire.GroupShape{Ranks: 8, Experts: 64, Layers: 3, SlotsPerRank: 10})
+	m := InitialMap(&wire.GroupShape{Ranks: 8, Experts: 64, Layers: 3, SlotsPerRank: 10})
 	require.Len(t, m.Layers, 3)
 	for _, layer := range m.Layers {
 		require.Len(t, layer, 80)
--- a/internal/group/pace_test.go
+++ b/internal/group/pace_test.go
@@ -33,7 +33,7 @@
 // A change is armed at the first step that begins once the round of orders is over, and
 // further ahead after changes that were given up.
 func TestAheadCoversTheRoundOfOrders(t *testing.T) {
-	r := New(Config{ArmAhead: 6, MostAhead: 12, Unique: func() uint64 { return 1 }, Metrics: metrics.NewRegistry()})
+	r := New(Config{ArmAhead: 6, MaxArmAhead: 12, NewID: func() uint64 { return 1 }, Metrics: metrics.NewRegistry()})
 	began := time.Unix(100, 0)
 	require.EqualValues(t, 6, r.ahead(began), "no pace is known")
 	for _, c := range []struct {
@@ -58,8 +58,8 @@
 
 func TestStepThatIsLateAnywayIsFollowedByTheChange(t *testing.T) {
 	r := New(Config{
-		ArmAhead: 6, Unique: func() uint64 { return 1 }, Metrics: metrics.NewRegistry(),
-		LateStep: func() time.Duration { return 120 * time.Millisecond },
+		ArmAhead: 6, NewID: func() uint64 { return 1 }, Metrics: metrics.NewRegistry(),
+		MaxStepTime: func() time.Duration { return 120 * time.Millisecond },
 	})
 	began := time.Unix(100, 0)
 	late := began.Add(110 * time.Millisecond)
@@ -123,7 +123,7 @@
 // Orders that took long since messages of theirs were lost don't make the next ones wait
 // longer for what is lost: each round would then be longer than the one before.
 func TestOrdersThatTookLongAreNotAskedAgainLater(t *testing.T) {
-	r := New(Config{Unique: func() uint64 { return 1 }, Metrics: metrics.NewRegistry()})
+	r := New(Config{NewID: func() uint64 { return 1 }, Metrics: metrics.NewRegistry()})
 	require.Equal(t, retryTicks, r.heldTicks(), "nothing is known")
 	r.orders.observe(10 * time.Millisecond)
 	require.Equal(t, leastHeld, r.heldTicks())
--- a/internal/group/size_test.go
+++ b/internal/group/size_test.go
@@ -244,8 +244,8 @@
 		Group: "g/1", FirstRank: uint32(i), Ranks: []Rank{rank.New(a.g.ranks[i], 1, int(shape.Layers))}, Pool: a.pools[i],
 		Members: func(context.Context) ([]wire.GroupMember, error) { return a.list, nil },
 		Shape:   func() *wire.GroupShape { return shape },
-		Unique:  func() uint64 { return unique },
-		First:   rank.InitialMap(len(a.g.ranks), int(shape.SlotsPerRank), int(shape.Layers), int(shape.Experts)),
+		NewID:   func() uint64 { return unique },
+		Initial: rank.InitialMap(len(a.g.ranks), int(shape.SlotsPerRank), int(shape.Layers), int(shape.Experts)),
 		Log:     slog.New(slog.DiscardHandler), Metrics: a.metrics[i], PlanInterval: 100 * time.Millisecond, ArmAhead: 16,
 	})
 	ctx, stop := context.WithCancel(a.ctx)
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -182,13 +182,13 @@
 		Members:      func(ctx context.Context) ([]wire.GroupMember, error) { return a.members(ctx, name, r), nil },
 		PlanningHost: func(ctx context.Context) (string, bool) { return a.firstHost(ctx, name, r) },
 		Shape:        func() *wire.GroupShape { return shape },
-		Unique:       func() uint64 { return unique(r.Rank) },
+		NewID:        func() uint64 { return unique(r.Rank) },
 		Start:        ballotNow,
-		First:        rank.InitialMap(r.Size, int(shape.SlotsPerRank), int(shape.Layers), int(shape.Experts)),
+		Initial:      rank.InitialMap(r.Size, int(shape.SlotsPerRank), int(shape.Layers), int(shape.Experts)),
 		LinkRate:     a.n.set.LinkRate,
 		Load:         a.load,
-		LateStep:     a.lateStep,
-		PlanInterval: planInterval, ArmAhead: armAhead, MostAhead: mostAhead, Log: a.n.log, Metrics: a.n.metrics,
+		MaxStepTime:  a.lateStep,
+		PlanInterval: planInterval, ArmAhead: armAhead, MaxArmAhead: mostAhead, Log: a.n.log, Metrics: a.n.metrics,
 	})
 	a.setRunner(runner)
 	defer a.setRunner(nil)
@@ -289,10 +289,10 @@
 		return whole
 	}
 	found := a.askControl(ctx, &wire.GroupQuery{Group: r.Group, Epoch: r.Epoch})
-	if !group.IsWhole(found, uint32(r.Size)) && time.Since(since) > tellTime {
+	if !group.CoversAllRanks(found, uint32(r.Size)) && time.Since(since) > tellTime {
 		found = a.find(ctx, name)
 	}
-	if group.IsWhole(found, uint32(r.Size)) {
+	if group.CoversAllRanks(found, uint32(r.Size)) {
 		a.mu.Lock()
 		a.whole = found
 		a.mu.Unlock()
@@ -381,7 +381,7 @@
 	var members []wire.GroupMember
 	if address == a.n.set.peerAddress(a.n.set.IP) {
 		if r := a.current(); r != nil {
-			members = r.Own()
+			members = r.LocalMembers()
 		}
 	} else if s, err := a.n.pool.Get(ctx, address); err == nil {
 		reply, _, err := s.CallWithin(ctx, askTimeout, &wire.GroupQuery{Group: name})
--- a/test/cmd/emulate/main.go
+++ b/test/cmd/emulate/main.go
@@ -150,18 +150,18 @@
 // config is the deployment that the command line describes.
 func (o *options) config() (emulator.Config, error) {
 	cfg := emulator.Config{
-		Length: o.length, Hosts: o.hosts, Groups: o.groups, Ranks: o.ranks, Skew: o.skew,
+		ArrivalPeriod: o.length, Hosts: o.hosts, Groups: o.groups, Ranks: o.ranks, Skew: o.skew,
 		Engine: routetable.Engine{
 			Slots: o.slots, Step: 5 * time.Millisecond, PerRequest: 500 * time.Microsecond, Stride: 4,
 			Prompt: 200, Answer: 128, ReadRate: 10_000,
 			Experts: routetable.Experts{Sets: 1, Count: 16, Slots: 4, Share: 0.5},
 		},
-		Target: o.target, Gap: o.gap, Patience: o.patience,
+		Target: o.target, Gap: o.gap, CallerTimeout: o.patience,
 		Budget: retrybudget.Params{Ratio: 0.2, Extra: 10, Window: 10 * time.Second},
 	}
 	places := schedule.Places(&cfg.Engine, o.gap)
 	rate := o.callers * float64(o.groups*o.ranks*places) / schedule.Stay(&cfg.Engine, places).Seconds()
-	cfg.Rate = func(time.Duration) float64 { return rate }
+	cfg.ArrivalRate = func(time.Duration) float64 { return rate }
 	for _, text := range o.outages {
 		outage, err := parseOutage(text)
 		if err != nil {
--- a/test/cmd/emulate/outcome.go
+++ b/test/cmd/emulate/outcome.go
@@ -31,8 +31,8 @@
 
 func outcomeOf(seed uint64, r *emulator.Report) outcome {
 	return outcome{
-		Seed: seed, Asked: r.Asked, InAim: r.Share(r.InAim), Late: r.Share(r.Late), Refused: r.Share(r.Refused),
-		Cut: r.Share(r.Cut), Returned: r.Share(r.Returned), Held: r.LongestHeld(0).Seconds(), Busiest: r.Busiest,
+		Seed: seed, Asked: r.Asked, InAim: r.Fraction(r.InAim), Late: r.Fraction(r.Late), Refused: r.Fraction(r.Refused),
+		Cut: r.Fraction(r.Cut), Returned: r.Fraction(r.Returned), Held: r.LongestRefusalTime(0).Seconds(), Busiest: r.Busiest,
 	}
 }
 
--- a/test/standin/ranks.go
+++ b/test/standin/ranks.go
@@ -292,7 +292,7 @@
 }
 
 func (g *Group) serveCommit(e *rankEngine, w http.ResponseWriter, r *http.Request) {
-	var o group.CommitOrder
+	var o group.BallotRequest
 	a := e.status.Armed
 	if json.NewDecoder(r.Body).Decode(&o) != nil || a == nil || a.Ballot != o.Ballot {
 		w.WriteHeader(http.StatusConflict)
@@ -311,7 +311,7 @@
 }
 
 func (g *Group) serveAbort(e *rankEngine, w http.ResponseWriter, r *http.Request) {
-	var o group.CommitOrder
+	var o group.BallotRequest
 	a := e.status.Armed
 	if json.NewDecoder(r.Body).Decode(&o) != nil {
 		w.WriteHeader(http.StatusBadRequest)
