--- a/internal/emulator/clock.go
+++ b/internal/emulator/clock.go
@@ -8,34 +8,34 @@
 // clock is virtual time: what is to happen, in the order of its time. What happens at the same
 // time does so in the order in which it was asked for.
 type clock struct {
-	now    time.Duration
-	events events
-	asked  int
+	now       time.Duration
+	events    events
+	scheduled int
 }
 
 type event struct {
-	at    time.Duration
-	order int
-	do    func()
+	at       time.Duration
+	sequence int
+	action   func()
 }
 
 // at lets do happen at that time.
-func (c *clock) at(t time.Duration, do func()) {
-	c.asked++
-	heap.Push(&c.events, event{at: max(t, c.now), order: c.asked, do: do})
+func (c *clock) at(t time.Duration, action func()) {
+	c.scheduled++
+	heap.Push(&c.events, event{at: max(t, c.now), sequence: c.scheduled, action: action})
 }
 
 // after lets do happen in that long.
-func (c *clock) after(d time.Duration, do func()) { c.at(c.now+d, do) }
+func (c *clock) after(d time.Duration, action func()) { c.at(c.now+d, action) }
 
-// step lets the next event happen, and reports whether there was one.
-func (c *clock) step() bool {
+// runNext lets the next event happen, and reports whether there was one.
+func (c *clock) runNext() bool {
 	if len(c.events) == 0 {
 		return false
 	}
 	e := heap.Pop(&c.events).(event)
 	c.now = e.at
-	e.do()
+	e.action()
 	return true
 }
 
@@ -48,7 +48,7 @@
 	if e[i].at != e[j].at {
 		return e[i].at < e[j].at
 	}
-	return e[i].order < e[j].order
+	return e[i].sequence < e[j].sequence
 }
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 func (e *events) Pop() any {
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -73,26 +73,26 @@
 }
 
 const (
-	// hop is the way of a message between a host and an engine.
-	hop = time.Millisecond
+	// messageDelay is the way of a message between a host and an engine.
+	messageDelay = time.Millisecond
 	// reportInterval is the time between two loads of an engine, reportAge how old one is when
 	// hosts have it.
-	reportInterval, reportAge = 100 * time.Millisecond, 50 * time.Millisecond
+	reportInterval, reportDelay = 100 * time.Millisecond, 50 * time.Millisecond
 	// serviceName is the service of the run.
 	serviceName = "model"
 )
 
-// run is the state of one run.
-type run struct {
+// simulation is the state of one run.
+type simulation struct {
 	cfg    Config
 	clock  clock
 	rng    *rand.Rand
 	hosts  []*host
 	groups []*group
 	// engines are the ranks by their addresses.
-	engines map[string]*engine
-	open    int
-	report  Report
+	engines       map[string]*engine
+	activeCallers int
+	report        Report
 }
 
 // Run plays a configuration.
@@ -103,65 +103,65 @@
 	if cfg.Skew < 1 {
 		cfg.Skew = 1
 	}
-	r := &run{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)), engines: make(map[string]*engine)}
-	r.build()
-	r.clock.at(0, r.tell)
-	r.clock.at(0, r.next)
+	s := &simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)), engines: make(map[string]*engine)}
+	s.build()
+	s.clock.at(0, s.publishLoads)
+	s.clock.at(0, s.scheduleArrivals)
 	for _, o := range cfg.Outages {
-		r.clock.at(o.From, r.groups[o.Group].breakUp)
-		r.clock.at(o.To, r.groups[o.Group].form)
+		s.clock.at(o.From, s.groups[o.Group].fail)
+		s.clock.at(o.To, s.groups[o.Group].reform)
 	}
-	for r.clock.step() && !r.isOver() {
+	for s.clock.runNext() && !s.isDone() {
 	}
-	r.report.finish(r)
-	return &r.report, nil
+	s.report.finish(s)
+	return &s.report, nil
 }
 
 // build makes the hosts and the engines, which know each other from the start.
-func (r *run) build() {
+func (s *simulation) build() {
 	var all []registry.Upstream
-	for g := range r.cfg.Groups {
-		group := newGroup(r, g)
-		r.groups = append(r.groups, group)
+	for g := range s.cfg.Groups {
+		group := newGroup(s, g)
+		s.groups = append(s.groups, group)
 		for _, e := range group.ranks {
-			r.engines[e.address] = e
-			all = append(all, registry.Upstream{ID: e.address, Address: e.address, Service: serviceName, Slots: r.cfg.Engine.Slots})
+			s.engines[e.address] = e
+			all = append(all, registry.Upstream{ID: e.address, Address: e.address, Service: serviceName, Slots: s.cfg.Engine.Slots})
 		}
 	}
-	for range r.cfg.Hosts {
-		h := &host{run: r, scheduler: schedule.New(schedule.Config{Budget: r.cfg.Budget, Random: r.rng}), waiting: make(map[*schedule.Waiter]*call)}
-		h.scheduler.SetHosts(r.cfg.Hosts)
+	for range s.cfg.Hosts {
+		h := &host{sim: s, scheduler: schedule.New(schedule.Config{Budget: s.cfg.Budget, Random: s.rng}), waiting: make(map[*schedule.Waiter]*call)}
+		h.scheduler.SetHosts(s.cfg.Hosts)
 		h.scheduler.SetUpstreams(map[string][]registry.Upstream{serviceName: all}, 0)
-		r.hosts = append(r.hosts, h)
+		s.hosts = append(s.hosts, h)
 	}
 }
 
-func (r *run) isOver() bool { return r.clock.now >= r.cfg.ArrivalPeriod && r.open == 0 }
+func (s *simulation) isDone() bool { return s.clock.now >= s.cfg.ArrivalPeriod && s.activeCallers == 0 }
 
-// tell lets all hosts know the loads of all engines, again and again.
-func (r *run) tell() {
-	loads := r.loads()
-	r.clock.after(reportAge, func() {
-		for _, h := range r.hosts {
-			h.hear(loads)
+// publishLoads lets all hosts know the loads of all engines, again and again.
+func (s *simulation) publishLoads() {
+	loads := s.loads()
+	s.clock.after(reportDelay, func() {
+		for _, h := range s.hosts {
+			h.applyLoads(loads)
 		}
 	})
-	r.clock.after(reportInterval, r.tell)
+	s.clock.after(reportInterval, s.publishLoads)
 }
 
-// next lets a caller come, and draws when the next one does.
-func (r *run) next() {
-	now := r.clock.now
-	if now >= r.cfg.ArrivalPeriod {
+// scheduleArrivals lets a caller come, and draws when the next one does.
+func (s *simulation) scheduleArrivals() {
+	now := s.clock.now
+	if now >= s.cfg.ArrivalPeriod {
 		return
 	}
-	rate := r.cfg.ArrivalRate(now)
+	rate := s.cfg.ArrivalRate(now)
 	if rate <= 0 {
-		r.clock.after(reportInterval, r.next)
+		s.clock.after(reportInterval, s.scheduleArrivals)
 		return
 	}
 	if now > 0 {
-		r.arrive()
+		s.startCall()
 	}
-	r.clock.after(time.Duration(r.rng.ExpFloat64()/rate*float64(time.Second)), r.next)
+	s.clock.after(time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), s.scheduleArrivals)
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -16,9 +16,9 @@
 // at each: 32 passes of 44 ms for an answer.
 const capacity = 2 * 8 * 12 / (32 * 0.044)
 
-// usual is a deployment of two groups, to which that many callers come a second. Its passes
+// baseConfig is a deployment of two groups, to which that many callers come a second. Its passes
 // bear twelve requests at a rank while the most loaded one has 2.4 times the mean.
-func usual(seed uint64, rate float64) Config {
+func baseConfig(seed uint64, rate float64) Config {
 	return Config{
 		Seed: seed, ArrivalPeriod: 20 * time.Second, Hosts: 9, Groups: 2, Ranks: 8,
 		Engine: routetable.Engine{
@@ -31,7 +31,7 @@
 	}
 }
 
-func play(t require.TestingT, cfg Config) *Report {
+func mustRun(t require.TestingT, cfg Config) *Report {
 	r, err := Run(cfg)
 	require.NoError(t, err)
 	require.Equal(t, r.Asked, r.InAim+r.Late+r.Refused+r.Cut, "%+v", r)
@@ -40,16 +40,16 @@
 
 func TestSameSeedGivesTheSameReport(t *testing.T) {
 	for seed := range uint64(3) {
-		cfg := usual(seed, 2*capacity)
+		cfg := baseConfig(seed, 2*capacity)
 		cfg.Outages = []Outage{{Group: 0, From: 4 * time.Second, To: 6 * time.Second}}
-		require.Equal(t, play(t, cfg), play(t, cfg))
+		require.Equal(t, mustRun(t, cfg), mustRun(t, cfg))
 	}
-	require.NotEqual(t, play(t, usual(1, capacity)), play(t, usual(2, capacity)))
+	require.NotEqual(t, mustRun(t, baseConfig(1, capacity)), mustRun(t, baseConfig(2, capacity)))
 }
 
-func TestBelowCapacityAllAreServedOnTime(t *testing.T) {
+func TestAllCallersAreServedOnTimeBelowCapacity(t *testing.T) {
 	for seed := range uint64(5) {
-		r := play(t, usual(seed, capacity/2))
+		r := mustRun(t, baseConfig(seed, capacity/2))
 		require.Equal(t, r.Asked, r.InAim, "%+v", r)
 		require.Less(t, r.Busiest, 1.5)
 	}
@@ -57,64 +57,64 @@
 
 // With far too many callers the engines serve as many on time, nearly, as if only those had
 // come, and nobody is held for longer than a place is waited for.
-func TestFarTooManyCallersCostTheServedNothing(t *testing.T) {
+func TestOverloadDoesNotReduceThroughput(t *testing.T) {
 	for seed := range uint64(3) {
-		requireMostInAim(t, usual(seed, 4*capacity))
+		requireThroughputUnderOverload(t, baseConfig(seed, 4*capacity))
 	}
 }
 
 // The same where passes bear a request in each slot.
-func TestFarTooManyCallersCostTheServedNothingWhereAllSlotsArePlaces(t *testing.T) {
+func TestOverloadDoesNotReduceThroughputWithAllSlotsUsable(t *testing.T) {
 	for seed := range uint64(3) {
-		cfg := usual(seed, 4*capacity)
+		cfg := baseConfig(seed, 4*capacity)
 		cfg.Engine.Slots = 12
-		requireMostInAim(t, cfg)
+		requireThroughputUnderOverload(t, cfg)
 	}
 }
 
-func requireMostInAim(t *testing.T, cfg Config) {
+func requireThroughputUnderOverload(t *testing.T, cfg Config) {
 	t.Helper()
-	r := play(t, cfg)
+	r := mustRun(t, cfg)
 	require.Greater(t, float64(r.InAim), 0.75*capacity*cfg.ArrivalPeriod.Seconds(), "%+v", r)
 	require.LessOrEqual(t, r.LongestRefusalTime(0), schedule.LongestWait)
 }
 
 // Nothing is sent into a broken group once that is heard, so that all callers are served by
 // the other one as far as it has room.
-func TestOtherGroupServesWhileOneIsBroken(t *testing.T) {
-	cfg := usual(1, capacity/4)
+func TestOtherGroupServesDuringOutage(t *testing.T) {
+	cfg := baseConfig(1, capacity/4)
 	cfg.Outages = []Outage{{Group: 1, From: 5 * time.Second, To: 15 * time.Second}}
-	r := play(t, cfg)
+	r := mustRun(t, cfg)
 	require.Zero(t, r.Refused, "%+v", r)
 	require.Greater(t, r.Fraction(r.InAim), 0.95, "%+v", r)
 }
 
 // Where nothing serves callers come back after the outage if that is in their time.
-func TestCallersOfAShortOutageComeBack(t *testing.T) {
-	cfg := usual(1, capacity/3)
+func TestCallersRetryAfterShortOutage(t *testing.T) {
+	cfg := baseConfig(1, capacity/3)
 	cfg.Outages = []Outage{{Group: 0, From: 5 * time.Second, To: 7 * time.Second}, {Group: 1, From: 5 * time.Second, To: 7 * time.Second}}
-	r := play(t, cfg)
-	asked := 2 * capacity / 3
-	require.Greater(t, float64(r.Returned), 0.8*asked, "%+v", r)
-	require.Less(t, float64(r.Refused), 0.1*asked, "%+v", r)
+	r := mustRun(t, cfg)
+	callersDuringOutage := 2 * capacity / 3
+	require.Greater(t, float64(r.Returned), 0.8*callersDuringOutage, "%+v", r)
+	require.Less(t, float64(r.Refused), 0.1*callersDuringOutage, "%+v", r)
 	require.LessOrEqual(t, r.LongestRefusalTime(0), schedule.LongestWait)
 }
 
 // What can't be served is refused at once: in an outage that is much older than the longest
 // wait for a place nobody waits for one.
-func TestNobodyIsHeldInAnOutageThatLasts(t *testing.T) {
-	cfg := usual(1, capacity/3)
+func TestLongOutageRefusesWithoutWaiting(t *testing.T) {
+	cfg := baseConfig(1, capacity/3)
 	cfg.Outages = []Outage{{Group: 0, To: time.Minute}, {Group: 1, To: time.Minute}}
-	r := play(t, cfg)
+	r := mustRun(t, cfg)
 	require.Equal(t, r.Asked, r.Refused, "%+v", r)
 	require.LessOrEqual(t, r.LongestRefusalTime(10*schedule.LongestWait), 100*time.Millisecond)
 }
 
 // Whatever the deployment and its outages, everybody has one answer, within the patience, and
 // no group has work left.
-func TestEverybodyIsAnswered(t *testing.T) {
+func TestEveryCallerGetsOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := usual(rapid.Uint64().Draw(t, "seed"), rapid.Float64Range(1, 3*capacity).Draw(t, "rate"))
+		cfg := baseConfig(rapid.Uint64().Draw(t, "seed"), rapid.Float64Range(1, 3*capacity).Draw(t, "rate"))
 		cfg.ArrivalPeriod = 4 * time.Second
 		cfg.Hosts = rapid.IntRange(1, 40).Draw(t, "hosts")
 		cfg.Groups = rapid.IntRange(1, 3).Draw(t, "groups")
@@ -125,14 +125,14 @@
 			length := time.Duration(rapid.IntRange(1, 3000).Draw(t, "for")) * time.Millisecond
 			cfg.Outages = append(cfg.Outages, Outage{Group: rapid.IntRange(0, cfg.Groups-1).Draw(t, "group"), From: from, To: from + length})
 		}
-		r := play(t, cfg)
+		r := mustRun(t, cfg)
 		require.LessOrEqual(t, r.Returned, r.Asked)
 		require.Less(t, r.Ended, cfg.ArrivalPeriod+cfg.CallerTimeout+time.Minute)
 	})
 }
 
-func TestFaultsOfAConfigurationAreTold(t *testing.T) {
-	for name, spoil := range map[string]func(*Config){
+func TestInvalidConfigsAreRejected(t *testing.T) {
+	for name, invalidate := range map[string]func(*Config){
 		"nobody comes":   func(c *Config) { c.ArrivalRate = nil },
 		"no hosts":       func(c *Config) { c.Hosts = 0 },
 		"no slots":       func(c *Config) { c.Engine.Slots = 0 },
@@ -141,26 +141,26 @@
 		"empty outage":   func(c *Config) { c.Outages = []Outage{{From: time.Second, To: time.Second}} },
 		"negative group": func(c *Config) { c.Outages = []Outage{{Group: -1, To: time.Second}} },
 	} {
-		cfg := usual(1, capacity)
-		spoil(&cfg)
+		cfg := baseConfig(1, capacity)
+		invalidate(&cfg)
 		_, err := Run(cfg)
 		require.Error(t, err, name)
 	}
 }
 
-func BenchmarkSixteenRanks(b *testing.B) {
+func Benchmark16Ranks(b *testing.B) {
 	for range b.N {
-		cfg := usual(1, capacity)
+		cfg := baseConfig(1, capacity)
 		cfg.ArrivalPeriod = time.Minute
-		play(b, cfg)
+		mustRun(b, cfg)
 	}
 }
 
 // The target's size: 600 engines in groups of 120 ranks before 330 hosts.
-func BenchmarkSixHundredRanks(b *testing.B) {
+func Benchmark600Ranks(b *testing.B) {
 	for range b.N {
-		cfg := usual(1, 600.0/16*capacity)
+		cfg := baseConfig(1, 600.0/16*capacity)
 		cfg.ArrivalPeriod, cfg.Hosts, cfg.Groups, cfg.Ranks = 5*time.Second, 330, 5, 120
-		play(b, cfg)
+		mustRun(b, cfg)
 	}
 }
--- a/internal/emulator/group.go
+++ b/internal/emulator/group.go
@@ -11,13 +11,13 @@
 
 // group is a set of ranks that execute each pass together.
 type group struct {
-	run    *run
+	sim    *simulation
 	name   string
 	ranks  []*engine
 	epoch  uint64
 	isOpen bool
-	// isPassing tells that a pass is under way. It ends with the epoch in which it began.
-	isPassing bool
+	// isPassRunning tells that a pass is under way. It ends with the epoch in which it began.
+	isPassRunning bool
 }
 
 // engine is one rank.
@@ -25,141 +25,141 @@
 	group   *group
 	address string
 	rank    uint32
-	// writing are the requests that have a slot, in the order in which they came; queue are
+	// running are the requests that have a slot, in the order in which they came; queue are
 	// those that wait for one.
-	writing, queue []*stream
-	// starts counts the requests that got a slot.
-	starts int
+	running, queue []*request
+	// started counts the requests that got a slot.
+	started int
 }
 
-// stream is a request at an engine.
-type stream struct {
+// request is a request at an engine.
+type request struct {
 	call *call
-	// readAt is when its prompt is read; passes is how many events are to come.
-	readAt time.Duration
-	passes int
+	// promptDone is when its prompt is read; passes is how many events are to come.
+	promptDone time.Duration
+	passes     int
 }
 
-func newGroup(r *run, n int) *group {
-	g := &group{run: r, name: fmt.Sprintf("group-%d", n), epoch: 1, isOpen: true}
-	for rank := range r.cfg.Ranks {
+func newGroup(sim *simulation, n int) *group {
+	g := &group{sim: sim, name: fmt.Sprintf("group-%d", n), epoch: 1, isOpen: true}
+	for rank := range sim.cfg.Ranks {
 		g.ranks = append(g.ranks, &engine{group: g, address: fmt.Sprintf("%s/%d", g.name, rank), rank: uint32(rank)})
 	}
 	return g
 }
 
-// take takes in a request, which has come from its host. It returns false where the group does
+// accept takes in a request, which has come from its host. It returns false where the group does
 // not serve; the request did not run then.
-func (e *engine) take(c *call) bool {
+func (e *engine) accept(c *call) bool {
 	if !e.group.isOpen {
 		return false
 	}
-	e.queue = append(e.queue, &stream{call: c})
-	e.fill()
-	e.group.start()
+	e.queue = append(e.queue, &request{call: c})
+	e.fillSlots()
+	e.group.startPass()
 	return true
 }
 
-// fill gives slots to those that wait for one.
-func (e *engine) fill() {
-	r := e.group.run
-	for len(e.queue) > 0 && len(e.writing) < r.cfg.Engine.Slots {
-		s := e.queue[0]
+// fillSlots gives slots to those that wait for one.
+func (e *engine) fillSlots() {
+	sim := e.group.sim
+	for len(e.queue) > 0 && len(e.running) < sim.cfg.Engine.Slots {
+		req := e.queue[0]
 		e.queue = e.queue[1:]
-		s.readAt = r.clock.now + r.readTime()
-		s.passes = r.passes()
-		e.writing = append(e.writing, s)
-		e.starts++
+		req.promptDone = sim.clock.now + sim.promptTime()
+		req.passes = sim.passes()
+		e.running = append(e.running, req)
+		e.started++
 	}
 }
 
-// readTime is how long the prompt of a request takes to read.
-func (r *run) readTime() time.Duration {
-	return time.Duration(r.cfg.Engine.Prompt / r.cfg.Engine.ReadRate * float64(time.Second))
+// promptTime is how long the prompt of a request takes to read.
+func (s *simulation) promptTime() time.Duration {
+	return time.Duration(s.cfg.Engine.Prompt / s.cfg.Engine.ReadRate * float64(time.Second))
 }
 
 // passes draws how many passes an answer takes: from half of the mean to half more.
-func (r *run) passes() int {
-	tokens := r.cfg.Engine.Answer * (0.5 + r.rng.Float64())
-	return max(int(math.Ceil(tokens/float64(max(r.cfg.Engine.Stride, 1)))), 1)
+func (s *simulation) passes() int {
+	tokens := s.cfg.Engine.Answer * (0.5 + s.rng.Float64())
+	return max(int(math.Ceil(tokens/float64(max(s.cfg.Engine.Stride, 1)))), 1)
 }
 
-// start begins a pass if there is work and none is under way.
-func (g *group) start() {
-	if g.isPassing || !g.isOpen || g.most() == 0 {
+// startPass begins a pass if there is work and none is under way.
+func (g *group) startPass() {
+	if g.isPassRunning || !g.isOpen || g.maxRunning() == 0 {
 		return
 	}
-	g.isPassing = true
-	began, epoch := g.run.clock.now, g.epoch
-	g.run.clock.after(g.passTime(), func() { g.end(began, epoch) })
+	g.isPassRunning = true
+	began, epoch := g.sim.clock.now, g.epoch
+	g.sim.clock.after(g.passTime(), func() { g.endPass(began, epoch) })
 }
 
-// most is how many requests the rank with the most of them has.
-func (g *group) most() int {
-	most := 0
+// maxRunning is how many requests the rank with the most of them has.
+func (g *group) maxRunning() int {
+	highest := 0
 	for _, e := range g.ranks {
-		most = max(most, len(e.writing))
+		highest = max(highest, len(e.running))
 	}
-	return most
+	return highest
 }
 
 // passTime is how long the pass takes that begins now: all ranks wait for the one with the
 // most work, and its experts for the skew.
 func (g *group) passTime() time.Duration {
-	e := g.run.cfg.Engine
-	step := float64(e.Step) + float64(g.most())*float64(e.PerRequest)
-	skew := 1 - e.Experts.Share + e.Experts.Share*g.run.cfg.Skew
+	e := g.sim.cfg.Engine
+	step := float64(e.Step) + float64(g.maxRunning())*float64(e.PerRequest)
+	skew := 1 - e.Experts.Share + e.Experts.Share*g.sim.cfg.Skew
 	return time.Duration(float64(max(e.Stride, 1)) * skew * step)
 }
 
-// end ends a pass: each request whose prompt was read when it began has an event.
-func (g *group) end(began time.Duration, epoch uint64) {
+// endPass ends a pass: each request whose prompt was read when it began has an event.
+func (g *group) endPass(began time.Duration, epoch uint64) {
 	if g.epoch != epoch {
 		return
 	}
-	g.isPassing = false
+	g.isPassRunning = false
 	for _, e := range g.ranks {
-		e.write(began)
-		e.fill()
+		e.emitEvents(began)
+		e.fillSlots()
 	}
-	g.start()
+	g.startPass()
 }
 
-func (e *engine) write(began time.Duration) {
-	clock := &e.group.run.clock
-	e.writing = slices.DeleteFunc(e.writing, func(s *stream) bool {
-		if s.readAt > began {
+func (e *engine) emitEvents(began time.Duration) {
+	clock := &e.group.sim.clock
+	e.running = slices.DeleteFunc(e.running, func(req *request) bool {
+		if req.promptDone > began {
 			return false
 		}
-		s.passes--
-		isLast := s.passes == 0
-		clock.after(hop, func() { s.call.event(isLast) })
+		req.passes--
+		isLast := req.passes == 0
+		clock.after(messageDelay, func() { req.call.onEvent(isLast) })
 		return isLast
 	})
 }
 
-// breakUp lets the group serve no more: what it has is lost.
-func (g *group) breakUp() {
-	g.isOpen, g.isPassing = false, false
+// fail lets the group serve no more: what it has is lost.
+func (g *group) fail() {
+	g.isOpen, g.isPassRunning = false, false
 	g.epoch++
 	for _, e := range g.ranks {
-		for _, s := range append(e.writing, e.queue...) {
-			g.run.clock.after(hop, s.call.broken)
+		for _, req := range append(e.running, e.queue...) {
+			g.sim.clock.after(messageDelay, req.call.onGroupFailure)
 		}
-		e.writing, e.queue = nil, nil
+		e.running, e.queue = nil, nil
 	}
 }
 
-// form lets it serve again.
-func (g *group) form() { g.isOpen = true }
+// reform lets it serve again.
+func (g *group) reform() { g.isOpen = true }
 
 // loads are those of all engines now.
-func (r *run) loads() []wire.EngineLoad {
+func (s *simulation) loads() []wire.EngineLoad {
 	var out []wire.EngineLoad
-	for _, g := range r.groups {
+	for _, g := range s.groups {
 		for _, e := range g.ranks {
 			out = append(out, wire.EngineLoad{
-				Address: e.address, IsOpen: g.isOpen, Running: len(e.writing), Waiting: len(e.queue),
+				Address: e.address, IsOpen: g.isOpen, Running: len(e.running), Waiting: len(e.queue),
 				Group: g.name, Epoch: g.epoch, Rank: e.rank,
 			})
 		}
--- a/internal/emulator/host.go
+++ b/internal/emulator/host.go
@@ -9,43 +9,43 @@
 
 // host is an entry host: the product's scheduler, and what its gateway does around it.
 type host struct {
-	run       *run
+	sim       *simulation
 	scheduler *schedule.Scheduler
 	// waiting are the calls that wait for a place.
 	waiting map[*schedule.Waiter]*call
 }
 
-// mayReturnPart is the part of its patience that a caller must have left to come back.
-const mayReturnPart = 0.8
+// minReturnShare is the part of its patience that a caller must have left to come back.
+const minReturnShare = 0.8
 
-// hear takes in the loads of engines.
-func (h *host) hear(loads []wire.EngineLoad) {
-	results, _ := h.scheduler.SetLoads(loads, h.run.clock.now)
+// applyLoads takes in the loads of engines.
+func (h *host) applyLoads(loads []wire.EngineLoad) {
+	results, _ := h.scheduler.SetLoads(loads, h.sim.clock.now)
 	h.deliver(results)
 }
 
 // deliver tells calls that have waited what becomes of them.
 func (h *host) deliver(results []schedule.Result) {
-	for _, d := range results {
-		c := h.waiting[d.Waiter]
-		delete(h.waiting, d.Waiter)
-		c.decided(d.Decision)
+	for _, result := range results {
+		c := h.waiting[result.Waiter]
+		delete(h.waiting, result.Waiter)
+		c.onDecision(result.Decision)
 	}
 }
 
 // admit asks for a place for a call.
 func (h *host) admit(c *call) {
-	now := h.run.clock.now
+	now := h.sim.clock.now
 	d := h.scheduler.Admit(&schedule.Request{
-		Service: serviceName, Engine: &h.run.cfg.Engine, Gap: h.run.cfg.Gap, OnTimeUntil: c.onTimeUntil(), Tried: c.tried,
-		Left: c.deadline() - now, MayReturn: float64(c.deadline()-now) > mayReturnPart*float64(h.run.cfg.CallerTimeout),
+		Service: serviceName, Engine: &h.sim.cfg.Engine, Gap: h.sim.cfg.Gap, OnTimeUntil: c.onTimeUntil(), Tried: c.triedUpstreams,
+		Left: c.deadline() - now, MayReturn: float64(c.deadline()-now) > minReturnShare*float64(h.sim.cfg.CallerTimeout),
 	}, now)
 	if d.Waiter == nil {
-		c.decided(d)
+		c.onDecision(d)
 		return
 	}
 	h.waiting[d.Waiter] = c
-	h.run.clock.after(schedule.LongestWait, func() { h.giveUp(d.Waiter) })
+	h.sim.clock.after(schedule.LongestWait, func() { h.giveUp(d.Waiter) })
 }
 
 // giveUp ends the wait of a call that has waited too long.
@@ -55,138 +55,138 @@
 		return
 	}
 	delete(h.waiting, w)
-	c.decided(h.scheduler.GiveUp(w, h.run.clock.now))
+	c.onDecision(h.scheduler.GiveUp(w, h.sim.clock.now))
 }
 
-// end gives back the place of a call.
-func (h *host) end(t *schedule.Ticket, o schedule.Outcome) {
-	results, _ := h.scheduler.End(t, o, h.run.clock.now)
+// endAttempt gives back the place of a call.
+func (h *host) endAttempt(t *schedule.Ticket, o schedule.Outcome) {
+	results, _ := h.scheduler.End(t, o, h.sim.clock.now)
 	h.deliver(results)
 }
 
 // call is one caller's request, over both of its tries.
 type call struct {
-	run  *run
+	sim  *simulation
 	host *host
-	// began is when the caller first asked, asked when it did last.
-	began, asked time.Duration
-	tries        int
-	tried        []string
-	ticket       *schedule.Ticket
-	// last is when its last event came; events counts them, late those that were not on time.
-	last         time.Duration
-	events, late int
+	// firstTry is when the caller first asked, asked when it did last.
+	firstTry, lastTry time.Duration
+	tries             int
+	triedUpstreams    []string
+	ticket            *schedule.Ticket
+	// lastEvent is when its last event came; events counts them, late those that were not on time.
+	lastEvent              time.Duration
+	eventCount, lateEvents int
 }
 
-// arrive lets a caller come.
-func (r *run) arrive() {
-	r.open++
-	r.report.Asked++
-	c := &call{run: r, began: r.clock.now}
-	c.ask()
+// startCall lets a caller come.
+func (s *simulation) startCall() {
+	s.activeCallers++
+	s.report.Asked++
+	c := &call{sim: s, firstTry: s.clock.now}
+	c.try()
 }
 
-func (c *call) deadline() time.Duration { return c.began + c.run.cfg.CallerTimeout }
+func (c *call) deadline() time.Duration { return c.firstTry + c.sim.cfg.CallerTimeout }
 
 // onTimeUntil is when the first event has to be there. A caller that has been here before is
 // late: its time began with its first try.
 func (c *call) onTimeUntil() time.Duration {
 	if c.tries > 1 {
-		return c.began
+		return c.firstTry
 	}
-	return c.began + c.run.cfg.Target
+	return c.firstTry + c.sim.cfg.Target
 }
 
-// ask asks a host.
-func (c *call) ask() {
+// try asks a host.
+func (c *call) try() {
 	c.tries++
-	c.asked, c.tried = c.run.clock.now, nil
-	c.host = c.run.hosts[c.run.rng.IntN(len(c.run.hosts))]
-	c.host.scheduler.Arrive(serviceName, c.asked)
+	c.lastTry, c.triedUpstreams = c.sim.clock.now, nil
+	c.host = c.sim.hosts[c.sim.rng.IntN(len(c.sim.hosts))]
+	c.host.scheduler.Arrive(serviceName, c.lastTry)
 	c.host.admit(c)
 }
 
-// decided goes on with what the host has decided.
-func (c *call) decided(d schedule.Decision) {
+// onDecision goes on with what the host has decided.
+func (c *call) onDecision(d schedule.Decision) {
 	if d.Ticket == nil {
-		c.refused(d.RetryAfter)
+		c.onRefusal(d.RetryAfter)
 		return
 	}
 	c.ticket = d.Ticket
-	c.tried = append(c.tried, d.Ticket.ID())
-	e := c.run.engines[d.Ticket.Address()]
-	c.run.clock.after(hop, func() {
-		if !e.take(c) {
-			c.run.clock.after(hop, c.turnedAway)
+	c.triedUpstreams = append(c.triedUpstreams, d.Ticket.ID())
+	e := c.sim.engines[d.Ticket.Address()]
+	c.sim.clock.after(messageDelay, func() {
+		if !e.accept(c) {
+			c.sim.clock.after(messageDelay, c.onNotRun)
 		}
 	})
 }
 
-// turnedAway goes on where an engine did not take the call: at another one, as far as the
+// onNotRun goes on where an engine did not take the call: at another one, as far as the
 // budget goes.
-func (c *call) turnedAway() {
-	c.host.end(c.ticket, schedule.Bad)
-	now := c.run.clock.now
+func (c *call) onNotRun() {
+	c.host.endAttempt(c.ticket, schedule.Bad)
+	now := c.sim.clock.now
 	if c.host.scheduler.MayRepeat(serviceName, now) {
 		c.host.admit(c)
 		return
 	}
-	c.refused(schedule.ReturnAfter(c.deadline() - now))
+	c.onRefusal(schedule.ReturnAfter(c.deadline() - now))
 }
 
-// refused tells the caller that its request did not run. It comes back once, when it was told
+// onRefusal tells the caller that its request did not run. It comes back once, when it was told
 // to, within the third of its time that callers wait at most.
-func (c *call) refused(retryAfter time.Duration) {
-	now := c.run.clock.now
-	c.run.report.refused(c.asked, now-c.asked)
+func (c *call) onRefusal(retryAfter time.Duration) {
+	now := c.sim.clock.now
+	c.sim.report.onRefusal(c.lastTry, now-c.lastTry)
 	wait := min(retryAfter, schedule.ReturnAfter(c.deadline()-now))
 	if c.tries > 1 {
-		c.leave(&c.run.report.Refused)
+		c.end(&c.sim.report.Refused)
 		return
 	}
-	c.run.report.Returned++
-	c.run.clock.after(wait, c.ask)
+	c.sim.report.Returned++
+	c.sim.clock.after(wait, c.try)
 }
 
-// event is an event of the answer at the caller.
-func (c *call) event(isLast bool) {
-	now := c.run.clock.now
-	isLate := now > c.began+c.run.cfg.Target
-	if c.events > 0 {
-		c.host.scheduler.Pause(c.ticket, now-c.last, now)
-		isLate = c.run.cfg.Gap > 0 && now-c.last > c.run.cfg.Gap
+// onEvent is an event of the answer at the caller.
+func (c *call) onEvent(isLast bool) {
+	now := c.sim.clock.now
+	isLate := now > c.firstTry+c.sim.cfg.Target
+	if c.eventCount > 0 {
+		c.host.scheduler.Pause(c.ticket, now-c.lastEvent, now)
+		isLate = c.sim.cfg.Gap > 0 && now-c.lastEvent > c.sim.cfg.Gap
 	} else {
 		c.host.scheduler.First(c.ticket, now)
 	}
 	if isLate {
-		c.late++
+		c.lateEvents++
 	}
-	c.events++
-	c.last = now
+	c.eventCount++
+	c.lastEvent = now
 	if !isLast {
 		return
 	}
-	c.host.end(c.ticket, schedule.Good)
-	if c.late > 0 {
-		c.leave(&c.run.report.Late)
+	c.host.endAttempt(c.ticket, schedule.Good)
+	if c.lateEvents > 0 {
+		c.end(&c.sim.report.Late)
 		return
 	}
-	c.leave(&c.run.report.InAim)
+	c.end(&c.sim.report.InAim)
 }
 
-// broken tells that the group broke under the call. Without an event it may go on elsewhere;
+// onGroupFailure tells that the group broke under the call. Without an event it may go on elsewhere;
 // an answer that has begun is lost.
-func (c *call) broken() {
-	if c.events == 0 {
-		c.turnedAway()
+func (c *call) onGroupFailure() {
+	if c.eventCount == 0 {
+		c.onNotRun()
 		return
 	}
-	c.host.end(c.ticket, schedule.Bad)
-	c.leave(&c.run.report.Cut)
+	c.host.endAttempt(c.ticket, schedule.Bad)
+	c.end(&c.sim.report.Cut)
 }
 
-// leave counts the call's end.
-func (c *call) leave(as *int) {
-	*as++
-	c.run.open--
+// end counts the call's end.
+func (c *call) end(counter *int) {
+	*counter++
+	c.sim.activeCallers--
 }
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -31,23 +31,23 @@
 	return longest
 }
 
-// refused notes a try that was refused.
-func (r *Report) refused(asked, held time.Duration) {
-	second := int(asked / time.Second)
+// onRefusal notes a try that was refused.
+func (r *Report) onRefusal(triedAt, waited time.Duration) {
+	second := int(triedAt / time.Second)
 	for len(r.RefusalTimes) <= second {
 		r.RefusalTimes = append(r.RefusalTimes, 0)
 	}
-	r.RefusalTimes[second] = max(r.RefusalTimes[second], held)
+	r.RefusalTimes[second] = max(r.RefusalTimes[second], waited)
 }
 
-func (r *Report) finish(run *run) {
-	r.Ended = run.clock.now
-	most, sum := 0, 0
-	for _, e := range run.engines {
-		most = max(most, e.starts)
-		sum += e.starts
+func (r *Report) finish(simulation *simulation) {
+	r.Ended = simulation.clock.now
+	highest, sum := 0, 0
+	for _, e := range simulation.engines {
+		highest = max(highest, e.started)
+		sum += e.started
 	}
 	if sum > 0 {
-		r.Busiest = float64(most) * float64(len(run.engines)) / float64(sum)
+		r.Busiest = float64(highest) * float64(len(simulation.engines)) / float64(sum)
 	}
 }
--- a/internal/group/faults_test.go
+++ b/internal/group/faults_test.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// awayFor is how long a host is frozen, or away after it was killed.
-	awayFor = time.Second
-	// mostStandstill is how long a group may stand still beyond the time that one of its
+	// faultDuration is how long a host is frozen, or away after it was killed.
+	faultDuration = time.Second
+	// maxStandstill is how long a group may stand still beyond the time that one of its
 	// hosts is missing: the first change in force after a new epoch may take as long.
-	mostStandstill = 2 * time.Second
+	maxStandstill = 2 * time.Second
 )
 
 // shortSize is the size of groups with -short, which the race detector's run has: it takes ten
@@ -34,13 +34,13 @@
 	return all
 }
 
-// shapeOf is that of a group with two experts and three places a rank and set.
-func shapeOf(ranks int) *wire.GroupShape {
+// testShape is that of a group with two experts and three places a rank and set.
+func testShape(ranks int) *wire.GroupShape {
 	return &wire.GroupShape{Ranks: uint32(ranks), Experts: uint32(2 * ranks), Layers: 16, SlotsPerRank: 3}
 }
 
-// isOfChange tells the messages of ballots from reports.
-func isOfChange(m wire.Message) bool {
+// isBallotMessage tells the messages of ballots from reports.
+func isBallotMessage(m wire.Message) bool {
 	switch m.(type) {
 	case *wire.MapRequest, *wire.MapReply:
 		return true
@@ -48,18 +48,18 @@
 	return false
 }
 
-// round is one of a coordinator's, as a request of it shows.
-type round string
+// ballotRound is one of a coordinator's, as a request of it shows.
+type ballotRound string
 
 const (
-	promising  round = "promise"
-	staging    round = "stage"
-	arming     round = "arm"
-	committing round = "commit"
+	promiseRound ballotRound = "promise"
+	stageRound   ballotRound = "stage"
+	armRound     ballotRound = "arm"
+	commitRound  ballotRound = "commit"
 )
 
-// roundOf returns the round of a request that its receiver is to pass on, "" for others.
-func roundOf(m wire.Message) round {
+// relayedRound returns the round of a request that its receiver is to pass on, "" for others.
+func relayedRound(m wire.Message) ballotRound {
 	r, ok := m.(*wire.MapRequest)
 	var in expertmap.Message
 	if !ok || len(r.Pass) == 0 || wire.Unmarshal(r.Data, &in) != nil {
@@ -67,66 +67,66 @@
 	}
 	switch {
 	case in.Promise != nil:
-		return promising
+		return promiseRound
 	case in.Stage != nil:
-		return staging
+		return stageRound
 	case in.Arm != nil:
-		return arming
+		return armRound
 	case in.Commit != nil:
-		return committing
+		return commitRound
 	}
 	return ""
 }
 
-// watch returns the longest time without a pass from now on, once it is called.
-func (g *engines) watch(t *testing.T) func() time.Duration {
-	var most atomic.Int64
+// measureStandstill returns the longest time without a pass from now on, once it is called.
+func (g *engineGroup) measureStandstill(t *testing.T) func() time.Duration {
+	var longest atomic.Int64
 	done := make(chan struct{})
 	var running sync.WaitGroup
 	running.Go(func() {
-		last, since := g.begun(), time.Now()
+		last, since := g.lastStep(), time.Now()
 		for {
 			select {
 			case <-done:
 				return
-			case <-time.After(passTime / 2):
+			case <-time.After(stepTime / 2):
 			}
-			if now := g.begun(); now != last {
+			if now := g.lastStep(); now != last {
 				last, since = now, time.Now()
 			}
-			most.Store(max(most.Load(), int64(time.Since(since))))
+			longest.Store(max(longest.Load(), int64(time.Since(since))))
 		}
 	})
-	end := sync.OnceFunc(func() {
+	stop := sync.OnceFunc(func() {
 		close(done)
 		running.Wait()
 	})
-	t.Cleanup(end)
+	t.Cleanup(stop)
 	return func() time.Duration {
-		end()
-		return time.Duration(most.Load())
+		stop()
+		return time.Duration(longest.Load())
 	}
 }
 
-// begun returns the newest pass.
-func (g *engines) begun() uint64 {
+// lastStep returns the newest pass.
+func (g *engineGroup) lastStep() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.step
 }
 
-// changes waits until n more changes have been made, each after a jump of popularity.
-func (a *agents) changes(t *testing.T, n int) {
+// awaitChanges waits until n more changes have been made, each after a jump of popularity.
+func (a *agentGroup) awaitChanges(t *testing.T, n int) {
 	t.Helper()
 	for range n {
 		before := a.count("group.changes.made")
-		a.g.jump()
-		require.Eventually(t, func() bool { return a.count("group.changes.made") > before }, waitLimit, 10*time.Millisecond)
+		a.engines.shiftPopularity()
+		require.Eventually(t, func() bool { return a.count("group.changes.made") > before }, hangTimeout, 10*time.Millisecond)
 	}
 }
 
 // requireOneMap checks that all ranks had one map in each pass.
-func (g *engines) requireOneMap(t *testing.T) {
+func (g *engineGroup) requireOneMap(t *testing.T) {
 	t.Helper()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -135,106 +135,106 @@
 
 // Lost messages are asked for again, whoever should have passed them on: changes go on, and
 // nobody waits for long.
-func TestChangesGoOnWhileMessagesAreLost(t *testing.T) {
+func TestChangesContinueDespiteMessageLoss(t *testing.T) {
 	t.Parallel()
 	for _, ranks := range sizes(32, 160) {
 		for _, percent := range []int{2, 10} {
 			t.Run(fmt.Sprintf("%d ranks, %d in 100", ranks, percent), func(t *testing.T) {
 				var mu sync.Mutex
-				draw := rand.New(rand.NewPCG(1, uint64(ranks)))
-				g := newEngines(shapeOf(ranks))
+				rng := rand.New(rand.NewPCG(1, uint64(ranks)))
+				g := newEngineGroup(testShape(ranks))
 				a := startAgents(t, g, func(_ int, m wire.Message) bool {
 					mu.Lock()
 					defer mu.Unlock()
-					return !isOfChange(m) || draw.IntN(100) >= percent
+					return !isBallotMessage(m) || rng.IntN(100) >= percent
 				})
-				a.changes(t, 1)
-				still := g.watch(t)
+				a.awaitChanges(t, 1)
+				stopMeasuring := g.measureStandstill(t)
 				began, before := time.Now(), a.ballots()
-				a.changes(t, 3)
-				took, tries := time.Since(began), a.ballots()-before
-				longest := still()
-				t.Logf("3 changes in %v, %d ballots, longest standstill %v", took, tries, longest)
-				require.Less(t, longest, mostStandstill)
+				a.awaitChanges(t, 3)
+				took, ballots := time.Since(began), a.ballots()-before
+				longest := stopMeasuring()
+				t.Logf("3 changes in %v, %d ballots, longest standstill %v", took, ballots, longest)
+				require.Less(t, longest, maxStandstill)
 				g.requireOneMap(t)
 			})
 		}
 	}
 }
 
-// inRound is a fault in the middle of a change of a group of that many ranks.
-type inRound struct {
+// faultCase is a fault in the middle of a change of a group of that many ranks.
+type faultCase struct {
 	ranks int
-	round round
+	round ballotRound
 }
 
 // String names a test.
-func (i inRound) String() string { return fmt.Sprintf("%d ranks, %s", i.ranks, i.round) }
+func (c faultCase) String() string { return fmt.Sprintf("%d ranks, %s", c.ranks, c.round) }
 
-// inEachRound are faults in each round, at several sizes.
-func inEachRound() []inRound {
-	rounds := []round{promising, staging, arming, committing}
+// faultCases are faults in each round, at several sizes.
+func faultCases() []faultCase {
+	rounds := []ballotRound{promiseRound, stageRound, armRound, commitRound}
 	ranks := sizes(97, 129, 160, 129)
-	var out []inRound
+	var out []faultCase
 	for i, r := range rounds {
-		out = append(out, inRound{ranks[min(i, len(ranks)-1)], r})
+		out = append(out, faultCase{ranks[min(i, len(ranks)-1)], r})
 	}
 	return out
 }
 
-// trap waits for the first request of a round that its receiver is to pass on.
-type trap struct {
-	round   round
-	isSet   atomic.Bool
-	caught  atomic.Int64
-	entered chan struct{}
+// roundTrap waits for the first request of a round that its receiver is to pass on.
+type roundTrap struct {
+	round  ballotRound
+	isSet  atomic.Bool
+	host   atomic.Int64
+	sprung chan struct{}
 }
 
-func newTrap(r round) *trap {
-	return &trap{round: r, entered: make(chan struct{})}
+func newRoundTrap(r ballotRound) *roundTrap {
+	return &roundTrap{round: r, sprung: make(chan struct{})}
 }
 
-// see looks at a message, and reports whether its receiver is the one that was caught.
-func (p *trap) see(to int, m wire.Message) bool {
-	if p.isSet.Load() && roundOf(m) == p.round && p.isSet.CompareAndSwap(true, false) {
-		p.caught.Store(int64(to))
-		close(p.entered)
+// isCaught looks at a message, and reports whether its receiver is the one that was caught.
+func (trap *roundTrap) isCaught(to int, m wire.Message) bool {
+	if trap.isSet.Load() && relayedRound(m) == trap.round && trap.isSet.CompareAndSwap(true, false) {
+		trap.host.Store(int64(to))
+		close(trap.sprung)
 	}
-	return to != 0 && p.caught.Load() == int64(to)
+	return to != 0 && trap.host.Load() == int64(to)
 }
 
-// standstill makes a change during which something happens to one host for a while, and two
+// requireShortStandstill makes a change during which something happens to one host for a while, and two
 // more, and checks that the group stood still for little longer than that.
-func standstill(t *testing.T, a *agents, p *trap, happens func(host int)) {
+func requireShortStandstill(t *testing.T, a *agentGroup, trap *roundTrap, injectFault func(host int)) {
 	t.Helper()
-	a.changes(t, 1)
-	still := a.g.watch(t)
-	p.isSet.Store(true)
-	a.g.jump()
-	<-p.entered
-	host := int(p.caught.Load())
-	happens(host)
-	a.changes(t, 3)
-	longest := still()
+	a.awaitChanges(t, 1)
+	stopMeasuring := a.engines.measureStandstill(t)
+	trap.isSet.Store(true)
+	a.engines.shiftPopularity()
+	<-trap.sprung
+	host := int(trap.host.Load())
+	injectFault(host)
+	a.awaitChanges(t, 3)
+	longest := stopMeasuring()
 	t.Logf("host %d, longest standstill %v", host, longest)
-	require.Less(t, longest, awayFor+mostStandstill)
-	a.g.requireOneMap(t)
+	require.Less(t, longest, faultDuration+maxStandstill)
+	a.engines.requireOneMap(t)
 }
 
 // A host that passes requests on and is frozen in the middle of a change, and then goes on
 // with what had come meanwhile, delays its group by little more than that.
-func TestHostThatPassesOnIsFrozen(t *testing.T) {
+func TestFrozenRelayDelaysGroupBriefly(t *testing.T) {
 	t.Parallel()
-	for _, c := range inEachRound() {
+	for _, c := range faultCases() {
 		t.Run(c.String(), func(t *testing.T) {
-			p, thaw := newTrap(c.round), make(chan struct{})
-			a := startAgents(t, newEngines(shapeOf(c.ranks)), func(to int, m wire.Message) bool {
-				if p.see(to, m) {
+			trap, thaw := newRoundTrap(c.round), make(chan struct{})
+			a := startAgents(t, newEngineGroup(testShape(c.ranks)), func(to int, m wire.Message) bool {
+				if trap.isCaught(to, m) {
 					<-thaw
 				}
 				return true
 			})
-			standstill(t, a, p, func(int) { time.AfterFunc(awayFor, func() { close(thaw) }) })
+			requireShortStandstill(t, a, trap, func(int) { time.AfterFunc(faultDuration, func() { close(thaw) }) })
 			<-thaw
 		})
 	}
@@ -242,18 +242,18 @@
 
 // A host that passes requests on and is killed in the middle of a change, and started anew,
 // delays its group by little more than that.
-func TestHostThatPassesOnIsKilled(t *testing.T) {
+func TestKilledRelayDelaysGroupBriefly(t *testing.T) {
 	t.Parallel()
-	for _, c := range inEachRound() {
+	for _, c := range faultCases() {
 		t.Run(c.String(), func(t *testing.T) {
-			p := newTrap(c.round)
-			a := startAgents(t, newEngines(shapeOf(c.ranks)), func(to int, m wire.Message) bool {
-				p.see(to, m)
+			trap := newRoundTrap(c.round)
+			a := startAgents(t, newEngineGroup(testShape(c.ranks)), func(to int, m wire.Message) bool {
+				trap.isCaught(to, m)
 				return true
 			})
-			standstill(t, a, p, func(host int) {
+			requireShortStandstill(t, a, trap, func(host int) {
 				a.kill(host)
-				time.AfterFunc(awayFor, func() { a.start(host) })
+				time.AfterFunc(faultDuration, func() { a.start(host) })
 			})
 		})
 	}
@@ -261,18 +261,18 @@
 
 // A host that coordinates a change and is killed in the middle of it, and started anew, delays
 // its group by little more than that.
-func TestHostThatCoordinatesIsKilled(t *testing.T) {
+func TestKilledCoordinatorDelaysGroupBriefly(t *testing.T) {
 	t.Parallel()
-	for _, c := range inEachRound() {
+	for _, c := range faultCases() {
 		t.Run(c.String(), func(t *testing.T) {
-			p := newTrap(c.round)
-			a := startAgents(t, newEngines(shapeOf(c.ranks)), func(to int, m wire.Message) bool {
-				p.see(to, m)
+			trap := newRoundTrap(c.round)
+			a := startAgents(t, newEngineGroup(testShape(c.ranks)), func(to int, m wire.Message) bool {
+				trap.isCaught(to, m)
 				return true
 			})
-			standstill(t, a, p, func(int) {
+			requireShortStandstill(t, a, trap, func(int) {
 				a.kill(0)
-				time.AfterFunc(awayFor, func() { a.start(0) })
+				time.AfterFunc(faultDuration, func() { a.start(0) })
 			})
 		})
 	}
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -27,16 +27,16 @@
 	// answered. Sessions lose nothing while they live, and a participant answers a request as
 	// soon as it can, so asking sooner only fills the links.
 	retryTicks = 8
-	// leastHeld is the least of that while ranks may hold: a tick is lost on either side.
-	leastHeld = 3
-	// basePatience is how many ticks a participant waits for a coordinator before it
+	// minPausedRetryTicks is the least of that while ranks may hold: a tick is lost on either side.
+	minPausedRetryTicks = 3
+	// baseRecoveryTicks is how many ticks a participant waits for a coordinator before it
 	// starts a recovery; each host adds its own number, so that they don't start together.
-	basePatience = 40
-	// firstPatience is that of the first rank's host. It coordinates all changes, so what it
+	baseRecoveryTicks = 40
+	// firstHostRecoveryTicks is that of the first rank's host. It coordinates all changes, so what it
 	// finds open without a coordinator of its own is what it left behind when it ended, and
 	// nobody but itself goes on with it.
-	firstPatience = 4
-	inboxLength   = 1024
+	firstHostRecoveryTicks = 4
+	inboxLength            = 1024
 	// DefaultPlanInterval is how often the first host of a group plans.
 	DefaultPlanInterval = 10 * time.Second
 )
@@ -92,13 +92,13 @@
 
 // inbound is a message of another host, or of this one to itself.
 type inbound struct {
-	// origin is where a reply goes; nothing for this host's own messages.
-	origin
+	// replyRoute is where a reply goes; nothing for this host's own messages.
+	replyRoute
 	from    expertmap.Address
 	isReply bool
 	message expertmap.Message
-	// pass is the request as it came, with the hosts to pass it on to; nil for others.
-	pass *wire.MapRequest
+	// relay is the request as it came, with the hosts to pass it on to; nil for others.
+	relay *wire.MapRequest
 }
 
 // statuses is what the engines said.
@@ -114,46 +114,46 @@
 	address  expertmap.Address
 	counters counters
 
-	inbox    chan inbound
-	loads    chan reported
-	worked   chan statuses
-	observed chan statuses
-	ready    chan []wire.GroupMember
+	inbox        chan inbound
+	loads        chan receivedReport
+	executed     chan statuses
+	polled       chan statuses
+	membersFound chan []wire.GroupMember
 
 	participant *expertmap.Participant
-	// origin is where the coordinators are that have asked the participant.
-	origin      map[expertmap.Address]origin
-	isWorking   bool
-	isObserving bool
+	// replyRoute is where the coordinators are that have asked the participant.
+	replyRoute  map[expertmap.Address]replyRoute
+	isExecuting bool
+	isPolling   bool
 	ranks       []expertmap.Status
 
-	coordinator *expertmap.Coordinator
-	members     map[expertmap.Address]string
-	isGathering bool
-	want        intent
-	// pace measures the steps; extra is how many steps further ahead the next change is
+	coordinator      *expertmap.Coordinator
+	members          map[expertmap.Address]string
+	isFindingMembers bool
+	nextBallot       intent
+	// stepTimer measures the steps; extra is how many steps further ahead the next change is
 	// armed, since changes had to be given up.
-	pace  pace
-	extra uint64
-	// orders is how long it takes to arm all ranks and to let them go.
-	orders orderTime
-	// rounds measures the coordinator's ballot, holds what changes cost the ranks.
-	rounds  rounds
-	holds   holds
-	planner *planner.Planner
+	stepTimer  stepTimer
+	extraAhead uint64
+	// orderTime is how long it takes to arm all ranks and to let them go.
+	orderTime roundTripEstimator
+	// ballotStats measures the coordinator's ballot, holds what changes cost the ranks.
+	ballotStats ballotStats
+	pauseMeter  pauseMeter
+	planner     *planner.Planner
 	// watch is on the session to the planning host, reporter decides what goes there.
-	watch    watch
+	watch    sessionWatch
 	reporter reporter
 }
 
 type counters struct {
-	changed, aborted, settled, superseded, timedOut, dropped, unread metrics.Counter
-	// content counts the participants that this host's coordinator sent content to, again those
+	changed, aborted, settled, superseded, timedOut, dropped, unreadLoads metrics.Counter
+	// contentSent counts the participants that this host's coordinator sent content to, again those
 	// that lacked it after that; passed are requests passed on for others.
-	content, again, passed metrics.Counter
-	// sent counts the bytes that ballots of this host cost it, repeated what it had to ask or
+	contentSent, contentResent, relayed metrics.Counter
+	// sentBytes counts the bytes that ballots of this host cost it, repeated what it had to ask or
 	// send again for them beside.
-	sent, repeated metrics.Counter
+	sentBytes, resentBytes metrics.Counter
 }
 
 func newCounters(reg metrics.Registry) counters {
@@ -161,8 +161,8 @@
 	return counters{
 		changed: get("changes.made"), aborted: get("changes.aborted"), settled: get("ballots.settled"),
 		superseded: get("ballots.superseded"), timedOut: get("ballots.timed-out"), dropped: get("messages.dropped"),
-		unread: get("loads.unread"), content: get("content.sent"), again: get("content.sent-again"), passed: get("requests.passed-on"),
-		sent: get("ballots.sent-bytes"), repeated: get("ballots.repeated-bytes"),
+		unreadLoads: get("loads.unread"), contentSent: get("content.sent"), contentResent: get("content.sent-again"), relayed: get("requests.passed-on"),
+		sentBytes: get("ballots.sent-bytes"), resentBytes: get("ballots.repeated-bytes"),
 	}
 }
 
@@ -176,27 +176,27 @@
 		cfg.PlanInterval = DefaultPlanInterval
 	}
 	return &Runner{
-		cfg:         cfg,
-		address:     expertmap.Address(cfg.FirstRank),
-		counters:    newCounters(cfg.Metrics),
-		inbox:       make(chan inbound, inboxLength),
-		loads:       make(chan reported, inboxLength),
-		worked:      make(chan statuses, 1),
-		observed:    make(chan statuses, 1),
-		ready:       make(chan []wire.GroupMember, 1),
-		participant: expertmap.NewParticipant(cfg.NewID(), patience(cfg.FirstRank), cfg.Initial),
-		origin:      make(map[expertmap.Address]origin),
-		planner:     planner.New(cfg.Load),
-		holds:       holds{held: metrics.GetOrRegisterCounter("group.held-ms", cfg.Metrics)},
+		cfg:          cfg,
+		address:      expertmap.Address(cfg.FirstRank),
+		counters:     newCounters(cfg.Metrics),
+		inbox:        make(chan inbound, inboxLength),
+		loads:        make(chan receivedReport, inboxLength),
+		executed:     make(chan statuses, 1),
+		polled:       make(chan statuses, 1),
+		membersFound: make(chan []wire.GroupMember, 1),
+		participant:  expertmap.NewParticipant(cfg.NewID(), recoveryTicks(cfg.FirstRank), cfg.Initial),
+		replyRoute:   make(map[expertmap.Address]replyRoute),
+		planner:      planner.New(cfg.Load),
+		pauseMeter:   pauseMeter{pausedMS: metrics.GetOrRegisterCounter("group.held-ms", cfg.Metrics)},
 	}
 }
 
-// patience is how many ticks the host of a rank waits for a coordinator.
-func patience(firstRank uint32) int {
+// recoveryTicks is how many ticks the host of a rank waits for a coordinator.
+func recoveryTicks(firstRank uint32) int {
 	if firstRank == 0 {
-		return firstPatience
+		return firstHostRecoveryTicks
 	}
-	return basePatience + int(firstRank)
+	return baseRecoveryTicks + int(firstRank)
 }
 
 // HandlePeer takes a message if it concerns this host's group. It never waits: what
@@ -204,19 +204,19 @@
 func (r *Runner) HandlePeer(s *peer.Session, call uint64, m wire.Message) bool {
 	switch m := m.(type) {
 	case *wire.MapRequest:
-		r.takeRequest(s, m)
+		r.receiveRequest(s, m)
 	case *wire.MapReply:
-		r.takeReply(m)
+		r.receiveReply(m)
 	case *wire.GroupQuery:
 		r.answerQuery(s, call, m)
 	case *wire.ExpertsWanted:
-		r.listAgain(s, m)
+		r.resendExperts(s, m)
 	case *wire.ExpertLoad:
 		if m.Group != r.cfg.Group {
 			return true
 		}
 		select {
-		case r.loads <- reported{ExpertLoad: m, from: s}:
+		case r.loads <- receivedReport{ExpertLoad: m, from: s}:
 		default:
 			r.counters.dropped.Inc(1)
 		}
@@ -240,27 +240,27 @@
 	_ = s.Reply(call, answer)
 }
 
-// takeRequest takes what a coordinator asks, and passes it on.
-func (r *Runner) takeRequest(s *peer.Session, m *wire.MapRequest) {
-	in := inbound{origin: origin{session: s, home: m.Home}, from: expertmap.Address(m.From), pass: m}
+// receiveRequest takes what a coordinator asks, and passes it on.
+func (r *Runner) receiveRequest(s *peer.Session, m *wire.MapRequest) {
+	in := inbound{replyRoute: replyRoute{session: s, coordinator: m.Home}, from: expertmap.Address(m.From), relay: m}
 	if m.Group != r.cfg.Group || wire.Unmarshal(m.Data, &in.message) != nil {
 		r.counters.dropped.Inc(1)
 		return
 	}
 	in.message = in.message.WithIncarnation(m.Incarnation)
-	r.push(in)
+	r.enqueue(in)
 }
 
-func (r *Runner) takeReply(m *wire.MapReply) {
+func (r *Runner) receiveReply(m *wire.MapReply) {
 	in := inbound{from: expertmap.Address(m.From), isReply: true}
 	if m.Group != r.cfg.Group || wire.Unmarshal(m.Data, &in.message) != nil {
 		r.counters.dropped.Inc(1)
 		return
 	}
-	r.push(in)
+	r.enqueue(in)
 }
 
-func (r *Runner) push(in inbound) {
+func (r *Runner) enqueue(in inbound) {
 	select {
 	case r.inbox <- in:
 	default:
@@ -270,7 +270,7 @@
 
 // Run takes part until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
-	defer r.watch.end()
+	defer r.watch.stop()
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	plan := time.NewTicker(r.cfg.PlanInterval)
@@ -281,17 +281,17 @@
 			return
 		case in := <-r.inbox:
 			r.handle(ctx, in)
-		case s := <-r.worked:
-			r.isWorking = false
-			r.output(ctx, r.participant.Done(s.ranks, s.err))
-		case s := <-r.observed:
-			r.isObserving = false
+		case s := <-r.executed:
+			r.isExecuting = false
+			r.applyOutput(ctx, r.participant.Done(s.ranks, s.err))
+		case s := <-r.polled:
+			r.isPolling = false
 			r.observe(ctx, s)
-		case members := <-r.ready:
-			r.isGathering = false
-			r.begin(members)
+		case members := <-r.membersFound:
+			r.isFindingMembers = false
+			r.startBallot(members)
 		case l := <-r.loads:
-			r.take(l)
+			r.addReport(l)
 		case <-tick.C:
 			r.tick(ctx)
 		case <-plan.C:
@@ -303,44 +303,44 @@
 func (r *Runner) handle(ctx context.Context, in inbound) {
 	if in.isReply {
 		if r.coordinator != nil {
-			r.coordinator.SetArmAhead(r.ahead(time.Now()))
+			r.coordinator.SetArmAhead(r.armAhead(time.Now()))
 			r.send(r.coordinator.Step(in.from, in.message), false)
-			r.conclude()
+			r.finishBallot()
 		}
 		return
 	}
-	if in.pass != nil {
-		r.counters.passed.Inc(int64(len(in.pass.Pass)))
-		r.post(*in.pass, divide(in.pass.Pass), in.message.Stage != nil)
+	if in.relay != nil {
+		r.counters.relayed.Inc(int64(len(in.relay.Pass)))
+		r.sendToBranches(*in.relay, splitIntoBranches(in.relay.Pass), in.message.Stage != nil)
 	}
-	r.origin[in.from] = in.origin
-	r.output(ctx, r.participant.Step(in.from, in.message))
+	r.replyRoute[in.from] = in.replyRoute
+	r.applyOutput(ctx, r.participant.Step(in.from, in.message))
 }
 
-// output does what the participant wants.
-func (r *Runner) output(ctx context.Context, o expertmap.Output) {
+// applyOutput does what the participant wants.
+func (r *Runner) applyOutput(ctx context.Context, o expertmap.Output) {
 	if o.Reply != nil {
-		r.reply(o.Reply)
+		r.sendReply(o.Reply)
 	}
 	if !o.HasWork {
 		return
 	}
-	r.isWorking = true
-	go func() { r.worked <- r.carryOut(ctx, o.Orders) }()
+	r.isExecuting = true
+	go func() { r.executed <- r.executeOrders(ctx, o.Orders) }()
 }
 
-// carryOut gives the orders to the engines and reads their states.
-func (r *Runner) carryOut(ctx context.Context, orders []expertmap.Order) statuses {
+// executeOrders gives the orders to the engines and reads their states.
+func (r *Runner) executeOrders(ctx context.Context, orders []expertmap.Order) statuses {
 	for _, o := range orders {
 		if err := o.Execute(ctx, r.cfg.Ranks[o.EngineIndex]); err != nil {
 			// The order may or may not have been taken; the states show it.
 			r.cfg.Log.Debug("engine refused an order", "error", err)
 		}
 	}
-	return r.read(ctx)
+	return r.readStatuses(ctx)
 }
 
-func (r *Runner) read(ctx context.Context) statuses {
+func (r *Runner) readStatuses(ctx context.Context) statuses {
 	out := statuses{ranks: make([]expertmap.Status, len(r.cfg.Ranks))}
 	for i, e := range r.cfg.Ranks {
 		if out.ranks[i], out.err = e.Status(ctx); out.err != nil {
@@ -351,16 +351,16 @@
 }
 
 func (r *Runner) tick(ctx context.Context) {
-	r.output(ctx, r.participant.Tick())
+	r.applyOutput(ctx, r.participant.Tick())
 	if r.coordinator != nil {
 		r.send(r.coordinator.Tick(), true)
-		r.conclude()
+		r.finishBallot()
 	}
-	if r.isObserving || r.isWorking {
+	if r.isPolling || r.isExecuting {
 		return
 	}
-	r.isObserving = true
-	go func() { r.observed <- r.read(ctx) }()
+	r.isPolling = true
+	go func() { r.polled <- r.readStatuses(ctx) }()
 }
 
 // observe looks whether the ranks wait for a decision that nobody makes.
@@ -370,12 +370,12 @@
 	}
 	r.ranks = s.ranks
 	now := time.Now()
-	if step, late := r.holds.observe(s.ranks[0], &r.pace, now); step != 0 && r.address == 0 {
+	if step, late := r.pauseMeter.observe(s.ranks[0], &r.stepTimer, now); step != 0 && r.address == 0 {
 		r.cfg.Log.Info("expert map in force", "group", r.cfg.Group, "step", step, "late_ms", late.Milliseconds(),
-			"pass_ms", r.pace.mean().Milliseconds())
+			"pass_ms", r.stepTimer.mean().Milliseconds())
 	}
-	r.pace.observe(s.ranks[0].Step, now)
+	r.stepTimer.observe(s.ranks[0].Step, now)
 	if r.participant.RecoveryDue(s.ranks) && r.coordinator == nil {
-		r.gather(ctx, intent{isRecovery: true})
+		r.findMembers(ctx, intent{isRecovery: true})
 	}
 }
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -20,7 +20,7 @@
 
 // A ballot without some rank could miss the one that has committed, so that nothing
 // but a whole group may have one.
-func TestOnlyAWholeGroupHasABallot(t *testing.T) {
+func TestOnlyCompleteGroupMayRunBallot(t *testing.T) {
 	cases := map[string]struct {
 		members []wire.GroupMember
 		isWhole bool
@@ -42,59 +42,59 @@
 	require.False(t, CoversAllRanks(nil, 0))
 }
 
-func TestFirstMapHoldsEveryExpert(t *testing.T) {
+func TestInitialMapContainsEveryExpert(t *testing.T) {
 	m := InitialMap(&wire.GroupShape{Ranks: 8, Experts: 64, Layers: 3, SlotsPerRank: 10})
 	require.Len(t, m.Layers, 3)
 	for _, layer := range m.Layers {
 		require.Len(t, layer, 80)
-		held := make(map[uint16]int)
+		copies := make(map[uint16]int)
 		for _, expert := range layer {
-			held[expert]++
+			copies[expert]++
 		}
-		require.Len(t, held, 64)
+		require.Len(t, copies, 64)
 	}
 }
 
 // The work of the planning host does not grow with the group: the ranks take turns, and
 // nobody lists its experts again that have not changed.
-func TestRanksOfLargeGroupsTakeTurns(t *testing.T) {
+func TestRanksOfLargeGroupsReportInTurns(t *testing.T) {
 	for _, ranks := range []uint32{8, 12, 32, 63, 128} {
 		turns := (ranks + planner.ReportsAtOnce - 1) / planner.ReportsAtOnce
 		reporters := make([]reporter, ranks)
 		for range 3 {
-			all := map[int]bool{}
+			reported := map[int]bool{}
 			for range turns {
 				n := 0
 				for r := range reporters {
-					if isTurn, _ := reporters[r].next(uint32(r), ranks); isTurn {
-						all[r] = true
+					if isDue, _ := reporters[r].nextInterval(uint32(r), ranks); isDue {
+						reported[r] = true
 						n++
 					}
 				}
 				require.LessOrEqual(t, n, planner.ReportsAtOnce)
 			}
-			require.Len(t, all, int(ranks))
+			require.Len(t, reported, int(ranks))
 		}
 	}
 }
 
-func TestExpertsAreListedOnceAMap(t *testing.T) {
+func TestExpertsAreListedOncePerMap(t *testing.T) {
 	var r reporter
 	s := &peer.Session{}
-	listed := func(version uint64) bool {
+	isListed := func(version uint64) bool {
 		m := &wire.ExpertLoad{Ranks: []wire.RankLoad{{Held: [][]uint16{{1}}}}}
 		m.Ranks[0].Version = version
-		r.trim(s, m)
+		r.omitKnownExperts(s, m)
 		return m.Ranks[0].Held != nil
 	}
-	require.True(t, listed(1))
-	require.False(t, listed(1))
-	require.True(t, listed(2), "another map")
+	require.True(t, isListed(1))
+	require.False(t, isListed(1))
+	require.True(t, isListed(2), "another map")
 	s = &peer.Session{}
-	require.True(t, listed(2), "another planning host")
+	require.True(t, isListed(2), "another planning host")
 	n := 0
-	for range 2 * heldReports {
-		if listed(2) {
+	for range 2 * reportsPerExpertList {
+		if isListed(2) {
 			n++
 		}
 	}
@@ -103,17 +103,17 @@
 
 // A report is of one interval, whatever the number of ranks: what is older may be from
 // before a jump of popularity.
-func TestReportsAreOfOneInterval(t *testing.T) {
+func TestReportCoversOneInterval(t *testing.T) {
 	for _, ranks := range []uint32{8, 13, 32, 63, 128} {
 		var r reporter
 		// The first report of all may be of more: nothing is known before it.
-		isFresh := true
+		isReset := true
 		for range 40 {
-			isTurn, isBefore := r.next(5, ranks)
-			if isTurn {
-				require.True(t, isFresh, "%d ranks", ranks)
+			isDue, isDueNext := r.nextInterval(5, ranks)
+			if isDue {
+				require.True(t, isReset, "%d ranks", ranks)
 			}
-			isFresh = isBefore || ranks <= planner.ReportsAtOnce
+			isReset = isDueNext || ranks <= planner.ReportsAtOnce
 		}
 	}
 }
--- a/internal/group/plan.go
+++ b/internal/group/plan.go
@@ -17,11 +17,11 @@
 func (r *Runner) plan(ctx context.Context) {
 	shape := r.cfg.Shape()
 	if shape != nil {
-		switch isTurn, isBefore := r.reporter.next(r.cfg.FirstRank, shape.Ranks); {
-		case isTurn:
-			go r.report(ctx)
-		case isBefore:
-			go r.recount(ctx)
+		switch isDue, isDueNext := r.reporter.nextInterval(r.cfg.FirstRank, shape.Ranks); {
+		case isDue:
+			go r.sendReport(ctx)
+		case isDueNext:
+			go r.resetCounts(ctx)
 		}
 	}
 	if r.address != 0 || shape == nil || r.coordinator != nil {
@@ -31,29 +31,29 @@
 		r.planner.Learn(r.ranks[0].Active.Version, r.participant.Map, shape)
 	}
 	if r.planner.IsComplete(shape) {
-		r.planByPicks(ctx, shape)
+		r.planByExpertCounts(ctx, shape)
 		return
 	}
 	reports := r.planner.TakeTokens(shape.Ranks)
 	if reports == nil {
 		return
 	}
-	present, ok := r.present()
+	current, ok := r.currentMap()
 	if !ok {
 		return
 	}
-	next, isBetter := r.planner.NextByTokens(present, reports, shape)
+	next, isBetter := r.planner.NextByTokens(current, reports, shape)
 	if !isBetter {
 		return
 	}
-	r.gather(ctx, intent{
-		proposal: &expertmap.Proposal{Base: present.Version, Map: next},
-		known:    []expertmap.Map{present},
+	r.findMembers(ctx, intent{
+		proposal:  &expertmap.Proposal{Base: current.Version, Map: next},
+		knownMaps: []expertmap.Map{current},
 	})
 }
 
-// present returns the map that this host's ranks use, if nothing is open.
-func (r *Runner) present() (expertmap.Map, bool) {
+// currentMap returns the map that this host's ranks use, if nothing is open.
+func (r *Runner) currentMap() (expertmap.Map, bool) {
 	if len(r.ranks) == 0 {
 		return expertmap.Map{}, false
 	}
@@ -69,9 +69,9 @@
 	return expertmap.Map{}, false
 }
 
-// planByPicks begins a change where the ranks' own counts show that one is worth it.
-func (r *Runner) planByPicks(ctx context.Context, shape *wire.GroupShape) {
-	next, base, forecast := r.planner.NextByPicks(shape, planner.Ease(r.pace.mean(), r.lateStep()))
+// planByExpertCounts begins a change where the ranks' own counts show that one is worth it.
+func (r *Runner) planByExpertCounts(ctx context.Context, shape *wire.GroupShape) {
+	next, base, forecast := r.planner.NextByPicks(shape, planner.Ease(r.stepTimer.mean(), r.maxStepTime()))
 	if forecast.Before == 0 {
 		// Nothing was counted.
 		return
@@ -81,5 +81,5 @@
 	if !forecast.IsWorth {
 		return
 	}
-	r.gather(ctx, intent{proposal: &expertmap.Proposal{Base: rank.Ballot(base), Map: next}})
+	r.findMembers(ctx, intent{proposal: &expertmap.Proposal{Base: rank.Ballot(base), Map: next}})
 }
--- a/internal/group/report.go
+++ b/internal/group/report.go
@@ -9,72 +9,72 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// heldReports is every how many of its reports a rank lists its experts although they
+// reportsPerExpertList is every how many of its reports a rank lists its experts although they
 // have not changed.
-const heldReports = 10
+const reportsPerExpertList = 10
 
 // reporter decides when this host reports, and whether it lists the experts of its ranks.
 type reporter struct {
 	intervals uint32
 
 	// mu guards the fields below.
-	mu      sync.Mutex
-	session *peer.Session
-	version uint64
-	sent    int
+	mu               sync.Mutex
+	session          *peer.Session
+	version          uint64
+	reportsSinceList int
 }
 
-// next tells, once an interval, whether it is the turn of the host with that first rank
+// nextInterval tells, once an interval, whether it is the turn of the host with that first rank
 // to report, and whether it is in the next interval: counting then begins anew, so that
 // each report is of one interval. Counts of all intervals since the last turn would mostly
 // be from before a jump of popularity when the first change after it is planned.
-func (r *reporter) next(firstRank, ranks uint32) (isTurn, isBefore bool) {
+func (r *reporter) nextInterval(firstRank, ranks uint32) (isDue, isDueNext bool) {
 	r.intervals++
 	turns := (ranks + planner.ReportsAtOnce - 1) / planner.ReportsAtOnce
 	if turns <= 1 {
 		return true, false
 	}
-	at := (r.intervals + firstRank) % turns
-	return at == 0, at == turns-1
+	position := (r.intervals + firstRank) % turns
+	return position == 0, position == turns-1
 }
 
-// trim leaves out the lists of experts that the session's other end has.
-func (r *reporter) trim(s *peer.Session, m *wire.ExpertLoad) {
+// omitKnownExperts leaves out the lists of experts that the session's other end has.
+func (r *reporter) omitKnownExperts(s *peer.Session, m *wire.ExpertLoad) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(m.Ranks) == 0 {
 		return
 	}
 	version := m.Ranks[0].Version
-	if s != r.session || version != r.version || r.sent%heldReports == 0 {
-		r.session, r.version, r.sent = s, version, 1
+	if s != r.session || version != r.version || r.reportsSinceList%reportsPerExpertList == 0 {
+		r.session, r.version, r.reportsSinceList = s, version, 1
 		return
 	}
-	r.sent++
+	r.reportsSinceList++
 	for i := range m.Ranks {
 		m.Ranks[i].Held = nil
 	}
 }
 
-// again makes the next report list the experts.
-func (r *reporter) again() {
+// listExpertsNext makes the next report list the experts.
+func (r *reporter) listExpertsNext() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sent = 0
+	r.reportsSinceList = 0
 }
 
-// reported is what a host of the group measured, and the session by which it came; none for
+// receivedReport is what a host of the group measured, and the session by which it came; none for
 // this host's own.
-type reported struct {
+type receivedReport struct {
 	*wire.ExpertLoad
 	from *peer.Session
 }
 
-// take takes a report in. A host that lists no experts thinks that they are known; where
+// addReport takes a report in. A host that lists no experts thinks that they are known; where
 // this one has started since, or was not there yet when they came, it asks for them.
-func (r *Runner) take(l reported) {
-	if !r.unpack(l.ExpertLoad) {
-		r.counters.unread.Inc(1)
+func (r *Runner) addReport(l receivedReport) {
+	if !r.unpackCounts(l.ExpertLoad) {
+		r.counters.unreadLoads.Inc(1)
 		return
 	}
 	r.planner.Add(l.ExpertLoad)
@@ -83,8 +83,8 @@
 	}
 }
 
-// unpack reads packed counts. It reports whether they are of the group's shape.
-func (r *Runner) unpack(l *wire.ExpertLoad) bool {
+// unpackCounts reads packed counts. It reports whether they are of the group's shape.
+func (r *Runner) unpackCounts(l *wire.ExpertLoad) bool {
 	shape := r.cfg.Shape()
 	for i := range l.Ranks {
 		if l.Ranks[i].Packed == nil {
@@ -101,15 +101,15 @@
 	return true
 }
 
-// listAgain sends the planning host at once what it lacks: until it has the experts of all
+// resendExperts sends the planning host at once what it lacks: until it has the experts of all
 // ranks it can't plan.
-func (r *Runner) listAgain(s *peer.Session, m *wire.ExpertsWanted) {
+func (r *Runner) resendExperts(s *peer.Session, m *wire.ExpertsWanted) {
 	if m.Group != r.cfg.Group {
 		return
 	}
-	r.reporter.again()
+	r.reporter.listExpertsNext()
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), gatherTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 		defer cancel()
 		if l, ok := r.measure(ctx); ok {
 			r.postReport(s, l)
@@ -117,27 +117,27 @@
 	}()
 }
 
-// recount lets the ranks of this host count anew.
-func (r *Runner) recount(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
+// resetCounts lets the ranks of this host count anew.
+func (r *Runner) resetCounts(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	for _, e := range r.cfg.Ranks {
 		if _, err := e.Load(ctx); err != nil {
-			r.counters.unread.Inc(1)
+			r.counters.unreadLoads.Inc(1)
 		}
 	}
 }
 
-// report sends what the ranks of this host measured to the planning host.
-func (r *Runner) report(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
+// sendReport sends what the ranks of this host measured to the planning host.
+func (r *Runner) sendReport(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	m, ok := r.measure(ctx)
 	if !ok {
 		return
 	}
 	if r.cfg.FirstRank == 0 {
-		r.loads <- reported{ExpertLoad: m}
+		r.loads <- receivedReport{ExpertLoad: m}
 		return
 	}
 	address, ok := r.planningHost(ctx)
@@ -156,7 +156,7 @@
 	for _, e := range r.cfg.Ranks {
 		l, err := e.Load(ctx)
 		if err != nil {
-			r.counters.unread.Inc(1)
+			r.counters.unreadLoads.Inc(1)
 			return nil, false
 		}
 		m.Ranks = append(m.Ranks, l)
@@ -166,7 +166,7 @@
 
 // postReport sends a report, without what the other end knows and with its counts packed.
 func (r *Runner) postReport(s *peer.Session, m *wire.ExpertLoad) {
-	r.reporter.trim(s, m)
+	r.reporter.omitKnownExperts(s, m)
 	for i := range m.Ranks {
 		if m.Ranks[i].Picks != nil {
 			m.Ranks[i].Packed, m.Ranks[i].Picks = planner.Pack(m.Ranks[i].Picks), nil
--- a/internal/group/watch.go
+++ b/internal/group/watch.go
@@ -6,20 +6,20 @@
 	"github.com/sassafraspost/sassafraspost/internal/peer"
 )
 
-// watch holds one session, so that a silent end is noticed within seconds. Reports are
+// sessionWatch holds one session, so that a silent end is noticed within seconds. Reports are
 // not answered: without it they would go on into a connection that is dead.
-type watch struct {
+type sessionWatch struct {
 	// mu guards the fields below.
-	mu      sync.Mutex
-	session *peer.Session
-	isOver  bool
+	mu        sync.Mutex
+	session   *peer.Session
+	isStopped bool
 }
 
 // set holds s instead of the session before.
-func (w *watch) set(s *peer.Session) {
+func (w *sessionWatch) set(s *peer.Session) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.isOver || w.session == s {
+	if w.isStopped || w.session == s {
 		return
 	}
 	w.release()
@@ -27,16 +27,16 @@
 	w.session = s
 }
 
-// end holds none any more, nor later.
-func (w *watch) end() {
+// stop holds none any more, nor later.
+func (w *sessionWatch) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.isOver = true
+	w.isStopped = true
 	w.release()
 }
 
 // release lets the session go. The caller holds mu.
-func (w *watch) release() {
+func (w *sessionWatch) release() {
 	if w.session != nil {
 		w.session.Release()
 	}
--- a/internal/group/watch_test.go
+++ b/internal/group/watch_test.go
@@ -14,7 +14,7 @@
 	"github.com/sassafraspost/sassafraspost/test/faultproxy"
 )
 
-func quietPool() *peer.Pool {
+func newTestPool() *peer.Pool {
 	return peer.NewPool(peer.Config{
 		Hello: wire.Hello{Host: "h"}, Secret: "watch-test-secret", HeldLimit: 200 * time.Millisecond,
 		PingInterval: time.Hour, Handler: peer.HandlerFunc(func(*peer.Session, uint64, wire.Message) {}),
@@ -23,20 +23,20 @@
 
 // Reports go one way only: without the watch a connection that has fallen silent would be
 // written to for hours here.
-func TestSilentPlanningHostIsNoticed(t *testing.T) {
-	far, own := quietPool(), quietPool()
-	t.Cleanup(far.Close)
-	t.Cleanup(own.Close)
+func TestSilentPlanningHostIsDetected(t *testing.T) {
+	remote, local := newTestPool(), newTestPool()
+	t.Cleanup(remote.Close)
+	t.Cleanup(local.Close)
 	mux := http.NewServeMux()
-	mux.Handle(peer.Path, peer.NewServer(far))
+	mux.Handle(peer.Path, peer.NewServer(remote))
 	srv := httptest.NewServer(mux)
 	t.Cleanup(srv.Close)
 	proxy, err := faultproxy.NewTCP(strings.TrimPrefix(srv.URL, "http://"))
 	require.NoError(t, err)
 	t.Cleanup(proxy.Close)
-	s, err := own.Get(t.Context(), proxy.Address())
+	s, err := local.Get(t.Context(), proxy.Address())
 	require.NoError(t, err)
-	var w watch
+	var w sessionWatch
 	w.set(s)
 	w.set(s)
 	proxy.Freeze()
@@ -45,7 +45,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("the silence was not noticed")
 	}
-	w.end()
+	w.stop()
 	w.set(s)
 	require.Nil(t, w.session, "nothing is held once the host has left the group")
 }
