--- a/internal/emulator/clock.go
+++ b/internal/emulator/clock.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// clock is virtual time: what is to happen, in the order of its time. What happens at the same
-// time does so in the order in which it was asked for.
+// clock is a virtual clock with a queue of events. Events run in the order of their time, and
+// those with the same time in the order in which they were scheduled.
 type clock struct {
 	now       time.Duration
 	events    events
@@ -19,16 +19,16 @@
 	action   func()
 }
 
-// at lets do happen at that time.
+// at schedules an action for time t, or for now if t has passed.
 func (c *clock) at(t time.Duration, action func()) {
 	c.scheduled++
 	heap.Push(&c.events, event{at: max(t, c.now), sequence: c.scheduled, action: action})
 }
 
-// after lets do happen in that long.
+// after schedules an action for the time d from now.
 func (c *clock) after(d time.Duration, action func()) { c.at(c.now+d, action) }
 
-// runNext lets the next event happen, and reports whether there was one.
+// runNext advances the clock to the next event and runs it. It reports whether there was one.
 func (c *clock) runNext() bool {
 	if len(c.events) == 0 {
 		return false
@@ -39,7 +39,7 @@
 	return true
 }
 
-// events is a heap.
+// events is a priority queue for package heap; the earliest event comes first.
 type events []event
 
 func (e events) Len() int      { return len(e) }
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -1,14 +1,18 @@
-// Package emulator plays a model service in virtual time, so that a question of policy is
-// answered in a second, over many seeds and at any size. Entry hosts decide by the product's
-// own package schedule, unchanged; all else is a model: groups of ranks that execute passes
-// together, loads that come late, callers with a target, a patience and one try more.
+// Package emulator simulates a deployment of a model service in virtual time, so the effect of
+// a scheduling policy can be computed within a second, over many seeds and at any size. The
+// entry hosts use the real package schedule. Everything else is a model: groups of ranks that
+// run each forward pass together, load reports that arrive late, and callers with a latency
+// target and a timeout that retry once.
 //
-// It is deterministic: a configuration and its seed give the same report each time. It starts
-// no goroutine, reads no clock and does no I/O.
+// A pass is one forward pass of a whole group. It consists of Engine.Stride token steps and
+// yields one event of the answer for each running request.
 //
-// Left out: plain services, workspaces and priorities, links and data centres, streams that go
-// on elsewhere, requests that are taken back from a group that stands still, and how a map
-// follows popularity: the skew of a group is given.
+// The simulation is deterministic: the same configuration and seed always give the same report.
+// It starts no goroutine, reads no clock and does no I/O.
+//
+// Not modelled: plain services, workspaces and priorities, links and data centres, streams that
+// are resumed at another upstream, requests that are withdrawn from a stalled group, and the
+// way the expert map follows expert popularity (the skew of a group is an input).
 package emulator
 
 import (
@@ -23,62 +27,68 @@
 	"github.com/sassafraspost/sassafraspost/internal/schedule"
 )
 
-// Config is one run.
+// Config describes one simulation.
 type Config struct {
 	Seed uint64
-	// ArrivalPeriod is for how long callers come. The run ends when the last of them has left.
+	// ArrivalPeriod is how long new callers arrive. The simulation ends when the last caller
+	// has left.
 	ArrivalPeriod time.Duration
-	// Hosts is the number of entry hosts; each caller asks one of them, drawn evenly.
+	// Hosts is the number of entry hosts. Each try of a caller goes to one of them, chosen
+	// uniformly at random.
 	Hosts int
-	// Groups of Ranks engines each serve, with the figures of Engine.
+	// Groups is the number of groups, and Ranks the number of engines in each of them. Engine
+	// gives the properties of each engine.
 	Groups, Ranks int
 	Engine        routetable.Engine
-	// Skew is the load of the most loaded rank over the mean one, 1 if zero.
+	// Skew is the load of the most loaded rank divided by the mean load of the ranks. Default
+	// 1.
 	Skew float64
-	// ArrivalRate is how many callers come a second, at a time from the start.
+	// ArrivalRate is how many callers arrive per second, at a given time since the start.
 	ArrivalRate func(at time.Duration) float64
-	// Target is within what the first event is on time, Gap the longest pause between events
-	// that is, Patience the time that a caller has.
+	// An answer is on time if its first event arrives within Target and the time between two
+	// consecutive events never exceeds Gap; a Gap of 0 means no limit. CallerTimeout is the
+	// time limit that a caller sets for its whole request, including a retry.
 	Target, Gap, CallerTimeout time.Duration
-	// Budget bounds the repeats of all hosts together.
+	// Budget limits the retries of all hosts together.
 	Budget retrybudget.Params
-	// Outages are when groups do not serve.
+	// Outages lists the times at which groups are down.
 	Outages []Outage
 }
 
-// Outage is a time in which a group does not serve. What ran there as it began is lost.
+// Outage is a period in which a group accepts no requests. The requests that it had at the
+// start of the outage are lost.
 type Outage struct {
 	Group    int
 	From, To time.Duration
 }
 
-// check returns the first fault of a configuration.
+// check returns an error if the configuration is invalid.
 func (c *Config) check() error {
 	switch {
 	case c.ArrivalPeriod <= 0 || c.ArrivalRate == nil:
-		return errors.New("emulator: nobody comes")
+		return errors.New("emulator: ArrivalPeriod must be positive and ArrivalRate must be set")
 	case c.Hosts <= 0 || c.Groups <= 0 || c.Ranks <= 0:
-		return errors.New("emulator: there have to be hosts, groups and ranks")
+		return errors.New("emulator: Hosts, Groups and Ranks must be positive")
 	case c.Engine.Slots <= 0 || c.Engine.Step <= 0 || c.Engine.Answer <= 0 || c.Engine.ReadRate <= 0:
-		return errors.New("emulator: engines need slots, a step, an answer and a rate of reading")
+		return errors.New("emulator: Engine.Slots, Step, Answer and ReadRate must be positive")
 	case c.Target <= 0 || c.CallerTimeout < c.Target:
-		return errors.New("emulator: callers need a target, and a patience that is no shorter")
+		return errors.New("emulator: Target must be positive and CallerTimeout not shorter")
 	}
 	for _, o := range c.Outages {
 		if o.Group < 0 || o.Group >= c.Groups || o.To <= o.From {
-			return errors.Errorf("emulator: no outage of group %d from %s to %s", o.Group, o.From, o.To)
+			return errors.Errorf("emulator: invalid outage of group %d from %s to %s", o.Group, o.From, o.To)
 		}
 	}
 	return nil
 }
 
 const (
-	// messageDelay is the way of a message between a host and an engine.
+	// messageDelay is the time that a message takes between a host and an engine.
 	messageDelay = time.Millisecond
-	// reportInterval is the time between two loads of an engine, reportAge how old one is when
-	// hosts have it.
+	// reportInterval is the time between two load reports of an engine. reportDelay is how old
+	// a report is when it reaches the hosts.
 	reportInterval, reportDelay = 100 * time.Millisecond, 50 * time.Millisecond
-	// serviceName is the service of the run.
+	// serviceName is the name of the simulated service.
 	serviceName = "model"
 )
 
@@ -89,13 +99,13 @@
 	rng    *rand.Rand
 	hosts  []*host
 	groups []*group
-	// engines are the ranks by their addresses.
+	// engines maps the address of each rank to its engine.
 	engines       map[string]*engine
 	activeCallers int
 	report        Report
 }
 
-// Run plays a configuration.
+// Run simulates a configuration until all callers have left.
 func Run(cfg Config) (*Report, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -117,7 +127,7 @@
 	return &s.report, nil
 }
 
-// build makes the hosts and the engines, which know each other from the start.
+// build creates the engines and the hosts. Every host knows all engines from the start.
 func (s *simulation) build() {
 	var all []registry.Upstream
 	for g := range s.cfg.Groups {
@@ -138,7 +148,8 @@
 
 func (s *simulation) isDone() bool { return s.clock.now >= s.cfg.ArrivalPeriod && s.activeCallers == 0 }
 
-// publishLoads lets all hosts know the loads of all engines, again and again.
+// publishLoads sends the current loads of all engines to all hosts, and repeats that every
+// reportInterval.
 func (s *simulation) publishLoads() {
 	loads := s.loads()
 	s.clock.after(reportDelay, func() {
@@ -149,7 +160,8 @@
 	s.clock.after(reportInterval, s.publishLoads)
 }
 
-// scheduleArrivals lets a caller come, and draws when the next one does.
+// scheduleArrivals starts the request of a caller and schedules the arrival of the next one.
+// The time between two arrivals is distributed exponentially.
 func (s *simulation) scheduleArrivals() {
 	now := s.clock.now
 	if now >= s.cfg.ArrivalPeriod {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -12,12 +12,13 @@
 	"github.com/sassafraspost/sassafraspost/internal/schedule"
 )
 
-// capacity is how many callers a second two groups of eight ranks serve with twelve requests
-// at each: 32 passes of 44 ms for an answer.
+// capacity is how many callers per second two groups of eight ranks can serve with twelve
+// running requests per rank: an answer takes 32 passes of 44 ms.
 const capacity = 2 * 8 * 12 / (32 * 0.044)
 
-// baseConfig is a deployment of two groups, to which that many callers come a second. Its passes
-// bear twelve requests at a rank while the most loaded one has 2.4 times the mean.
+// baseConfig is a deployment of two groups with the given number of callers per second. The
+// scheduler allows twelve requests per rank: with more, events could come later than Gap if the
+// most loaded rank had 2.4 times the mean load.
 func baseConfig(seed uint64, rate float64) Config {
 	return Config{
 		Seed: seed, ArrivalPeriod: 20 * time.Second, Hosts: 9, Groups: 2, Ranks: 8,
@@ -31,6 +32,7 @@
 	}
 }
 
+// mustRun runs a simulation and checks that each caller has exactly one outcome.
 func mustRun(t require.TestingT, cfg Config) *Report {
 	r, err := Run(cfg)
 	require.NoError(t, err)
@@ -38,6 +40,7 @@
 	return r
 }
 
+// Guards against simulations that depend on anything but their configuration and seed.
 func TestSameSeedGivesTheSameReport(t *testing.T) {
 	for seed := range uint64(3) {
 		cfg := baseConfig(seed, 2*capacity)
@@ -47,6 +50,7 @@
 	require.NotEqual(t, mustRun(t, baseConfig(1, capacity)), mustRun(t, baseConfig(2, capacity)))
 }
 
+// Guards against late answers and uneven load when callers need only half of the capacity.
 func TestAllCallersAreServedOnTimeBelowCapacity(t *testing.T) {
 	for seed := range uint64(5) {
 		r := mustRun(t, baseConfig(seed, capacity/2))
@@ -55,15 +59,15 @@
 	}
 }
 
-// With far too many callers the engines serve as many on time, nearly, as if only those had
-// come, and nobody is held for longer than a place is waited for.
+// Guards against overload that reduces the number of answers on time: four times as many
+// callers arrive as the engines can serve.
 func TestOverloadDoesNotReduceThroughput(t *testing.T) {
 	for seed := range uint64(3) {
 		requireThroughputUnderOverload(t, baseConfig(seed, 4*capacity))
 	}
 }
 
-// The same where passes bear a request in each slot.
+// As TestOverloadDoesNotReduceThroughput, but the scheduler may use all slots of an engine.
 func TestOverloadDoesNotReduceThroughputWithAllSlotsUsable(t *testing.T) {
 	for seed := range uint64(3) {
 		cfg := baseConfig(seed, 4*capacity)
@@ -72,6 +76,8 @@
 	}
 }
 
+// requireThroughputUnderOverload checks that at least 75 % of the capacity is used for answers
+// on time, and that no caller waits longer for a refusal than the scheduler's longest wait.
 func requireThroughputUnderOverload(t *testing.T, cfg Config) {
 	t.Helper()
 	r := mustRun(t, cfg)
@@ -79,8 +85,8 @@
 	require.LessOrEqual(t, r.LongestRefusalTime(0), schedule.LongestWait)
 }
 
-// Nothing is sent into a broken group once that is heard, so that all callers are served by
-// the other one as far as it has room.
+// Guards against requests that are sent to a group after its outage has become known. The other
+// group has to serve all callers, since it has enough capacity.
 func TestOtherGroupServesDuringOutage(t *testing.T) {
 	cfg := baseConfig(1, capacity/4)
 	cfg.Outages = []Outage{{Group: 1, From: 5 * time.Second, To: 15 * time.Second}}
@@ -89,7 +95,8 @@
 	require.Greater(t, r.Fraction(r.InAim), 0.95, "%+v", r)
 }
 
-// Where nothing serves callers come back after the outage if that is in their time.
+// Guards against callers that are lost in an outage of all groups that is shorter than their
+// timeout: they have to retry after it and be served.
 func TestCallersRetryAfterShortOutage(t *testing.T) {
 	cfg := baseConfig(1, capacity/3)
 	cfg.Outages = []Outage{{Group: 0, From: 5 * time.Second, To: 7 * time.Second}, {Group: 1, From: 5 * time.Second, To: 7 * time.Second}}
@@ -100,8 +107,8 @@
 	require.LessOrEqual(t, r.LongestRefusalTime(0), schedule.LongestWait)
 }
 
-// What can't be served is refused at once: in an outage that is much older than the longest
-// wait for a place nobody waits for one.
+// Guards against requests that wait in a long outage. Once it has lasted much longer than the
+// scheduler's longest wait, requests have to be refused at once.
 func TestLongOutageRefusesWithoutWaiting(t *testing.T) {
 	cfg := baseConfig(1, capacity/3)
 	cfg.Outages = []Outage{{Group: 0, To: time.Minute}, {Group: 1, To: time.Minute}}
@@ -110,8 +117,9 @@
 	require.LessOrEqual(t, r.LongestRefusalTime(10*schedule.LongestWait), 100*time.Millisecond)
 }
 
-// Whatever the deployment and its outages, everybody has one answer, within the patience, and
-// no group has work left.
+// Guards against callers that get no outcome, or more than one, and against callers that never
+// leave, in any deployment and with any outages. mustRun compares the number of outcomes with
+// the number of callers.
 func TestEveryCallerGetsOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := baseConfig(rapid.Uint64().Draw(t, "seed"), rapid.Float64Range(1, 3*capacity).Draw(t, "rate"))
@@ -133,10 +141,10 @@
 
 func TestInvalidConfigsAreRejected(t *testing.T) {
 	for name, invalidate := range map[string]func(*Config){
-		"nobody comes":   func(c *Config) { c.ArrivalRate = nil },
+		"no arrivals":    func(c *Config) { c.ArrivalRate = nil },
 		"no hosts":       func(c *Config) { c.Hosts = 0 },
 		"no slots":       func(c *Config) { c.Engine.Slots = 0 },
-		"no patience":    func(c *Config) { c.CallerTimeout = c.Target / 2 },
+		"short timeout":  func(c *Config) { c.CallerTimeout = c.Target / 2 },
 		"unknown group":  func(c *Config) { c.Outages = []Outage{{Group: 2, To: time.Second}} },
 		"empty outage":   func(c *Config) { c.Outages = []Outage{{From: time.Second, To: time.Second}} },
 		"negative group": func(c *Config) { c.Outages = []Outage{{Group: -1, To: time.Second}} },
@@ -156,7 +164,8 @@
 	}
 }
 
-// The target's size: 600 engines in groups of 120 ranks before 330 hosts.
+// Benchmark600Ranks runs the largest deployment that the product has to support: 600 engines in
+// groups of 120 ranks, and 330 hosts.
 func Benchmark600Ranks(b *testing.B) {
 	for range b.N {
 		cfg := baseConfig(1, 600.0/16*capacity)
--- a/internal/emulator/group.go
+++ b/internal/emulator/group.go
@@ -9,33 +9,35 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// group is a set of ranks that execute each pass together.
+// group is a set of ranks that run each pass together.
 type group struct {
 	sim    *simulation
 	name   string
 	ranks  []*engine
 	epoch  uint64
 	isOpen bool
-	// isPassRunning tells that a pass is under way. It ends with the epoch in which it began.
+	// isPassRunning tells that a pass is in progress. A pass is lost if the epoch changes
+	// before it ends.
 	isPassRunning bool
 }
 
-// engine is one rank.
+// engine is the engine of one rank.
 type engine struct {
 	group   *group
 	address string
 	rank    uint32
-	// running are the requests that have a slot, in the order in which they came; queue are
-	// those that wait for one.
+	// running lists the requests that occupy a slot, and queue those that wait for one, both in
+	// order of arrival.
 	running, queue []*request
-	// started counts the requests that got a slot.
+	// started counts the requests that have been given a slot.
 	started int
 }
 
-// request is a request at an engine.
+// request is a call that an engine has accepted.
 type request struct {
 	call *call
-	// promptDone is when its prompt is read; passes is how many events are to come.
+	// promptDone is the time at which the engine has processed the prompt. passes is the number
+	// of passes, and so of events, that the answer still needs.
 	promptDone time.Duration
 	passes     int
 }
@@ -48,8 +50,8 @@
 	return g
 }
 
-// accept takes in a request, which has come from its host. It returns false where the group does
-// not serve; the request did not run then.
+// accept queues a call that has arrived from a host. It returns false if the group is down; the
+// call hasn't run then.
 func (e *engine) accept(c *call) bool {
 	if !e.group.isOpen {
 		return false
@@ -60,7 +62,7 @@
 	return true
 }
 
-// fillSlots gives slots to those that wait for one.
+// fillSlots moves queued requests into free slots.
 func (e *engine) fillSlots() {
 	sim := e.group.sim
 	for len(e.queue) > 0 && len(e.running) < sim.cfg.Engine.Slots {
@@ -73,18 +75,19 @@
 	}
 }
 
-// promptTime is how long the prompt of a request takes to read.
+// promptTime is how long an engine takes to process a prompt.
 func (s *simulation) promptTime() time.Duration {
 	return time.Duration(s.cfg.Engine.Prompt / s.cfg.Engine.ReadRate * float64(time.Second))
 }
 
-// passes draws how many passes an answer takes: from half of the mean to half more.
+// passes draws the number of passes that an answer takes, uniformly between half and one and a
+// half times the mean.
 func (s *simulation) passes() int {
 	tokens := s.cfg.Engine.Answer * (0.5 + s.rng.Float64())
 	return max(int(math.Ceil(tokens/float64(max(s.cfg.Engine.Stride, 1)))), 1)
 }
 
-// startPass begins a pass if there is work and none is under way.
+// startPass starts a pass if some rank has a running request and no pass is in progress.
 func (g *group) startPass() {
 	if g.isPassRunning || !g.isOpen || g.maxRunning() == 0 {
 		return
@@ -94,7 +97,7 @@
 	g.sim.clock.after(g.passTime(), func() { g.endPass(began, epoch) })
 }
 
-// maxRunning is how many requests the rank with the most of them has.
+// maxRunning returns the number of running requests of the rank that has most of them.
 func (g *group) maxRunning() int {
 	highest := 0
 	for _, e := range g.ranks {
@@ -103,8 +106,9 @@
 	return highest
 }
 
-// passTime is how long the pass takes that begins now: all ranks wait for the one with the
-// most work, and its experts for the skew.
+// passTime returns how long a pass takes that starts now. All ranks wait for the one with the
+// most running requests. The part of the work that experts do (Experts.Share) is also
+// multiplied by the skew, since all ranks wait for the one with the most loaded experts.
 func (g *group) passTime() time.Duration {
 	e := g.sim.cfg.Engine
 	step := float64(e.Step) + float64(g.maxRunning())*float64(e.PerRequest)
@@ -112,7 +116,8 @@
 	return time.Duration(float64(max(e.Stride, 1)) * skew * step)
 }
 
-// endPass ends a pass: each request whose prompt was read when it began has an event.
+// endPass ends a pass. Each request whose prompt had been processed before the pass started
+// gets one event.
 func (g *group) endPass(began time.Duration, epoch uint64) {
 	if g.epoch != epoch {
 		return
@@ -138,7 +143,7 @@
 	})
 }
 
-// fail lets the group serve no more: what it has is lost.
+// fail starts an outage: the group accepts no more requests and loses those that it has.
 func (g *group) fail() {
 	g.isOpen, g.isPassRunning = false, false
 	g.epoch++
@@ -150,10 +155,10 @@
 	}
 }
 
-// reform lets it serve again.
+// reform ends an outage: the group accepts requests again.
 func (g *group) reform() { g.isOpen = true }
 
-// loads are those of all engines now.
+// loads returns the current load of every engine.
 func (s *simulation) loads() []wire.EngineLoad {
 	var out []wire.EngineLoad
 	for _, g := range s.groups {
--- a/internal/emulator/host.go
+++ b/internal/emulator/host.go
@@ -7,24 +7,27 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// host is an entry host: the product's scheduler, and what its gateway does around it.
+// host is an entry host: the real scheduler, and a model of what the gateway does with its
+// decisions.
 type host struct {
 	sim       *simulation
 	scheduler *schedule.Scheduler
-	// waiting are the calls that wait for a place.
+	// waiting maps each queued request of the scheduler to its call.
 	waiting map[*schedule.Waiter]*call
 }
 
-// minReturnShare is the part of its patience that a caller must have left to come back.
+// minReturnShare is the part of its timeout that a caller must have left for the scheduler to
+// assume that it can retry later. As in package gateway, an outage then leads to a refusal at
+// once instead of a wait at the host.
 const minReturnShare = 0.8
 
-// applyLoads takes in the loads of engines.
+// applyLoads gives the load reports of engines to the scheduler.
 func (h *host) applyLoads(loads []wire.EngineLoad) {
 	results, _ := h.scheduler.SetLoads(loads, h.sim.clock.now)
 	h.deliver(results)
 }
 
-// deliver tells calls that have waited what becomes of them.
+// deliver passes the scheduler's decisions on to the calls that have waited for them.
 func (h *host) deliver(results []schedule.Result) {
 	for _, result := range results {
 		c := h.waiting[result.Waiter]
@@ -33,7 +36,8 @@
 	}
 }
 
-// admit asks for a place for a call.
+// admit asks the scheduler for an engine. If the scheduler queues the call, its wait is limited
+// to schedule.LongestWait.
 func (h *host) admit(c *call) {
 	now := h.sim.clock.now
 	d := h.scheduler.Admit(&schedule.Request{
@@ -48,7 +52,8 @@
 	h.sim.clock.after(schedule.LongestWait, func() { h.giveUp(d.Waiter) })
 }
 
-// giveUp ends the wait of a call that has waited too long.
+// giveUp ends the wait of a call that has been queued for too long, unless it has been decided
+// on already.
 func (h *host) giveUp(w *schedule.Waiter) {
 	c := h.waiting[w]
 	if c == nil {
@@ -58,27 +63,30 @@
 	c.onDecision(h.scheduler.GiveUp(w, h.sim.clock.now))
 }
 
-// endAttempt gives back the place of a call.
+// endAttempt tells the scheduler that the call no longer occupies the engine, and with which
+// outcome.
 func (h *host) endAttempt(t *schedule.Ticket, o schedule.Outcome) {
 	results, _ := h.scheduler.End(t, o, h.sim.clock.now)
 	h.deliver(results)
 }
 
-// call is one caller's request, over both of its tries.
+// call is the request of one caller. A caller tries at most twice, at a host each. Within one
+// try, the host may attempt several engines.
 type call struct {
 	sim  *simulation
 	host *host
-	// firstTry is when the caller first asked, asked when it did last.
+	// firstTry and lastTry are the times of the caller's first and last try.
 	firstTry, lastTry time.Duration
 	tries             int
 	triedUpstreams    []string
 	ticket            *schedule.Ticket
-	// lastEvent is when its last event came; events counts them, late those that were not on time.
+	// lastEvent is the time of the latest event. eventCount counts the events, lateEvents those
+	// of them that were late.
 	lastEvent              time.Duration
 	eventCount, lateEvents int
 }
 
-// startCall lets a caller come.
+// startCall starts the request of a new caller.
 func (s *simulation) startCall() {
 	s.activeCallers++
 	s.report.Asked++
@@ -88,8 +96,8 @@
 
 func (c *call) deadline() time.Duration { return c.firstTry + c.sim.cfg.CallerTimeout }
 
-// onTimeUntil is when the first event has to be there. A caller that has been here before is
-// late: its time began with its first try.
+// onTimeUntil returns the time by which the first event is on time. For a retry it has passed
+// already, since the target is counted from the first try.
 func (c *call) onTimeUntil() time.Duration {
 	if c.tries > 1 {
 		return c.firstTry
@@ -97,7 +105,7 @@
 	return c.firstTry + c.sim.cfg.Target
 }
 
-// try asks a host.
+// try sends the request to a random host.
 func (c *call) try() {
 	c.tries++
 	c.lastTry, c.triedUpstreams = c.sim.clock.now, nil
@@ -106,7 +114,8 @@
 	c.host.admit(c)
 }
 
-// onDecision goes on with what the host has decided.
+// onDecision handles the scheduler's decision: it sends the call to the chosen engine, or
+// refuses it.
 func (c *call) onDecision(d schedule.Decision) {
 	if d.Ticket == nil {
 		c.onRefusal(d.RetryAfter)
@@ -122,8 +131,8 @@
 	})
 }
 
-// onNotRun goes on where an engine did not take the call: at another one, as far as the
-// budget goes.
+// onNotRun handles an attempt that an engine didn't run. The host attempts another engine if
+// the retry budget allows it.
 func (c *call) onNotRun() {
 	c.host.endAttempt(c.ticket, schedule.Bad)
 	now := c.sim.clock.now
@@ -134,8 +143,9 @@
 	c.onRefusal(schedule.ReturnAfter(c.deadline() - now))
 }
 
-// onRefusal tells the caller that its request did not run. It comes back once, when it was told
-// to, within the third of its time that callers wait at most.
+// onRefusal handles a refusal; the request hasn't run. After the first refusal the caller
+// retries as late as Retry-After asks for, but after no more than a third of its remaining
+// time, because callers don't wait longer than that. A second refusal is final.
 func (c *call) onRefusal(retryAfter time.Duration) {
 	now := c.sim.clock.now
 	c.sim.report.onRefusal(c.lastTry, now-c.lastTry)
@@ -148,7 +158,7 @@
 	c.sim.clock.after(wait, c.try)
 }
 
-// onEvent is an event of the answer at the caller.
+// onEvent handles an event of the answer that has reached the caller.
 func (c *call) onEvent(isLast bool) {
 	now := c.sim.clock.now
 	isLate := now > c.firstTry+c.sim.cfg.Target
@@ -174,8 +184,8 @@
 	c.end(&c.sim.report.InAim)
 }
 
-// onGroupFailure tells that the group broke under the call. Without an event it may go on elsewhere;
-// an answer that has begun is lost.
+// onGroupFailure handles the failure of the group that runs the call. If no event has arrived
+// yet, the host may attempt another engine. An answer that has begun is lost.
 func (c *call) onGroupFailure() {
 	if c.eventCount == 0 {
 		c.onNotRun()
@@ -185,7 +195,7 @@
 	c.end(&c.sim.report.Cut)
 }
 
-// end counts the call's end.
+// end ends the call and adds it to one of the report's counters.
 func (c *call) end(counter *int) {
 	*counter++
 	c.sim.activeCallers--
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -2,27 +2,31 @@
 
 import "time"
 
-// Report is what came of a run. Each caller that asked is in one of InAim, Late, Refused and
-// Cut.
+// Report is the result of a simulation. Each caller is counted in exactly one of InAim, Late,
+// Refused and Cut; Asked counts all of them.
 type Report struct {
 	Asked int
-	// InAim were answered whole and on time throughout, Late whole. Refused were told at each
-	// try that nothing ran, Cut had a part of the answer when their group broke.
+	// InAim counts complete answers of which every event was on time, and Late complete answers
+	// with a late event. Refused counts callers that were refused on both tries; their requests
+	// never ran. Cut counts callers that lost the rest of a begun answer when the group failed.
 	InAim, Late, Refused, Cut int
-	// Returned were refused once and came back.
+	// Returned counts callers that were refused once and then retried.
 	Returned int
-	// RefusalTimes is the longest time from a try to its refusal, by the second of the try.
+	// RefusalTimes holds, for each second of the simulation, the longest time between a try in
+	// that second and its refusal.
 	RefusalTimes []time.Duration
-	// Busiest is how many requests the engine with the most of them was given, over the mean.
+	// Busiest is the number of requests that the busiest engine has started, divided by the
+	// mean over all engines.
 	Busiest float64
-	// Ended is when the last caller left.
+	// Ended is the time at which the last caller left.
 	Ended time.Duration
 }
 
-// Fraction is the part of those who asked, without unit.
+// Fraction returns n divided by the number of callers.
 func (r *Report) Fraction(n int) float64 { return float64(n) / float64(max(r.Asked, 1)) }
 
-// LongestRefusalTime is the longest time from a try to its refusal, of those who asked from then on.
+// LongestRefusalTime returns the longest time between a try and its refusal, over all tries
+// from the given second on.
 func (r *Report) LongestRefusalTime(from time.Duration) time.Duration {
 	longest := time.Duration(0)
 	for second := int(from / time.Second); second < len(r.RefusalTimes); second++ {
@@ -31,7 +35,7 @@
 	return longest
 }
 
-// onRefusal notes a try that was refused.
+// onRefusal records how long a try waited until it was refused.
 func (r *Report) onRefusal(triedAt, waited time.Duration) {
 	second := int(triedAt / time.Second)
 	for len(r.RefusalTimes) <= second {
--- a/internal/group/coordinate.go
+++ b/internal/group/coordinate.go
@@ -12,21 +12,25 @@
 
 const (
 	queryTimeout = 2 * time.Second
-	// DefaultArmAhead covers a round trip to all hosts at the shortest steps of the target.
+	// DefaultArmAhead covers a round trip to all hosts at the shortest step time that has to be
+	// supported.
 	DefaultArmAhead = 32
 )
 
-// intent is what a coordinator is to begin with once all members are known.
+// intent is what the next ballot should do once all members of the group are known: recover
+// from an unfinished change, or make a proposal. knownMaps are further maps that can serve as
+// the base of a delta.
 type intent struct {
 	isRecovery bool
 	proposal   *expertmap.Proposal
 	knownMaps  []expertmap.Map
 }
 
-// armAhead is how many steps ahead a change is armed: the first that begins once the round
-// of orders is over, since until then all wait for the slowest rank of the old map. Where
-// a step takes so long that its streams are late anyway, it is the next one, and the
-// group may wait for the round.
+// armAhead returns how many steps ahead a change should be armed. That is the first step that
+// starts after the orders of the change (arm and commit) have reached all ranks. An earlier
+// step would pause until then, and a later one would keep the group on the old map, and so on
+// its slowest rank, for longer. If steps take so long that streams are late anyway, the next
+// step is armed, and the group may pause for the orders.
 func (r *Runner) armAhead(now time.Time) uint64 {
 	step := r.stepTimer.mean()
 	if step == 0 {
@@ -40,7 +44,7 @@
 	return min(min(steps, r.cfg.ArmAhead)+r.extraAhead, r.cfg.MaxArmAhead)
 }
 
-// maxStepTime is how long a step may take without its streams being late, 0 if unknown.
+// maxStepTime returns how long a step may take before streams are late; 0 if unknown.
 func (r *Runner) maxStepTime() time.Duration {
 	if r.cfg.MaxStepTime == nil {
 		return 0
@@ -48,7 +52,8 @@
 	return r.cfg.MaxStepTime()
 }
 
-// findMembers asks the directory for the group's hosts, beside the loop.
+// findMembers looks up the hosts of the group in a goroutine, since that may take longer than
+// Run's loop may wait. startBallot continues with the result.
 func (r *Runner) findMembers(ctx context.Context, next intent) {
 	if r.isFindingMembers {
 		return
@@ -63,8 +68,9 @@
 	}()
 }
 
-// startBallot starts a ballot, unless the hosts found are not exactly all ranks of the
-// group: a participant left out could be the one that has committed.
+// startBallot starts the next ballot. It does nothing unless the members found cover every rank
+// of the group exactly once: a participant that is left out could be the one that has
+// committed.
 func (r *Runner) startBallot(members []wire.GroupMember) {
 	shape := r.cfg.Shape()
 	if r.coordinator != nil || shape == nil || !CoversAllRanks(members, shape.Ranks) {
@@ -105,11 +111,12 @@
 	r.ballotStats.enter(c.Round(), time.Now())
 }
 
-// pausedRetryTicks is how many ticks the coordinator waits, while ranks may hold, before it asks
-// those again that have not answered: as long as both rounds of orders of a change take on
-// the mean. One round is then late, by a message that was lost, and its connection repeats
-// it later than this. It is never longer than where nothing is known: rounds that were long
-// since messages were lost in them must not make the next ones wait longer.
+// pausedRetryTicks returns how many ticks the coordinator waits for an answer, in the rounds in
+// which ranks may be paused, before it sends a request again. It is the mean time that the arm
+// and commit rounds take together. A single round that takes that long has probably lost a
+// message, and the connection would resend it later than that. The result never exceeds
+// retryTicks, which applies while nothing has been measured. Otherwise rounds that were slow
+// because they lost messages would make later rounds wait even longer for lost messages.
 func (r *Runner) pausedRetryTicks() int {
 	if r.orderTime.average() == 0 {
 		return retryTicks
@@ -118,7 +125,8 @@
 	return min(max(ticks, minPausedRetryTicks), retryTicks)
 }
 
-// CoversAllRanks reports whether the members hold each rank of a group once.
+// CoversAllRanks reports whether each of the group's ranks belongs to exactly one of the
+// members.
 func CoversAllRanks(members []wire.GroupMember, ranks uint32) bool {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b wire.GroupMember) int { return int(a.FirstRank) - int(b.FirstRank) })
@@ -132,7 +140,8 @@
 	return next == ranks && ranks > 0
 }
 
-// finishBallot drops a coordinator whose ballot has ended.
+// finishBallot records the result of the coordinator's ballot and removes the coordinator, if
+// the ballot has ended.
 func (r *Runner) finishBallot() {
 	r.ballotStats.enter(r.coordinator.Round(), time.Now())
 	outcome := r.coordinator.Outcome()
@@ -158,7 +167,8 @@
 		r.cfg.Log.Info("expert map changed", append(r.ballotStats.attrs(), "group", r.cfg.Group, "version", version.String(),
 			"armed_step", step)...)
 	case expertmap.OutcomeAborted:
-		// Some rank began the step before it was armed: orders take longer than thought.
+		// Some rank had started the step before it was armed: the orders took longer than
+		// estimated.
 		r.extraAhead = max(2*r.extraAhead, 1)
 		r.counters.aborted.Inc(1)
 		r.cfg.Log.Info("change of the expert map given up", append(r.ballotStats.attrs(), "group", r.cfg.Group)...)
@@ -171,7 +181,8 @@
 	}
 }
 
-// InitialMap places the experts of a new group in turn, spare slots included.
+// InitialMap returns the map that is proposed to a group whose ranks have none. It assigns the
+// experts to the slots round-robin and fills the spare slots with replicas.
 func InitialMap(shape *wire.GroupShape) expertmap.Map {
 	m := expertmap.Map{SlotsPerRank: int(shape.SlotsPerRank)}
 	slots := int(shape.Ranks * shape.SlotsPerRank)
--- a/internal/group/engine.go
+++ b/internal/group/engine.go
@@ -14,20 +14,21 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// engineTimeout bounds one call of an engine; all of them return soon.
+// engineTimeout limits a call to an engine. Engines answer every call soon, so a longer wait is
+// a failure.
 const engineTimeout = 2 * time.Second
 
-// BallotRequest is the body of a commit or abort at an engine.
+// BallotRequest is the body of a commit or abort request to an engine.
 type BallotRequest struct{ Ballot expertmap.Ballot }
 
-// Engine reaches one rank's engine over HTTP, below base + "/ranks/RANK". It
-// implements expertmap.Engine.
+// Engine controls the engine of one rank over HTTP, at the URL base, which ends in "/ranks/"
+// and the rank. It implements Rank.
 type Engine struct {
 	base   string
 	client *http.Client
 }
 
-// NewEngine returns the engine of a rank behind the upstream's base URL.
+// NewEngine returns the Engine of a rank. upstream is the base URL of the engine's upstream.
 func NewEngine(upstream string, rank uint32) *Engine {
 	return &Engine{
 		base:   fmt.Sprintf("%s/ranks/%d", upstream, rank),
@@ -41,7 +42,7 @@
 	return s, e.get(ctx, "/status", &s)
 }
 
-// Load returns what the rank measured since the last call.
+// Load returns what the rank has measured since the last call.
 func (e *Engine) Load(ctx context.Context) (wire.RankLoad, error) {
 	var l wire.RankLoad
 	return l, e.get(ctx, "/expert-load", &l)
@@ -66,17 +67,17 @@
 func (e *Engine) get(ctx context.Context, path string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, e.base+path, nil)
 	if err != nil {
-		return errors.Wrap(err, "group: ask engine")
+		return errors.Wrap(err, "group: query engine")
 	}
 	resp, err := e.client.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "group: ask engine")
+		return errors.Wrap(err, "group: query engine")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return errors.Errorf("group: engine says %s", resp.Status)
+		return errors.Errorf("group: engine answered with status %s", resp.Status)
 	}
-	return errors.Wrap(json.NewDecoder(resp.Body).Decode(out), "group: engine's answer")
+	return errors.Wrap(json.NewDecoder(resp.Body).Decode(out), "group: decode engine's answer")
 }
 
 func (e *Engine) post(ctx context.Context, path string, in any) error {
@@ -86,15 +87,15 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, e.base+path, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "group: order engine")
+		return errors.Wrap(err, "group: send order to engine")
 	}
 	resp, err := e.client.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "group: order engine")
+		return errors.Wrap(err, "group: send order to engine")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode/100 != 2 {
-		return errors.Errorf("group: engine says %s to the order", resp.Status)
+		return errors.Errorf("group: engine answered the order with status %s", resp.Status)
 	}
 	return nil
 }
--- a/internal/group/faults_test.go
+++ b/internal/group/faults_test.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// faultDuration is how long a host is frozen, or away after it was killed.
+	// faultDuration is how long a host is frozen, or stays down after it has been killed.
 	faultDuration = time.Second
-	// maxStandstill is how long a group may stand still beyond the time that one of its
-	// hosts is missing: the first change in force after a new epoch may take as long.
+	// maxStandstill is how long a group may start no step, in addition to the time for which
+	// one of its hosts is missing. The first change after a group has formed may take as long.
 	maxStandstill = 2 * time.Second
 )
 
-// shortSize is the size of groups with -short, which the race detector's run has: it takes ten
-// times as long for each step. Hosts pass requests on at this size too.
+// shortSize is the size of groups in tests with -short, as they run under the race detector,
+// where each step takes ten times as long. Groups of this size still relay requests.
 const shortSize = 32
 
-// sizes returns these sizes, or shortSize alone with -short.
+// sizes returns the given group sizes, or only shortSize with -short.
 func sizes(all ...int) []int {
 	if testing.Short() {
 		return []int{shortSize}
@@ -34,12 +34,13 @@
 	return all
 }
 
-// testShape is that of a group with two experts and three places a rank and set.
+// testShape returns the shape of a group with two experts per rank, and with three expert slots
+// per rank and layer set.
 func testShape(ranks int) *wire.GroupShape {
 	return &wire.GroupShape{Ranks: uint32(ranks), Experts: uint32(2 * ranks), Layers: 16, SlotsPerRank: 3}
 }
 
-// isBallotMessage tells the messages of ballots from reports.
+// isBallotMessage reports whether a message belongs to a ballot; the others are load reports.
 func isBallotMessage(m wire.Message) bool {
 	switch m.(type) {
 	case *wire.MapRequest, *wire.MapReply:
@@ -48,7 +49,7 @@
 	return false
 }
 
-// ballotRound is one of a coordinator's, as a request of it shows.
+// ballotRound is a round of a ballot, as recognized from a request of the coordinator.
 type ballotRound string
 
 const (
@@ -58,7 +59,8 @@
 	commitRound  ballotRound = "commit"
 )
 
-// relayedRound returns the round of a request that its receiver is to pass on, "" for others.
+// relayedRound returns the round of a request that its recipient has to relay to other hosts,
+// or "" for any other message.
 func relayedRound(m wire.Message) ballotRound {
 	r, ok := m.(*wire.MapRequest)
 	var in expertmap.Message
@@ -78,7 +80,8 @@
 	return ""
 }
 
-// measureStandstill returns the longest time without a pass from now on, once it is called.
+// measureStandstill starts to measure the longest time in which no step starts. The returned
+// function stops the measurement and returns that time.
 func (g *engineGroup) measureStandstill(t *testing.T) func() time.Duration {
 	var longest atomic.Int64
 	done := make(chan struct{})
@@ -108,14 +111,15 @@
 	}
 }
 
-// lastStep returns the newest pass.
+// lastStep returns the last step that the group has started.
 func (g *engineGroup) lastStep() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.step
 }
 
-// awaitChanges waits until n more changes have been made, each after a jump of popularity.
+// awaitChanges shifts the popularity of the experts n times, and each time waits until a change
+// of the map has been made.
 func (a *agentGroup) awaitChanges(t *testing.T, n int) {
 	t.Helper()
 	for range n {
@@ -125,16 +129,17 @@
 	}
 }
 
-// requireOneMap checks that all ranks had one map in each pass.
+// requireOneMap checks that in each step all ranks used the same map.
 func (g *engineGroup) requireOneMap(t *testing.T) {
 	t.Helper()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	require.False(t, g.mixed, "a pass began on two maps")
+	require.False(t, g.mixed, "a step started with two maps")
 }
 
-// Lost messages are asked for again, whoever should have passed them on: changes go on, and
-// nobody waits for long.
+// Guards against ballots that hang when messages are lost, on the coordinator's link or on that
+// of a relay. Lost requests and replies have to be sent again, so changes continue and no step
+// is paused for long.
 func TestChangesContinueDespiteMessageLoss(t *testing.T) {
 	t.Parallel()
 	for _, ranks := range sizes(32, 160) {
@@ -162,16 +167,16 @@
 	}
 }
 
-// faultCase is a fault in the middle of a change of a group of that many ranks.
+// faultCase is a fault in a given round of a change, in a group of a given size.
 type faultCase struct {
 	ranks int
 	round ballotRound
 }
 
-// String names a test.
+// String returns the name of the subtest.
 func (c faultCase) String() string { return fmt.Sprintf("%d ranks, %s", c.ranks, c.round) }
 
-// faultCases are faults in each round, at several sizes.
+// faultCases returns a fault for each round, in groups of several sizes.
 func faultCases() []faultCase {
 	rounds := []ballotRound{promiseRound, stageRound, armRound, commitRound}
 	ranks := sizes(97, 129, 160, 129)
@@ -182,7 +187,9 @@
 	return out
 }
 
-// roundTrap waits for the first request of a round that its receiver is to pass on.
+// roundTrap selects a host for a fault. Once isSet, it catches the first recipient of a request
+// of the given round that has to be relayed. It stores the recipient's number in host and
+// closes sprung.
 type roundTrap struct {
 	round  ballotRound
 	isSet  atomic.Bool
@@ -194,7 +201,8 @@
 	return &roundTrap{round: r, sprung: make(chan struct{})}
 }
 
-// isCaught looks at a message, and reports whether its receiver is the one that was caught.
+// isCaught is called for each message before its delivery. It reports whether the recipient is
+// the caught host; host 0 means that none has been caught.
 func (trap *roundTrap) isCaught(to int, m wire.Message) bool {
 	if trap.isSet.Load() && relayedRound(m) == trap.round && trap.isSet.CompareAndSwap(true, false) {
 		trap.host.Store(int64(to))
@@ -203,8 +211,9 @@
 	return to != 0 && trap.host.Load() == int64(to)
 }
 
-// requireShortStandstill makes a change during which something happens to one host for a while, and two
-// more, and checks that the group stood still for little longer than that.
+// requireShortStandstill starts a change, injects a fault when a host is caught, and waits for
+// three changes. It checks that the group never stood still for much longer than the fault
+// lasted.
 func requireShortStandstill(t *testing.T, a *agentGroup, trap *roundTrap, injectFault func(host int)) {
 	t.Helper()
 	a.awaitChanges(t, 1)
@@ -221,8 +230,9 @@
 	a.engines.requireOneMap(t)
 }
 
-// A host that passes requests on and is frozen in the middle of a change, and then goes on
-// with what had come meanwhile, delays its group by little more than that.
+// Guards against a frozen relay that stops its group. The host is frozen in the middle of a
+// change while it has requests to relay, and later handles the messages that have piled up. The
+// group may stand still for little longer than the freeze.
 func TestFrozenRelayDelaysGroupBriefly(t *testing.T) {
 	t.Parallel()
 	for _, c := range faultCases() {
@@ -240,8 +250,9 @@
 	}
 }
 
-// A host that passes requests on and is killed in the middle of a change, and started anew,
-// delays its group by little more than that.
+// Guards against a killed relay that stops its group. The host is killed in the middle of a
+// change while it has requests to relay, and is started again. The group may stand still for
+// little longer than the host is down.
 func TestKilledRelayDelaysGroupBriefly(t *testing.T) {
 	t.Parallel()
 	for _, c := range faultCases() {
@@ -259,8 +270,9 @@
 	}
 }
 
-// A host that coordinates a change and is killed in the middle of it, and started anew, delays
-// its group by little more than that.
+// Guards against a killed coordinator that stops its group. Host 0, which coordinates the
+// change, is killed in the middle of it and started again. The group may stand still for little
+// longer than the host is down.
 func TestKilledCoordinatorDelaysGroupBriefly(t *testing.T) {
 	t.Parallel()
 	for _, c := range faultCases() {
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -1,9 +1,10 @@
-// Package group runs an agent's part in its group of ranks: the participant that
-// speaks for the ranks of its host, and, where it is the agent's turn, the
-// coordinator and the planner of changes to the expert map.
+// Package group runs an agent's part in its group of ranks. Every agent runs the participant of
+// the expert map protocol that acts for the ranks of its host. The agent of the first rank also
+// plans changes of the expert map. An agent runs a coordinator when it has a change to make or
+// an unfinished one to recover from.
 //
-// The decisions are those of packages expertmap and planner. This package gives
-// them messages, engine states and ticks, one at a time on one goroutine.
+// The decisions are made by packages expertmap and planner. This package passes messages,
+// engine states and ticks to them, one at a time, from one goroutine.
 package group
 
 import (
@@ -21,94 +22,102 @@
 )
 
 const (
-	// tickInterval is how often a participant looks whether experts are copied.
+	// tickInterval is the length of a tick of the participant and the coordinator. The state of
+	// the engines is read once per tick, for example whether they have loaded the experts of a
+	// map.
 	tickInterval = 25 * time.Millisecond
-	// retryTicks is how many ticks a coordinator waits before it asks again what was not
-	// answered. Sessions lose nothing while they live, and a participant answers a request as
-	// soon as it can, so asking sooner only fills the links.
+	// retryTicks is how many ticks a coordinator waits for an answer before it sends a request
+	// again. Live sessions lose no messages and participants answer as soon as they can, so an
+	// earlier retry would only load the links.
 	retryTicks = 8
-	// minPausedRetryTicks is the least of that while ranks may hold: a tick is lost on either side.
+	// minPausedRetryTicks is the lower limit of the interval, in ticks, at which requests are
+	// sent again while ranks may be paused. The ticks of two hosts aren't aligned, so on each
+	// of them up to one tick may pass unused.
 	minPausedRetryTicks = 3
-	// baseRecoveryTicks is how many ticks a participant waits for a coordinator before it
-	// starts a recovery; each host adds its own number, so that they don't start together.
+	// baseRecoveryTicks is the recovery delay: how many ticks a participant waits to hear from
+	// a coordinator before it starts a recovery. Each host adds its first rank, so the hosts
+	// don't all start one at the same time.
 	baseRecoveryTicks = 40
-	// firstHostRecoveryTicks is that of the first rank's host. It coordinates all changes, so what it
-	// finds open without a coordinator of its own is what it left behind when it ended, and
-	// nobody but itself goes on with it.
+	// firstHostRecoveryTicks is the recovery delay of the first rank's host. This host
+	// coordinates all changes. If it finds an unfinished change and has no coordinator itself,
+	// its previous process left the change behind, and no other host is working on it.
 	firstHostRecoveryTicks = 4
 	inboxLength            = 1024
-	// DefaultPlanInterval is how often the first host of a group plans.
+	// DefaultPlanInterval is the default of Config.PlanInterval.
 	DefaultPlanInterval = 10 * time.Second
 )
 
-// Rank is one rank of this host.
+// Rank is the engine of one rank of this host.
 type Rank interface {
 	expertmap.Engine
-	// Load returns what the rank measured since the last call.
+	// Load returns what the rank has measured since the last call.
 	Load(ctx context.Context) (wire.RankLoad, error)
 }
 
-// Config is what a Runner needs.
+// Config holds the parameters of a Runner.
 type Config struct {
-	// Group is the group's name, FirstRank the first rank of this host.
+	// Group is the name of the group, and FirstRank the lowest rank of this host.
 	Group     string
 	FirstRank uint32
-	// Ranks are the engines of this host, from FirstRank on.
+	// Ranks lists the engines of this host, starting with that of FirstRank.
 	Ranks []Rank
 	Pool  *peer.Pool
-	// Members returns the hosts of the group that the directory knows.
+	// Members looks up the hosts of the group.
 	Members func(ctx context.Context) ([]wire.GroupMember, error)
-	// PlanningHost returns where the first rank's host is; nil lets it be looked for among
-	// Members.
+	// PlanningHost returns the address of the first rank's host, which plans. If nil, the host
+	// is looked up with Members.
 	PlanningHost func(ctx context.Context) (string, bool)
-	// Shape returns what the document in force says of the group, nil if nothing.
+	// Shape returns the group's shape according to the current configuration document, or nil
+	// if the document doesn't define the group.
 	Shape func() *wire.GroupShape
-	// Initial is the map that the group begins with, where a rule gives it; without content
-	// otherwise.
+	// Initial is the map that the group starts with, if all hosts know it by a common rule.
+	// Otherwise it has no content.
 	Initial expertmap.Map
-	// LinkRate is what the host's link carries, in bytes a second; 0 if that is not known.
+	// LinkRate is the bandwidth of the host's link, in bytes per second; 0 if unknown.
 	LinkRate float64
-	// NewID returns numbers that differ between all starts of all hosts.
+	// NewID returns a number that no other start of any host has been given.
 	NewID func() uint64
-	// Load is what was known of popularity when the host took part in an earlier epoch of
-	// the group, nil if nothing; see Runner.Load.
+	// Load is the popularity of the experts known from an earlier epoch of the group, as
+	// Runner.Load returned it; nil if unknown.
 	Load placement.Load
-	// Start returns a counter that is above those of earlier coordinators, as far as
-	// this host can tell; nil is no such knowledge.
+	// Start returns a ballot counter that is higher than those of all earlier coordinators, as
+	// far as this host can tell. Optional.
 	Start        func() uint64
 	PlanInterval time.Duration
-	// ArmAhead is how many steps ahead a change is armed at most; DefaultArmAhead if zero.
-	// Fewer are taken where steps are long.
+	// ArmAhead is the maximum number of steps ahead for which a change is armed; see
+	// Runner.armAhead. Default DefaultArmAhead.
 	ArmAhead uint64
-	// MaxArmAhead bounds it where changes had to be given up since a step came too soon;
-	// ArmAhead if zero.
+	// MaxArmAhead replaces ArmAhead as the maximum after changes were aborted because a rank
+	// had started the step before it was armed. Default ArmAhead.
 	MaxArmAhead uint64
-	// MaxStepTime is how long a step may take without its streams being late; nil or 0 if
-	// nothing is known of that.
+	// MaxStepTime returns how long a step may take before streams are late; 0 if unknown.
+	// Optional.
 	MaxStepTime func() time.Duration
 	Log         *slog.Logger
 	Metrics     metrics.Registry
 }
 
-// inbound is a message of another host, or of this one to itself.
+// inbound is a message to the participant or coordinator of this host.
 type inbound struct {
-	// replyRoute is where a reply goes; nothing for this host's own messages.
+	// replyRoute tells where the reply goes. It is zero if the sender is on this host.
 	replyRoute
 	from    expertmap.Address
 	isReply bool
 	message expertmap.Message
-	// relay is the request as it came, with the hosts to pass it on to; nil for others.
+	// relay is the received request, which lists the hosts to relay it to. It is nil for
+	// replies and for messages within this host.
 	relay *wire.MapRequest
 }
 
-// statuses is what the engines said.
+// statuses holds the states of all engines of this host, or the error of the first engine that
+// couldn't be read.
 type statuses struct {
 	ranks []expertmap.Status
 	err   error
 }
 
-// Runner is an agent's part in its group. Its fields below inbox belong to the
-// goroutine of Run.
+// Runner runs an agent's part in its group. Only the goroutine of Run accesses the fields after
+// membersFound, except those with a lock of their own.
 type Runner struct {
 	cfg      Config
 	address  expertmap.Address
@@ -121,7 +130,7 @@
 	membersFound chan []wire.GroupMember
 
 	participant *expertmap.Participant
-	// replyRoute is where the coordinators are that have asked the participant.
+	// replyRoute holds the way back to each coordinator that has sent a request.
 	replyRoute  map[expertmap.Address]replyRoute
 	isExecuting bool
 	isPolling   bool
@@ -131,28 +140,31 @@
 	members          map[expertmap.Address]string
 	isFindingMembers bool
 	nextBallot       intent
-	// stepTimer measures the steps; extra is how many steps further ahead the next change is
-	// armed, since changes had to be given up.
+	// stepTimer measures the step time. extraAhead is the number of steps that are added to
+	// armAhead because changes were aborted.
 	stepTimer  stepTimer
 	extraAhead uint64
-	// orderTime is how long it takes to arm all ranks and to let them go.
+	// orderTime estimates the time from the first arm order until all ranks have committed.
 	orderTime roundTripEstimator
-	// ballotStats measures the coordinator's ballot, holds what changes cost the ranks.
+	// ballotStats measures the coordinator's current ballot, and pauseMeter how long changes
+	// pause the ranks.
 	ballotStats ballotStats
 	pauseMeter  pauseMeter
 	planner     *planner.Planner
-	// watch is on the session to the planning host, reporter decides what goes there.
+	// watch monitors the session with the planning host, and reporter decides when a report is
+	// sent to that host and what it contains.
 	watch    sessionWatch
 	reporter reporter
 }
 
 type counters struct {
 	changed, aborted, settled, superseded, timedOut, dropped, unreadLoads metrics.Counter
-	// contentSent counts the participants that this host's coordinator sent content to, again those
-	// that lacked it after that; passed are requests passed on for others.
+	// contentSent counts participants to which this host's coordinator sent map content, and
+	// contentResent those to which it sent content again because they lacked it. relayed counts
+	// requests that this host relayed for coordinators of other hosts.
 	contentSent, contentResent, relayed metrics.Counter
-	// sentBytes counts the bytes that ballots of this host cost it, repeated what it had to ask or
-	// send again for them beside.
+	// sentBytes counts the bytes that this host's ballots sent for the first time, and
+	// resentBytes those that they sent again.
 	sentBytes, resentBytes metrics.Counter
 }
 
@@ -166,7 +178,7 @@
 	}
 }
 
-// New returns a Runner that Run starts.
+// New returns a Runner. Call Run to start it.
 func New(cfg Config) *Runner {
 	if cfg.ArmAhead == 0 {
 		cfg.ArmAhead = DefaultArmAhead
@@ -191,7 +203,7 @@
 	}
 }
 
-// recoveryTicks is how many ticks the host of a rank waits for a coordinator.
+// recoveryTicks returns the recovery delay of the host with the given first rank, in ticks.
 func recoveryTicks(firstRank uint32) int {
 	if firstRank == 0 {
 		return firstHostRecoveryTicks
@@ -199,8 +211,9 @@
 	return baseRecoveryTicks + int(firstRank)
 }
 
-// HandlePeer takes a message if it concerns this host's group. It never waits: what
-// has no room is dropped, and sent again by whoever needs it.
+// HandlePeer handles a message of another host and returns false if it isn't a message for this
+// package. It never blocks. If a queue is full, it drops the message; the sender sends requests
+// again that get no answer.
 func (r *Runner) HandlePeer(s *peer.Session, call uint64, m wire.Message) bool {
 	switch m := m.(type) {
 	case *wire.MapRequest:
@@ -226,12 +239,12 @@
 	return true
 }
 
-// LocalMembers returns the ranks of this host, without its address.
+// LocalMembers returns the ranks of this host. The address is left empty.
 func (r *Runner) LocalMembers() []wire.GroupMember {
 	return []wire.GroupMember{{FirstRank: r.cfg.FirstRank, Ranks: uint32(len(r.cfg.Ranks))}}
 }
 
-// answerQuery tells which ranks of the group this host has.
+// answerQuery answers which ranks of the group this host has.
 func (r *Runner) answerQuery(s *peer.Session, call uint64, m *wire.GroupQuery) {
 	answer := &wire.GroupAnswer{}
 	if m.Group == r.cfg.Group {
@@ -240,7 +253,7 @@
 	_ = s.Reply(call, answer)
 }
 
-// receiveRequest takes what a coordinator asks, and passes it on.
+// receiveRequest queues a request of another host's coordinator.
 func (r *Runner) receiveRequest(s *peer.Session, m *wire.MapRequest) {
 	in := inbound{replyRoute: replyRoute{session: s, coordinator: m.Home}, from: expertmap.Address(m.From), relay: m}
 	if m.Group != r.cfg.Group || wire.Unmarshal(m.Data, &in.message) != nil {
@@ -268,7 +281,7 @@
 	}
 }
 
-// Run takes part until ctx ends.
+// Run runs the agent's part in the group until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
 	defer r.watch.stop()
 	tick := time.NewTicker(tickInterval)
@@ -317,7 +330,7 @@
 	r.applyOutput(ctx, r.participant.Step(in.from, in.message))
 }
 
-// applyOutput does what the participant wants.
+// applyOutput sends the participant's reply and executes its orders.
 func (r *Runner) applyOutput(ctx context.Context, o expertmap.Output) {
 	if o.Reply != nil {
 		r.sendReply(o.Reply)
@@ -329,12 +342,12 @@
 	go func() { r.executed <- r.executeOrders(ctx, o.Orders) }()
 }
 
-// executeOrders gives the orders to the engines and reads their states.
+// executeOrders sends the orders to the engines and reads the resulting states.
 func (r *Runner) executeOrders(ctx context.Context, orders []expertmap.Order) statuses {
 	for _, o := range orders {
 		if err := o.Execute(ctx, r.cfg.Ranks[o.EngineIndex]); err != nil {
-			// The order may or may not have been taken; the states show it.
-			r.cfg.Log.Debug("engine refused an order", "error", err)
+			// The order may have been executed nevertheless. The states read below show it.
+			r.cfg.Log.Debug("order to engine failed", "error", err)
 		}
 	}
 	return r.readStatuses(ctx)
@@ -363,7 +376,8 @@
 	go func() { r.polled <- r.readStatuses(ctx) }()
 }
 
-// observe looks whether the ranks wait for a decision that nobody makes.
+// observe takes the current states of the engines. It starts a recovery if the ranks wait for a
+// decision and no coordinator has been heard from.
 func (r *Runner) observe(ctx context.Context, s statuses) {
 	if s.err != nil {
 		return
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -18,30 +18,32 @@
 	return out
 }
 
-// A ballot without some rank could miss the one that has committed, so that nothing
-// but a whole group may have one.
+// Guards against ballots that leave out some rank: that rank could be the one that has
+// committed. Only members that cover each rank exactly once may run a ballot.
 func TestOnlyCompleteGroupMayRunBallot(t *testing.T) {
 	cases := map[string]struct {
-		members []wire.GroupMember
-		isWhole bool
+		members    []wire.GroupMember
+		isComplete bool
 	}{
-		"whole":            {members([2]uint32{4, 4}, [2]uint32{0, 4}), true},
-		"one host":         {members([2]uint32{0, 8}), true},
-		"nobody":           {nil, false},
-		"first missing":    {members([2]uint32{4, 4}), false},
-		"last missing":     {members([2]uint32{0, 4}), false},
-		"middle missing":   {members([2]uint32{0, 2}, [2]uint32{4, 4}), false},
-		"a rank twice":     {members([2]uint32{0, 4}, [2]uint32{3, 5}), false},
-		"a host twice":     {members([2]uint32{0, 4}, [2]uint32{0, 4}, [2]uint32{4, 4}), false},
-		"too many":         {members([2]uint32{0, 4}, [2]uint32{4, 8}), false},
-		"a host of nobody": {members([2]uint32{0, 0}, [2]uint32{0, 8}), false},
+		"complete":        {members([2]uint32{4, 4}, [2]uint32{0, 4}), true},
+		"one host":        {members([2]uint32{0, 8}), true},
+		"no host":         {nil, false},
+		"first missing":   {members([2]uint32{4, 4}), false},
+		"last missing":    {members([2]uint32{0, 4}), false},
+		"middle missing":  {members([2]uint32{0, 2}, [2]uint32{4, 4}), false},
+		"a rank twice":    {members([2]uint32{0, 4}, [2]uint32{3, 5}), false},
+		"a host twice":    {members([2]uint32{0, 4}, [2]uint32{0, 4}, [2]uint32{4, 4}), false},
+		"too many":        {members([2]uint32{0, 4}, [2]uint32{4, 8}), false},
+		"host of no rank": {members([2]uint32{0, 0}, [2]uint32{0, 8}), false},
 	}
 	for name, c := range cases {
-		require.Equal(t, c.isWhole, CoversAllRanks(c.members, 8), name)
+		require.Equal(t, c.isComplete, CoversAllRanks(c.members, 8), name)
 	}
 	require.False(t, CoversAllRanks(nil, 0))
 }
 
+// Guards against an initial map without some expert: requests that choose it couldn't be
+// served.
 func TestInitialMapContainsEveryExpert(t *testing.T) {
 	m := InitialMap(&wire.GroupShape{Ranks: 8, Experts: 64, Layers: 3, SlotsPerRank: 10})
 	require.Len(t, m.Layers, 3)
@@ -55,8 +57,8 @@
 	}
 }
 
-// The work of the planning host does not grow with the group: the ranks take turns, and
-// nobody lists its experts again that have not changed.
+// Guards against load on the planning host that grows with the group: per interval, at most
+// planner.ReportsAtOnce ranks may report, and each rank has to get its turn.
 func TestRanksOfLargeGroupsReportInTurns(t *testing.T) {
 	for _, ranks := range []uint32{8, 12, 32, 63, 128} {
 		turns := (ranks + planner.ReportsAtOnce - 1) / planner.ReportsAtOnce
@@ -78,6 +80,9 @@
 	}
 }
 
+// Guards against reports that repeat expert lists which the planning host has: the work of that
+// host would grow. A new map, another session with the planning host and every tenth report
+// need a list.
 func TestExpertsAreListedOncePerMap(t *testing.T) {
 	var r reporter
 	s := &peer.Session{}
@@ -98,15 +103,16 @@
 			n++
 		}
 	}
-	require.Equal(t, 2, n, "one that has started anew hears of it")
+	require.Equal(t, 2, n, "a restarted planning host gets the list")
 }
 
-// A report is of one interval, whatever the number of ranks: what is older may be from
-// before a jump of popularity.
+// Guards against reports with counts from before the previous interval, which may be older than
+// a shift in popularity. In groups of any size, the counts have to be reset one interval before
+// each report.
 func TestReportCoversOneInterval(t *testing.T) {
 	for _, ranks := range []uint32{8, 13, 32, 63, 128} {
 		var r reporter
-		// The first report of all may be of more: nothing is known before it.
+		// The very first report may cover a longer time, since nothing was reset before it.
 		isReset := true
 		for range 40 {
 			isDue, isDueNext := r.nextInterval(5, ranks)
--- a/internal/group/pace.go
+++ b/internal/group/pace.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// idleTimeout is how long no step has to begin for the pace to be unknown.
+// idleTimeout is the time without a new step after which the step time is unknown.
 const idleTimeout = time.Second
 
-// stepTimer measures how long a step takes, from looks at the number of the last one begun:
-// the mean over the last two looks that found a new one.
+// stepTimer estimates the step time from polls of the number of the last started step. It
+// averages over the last two polls that found a new step.
 type stepTimer struct {
 	step    uint64
 	changed time.Time
-	// stepTimes are the times of a step at the last two changes, 0 if unknown.
+	// stepTimes holds the time per step at the last two polls that found a new step, the older
+	// one first; 0 if unknown.
 	stepTimes [2]time.Duration
 }
 
-// observe takes the number of the last step begun.
+// observe records the number of the last started step.
 func (t *stepTimer) observe(step uint64, now time.Time) {
 	idle := now.Sub(t.changed)
 	switch {
@@ -27,7 +28,7 @@
 	}
 }
 
-// mean returns the time of a step, 0 while it is not known or none is made.
+// mean returns the mean step time; 0 if it is unknown or no steps are being started.
 func (t *stepTimer) mean() time.Duration {
 	if t.stepTimes[0] == 0 {
 		return t.stepTimes[1]
@@ -35,13 +36,13 @@
 	return (t.stepTimes[0] + t.stepTimes[1]) / 2
 }
 
-// untilNext returns about how long it is until the next step begins, at the mean pace.
+// untilNext estimates the time until the next step starts.
 func (t *stepTimer) untilNext(now time.Time) time.Duration {
 	return max(t.mean()-now.Sub(t.changed), 0)
 }
 
-// delay returns by how much a step that has just been seen to begin came later than the
-// mean pace lets expect, 0 where the pace is not known.
+// delay returns how much later a new step started than the mean step time predicts; 0 if the
+// step time is unknown. It must be called before observe records that step.
 func (t *stepTimer) delay(step uint64, now time.Time) time.Duration {
 	mean := t.mean()
 	if mean == 0 || step <= t.step {
@@ -50,18 +51,19 @@
 	return max(now.Sub(t.changed)-time.Duration(step-t.step)*mean, 0)
 }
 
-// initialOrderTime is what the orders of a change are taken to need before one was measured: a
-// round of messages and of four calls at the engine, on hosts with a quarter of a core.
+// initialOrderTime is the estimate before the first measurement. It covers a round trip and
+// four calls to an engine, on hosts that have a quarter of a CPU core.
 const initialOrderTime = 100 * time.Millisecond
 
-// roundTripEstimator estimates how long it takes from the first order to arm until all ranks are
-// let go, as the retransmission timer of TCP (RFC 6298) estimates a round trip: it differs
-// by ten times between small groups and large ones on slow links.
+// roundTripEstimator estimates the time from the first arm order until all ranks have
+// committed. It uses the algorithm by which TCP computes its retransmission timeout (RFC 6298),
+// because the time differs by a factor of ten between small groups and large groups on slow
+// links.
 type roundTripEstimator struct {
 	mean, deviation time.Duration
 }
 
-// observe takes the time that one change needed.
+// observe records the time that one change needed.
 func (e *roundTripEstimator) observe(took time.Duration) {
 	if e.mean == 0 {
 		e.mean, e.deviation = took, took/2
@@ -71,10 +73,10 @@
 	e.mean += (took - e.mean) / 8
 }
 
-// average returns the time that a change needs on the mean, 0 if none was measured.
+// average returns the mean time of a change; 0 if none has been measured.
 func (e *roundTripEstimator) average() time.Duration { return e.mean }
 
-// upperBound returns a time within which nearly all changes are through.
+// upperBound returns a time that nearly all changes stay within.
 func (e *roundTripEstimator) upperBound() time.Duration {
 	if e.mean == 0 {
 		return initialOrderTime
--- a/internal/group/pace_test.go
+++ b/internal/group/pace_test.go
@@ -10,6 +10,8 @@
 	"github.com/sassafraspost/sassafraspost/internal/expertmap"
 )
 
+// Guards against an estimate that lags behind the step time, or that outlives an idle period or
+// an epoch.
 func TestStepTimerMean(t *testing.T) {
 	var timer stepTimer
 	at := time.Unix(0, 0)
@@ -20,22 +22,22 @@
 	last := at.Add(19 * 50 * time.Millisecond)
 	timer.observe(20, last.Add(150*time.Millisecond))
 	timer.observe(21, last.Add(300*time.Millisecond))
-	require.Equal(t, 150*time.Millisecond, timer.mean(), "it follows within two steps")
+	require.Equal(t, 150*time.Millisecond, timer.mean(), "the mean follows within two steps")
 	timer.observe(41, last.Add(400*time.Millisecond))
 	timer.observe(61, last.Add(500*time.Millisecond))
-	require.Equal(t, 5*time.Millisecond, timer.mean(), "several steps between two looks")
+	require.Equal(t, 5*time.Millisecond, timer.mean(), "several steps between two polls")
 	timer.observe(61, at.Add(3*time.Second))
-	require.Zero(t, timer.mean(), "no steps, no pace")
+	require.Zero(t, timer.mean(), "unknown while no step starts")
 	timer.observe(2, at.Add(5*time.Second))
 	require.Zero(t, timer.mean(), "another epoch")
 }
 
-// A change is armed at the first step that begins once the round of orders is over, and
-// further ahead after changes that were given up.
+// Guards against changes that are armed for a step that starts before the orders have reached
+// all ranks, or for a needlessly late step. After aborted changes, extraAhead steps are added.
 func TestArmAheadCoversOrderTime(t *testing.T) {
 	r := New(Config{ArmAhead: 6, MaxArmAhead: 12, NewID: func() uint64 { return 1 }, Metrics: metrics.NewRegistry()})
 	began := time.Unix(100, 0)
-	require.EqualValues(t, 6, r.armAhead(began), "no pace is known")
+	require.EqualValues(t, 6, r.armAhead(began), "step time unknown")
 	for _, c := range []struct {
 		step, since time.Duration
 		extraAhead  uint64
@@ -56,6 +58,8 @@
 	}
 }
 
+// Guards against changes that pause streams which are on time, and against changes that are put
+// off although streams are late anyway: then the next step has to be armed.
 func TestNextStepIsArmedWhenStepsAreLateAnyway(t *testing.T) {
 	r := New(Config{
 		ArmAhead: 6, NewID: func() uint64 { return 1 }, Metrics: metrics.NewRegistry(),
@@ -64,12 +68,13 @@
 	began := time.Unix(100, 0)
 	late := began.Add(110 * time.Millisecond)
 	r.stepTimer = stepTimer{changed: began, stepTimes: [2]time.Duration{100 * time.Millisecond, 120 * time.Millisecond}}
-	require.EqualValues(t, 2, r.armAhead(late), "streams are in time, and must not wait")
+	require.EqualValues(t, 2, r.armAhead(late), "streams are on time and must not be paused")
 	r.stepTimer.stepTimes = [2]time.Duration{130 * time.Millisecond, 130 * time.Millisecond}
 	require.EqualValues(t, 1, r.armAhead(late))
 }
 
-// What a change cost the ranks is how much later the armed step began than others do.
+// Guards against pauses that are counted twice or for aborted changes. The pause of a change is
+// how much later than usual the armed step started.
 func TestPauseIsCountedOncePerChange(t *testing.T) {
 	meter := pauseMeter{pausedMS: metrics.NewCounter()}
 	var timer stepTimer
@@ -92,16 +97,16 @@
 	require.EqualValues(t, 6, step)
 	require.Equal(t, 150*time.Millisecond, late)
 	step, _ = poll(7, 400*time.Millisecond, 0)
-	require.Zero(t, step, "no change is ahead")
+	require.Zero(t, step, "no change is armed")
 	require.EqualValues(t, 150, meter.pausedMS.Count())
 	poll(8, 50*time.Millisecond, 9)
 	poll(8, 10*time.Millisecond, 0)
 	step, _ = poll(9, 400*time.Millisecond, 0)
-	require.Zero(t, step, "the change was given up")
+	require.Zero(t, step, "the change was aborted")
 }
 
-// How far ahead a change is armed follows from what the orders took: small groups don't
-// wait for the time of large ones, and large ones don't hold.
+// Guards against a fixed estimate of the order time: small groups would arm changes too many
+// steps ahead, and large groups would pause because the orders arrive too late.
 func TestOrderTimeEstimateFollowsMeasurements(t *testing.T) {
 	var estimator roundTripEstimator
 	require.Equal(t, initialOrderTime, estimator.upperBound())
@@ -120,16 +125,16 @@
 	}
 }
 
-// Orders that took long since messages of theirs were lost don't make the next ones wait
-// longer for what is lost: each round would then be longer than the one before.
+// Guards against a feedback loop of retries: if orders that were slow because of lost messages
+// lengthened the retry interval, the next lost message would make the orders even slower.
 func TestSlowOrdersDoNotDelayRetries(t *testing.T) {
 	r := New(Config{NewID: func() uint64 { return 1 }, Metrics: metrics.NewRegistry()})
-	require.Equal(t, retryTicks, r.pausedRetryTicks(), "nothing is known")
+	require.Equal(t, retryTicks, r.pausedRetryTicks(), "no order time measured")
 	r.orderTime.observe(10 * time.Millisecond)
 	require.Equal(t, minPausedRetryTicks, r.pausedRetryTicks())
 	for range 20 {
 		r.orderTime.observe(2 * time.Second)
 	}
 	require.Equal(t, retryTicks, r.pausedRetryTicks())
-	require.Less(t, r.pausedRetryTicks(), baseRecoveryTicks/2, "who waits hears of the ballot before its patience ends")
+	require.Less(t, r.pausedRetryTicks(), baseRecoveryTicks/2, "a retry must arrive well before the recovery delay ends")
 }
--- a/internal/group/plan.go
+++ b/internal/group/plan.go
@@ -10,10 +10,12 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// Load returns what is known of popularity. It must only be called once Run has ended.
+// Load returns the popularity of the experts as far as it is known. It must only be called
+// after Run has returned.
 func (r *Runner) Load() placement.Load { return r.planner.Load() }
 
-// plan reports this host's load to the first host of the group, which plans.
+// plan runs once per PlanInterval. It sends this host's load report, or resets the counts for
+// it, if that is due. On the first rank's host it also plans the next map.
 func (r *Runner) plan(ctx context.Context) {
 	shape := r.cfg.Shape()
 	if shape != nil {
@@ -52,7 +54,8 @@
 	})
 }
 
-// currentMap returns the map that this host's ranks use, if nothing is open.
+// currentMap returns the map that the ranks of this host use. It returns false if a change is
+// armed or the map's content is unknown.
 func (r *Runner) currentMap() (expertmap.Map, bool) {
 	if len(r.ranks) == 0 {
 		return expertmap.Map{}, false
@@ -69,11 +72,12 @@
 	return expertmap.Map{}, false
 }
 
-// planByExpertCounts begins a change where the ranks' own counts show that one is worth it.
+// planByExpertCounts plans the next map from the counts of how often requests chose each
+// expert. It starts a change if the expected gain is worth the cost.
 func (r *Runner) planByExpertCounts(ctx context.Context, shape *wire.GroupShape) {
 	next, base, forecast := r.planner.NextByPicks(shape, planner.Ease(r.stepTimer.mean(), r.maxStepTime()))
 	if forecast.Before == 0 {
-		// Nothing was counted.
+		// No requests were counted.
 		return
 	}
 	r.cfg.Log.Info("expert map planned", "group", r.cfg.Group, "base", base, "skew", forecast.Before,
--- a/internal/group/relay.go
+++ b/internal/group/relay.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// fanOut is how many hosts one host sends a request of a coordinator to; they pass it on
-	// to the others. So what a host sends for a change does not grow with the group, and a
-	// request reaches 156 hosts in two hops.
+	// fanOut is the maximum number of hosts to which one host sends a coordinator's request.
+	// These hosts relay it to the others, so the traffic of one host doesn't grow with the
+	// group. Two hops reach 12 + 12·12 = 156 hosts.
 	fanOut = 12
-	// maxDirectRetries is up to how many hosts are asked again directly: those that one host or two
-	// should have passed a request on to. Where more have not answered it is not for want of
-	// the request.
+	// maxDirectRetries is the maximum number of hosts to which a request is sent again
+	// directly. It covers the hosts that one or two failed relays should have reached. If more
+	// hosts haven't answered, the cause isn't a lost request.
 	maxDirectRetries = 2 * fanOut
-	// contentLinkShare is the part of a link that the content of a change may count on: reports and
-	// answers are on their way beside it.
+	// contentLinkShare is the fraction of a link's bandwidth that map content can count on,
+	// because reports and answers use the link too.
 	contentLinkShare = 0.5
 )
 
-// branch is a host to send to, and those that it passes the request on to.
+// branch is a host to which a request is sent, and the hosts to which that host relays it.
 type branch struct {
 	head    wire.MapTarget
 	relayTo []wire.MapTarget
 }
 
-// splitIntoBranches spreads the hosts over at most fanOut branches of about one size.
+// splitIntoBranches divides the hosts into at most fanOut branches of about equal size.
 func splitIntoBranches(targets []wire.MapTarget) []branch {
 	n := min(len(targets), fanOut)
 	out := make([]branch, 0, n)
@@ -41,9 +41,9 @@
 	return out
 }
 
-// send sends the coordinator's messages. It does not wait for sessions: a message to a
-// host that can't be reached is dropped. What is sent again to a few goes to each of them
-// directly, since a host that should have passed it on may be the one that is missing.
+// send sends the coordinator's messages without waiting for sessions; a message to an
+// unreachable host is dropped. Requests that are sent again to a few hosts go to them directly,
+// since the host that should have relayed them may be down.
 func (r *Runner) send(envelopes []expertmap.Envelope, isResend bool) {
 	var remote []expertmap.Envelope
 	for _, e := range envelopes {
@@ -81,7 +81,8 @@
 	r.sendToBranches(request, branches, m.Message.Stage != nil)
 }
 
-// encodedSize returns the bytes of a request to the heads of branches, the layers below included.
+// encodedSize returns the number of bytes that a request takes on the wire to the heads of all
+// branches, including the overhead of frames and of the protocols below them.
 func encodedSize(request wire.MapRequest, branches []branch) int {
 	sum := 0
 	for _, b := range branches {
@@ -94,8 +95,9 @@
 	return sum
 }
 
-// awaitContentTransfer lets the coordinator wait for as long as content of that many bytes needs to
-// reach all targets, and their ranks to copy the experts: nobody can answer before.
+// awaitContentTransfer makes the coordinator wait for the time that content of the given size
+// takes to reach all targets, plus the time that the ranks take to copy the experts. No
+// participant can answer earlier.
 func (r *Runner) awaitContentTransfer(size, targets int) {
 	r.counters.contentSent.Inc(int64(targets))
 	ticks := contentTransferTicks(size, targets, r.cfg.LinkRate)
@@ -105,9 +107,9 @@
 	r.coordinator.AwaitTransfer(ticks)
 }
 
-// contentTransferTicks returns how many ticks a message of that many bytes needs to reach all
-// targets: it goes over the coordinator's link once a branch, then over the links of the
-// hosts that pass it on. Rate is that of a link in bytes a second, 0 if unknown.
+// contentTransferTicks returns how many ticks a message of the given size takes to reach all
+// targets. The coordinator's link carries it once per branch, and the link of each relay once
+// per host of its branch. rate is the bandwidth of a link in bytes per second; 0 if unknown.
 func contentTransferTicks(size, targets int, rate float64) int {
 	if rate <= 0 {
 		return 0
@@ -118,7 +120,7 @@
 	return int(seconds * float64(time.Second) / float64(tickInterval))
 }
 
-// directBranches returns a branch for each host.
+// directBranches returns a branch without relaying for each host.
 func directBranches(targets []wire.MapTarget) []branch {
 	out := make([]branch, 0, len(targets))
 	for _, t := range targets {
@@ -127,9 +129,10 @@
 	return out
 }
 
-// sendToBranches sends a request to the heads of branches. Requests to stage stay in their order on
-// each session: one that asks again must not overtake the content. All others are small and
-// go before reports and content, since ranks may hold until they are there.
+// sendToBranches sends a request to the heads of the branches. Stage requests are queued in
+// order on each session, because a repeated request must not overtake the content. All other
+// requests are small and are sent ahead of reports and content, because ranks may be paused
+// until they arrive.
 func (r *Runner) sendToBranches(request wire.MapRequest, branches []branch, isStage bool) {
 	send := (*peer.Session).PostFirst
 	if isStage {
@@ -142,7 +145,8 @@
 	}
 }
 
-// deliver sends a message over the session with a host, or once there is one.
+// deliver sends a message over the session with a host. If there is no session, it dials the
+// host in a goroutine.
 func (r *Runner) deliver(address string, m wire.Message, send func(*peer.Session, wire.Message) error) {
 	if s := r.cfg.Pool.Live(address); s != nil && send(s, m) == nil {
 		return
@@ -150,7 +154,7 @@
 	go r.dialAndSend(address, m, send)
 }
 
-// dialAndSend sends a message once there is a session.
+// dialAndSend sends a message as soon as a session with the host is established.
 func (r *Runner) dialAndSend(address string, m wire.Message, send func(*peer.Session, wire.Message) error) {
 	ctx, cancel := context.WithTimeout(context.Background(), engineTimeout)
 	defer cancel()
@@ -159,8 +163,9 @@
 	}
 }
 
-// sendReply answers a coordinator: the one of this host, the session that the request came
-// by, or, where others passed it on, the coordinator's host.
+// sendReply sends the participant's reply to a coordinator. It goes to the coordinator on this
+// host, to the coordinator's address if the request was relayed, or else back over the session
+// on which the request arrived.
 func (r *Runner) sendReply(e *expertmap.Envelope) {
 	if e.To == r.address {
 		r.enqueue(inbound{from: r.address, isReply: true, message: e.Message})
@@ -181,7 +186,8 @@
 	}
 }
 
-// replyRoute is where the answer to a coordinator goes.
+// replyRoute tells where the reply to a coordinator goes: to the address coordinator if the
+// request names one, otherwise over session.
 type replyRoute struct {
 	session     *peer.Session
 	coordinator string
--- a/internal/group/relay_test.go
+++ b/internal/group/relay_test.go
@@ -9,7 +9,9 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// countReached counts how often each host is sent a request, and the most that one host sends.
+// countReached follows a request through all relays. It counts in counts how often each host
+// receives the request. It returns the highest number of hosts to which one host sends the
+// request, and the number of hops.
 func countReached(targets []wire.MapTarget, counts map[string]int) (maxSent, hops int) {
 	branches := splitIntoBranches(targets)
 	maxSent = len(branches)
@@ -21,6 +23,8 @@
 	return maxSent, hops
 }
 
+// Guards against hosts that a relayed request misses or reaches twice, against hosts that send
+// it to more than fanOut others, and against more than two hops.
 func TestRelayedRequestReachesEachHostOnce(t *testing.T) {
 	for _, n := range []int{0, 1, 7, 12, 13, 31, 62, 127, 156} {
 		var targets []wire.MapTarget
--- a/internal/group/report.go
+++ b/internal/group/report.go
@@ -9,11 +9,12 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// reportsPerExpertList is every how many of its reports a rank lists its experts although they
-// have not changed.
+// reportsPerExpertList is the interval, in reports of a host, at which the experts of its ranks
+// are listed although they haven't changed.
 const reportsPerExpertList = 10
 
-// reporter decides when this host reports, and whether it lists the experts of its ranks.
+// reporter decides when this host sends a report and whether the report lists the experts of
+// its ranks.
 type reporter struct {
 	intervals uint32
 
@@ -24,10 +25,11 @@
 	reportsSinceList int
 }
 
-// nextInterval tells, once an interval, whether it is the turn of the host with that first rank
-// to report, and whether it is in the next interval: counting then begins anew, so that
-// each report is of one interval. Counts of all intervals since the last turn would mostly
-// be from before a jump of popularity when the first change after it is planned.
+// nextInterval is called once per interval. It reports whether a report of the host with the
+// given first rank is due now, or in the next interval. In the latter case the counts have to
+// be reset now, so each report covers one interval. If reports covered all intervals since the
+// previous one, the first change after a shift in popularity would mostly be planned with
+// counts from before the shift.
 func (r *reporter) nextInterval(firstRank, ranks uint32) (isDue, isDueNext bool) {
 	r.intervals++
 	turns := (ranks + planner.ReportsAtOnce - 1) / planner.ReportsAtOnce
@@ -38,7 +40,7 @@
 	return position == 0, position == turns-1
 }
 
-// omitKnownExperts leaves out the lists of experts that the session's other end has.
+// omitKnownExperts removes the expert lists from a report if the recipient has them.
 func (r *reporter) omitKnownExperts(s *peer.Session, m *wire.ExpertLoad) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,15 +65,16 @@
 	r.reportsSinceList = 0
 }
 
-// receivedReport is what a host of the group measured, and the session by which it came; none for
-// this host's own.
+// receivedReport is a load report and the session on which it arrived; nil for a report of this
+// host.
 type receivedReport struct {
 	*wire.ExpertLoad
 	from *peer.Session
 }
 
-// addReport takes a report in. A host that lists no experts thinks that they are known; where
-// this one has started since, or was not there yet when they came, it asks for them.
+// addReport gives a report to the planner. A host omits the expert lists if it assumes that the
+// planning host has them. If this host doesn't, because it started after they were sent, it
+// requests them.
 func (r *Runner) addReport(l receivedReport) {
 	if !r.unpackCounts(l.ExpertLoad) {
 		r.counters.unreadLoads.Inc(1)
@@ -83,7 +86,7 @@
 	}
 }
 
-// unpackCounts reads packed counts. It reports whether they are of the group's shape.
+// unpackCounts decodes packed counts. It returns false if they don't fit the group's shape.
 func (r *Runner) unpackCounts(l *wire.ExpertLoad) bool {
 	shape := r.cfg.Shape()
 	for i := range l.Ranks {
@@ -101,8 +104,8 @@
 	return true
 }
 
-// resendExperts sends the planning host at once what it lacks: until it has the experts of all
-// ranks it can't plan.
+// resendExperts sends a report with the expert lists immediately. Without the experts of all
+// ranks, the planning host can't plan.
 func (r *Runner) resendExperts(s *peer.Session, m *wire.ExpertsWanted) {
 	if m.Group != r.cfg.Group {
 		return
@@ -117,7 +120,8 @@
 	}()
 }
 
-// resetCounts lets the ranks of this host count anew.
+// resetCounts starts a new count on the ranks of this host, by reading and discarding the
+// current one.
 func (r *Runner) resetCounts(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -128,7 +132,7 @@
 	}
 }
 
-// sendReport sends what the ranks of this host measured to the planning host.
+// sendReport sends a report of this host's ranks to the planning host.
 func (r *Runner) sendReport(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -150,7 +154,7 @@
 	}
 }
 
-// measure reads what the ranks of this host counted since the last time.
+// measure reads what the ranks of this host have counted since the last call.
 func (r *Runner) measure(ctx context.Context) (*wire.ExpertLoad, bool) {
 	m := &wire.ExpertLoad{Group: r.cfg.Group, FirstRank: r.cfg.FirstRank}
 	for _, e := range r.cfg.Ranks {
@@ -164,7 +168,8 @@
 	return m, true
 }
 
-// postReport sends a report, without what the other end knows and with its counts packed.
+// postReport sends a report with packed counts and without the expert lists that the recipient
+// has.
 func (r *Runner) postReport(s *peer.Session, m *wire.ExpertLoad) {
 	r.reporter.omitKnownExperts(s, m)
 	for i := range m.Ranks {
@@ -175,7 +180,7 @@
 	_ = s.Post(m)
 }
 
-// planningHost returns where the first rank's host is.
+// planningHost returns the address of the first rank's host.
 func (r *Runner) planningHost(ctx context.Context) (string, bool) {
 	if r.cfg.PlanningHost != nil {
 		return r.cfg.PlanningHost(ctx)
--- a/internal/group/rounds.go
+++ b/internal/group/rounds.go
@@ -9,22 +9,24 @@
 	"github.com/sassafraspost/sassafraspost/internal/expertmap"
 )
 
-// ballotStats measures one ballot of this host's coordinator: how long each round took, and
-// what this host sent for it.
+// ballotStats measures one ballot of this host's coordinator: how long each round takes, and
+// how much this host sends.
 type ballotStats struct {
-	// round is the one that runs, since began.
+	// round is the current round, which started at roundStarted.
 	round        expertmap.Round
 	roundStarted time.Time
 	durations    [expertmap.RoundCount]time.Duration
-	// messages and bytes are those sent to other hosts, repeated the bytes of what was asked or
-	// sent again, which are not among bytes.
+	// messages and bytes count what was sent to other hosts. resentBytes counts the bytes of
+	// requests and content that were sent again; bytes doesn't include them.
 	messages, bytes, resentBytes int
-	// contentResends is how often content was sent again.
+	// contentResends is how often content had been sent again at the last call of
+	// isContentResend.
 	contentResends int
 }
 
-// isContentResend takes how often content was sent again by now, and reports whether the last
-// one was.
+// isContentResend reports whether the content that is being sent was sent before. It compares
+// resends, the number of times that the coordinator has sent content again, with that of the
+// last call.
 func (s *ballotStats) isContentResend(resends int) bool {
 	before := s.contentResends
 	s.contentResends = resends
@@ -41,7 +43,7 @@
 	s.bytes += bytes
 }
 
-// enter notes the round that a coordinator is in now.
+// enter records that the coordinator is in the given round.
 func (s *ballotStats) enter(round expertmap.Round, now time.Time) {
 	if round == s.round {
 		return
@@ -52,12 +54,12 @@
 	s.round, s.roundStarted = round, now
 }
 
-// orderTime returns how long the ranks were being armed and let go.
+// orderTime returns how long the arm and commit rounds of the ballot took together.
 func (s *ballotStats) orderTime() time.Duration {
 	return s.durations[expertmap.Arming] + s.durations[expertmap.Committing]
 }
 
-// attrs returns what a log line says of the ballot.
+// attrs returns the log attributes that describe the ballot.
 func (s *ballotStats) attrs() []any {
 	out := []any{"messages", s.messages, "sent_bytes", s.bytes, "repeated_bytes", s.resentBytes}
 	for round, took := range s.durations {
@@ -68,17 +70,17 @@
 	return out
 }
 
-// pauseMeter measures for how long the ranks of this host waited at armed steps.
+// pauseMeter measures how long changes pause the ranks of this host before the armed step.
 type pauseMeter struct {
-	// armedStep is the step of the change that is ahead, 0 if none.
+	// armedStep is the step of the change that the ranks are armed with; 0 if none.
 	armedStep uint64
 	// pausedMS counts milliseconds.
 	pausedMS metrics.Counter
 }
 
-// observe takes what an engine says, before its pace does. It returns the step at which
-// a change has come into force since the last look, and by how much that step began later
-// than the pace lets expect; 0 where none has.
+// observe records the status of an engine. It must be called before the step timer observes the
+// same status. If the engine has started the armed step since the last status, observe returns
+// that step and how much later than predicted it started; otherwise it returns 0.
 func (m *pauseMeter) observe(s expertmap.Status, t *stepTimer, now time.Time) (step uint64, late time.Duration) {
 	if m.armedStep != 0 && s.Step >= m.armedStep {
 		step, late = m.armedStep, t.delay(s.Step, now)
--- a/internal/group/size_test.go
+++ b/internal/group/size_test.go
@@ -21,20 +21,21 @@
 )
 
 const (
-	// copyTime is how long the engines copy experts: longer than a coordinator waits
-	// before it asks again.
+	// copyTime is how long an engine takes to load experts. It is longer than the interval at
+	// which a coordinator sends requests again.
 	copyTime = 300 * time.Millisecond
-	// stepTime is how long a pass takes.
+	// stepTime is how long a step takes.
 	stepTime = 20 * time.Millisecond
-	// bytesPerMbit is what a link of 1 Mbit/s carries, in bytes a second.
+	// bytesPerMbit is the bytes per second that a link of 1 Mbit/s carries.
 	bytesPerMbit = 125_000
-	// maxLinkTime is how long the coordinator's link may be busy with one change.
+	// maxLinkTime is how long one change may occupy the coordinator's link.
 	maxLinkTime = 60 * time.Millisecond
-	// hangTimeout is generous: it ends a test that hangs.
+	// hangTimeout ends a test that hangs. It is long enough for a slow machine.
 	hangTimeout = 90 * time.Second
 )
 
-// engineGroup are a group in lock-step whose requests choose some experts more often.
+// engineGroup simulates the engines of a group in lockstep. Their requests choose some experts
+// more often than others.
 type engineGroup struct {
 	shape *wire.GroupShape
 
@@ -43,11 +44,11 @@
 	step       uint64
 	ranks      []*simEngine
 	shiftCount int
-	// mixed tells that a pass began on two maps.
+	// mixed tells that in some step two ranks used different maps.
 	mixed bool
 }
 
-// simEngine is one rank. It implements rank.Client.
+// simEngine simulates the engine of one rank. It implements rank.Client.
 type simEngine struct {
 	group          *engineGroup
 	state          rank.Report
@@ -55,7 +56,8 @@
 	armedExperts   [][]uint16
 	loadDone       time.Time
 	loadingVersion uint64
-	// highestPrepared is the highest version prepared so far.
+	// highestPrepared is the highest version prepared so far. Like a real engine, simEngine
+	// refuses to prepare a version that isn't higher.
 	highestPrepared uint64
 	counts          []uint64
 }
@@ -77,7 +79,7 @@
 	return g
 }
 
-// run begins passes until ctx ends.
+// run starts a step every stepTime until ctx ends.
 func (g *engineGroup) run(ctx context.Context) {
 	tick := time.NewTicker(stepTime)
 	defer tick.Stop()
@@ -165,7 +167,7 @@
 		}
 	case rank.Pause:
 		if o.Step <= s.Step {
-			return fmt.Errorf("step %d has begun", o.Step)
+			return fmt.Errorf("step %d has started", o.Step)
 		}
 		s.PauseStep = o.Step
 	case rank.Arm:
@@ -178,25 +180,27 @@
 	return nil
 }
 
-// agentGroup are the hosts of a group, each with its own sessions and counters.
+// agentGroup runs the agents of all hosts of a group. Each host has its own sessions and
+// metrics.
 type agentGroup struct {
 	metrics []metrics.Registry
 	members []wire.GroupMember
 	pools   []*peer.Pool
 	engines *engineGroup
-	// ctx ends with the test, which waits for running.
+	// ctx ends with the test. The test then waits for the goroutines in running.
 	ctx     context.Context
 	running sync.WaitGroup
 
-	// mu guards the fields below. A host without a runner takes no message.
+	// mu guards the fields below. Messages to a host without a runner are lost.
 	mu         sync.Mutex
 	runners    []*Runner
 	cancels    []context.CancelFunc
 	startCount uint64
 }
 
-// startAgents runs an agent a rank until the test ends. Deliver, if not nil, is given each
-// message before its receiver, a host's number, and reports whether it gets there.
+// startAgents runs one agent per rank until the test ends. If deliver is not nil, it is called
+// for each message with the number of the receiving host; the message is lost if it returns
+// false.
 func startAgents(t *testing.T, g *engineGroup, deliver func(to int, m wire.Message) bool) *agentGroup {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -233,7 +237,7 @@
 	return out
 }
 
-// start runs the agent of a host, which knows nothing of an earlier one.
+// start starts the agent of a host, without any state of its predecessor.
 func (a *agentGroup) start(i int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -253,7 +257,7 @@
 	a.running.Go(func() { r.Run(ctx) })
 }
 
-// kill ends the agent of a host. Its engine goes on.
+// kill stops the agent of a host. The engine keeps running.
 func (a *agentGroup) kill(i int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -261,38 +265,39 @@
 	a.runners[i] = nil
 }
 
-// runner returns the agent of a host, nil if it was killed.
+// runner returns the agent of a host; nil after kill.
 func (a *agentGroup) runner(i int) *Runner {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.runners[i]
 }
 
-// ballots returns how many ballots the first host has brought to an end: on a machine that is
-// busy with something else the first ones may run out of time.
+// ballots returns how many ballots of the first host have ended. There may be more of them than
+// changes, because the first ballots may time out on a busy machine.
 func (a *agentGroup) ballots() int64 {
 	return a.count("group.changes.made") + a.count("group.changes.aborted") + a.count("group.ballots.settled") +
 		a.count("group.ballots.superseded") + a.count("group.ballots.timed-out")
 }
 
-// count reads a counter of the first host, which plans and coordinates.
+// count returns the value of a counter of the first host, which plans and coordinates.
 func (a *agentGroup) count(name string) int64 {
 	return metrics.GetOrRegisterCounter(name, a.metrics[0]).Count()
 }
 
-// linkCase is a group whose coordinator has a link of that many Mbit/s.
+// linkCase is a group whose coordinator has a link with the given bandwidth in Mbit/s.
 type linkCase struct {
 	shape wire.GroupShape
 	mbits int64
 }
 
-// transferTime is how long the link needs for that many bytes.
+// transferTime returns how long the link takes to carry the given number of bytes.
 func (o linkCase) transferTime(bytes int64) time.Duration {
 	return time.Duration(bytes) * time.Second / time.Duration(o.mbits*bytesPerMbit)
 }
 
-// Guards against changes of map that hold all ranks, since the coordinator's link is full of
-// content: what a change costs there is bounded, whatever the size of the map.
+// Guards against changes that pause all ranks because map content fills the coordinator's link.
+// The bytes that the coordinator sends for a change have to stay bounded, whatever the size of
+// the map.
 func TestBytesPerChangeAreBounded(t *testing.T) {
 	for _, c := range []linkCase{
 		{wire.GroupShape{Ranks: 8, Experts: 64, Layers: 6, SlotsPerRank: 11}, 3},
@@ -319,20 +324,20 @@
 			made = a.count("group.changes.made") - made
 			bytes := (a.count("peer.control.sent.bytes") - sentBefore) / made
 			resent := (a.count("group.ballots.repeated-bytes") - resentBefore) / made
-			t.Logf("%d bytes a change, %d of them asked again", bytes, resent)
-			// What a busy machine is asked again before it answers is not the change's, but bounded
-			// too.
+			t.Logf("%d bytes per change, %d of them sent again", bytes, resent)
+			// Requests that were sent again because the test machine was busy don't count as a
+			// cost of the change. They are bounded too, but for a faster link.
 			require.LessOrEqual(t, c.transferTime(bytes-resent), maxLinkTime)
 			require.LessOrEqual(t, linkCase{mbits: 8}.transferTime(bytes), maxLinkTime)
 			g.mu.Lock()
 			defer g.mu.Unlock()
-			require.False(t, g.mixed, "a pass began on two maps")
+			require.False(t, g.mixed, "a step started with two maps")
 		})
 	}
 }
 
-// Guards against a first change that carries whole maps, or the same content twice: all know the
-// map that a group begins with.
+// Guards against a first change that sends whole maps instead of deltas, or the same content
+// twice. All hosts know the initial map, so it can be the base of a delta.
 func TestFirstChangeCostsNoMoreThanOthers(t *testing.T) {
 	for _, c := range []linkCase{
 		{wire.GroupShape{Ranks: 8, Experts: 64, Layers: 6, SlotsPerRank: 11}, 3},
@@ -351,21 +356,23 @@
 			require.Eventually(t, func() bool { return a.count("group.changes.made") > 0 }, hangTimeout, 2*time.Millisecond)
 			ballots := a.ballots()
 			bytes, resent := a.count("group.ballots.sent-bytes")/ballots, a.count("group.ballots.repeated-bytes")
-			// What a busy machine is asked or sent again before it answers is not the change's; that
-			// nothing is repeated too soon is shown without a machine, in package expertmap.
-			t.Logf("%d bytes for the first change, in %d tries, and %d asked or sent again", bytes, ballots, resent)
+			// Bytes that were sent again because the test machine was busy aren't counted.
+			// Tests of package expertmap, which run in virtual time, check that nothing is sent
+			// again too early.
+			t.Logf("%d bytes for the first change, in %d ballots, and %d bytes sent again", bytes, ballots, resent)
 			require.LessOrEqual(t, c.transferTime(bytes), maxLinkTime)
 		})
 	}
 }
 
-// Guards against a planner that waits for ranks to list their experts by themselves: those that
-// listed them before it took part do so again only with their tenth report.
+// Guards against a planning host that waits until the ranks list their experts by themselves.
+// Ranks that listed them before the planning host took part list them again only in their tenth
+// report, so it has to request them.
 func TestPlanningHostRequestsMissingExperts(t *testing.T) {
 	g := newEngineGroup(&wire.GroupShape{Ranks: 30, Experts: 64, Layers: 2, SlotsPerRank: 5})
 	var lost atomic.Int64
 	a := startAgents(t, g, func(_ int, m wire.Message) bool {
-		// The first list of each rank is lost.
+		// Drop the first expert list of each of the 29 ranks on other hosts.
 		if l, ok := m.(*wire.ExpertLoad); ok && l.Ranks[0].Held != nil && lost.Add(1) <= 29 {
 			l.Ranks[0].Held = nil
 		}
@@ -373,11 +380,11 @@
 	})
 	began := time.Now()
 	require.Eventually(t, func() bool { return a.count("group.changes.made") > 0 }, hangTimeout, 2*time.Millisecond)
-	require.Less(t, time.Since(began), reportsPerExpertList*time.Second/4, "no rank's tenth report is waited for")
+	require.Less(t, time.Since(began), reportsPerExpertList*time.Second/4, "the planning host waited for the tenth report of a rank")
 }
 
-// Guards against a standstill after the planning host is back: it waits for nobody else to
-// settle a change that it left open.
+// Guards against a standstill after the planning host restarts. It has to recover at once from
+// the change that it left unfinished, since no other host works on it.
 func TestFirstHostRecoversQuickly(t *testing.T) {
 	g := newEngineGroup(&wire.GroupShape{Ranks: 8, Experts: 64, Layers: 2, SlotsPerRank: 9})
 	for _, e := range g.ranks {
@@ -385,7 +392,8 @@
 	}
 	began := time.Now()
 	startAgents(t, g, func(_ int, m wire.Message) bool {
-		// A plan would settle it too, but needs a report of each rank first.
+		// A planned change would resume the ranks too. It needs a report of each rank, so all
+		// reports are dropped.
 		_, isReport := m.(*wire.ExpertLoad)
 		return !isReport
 	})
@@ -394,10 +402,11 @@
 		defer g.mu.Unlock()
 		return g.step > 0
 	}, hangTimeout, time.Millisecond)
-	require.Less(t, time.Since(began), baseRecoveryTicks*tickInterval, "nobody else would have begun by now")
+	require.Less(t, time.Since(began), baseRecoveryTicks*tickInterval, "no other host would have started a recovery by now")
 }
 
-// Where hosts don't pass requests on, the coordinator asks the others itself.
+// Guards against changes that fail when hosts don't relay requests: the coordinator has to send
+// them to the remaining hosts itself.
 func TestChangeSucceedsWithoutRelaying(t *testing.T) {
 	g := newEngineGroup(&wire.GroupShape{Ranks: 30, Experts: 64, Layers: 2, SlotsPerRank: 5})
 	a := startAgents(t, g, func(_ int, m wire.Message) bool {
--- a/internal/group/watch.go
+++ b/internal/group/watch.go
@@ -6,8 +6,9 @@
 	"github.com/sassafraspost/sassafraspost/internal/peer"
 )
 
-// sessionWatch holds one session, so that a silent end is noticed within seconds. Reports are
-// not answered: without it they would go on into a connection that is dead.
+// sessionWatch marks one session with peer.Session.Hold, so a dead connection is detected
+// within seconds. Reports get no answer, so without the mark they could be sent into a dead
+// connection for a long time.
 type sessionWatch struct {
 	// mu guards the fields below.
 	mu        sync.Mutex
@@ -15,7 +16,7 @@
 	isStopped bool
 }
 
-// set holds s instead of the session before.
+// set watches s instead of the previous session.
 func (w *sessionWatch) set(s *peer.Session) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -27,7 +28,7 @@
 	w.session = s
 }
 
-// stop holds none any more, nor later.
+// stop ends the watch. Later calls of set have no effect.
 func (w *sessionWatch) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -35,7 +36,7 @@
 	w.release()
 }
 
-// release lets the session go. The caller holds mu.
+// release stops watching the current session. The caller must hold mu.
 func (w *sessionWatch) release() {
 	if w.session != nil {
 		w.session.Release()
--- a/internal/group/watch_test.go
+++ b/internal/group/watch_test.go
@@ -21,8 +21,8 @@
 	})
 }
 
-// Reports go one way only: without the watch a connection that has fallen silent would be
-// written to for hours here.
+// Guards against a silent connection to the planning host that isn't detected. Reports get no
+// answer, and the ping interval is an hour here, so only the watch can detect it.
 func TestSilentPlanningHostIsDetected(t *testing.T) {
 	remote, local := newTestPool(), newTestPool()
 	t.Cleanup(remote.Close)
@@ -43,9 +43,9 @@
 	select {
 	case <-s.Done():
 	case <-time.After(20 * time.Second):
-		t.Fatal("the silence was not noticed")
+		t.Fatal("the silent session was not closed")
 	}
 	w.stop()
 	w.set(s)
-	require.Nil(t, w.session, "nothing is held once the host has left the group")
+	require.Nil(t, w.session, "no session is watched once the host has left the group")
 }
