--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -35,8 +35,8 @@
 	// of them up to one tick may pass unused.
 	minPausedRetryTicks = 3
 	// baseRecoveryTicks is the recovery delay: how many ticks a participant waits to hear from
-	// a coordinator before it starts a recovery. Each host adds its first rank, so the hosts
-	// don't all start one at the same time.
+	// a coordinator before it starts a recovery. Each host adds the number of its first rank,
+	// so the hosts don't all start one at the same time.
 	baseRecoveryTicks = 40
 	// firstHostRecoveryTicks is the recovery delay of the first rank's host. This host
 	// coordinates all changes. If it finds an unfinished change and has no coordinator itself,
