--- a/internal/emulator/group.go
+++ b/internal/emulator/group.go
@@ -9,157 +9,162 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// group is a set of ranks that execute each pass together.
+// group is a set of ranks that run each pass together.
 type group struct {
-	run    *run
+	sim    *simulation
 	name   string
 	ranks  []*engine
 	epoch  uint64
 	isOpen bool
-	// isPassing tells that a pass is under way. It ends with the epoch in which it began.
-	isPassing bool
+	// isPassRunning tells that a pass is in progress. A pass is lost if the epoch changes
+	// before it ends.
+	isPassRunning bool
 }
 
-// engine is one rank.
+// engine is the engine of one rank.
 type engine struct {
 	group   *group
 	address string
 	rank    uint32
-	// writing are the requests that have a slot, in the order in which they came; queue are
-	// those that wait for one.
-	writing, queue []*stream
-	// starts counts the requests that got a slot.
-	starts int
+	// running lists the requests that occupy a slot, and queue those that wait for one, both in
+	// order of arrival.
+	running, queue []*request
+	// started counts the requests that have been given a slot.
+	started int
 }
 
-// stream is a request at an engine.
-type stream struct {
+// request is a call that an engine has accepted.
+type request struct {
 	call *call
-	// readAt is when its prompt is read; passes is how many events are to come.
-	readAt time.Duration
-	passes int
+	// promptDone is the time at which the engine has processed the prompt. passes is the number
+	// of passes, and so of events, that the answer still needs.
+	promptDone time.Duration
+	passes     int
 }
 
-func newGroup(r *run, n int) *group {
-	g := &group{run: r, name: fmt.Sprintf("group-%d", n), epoch: 1, isOpen: true}
-	for rank := range r.cfg.Ranks {
+func newGroup(sim *simulation, n int) *group {
+	g := &group{sim: sim, name: fmt.Sprintf("group-%d", n), epoch: 1, isOpen: true}
+	for rank := range sim.cfg.Ranks {
 		g.ranks = append(g.ranks, &engine{group: g, address: fmt.Sprintf("%s/%d", g.name, rank), rank: uint32(rank)})
 	}
 	return g
 }
 
-// take takes in a request, which has come from its host. It returns false where the group does
-// not serve; the request did not run then.
-func (e *engine) take(c *call) bool {
+// accept queues a call that has arrived from a host. It returns false if the group is down; the
+// call hasn't run then.
+func (e *engine) accept(c *call) bool {
 	if !e.group.isOpen {
 		return false
 	}
-	e.queue = append(e.queue, &stream{call: c})
-	e.fill()
-	e.group.start()
+	e.queue = append(e.queue, &request{call: c})
+	e.fillSlots()
+	e.group.startPass()
 	return true
 }
 
-// fill gives slots to those that wait for one.
-func (e *engine) fill() {
-	r := e.group.run
-	for len(e.queue) > 0 && len(e.writing) < r.cfg.Engine.Slots {
-		s := e.queue[0]
+// fillSlots moves queued requests into free slots.
+func (e *engine) fillSlots() {
+	sim := e.group.sim
+	for len(e.queue) > 0 && len(e.running) < sim.cfg.Engine.Slots {
+		req := e.queue[0]
 		e.queue = e.queue[1:]
-		s.readAt = r.clock.now + r.readTime()
-		s.passes = r.passes()
-		e.writing = append(e.writing, s)
-		e.starts++
+		req.promptDone = sim.clock.now + sim.promptTime()
+		req.passes = sim.passes()
+		e.running = append(e.running, req)
+		e.started++
 	}
 }
 
-// readTime is how long the prompt of a request takes to read.
-func (r *run) readTime() time.Duration {
-	return time.Duration(r.cfg.Engine.Prompt / r.cfg.Engine.PrefillRate * float64(time.Second))
+// promptTime is how long an engine takes to process a prompt.
+func (s *simulation) promptTime() time.Duration {
+	return time.Duration(s.cfg.Engine.Prompt / s.cfg.Engine.PrefillRate * float64(time.Second))
 }
 
-// passes draws how many passes an answer takes: from half of the mean to half more.
-func (r *run) passes() int {
-	tokens := r.cfg.Engine.Answer * (0.5 + r.rng.Float64())
-	return max(int(math.Ceil(tokens/float64(max(r.cfg.Engine.Stride, 1)))), 1)
+// passes draws the number of passes that an answer takes, uniformly between half and one and a
+// half times the mean.
+func (s *simulation) passes() int {
+	tokens := s.cfg.Engine.Answer * (0.5 + s.rng.Float64())
+	return max(int(math.Ceil(tokens/float64(max(s.cfg.Engine.Stride, 1)))), 1)
 }
 
-// start begins a pass if there is work and none is under way.
-func (g *group) start() {
-	if g.isPassing || !g.isOpen || g.most() == 0 {
+// startPass starts a pass if some rank has a running request and no pass is in progress.
+func (g *group) startPass() {
+	if g.isPassRunning || !g.isOpen || g.maxRunning() == 0 {
 		return
 	}
-	g.isPassing = true
-	began, epoch := g.run.clock.now, g.epoch
-	g.run.clock.after(g.passTime(), func() { g.end(began, epoch) })
+	g.isPassRunning = true
+	began, epoch := g.sim.clock.now, g.epoch
+	g.sim.clock.after(g.passTime(), func() { g.endPass(began, epoch) })
 }
 
-// most is how many requests the rank with the most of them has.
-func (g *group) most() int {
-	most := 0
+// maxRunning returns the number of running requests of the rank that has most of them.
+func (g *group) maxRunning() int {
+	highest := 0
 	for _, e := range g.ranks {
-		most = max(most, len(e.writing))
+		highest = max(highest, len(e.running))
 	}
-	return most
+	return highest
 }
 
-// passTime is how long the pass takes that begins now: all ranks wait for the one with the
-// most work, and its experts for the skew.
+// passTime returns how long a pass takes that starts now. All ranks wait for the one with the
+// most running requests. The part of the work that experts do (Experts.Share) is also
+// multiplied by the skew, since all ranks wait for the one with the most loaded experts.
 func (g *group) passTime() time.Duration {
-	e := g.run.cfg.Engine
-	step := float64(e.StepTime) + float64(g.most())*float64(e.StepTimePerRequest)
-	skew := 1 - e.Experts.WorkShare + e.Experts.WorkShare*g.run.cfg.Skew
+	e := g.sim.cfg.Engine
+	step := float64(e.StepTime) + float64(g.maxRunning())*float64(e.StepTimePerRequest)
+	skew := 1 - e.Experts.WorkShare + e.Experts.WorkShare*g.sim.cfg.Skew
 	return time.Duration(float64(max(e.Stride, 1)) * skew * step)
 }
 
-// end ends a pass: each request whose prompt was read when it began has an event.
-func (g *group) end(began time.Duration, epoch uint64) {
+// endPass ends a pass. Each request whose prompt had been processed before the pass started
+// gets one event.
+func (g *group) endPass(began time.Duration, epoch uint64) {
 	if g.epoch != epoch {
 		return
 	}
-	g.isPassing = false
+	g.isPassRunning = false
 	for _, e := range g.ranks {
-		e.write(began)
-		e.fill()
+		e.emitEvents(began)
+		e.fillSlots()
 	}
-	g.start()
+	g.startPass()
 }
 
-func (e *engine) write(began time.Duration) {
-	clock := &e.group.run.clock
-	e.writing = slices.DeleteFunc(e.writing, func(s *stream) bool {
-		if s.readAt > began {
+func (e *engine) emitEvents(began time.Duration) {
+	clock := &e.group.sim.clock
+	e.running = slices.DeleteFunc(e.running, func(req *request) bool {
+		if req.promptDone > began {
 			return false
 		}
-		s.passes--
-		isLast := s.passes == 0
-		clock.after(hop, func() { s.call.event(isLast) })
+		req.passes--
+		isLast := req.passes == 0
+		clock.after(messageDelay, func() { req.call.onEvent(isLast) })
 		return isLast
 	})
 }
 
-// breakUp lets the group serve no more: what it has is lost.
-func (g *group) breakUp() {
-	g.isOpen, g.isPassing = false, false
+// fail starts an outage: the group accepts no more requests and loses those that it has.
+func (g *group) fail() {
+	g.isOpen, g.isPassRunning = false, false
 	g.epoch++
 	for _, e := range g.ranks {
-		for _, s := range append(e.writing, e.queue...) {
-			g.run.clock.after(hop, s.call.broken)
+		for _, req := range append(e.running, e.queue...) {
+			g.sim.clock.after(messageDelay, req.call.onGroupFailure)
 		}
-		e.writing, e.queue = nil, nil
+		e.running, e.queue = nil, nil
 	}
 }
 
-// form lets it serve again.
-func (g *group) form() { g.isOpen = true }
+// reform ends an outage: the group accepts requests again.
+func (g *group) reform() { g.isOpen = true }
 
-// loads are those of all engines now.
-func (r *run) loads() []wire.EngineLoad {
+// loads returns the current load of every engine.
+func (s *simulation) loads() []wire.EngineLoad {
 	var out []wire.EngineLoad
-	for _, g := range r.groups {
+	for _, g := range s.groups {
 		for _, e := range g.ranks {
 			out = append(out, wire.EngineLoad{
-				Address: e.address, IsOpen: g.isOpen, Running: len(e.writing), Waiting: len(e.queue),
+				Address: e.address, IsOpen: g.isOpen, Running: len(e.running), Waiting: len(e.queue),
 				Group: g.name, Epoch: g.epoch, Rank: e.rank,
 			})
 		}
--- a/internal/emulator/host.go
+++ b/internal/emulator/host.go
@@ -7,186 +7,196 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// host is an entry host: the product's scheduler, and what its gateway does around it.
+// host is an entry host: the real scheduler, and a model of what the gateway does with its
+// decisions.
 type host struct {
-	run       *run
+	sim       *simulation
 	scheduler *schedule.Scheduler
-	// waiting are the calls that wait for a place.
+	// waiting maps each queued request of the scheduler to its call.
 	waiting map[*schedule.Waiter]*call
 }
 
-// mayReturnPart is the part of its patience that a caller must have left to come back.
-const mayReturnPart = 0.8
+// minReturnShare is the part of its timeout that a caller must have left for the scheduler to
+// assume that it can retry later. As in package gateway, an outage then leads to a refusal at
+// once instead of a wait at the host.
+const minReturnShare = 0.8
 
-// hear takes in the loads of engines.
-func (h *host) hear(loads []wire.EngineLoad) {
-	results, _ := h.scheduler.SetLoads(loads, h.run.clock.now)
+// applyLoads gives the load reports of engines to the scheduler.
+func (h *host) applyLoads(loads []wire.EngineLoad) {
+	results, _ := h.scheduler.SetLoads(loads, h.sim.clock.now)
 	h.deliver(results)
 }
 
-// deliver tells calls that have waited what becomes of them.
+// deliver passes the scheduler's decisions on to the calls that have waited for them.
 func (h *host) deliver(results []schedule.Result) {
-	for _, d := range results {
-		c := h.waiting[d.Waiter]
-		delete(h.waiting, d.Waiter)
-		c.decided(d.Decision)
+	for _, result := range results {
+		c := h.waiting[result.Waiter]
+		delete(h.waiting, result.Waiter)
+		c.onDecision(result.Decision)
 	}
 }
 
-// admit asks for a place for a call.
+// admit asks the scheduler for an engine. If the scheduler queues the call, its wait is limited
+// to schedule.LongestWait.
 func (h *host) admit(c *call) {
-	now := h.run.clock.now
+	now := h.sim.clock.now
 	d := h.scheduler.Admit(&schedule.Request{
-		Service: serviceName, Engine: &h.run.cfg.Engine, Gap: h.run.cfg.Gap, OnTimeUntil: c.onTimeUntil(), Tried: c.tried,
-		TimeLeft: c.deadline() - now, CanRetry: float64(c.deadline()-now) > mayReturnPart*float64(h.run.cfg.Patience),
+		Service: serviceName, Engine: &h.sim.cfg.Engine, Gap: h.sim.cfg.Gap, OnTimeUntil: c.onTimeUntil(), Tried: c.triedUpstreams,
+		TimeLeft: c.deadline() - now, CanRetry: float64(c.deadline()-now) > minReturnShare*float64(h.sim.cfg.CallerTimeout),
 	}, now)
 	if d.Waiter == nil {
-		c.decided(d)
+		c.onDecision(d)
 		return
 	}
 	h.waiting[d.Waiter] = c
-	h.run.clock.after(schedule.MaxQueueWait, func() { h.giveUp(d.Waiter) })
+	h.sim.clock.after(schedule.MaxQueueWait, func() { h.giveUp(d.Waiter) })
 }
 
-// giveUp ends the wait of a call that has waited too long.
+// giveUp ends the wait of a call that has been queued for too long, unless it has been decided
+// on already.
 func (h *host) giveUp(w *schedule.Waiter) {
 	c := h.waiting[w]
 	if c == nil {
 		return
 	}
 	delete(h.waiting, w)
-	c.decided(h.scheduler.Abandon(w, h.run.clock.now))
+	c.onDecision(h.scheduler.Abandon(w, h.sim.clock.now))
 }
 
-// end gives back the place of a call.
-func (h *host) end(t *schedule.Ticket, o schedule.Outcome) {
-	results, _ := h.scheduler.Release(t, o, h.run.clock.now)
+// endAttempt tells the scheduler that the call no longer occupies the engine, and with which
+// outcome.
+func (h *host) endAttempt(t *schedule.Ticket, o schedule.Outcome) {
+	results, _ := h.scheduler.Release(t, o, h.sim.clock.now)
 	h.deliver(results)
 }
 
-// call is one caller's request, over both of its tries.
+// call is the request of one caller. A caller tries at most twice, at a host each. Within one
+// try, the host may attempt several engines.
 type call struct {
-	run  *run
+	sim  *simulation
 	host *host
-	// began is when the caller first asked, asked when it did last.
-	began, asked time.Duration
-	tries        int
-	tried        []string
-	ticket       *schedule.Ticket
-	// last is when its last event came; events counts them, late those that were not on time.
-	last         time.Duration
-	events, late int
+	// firstTry and lastTry are the times of the caller's first and last try.
+	firstTry, lastTry time.Duration
+	tries             int
+	triedUpstreams    []string
+	ticket            *schedule.Ticket
+	// lastEvent is the time of the latest event. eventCount counts the events, lateEvents those
+	// of them that were late.
+	lastEvent              time.Duration
+	eventCount, lateEvents int
 }
 
-// arrive lets a caller come.
-func (r *run) arrive() {
-	r.open++
-	r.report.Asked++
-	c := &call{run: r, began: r.clock.now}
-	c.ask()
+// startCall starts the request of a new caller.
+func (s *simulation) startCall() {
+	s.activeCallers++
+	s.report.Asked++
+	c := &call{sim: s, firstTry: s.clock.now}
+	c.try()
 }
 
-func (c *call) deadline() time.Duration { return c.began + c.run.cfg.Patience }
+func (c *call) deadline() time.Duration { return c.firstTry + c.sim.cfg.CallerTimeout }
 
-// onTimeUntil is when the first event has to be there. A caller that has been here before is
-// late: its time began with its first try.
+// onTimeUntil returns the time by which the first event is on time. For a retry it has passed
+// already, since the target is counted from the first try.
 func (c *call) onTimeUntil() time.Duration {
 	if c.tries > 1 {
-		return c.began
+		return c.firstTry
 	}
-	return c.began + c.run.cfg.Target
+	return c.firstTry + c.sim.cfg.Target
 }
 
-// ask asks a host.
-func (c *call) ask() {
+// try sends the request to a random host.
+func (c *call) try() {
 	c.tries++
-	c.asked, c.tried = c.run.clock.now, nil
-	c.host = c.run.hosts[c.run.rng.IntN(len(c.run.hosts))]
-	c.host.scheduler.CountRequest(serviceName, c.asked)
+	c.lastTry, c.triedUpstreams = c.sim.clock.now, nil
+	c.host = c.sim.hosts[c.sim.rng.IntN(len(c.sim.hosts))]
+	c.host.scheduler.CountRequest(serviceName, c.lastTry)
 	c.host.admit(c)
 }
 
-// decided goes on with what the host has decided.
-func (c *call) decided(d schedule.Decision) {
+// onDecision handles the scheduler's decision: it sends the call to the chosen engine, or
+// refuses it.
+func (c *call) onDecision(d schedule.Decision) {
 	if d.Ticket == nil {
-		c.refused(d.RetryAfter)
+		c.onRefusal(d.RetryAfter)
 		return
 	}
 	c.ticket = d.Ticket
-	c.tried = append(c.tried, d.Ticket.ID())
-	e := c.run.engines[d.Ticket.Address()]
-	c.run.clock.after(hop, func() {
-		if !e.take(c) {
-			c.run.clock.after(hop, c.turnedAway)
+	c.triedUpstreams = append(c.triedUpstreams, d.Ticket.ID())
+	e := c.sim.engines[d.Ticket.Address()]
+	c.sim.clock.after(messageDelay, func() {
+		if !e.accept(c) {
+			c.sim.clock.after(messageDelay, c.onNotRun)
 		}
 	})
 }
 
-// turnedAway goes on where an engine did not take the call: at another one, as far as the
-// budget goes.
-func (c *call) turnedAway() {
-	c.host.end(c.ticket, schedule.Failure)
-	now := c.run.clock.now
+// onNotRun handles an attempt that an engine didn't run. The host attempts another engine if
+// the retry budget allows it.
+func (c *call) onNotRun() {
+	c.host.endAttempt(c.ticket, schedule.Failure)
+	now := c.sim.clock.now
 	if c.host.scheduler.TakeRetry(serviceName, now) {
 		c.host.admit(c)
 		return
 	}
-	c.refused(schedule.MaxRetryAfter(c.deadline() - now))
+	c.onRefusal(schedule.MaxRetryAfter(c.deadline() - now))
 }
 
-// refused tells the caller that its request did not run. It comes back once, when it was told
-// to, within the third of its time that callers wait at most.
-func (c *call) refused(retryAfter time.Duration) {
-	now := c.run.clock.now
-	c.run.report.refused(c.asked, now-c.asked)
+// onRefusal handles a refusal; the request hasn't run. After the first refusal the caller
+// retries as late as Retry-After asks for, but after no more than a third of its remaining
+// time, because callers don't wait longer than that. A second refusal is final.
+func (c *call) onRefusal(retryAfter time.Duration) {
+	now := c.sim.clock.now
+	c.sim.report.onRefusal(c.lastTry, now-c.lastTry)
 	wait := min(retryAfter, schedule.MaxRetryAfter(c.deadline()-now))
 	if c.tries > 1 {
-		c.leave(&c.run.report.Refused)
+		c.end(&c.sim.report.Refused)
 		return
 	}
-	c.run.report.Returned++
-	c.run.clock.after(wait, c.ask)
+	c.sim.report.Returned++
+	c.sim.clock.after(wait, c.try)
 }
 
-// event is an event of the answer at the caller.
-func (c *call) event(isLast bool) {
-	now := c.run.clock.now
-	isLate := now > c.began+c.run.cfg.Target
-	if c.events > 0 {
-		c.host.scheduler.RecordEventGap(c.ticket, now-c.last, now)
-		isLate = c.run.cfg.Gap > 0 && now-c.last > c.run.cfg.Gap
+// onEvent handles an event of the answer that has reached the caller.
+func (c *call) onEvent(isLast bool) {
+	now := c.sim.clock.now
+	isLate := now > c.firstTry+c.sim.cfg.Target
+	if c.eventCount > 0 {
+		c.host.scheduler.RecordEventGap(c.ticket, now-c.lastEvent, now)
+		isLate = c.sim.cfg.Gap > 0 && now-c.lastEvent > c.sim.cfg.Gap
 	} else {
 		c.host.scheduler.RecordFirstEvent(c.ticket, now)
 	}
 	if isLate {
-		c.late++
+		c.lateEvents++
 	}
-	c.events++
-	c.last = now
+	c.eventCount++
+	c.lastEvent = now
 	if !isLast {
 		return
 	}
-	c.host.end(c.ticket, schedule.Success)
-	if c.late > 0 {
-		c.leave(&c.run.report.Late)
+	c.host.endAttempt(c.ticket, schedule.Success)
+	if c.lateEvents > 0 {
+		c.end(&c.sim.report.Late)
 		return
 	}
-	c.leave(&c.run.report.InAim)
+	c.end(&c.sim.report.InAim)
 }
 
-// broken tells that the group broke under the call. Without an event it may go on elsewhere;
-// an answer that has begun is lost.
-func (c *call) broken() {
-	if c.events == 0 {
-		c.turnedAway()
+// onGroupFailure handles the failure of the group that runs the call. If no event has arrived
+// yet, the host may attempt another engine. An answer that has begun is lost.
+func (c *call) onGroupFailure() {
+	if c.eventCount == 0 {
+		c.onNotRun()
 		return
 	}
-	c.host.end(c.ticket, schedule.Failure)
-	c.leave(&c.run.report.Cut)
+	c.host.endAttempt(c.ticket, schedule.Failure)
+	c.end(&c.sim.report.Cut)
 }
 
-// leave counts the call's end.
-func (c *call) leave(as *int) {
-	*as++
-	c.run.open--
+// end ends the call and adds it to one of the report's counters.
+func (c *call) end(counter *int) {
+	*counter++
+	c.sim.activeCallers--
 }
--- a/internal/group/plan.go
+++ b/internal/group/plan.go
@@ -10,18 +10,20 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// Load returns what is known of popularity. It must only be called once Run has ended.
+// Load returns the popularity of the experts as far as it is known. It must only be called
+// after Run has returned.
 func (r *Runner) Load() placement.Load { return r.planner.Load() }
 
-// plan reports this host's load to the first host of the group, which plans.
+// plan runs once per PlanInterval. It sends this host's load report, or resets the counts for
+// it, if that is due. On the first rank's host it also plans the next map.
 func (r *Runner) plan(ctx context.Context) {
 	shape := r.cfg.Shape()
 	if shape != nil {
-		switch isTurn, isBefore := r.reporter.next(r.cfg.FirstRank, shape.Ranks); {
-		case isTurn:
-			go r.report(ctx)
-		case isBefore:
-			go r.recount(ctx)
+		switch isDue, isDueNext := r.reporter.nextInterval(r.cfg.FirstRank, shape.Ranks); {
+		case isDue:
+			go r.sendReport(ctx)
+		case isDueNext:
+			go r.resetCounts(ctx)
 		}
 	}
 	if r.address != 0 || shape == nil || r.coordinator != nil {
@@ -31,29 +33,30 @@
 		r.planner.SyncMap(r.ranks[0].Active.Version, r.participant.Map, shape)
 	}
 	if r.planner.IsComplete(shape) {
-		r.planByPicks(ctx, shape)
+		r.planByExpertCounts(ctx, shape)
 		return
 	}
 	reports := r.planner.TakeReports(shape.Ranks)
 	if reports == nil {
 		return
 	}
-	present, ok := r.present()
+	current, ok := r.currentMap()
 	if !ok {
 		return
 	}
-	next, isBetter := r.planner.NextByTokens(present, reports, shape)
+	next, isBetter := r.planner.NextByTokens(current, reports, shape)
 	if !isBetter {
 		return
 	}
-	r.gather(ctx, intent{
-		proposal: &expertmap.Proposal{Base: present.Version, Map: next},
-		known:    []expertmap.Map{present},
+	r.findMembers(ctx, intent{
+		proposal:  &expertmap.Proposal{Base: current.Version, Map: next},
+		knownMaps: []expertmap.Map{current},
 	})
 }
 
-// present returns the map that this host's ranks use, if nothing is open.
-func (r *Runner) present() (expertmap.Map, bool) {
+// currentMap returns the map that the ranks of this host use. It returns false if a change is
+// armed or the map's content is unknown.
+func (r *Runner) currentMap() (expertmap.Map, bool) {
 	if len(r.ranks) == 0 {
 		return expertmap.Map{}, false
 	}
@@ -69,11 +72,12 @@
 	return expertmap.Map{}, false
 }
 
-// planByPicks begins a change where the ranks' own counts show that one is worth it.
-func (r *Runner) planByPicks(ctx context.Context, shape *wire.GroupShape) {
-	next, base, forecast := r.planner.NextBySelections(shape, planner.GainFactor(r.pace.mean(), r.lateStep()))
+// planByExpertCounts plans the next map from the counts of how often requests chose each
+// expert. It starts a change if the expected gain is worth the cost.
+func (r *Runner) planByExpertCounts(ctx context.Context, shape *wire.GroupShape) {
+	next, base, forecast := r.planner.NextBySelections(shape, planner.GainFactor(r.stepTimer.mean(), r.maxStepTime()))
 	if forecast.ImbalanceBefore == 0 {
-		// Nothing was counted.
+		// No requests were counted.
 		return
 	}
 	r.cfg.Log.Info("expert map planned", "group", r.cfg.Group, "base", base, "skew", forecast.ImbalanceBefore,
@@ -81,5 +85,5 @@
 	if !forecast.IsWorthwhile {
 		return
 	}
-	r.gather(ctx, intent{proposal: &expertmap.Proposal{Base: rank.Ballot(base), Map: next}})
+	r.findMembers(ctx, intent{proposal: &expertmap.Proposal{Base: rank.Ballot(base), Map: next}})
 }
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -188,13 +188,13 @@
 		Members:      func(ctx context.Context) ([]wire.GroupMember, error) { return a.members(ctx, name, r), nil },
 		PlanningHost: func(ctx context.Context) (string, bool) { return a.findPlanningAgent(ctx, name, r) },
 		Shape:        func() *wire.GroupShape { return shape },
-		Unique:       func() uint64 { return newUniqueNumber(r.Rank) },
+		NewID:        func() uint64 { return newUniqueNumber(r.Rank) },
 		Start:        initialBallot,
-		First:        rank.InitialMap(r.Size, int(shape.SlotsPerRank), int(shape.Layers), int(shape.Experts)),
+		Initial:      rank.InitialMap(r.Size, int(shape.SlotsPerRank), int(shape.Layers), int(shape.Experts)),
 		LinkRate:     a.n.settings.LinkRate,
 		Load:         a.expertLoad,
-		LateStep:     a.maxOnTimeStep,
-		PlanInterval: planInterval, ArmAhead: maxArmAhead, MostAhead: maxExtendedArmAhead, Log: a.n.log, Metrics: a.n.metrics,
+		MaxStepTime:  a.maxOnTimeStep,
+		PlanInterval: planInterval, ArmAhead: maxArmAhead, MaxArmAhead: maxExtendedArmAhead, Log: a.n.log, Metrics: a.n.metrics,
 	})
 	a.setRunner(runner)
 	defer a.setRunner(nil)
@@ -300,10 +300,10 @@
 		return complete
 	}
 	found := a.queryControlHost(ctx, &wire.GroupQuery{Group: r.Group, Epoch: r.Epoch})
-	if !group.IsWhole(found, uint32(r.Size)) && time.Since(runnerStart) > memberReportTime {
+	if !group.CoversAllRanks(found, uint32(r.Size)) && time.Since(runnerStart) > memberReportTime {
 		found = a.queryAllAgents(ctx, name)
 	}
-	if group.IsWhole(found, uint32(r.Size)) {
+	if group.CoversAllRanks(found, uint32(r.Size)) {
 		a.mu.Lock()
 		a.completeMembers = found
 		a.mu.Unlock()
@@ -395,7 +395,7 @@
 	var members []wire.GroupMember
 	if address == a.n.settings.peerAddress(a.n.settings.IP) {
 		if r := a.currentRunner(); r != nil {
-			members = r.Own()
+			members = r.LocalMembers()
 		}
 	} else if s, err := a.n.pool.Get(ctx, address); err == nil {
 		reply, _, err := s.CallWithin(ctx, queryTimeout, &wire.GroupQuery{Group: name})
