--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -73,7 +73,7 @@
 }
 
 func TestRecordContainsEngineReport(t *testing.T) {
-	engine := standin.NewEngine(standin.EngineConfig{Version: "v3", Step: 5 * time.Millisecond, EventGap: 2})
+	engine := standin.NewEngine(standin.EngineConfig{Version: "v3", Step: 5 * time.Millisecond, DropEvery: 2})
 	srv := httptest.NewServer(engine)
 	defer srv.Close()
 	a, err := agent.New(agent.Config{Identity: wire.Upstream{Name: "u", Incarnation: 1}, URL: srv.URL, IsEngine: true, Capacity: 3})
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -52,7 +52,7 @@
 		_ = srv.Listener.Close()
 	}
 	mux := http.NewServeMux()
-	mux.Handle("/", standin.NewEngine(standin.EngineConfig{End: crash}))
+	mux.Handle("/", standin.NewEngine(standin.EngineConfig{Crash: crash}))
 	mux.HandleFunc("/slots/book", func(http.ResponseWriter, *http.Request) {
 		crash()
 		panic(http.ErrAbortHandler)
--- a/test/cmd/soak/main.go
+++ b/test/cmd/soak/main.go
@@ -83,13 +83,13 @@
 	}
 	broken := 0
 	for n := range o.seeds {
-		cfg := soak.Config{Seed: o.seed + uint64(n), Size: o.size, Length: o.length, Only: only, Bin: bin}
+		cfg := soak.Config{Seed: o.seed + uint64(n), Size: o.size, FaultTime: o.length, OnlyKinds: only, Bin: bin}
 		r, err := one(ctx, dir, cfg, o.keep)
 		if err != nil {
 			return errors.Wrapf(err, "seed %d", cfg.Seed)
 		}
 		r.Write(os.Stdout)
-		if len(r.Broken) > 0 {
+		if len(r.Violations) > 0 {
 			broken++
 		}
 	}
@@ -101,14 +101,14 @@
 
 // one plays a run in a folder of its own, which is kept only for its logs.
 func one(ctx context.Context, dir string, cfg soak.Config, keep string) (*soak.Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, cfg.Length+startTime)
+	ctx, cancel := context.WithTimeout(ctx, cfg.FaultTime+startTime)
 	defer cancel()
 	cfg.Dir = filepath.Join(dir, fmt.Sprintf("seed-%d", cfg.Seed))
 	if err := os.Mkdir(cfg.Dir, 0o700); err != nil {
 		return nil, err
 	}
 	r, err := soak.Run(ctx, cfg)
-	if keep != "" && (err != nil || len(r.Broken) > 0) {
+	if keep != "" && (err != nil || len(r.Violations) > 0) {
 		if kept := os.CopyFS(filepath.Join(keep, fmt.Sprintf("%s-%d", filepath.Base(cfg.Dir), time.Now().Unix())), os.DirFS(cfg.Dir)); kept != nil {
 			fmt.Fprintln(os.Stderr, "the logs are not kept:", kept)
 		}
--- a/test/cmd/standin/main.go
+++ b/test/cmd/standin/main.go
@@ -36,15 +36,15 @@
 	fs.DurationVar(&f.away, "away", 0, "for how long an engine is away that a prompt has ended; zero lets none end it")
 	fs.DurationVar(&f.engine.Step, "step", 5*time.Millisecond, "time of one engine step")
 	fs.IntVar(&f.engine.Concurrency, "concurrency", 64, "requests that an engine runs at once")
-	fs.DurationVar(&f.engine.Lag, "lag", 100*time.Millisecond, "age of load reports")
+	fs.DurationVar(&f.engine.LoadReportAge, "lag", 100*time.Millisecond, "age of load reports")
 	fs.DurationVar(&f.engine.EventDelay, "event-delay", 50*time.Millisecond, "lateness of cache events")
-	fs.Uint64Var(&f.engine.EventGap, "event-gap", 0, "drop each cache event whose number this divides")
+	fs.Uint64Var(&f.engine.DropEvery, "event-gap", 0, "drop each cache event whose number this divides")
 	fs.BoolVar(&f.engine.ChecksFencing, "checks-fencing", false, "refuse orders with an old fencing number")
 	fs.StringVar(&f.engine.Version, "version", "", "version that an engine has loaded at its start")
 	fs.IntVar(&f.group.Ranks, "ranks", 8, "ranks of a group")
 	fs.IntVar(&f.group.Experts, "experts", 64, "experts in each layer of a group")
 	fs.IntVar(&f.group.Layers, "layers", 4, "layers of a group")
-	fs.DurationVar(&f.group.Load, "load-time", 50*time.Millisecond, "time to load the weights of a map")
+	fs.DurationVar(&f.group.LoadTime, "load-time", 50*time.Millisecond, "time to load the weights of a map")
 	fs.Uint64Var(&f.group.DriftSteps, "drift-steps", 0, "steps between changes of the experts' popularity")
 	if err := cmd.Execute(); err != nil {
 		os.Exit(1)
@@ -54,7 +54,7 @@
 func (f *flags) run() error {
 	s := &server{flags: f}
 	if f.away > 0 {
-		f.engine.End = s.end
+		f.engine.Crash = s.end
 	}
 	var h http.Handler
 	switch f.kind {
--- a/test/faultproxy/messages.go
+++ b/test/faultproxy/messages.go
@@ -15,8 +15,8 @@
 // each session and direction in order, by one goroutine per direction.
 type Rewrite func(d Direction, message []byte) [][]byte
 
-// Messages is a proxy of WebSocket sessions before one target address.
-type Messages struct {
+// WebSocket is a proxy of WebSocket sessions before one target address.
+type WebSocket struct {
 	server  *httptest.Server
 	target  string
 	rewrite atomic.Pointer[Rewrite]
@@ -24,26 +24,26 @@
 
 const readLimit = 32 << 20
 
-// NewMessages starts a proxy on a port from the kernel. It passes everything on
+// NewWebSocket starts a proxy on a port from the kernel. It passes everything on
 // until SetRewrite.
-func NewMessages(target string) *Messages {
-	p := &Messages{target: target}
+func NewWebSocket(target string) *WebSocket {
+	p := &WebSocket{target: target}
 	p.SetRewrite(func(_ Direction, m []byte) [][]byte { return [][]byte{m} })
 	p.server = httptest.NewServer(p)
 	return p
 }
 
 // Address is where the proxy listens.
-func (p *Messages) Address() string { return strings.TrimPrefix(p.server.URL, "http://") }
+func (p *WebSocket) Address() string { return strings.TrimPrefix(p.server.URL, "http://") }
 
 // SetRewrite changes what happens to messages from now on.
-func (p *Messages) SetRewrite(r Rewrite) { p.rewrite.Store(&r) }
+func (p *WebSocket) SetRewrite(r Rewrite) { p.rewrite.Store(&r) }
 
 // Close ends the proxy.
-func (p *Messages) Close() { p.server.CloseClientConnections() }
+func (p *WebSocket) Close() { p.server.CloseClientConnections() }
 
 // ServeHTTP carries one session.
-func (p *Messages) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *WebSocket) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	header := http.Header{"Authorization": r.Header["Authorization"]}
@@ -70,7 +70,7 @@
 	<-done
 }
 
-func (p *Messages) carry(ctx context.Context, to, from *websocket.Conn, d Direction, done chan<- struct{}) {
+func (p *WebSocket) carry(ctx context.Context, to, from *websocket.Conn, d Direction, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	for {
 		kind, data, err := from.Read(ctx)
--- a/test/faultproxy/tcp.go
+++ b/test/faultproxy/tcp.go
@@ -72,8 +72,8 @@
 	p.closeConns()
 }
 
-// Set puts a fault on one direction.
-func (p *TCP) Set(d Direction, f Fault) {
+// SetFault puts a fault on one direction.
+func (p *TCP) SetFault(d Direction, f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults[d] = f
@@ -82,8 +82,8 @@
 
 // Freeze holds both directions, without ending a connection.
 func (p *TCP) Freeze() {
-	p.Set(Forward, Fault{Frozen: true})
-	p.Set(Backward, Fault{Frozen: true})
+	p.SetFault(Forward, Fault{Frozen: true})
+	p.SetFault(Backward, Fault{Frozen: true})
 }
 
 // Heal lifts all faults. What was frozen goes on, late.
--- a/test/integration/experts_test.go
+++ b/test/integration/experts_test.go
@@ -80,7 +80,7 @@
 		}
 		s.await(fmt.Sprintf("steps and a change after %s of %s", fault, h.Name), func() bool {
 			r := s.group()
-			require.Zero(t, r.Mixed, "steps with two maps after %s of %s", fault, h.Name)
+			require.Zero(t, r.MixedSteps, "steps with two maps after %s of %s", fault, h.Name)
 			return r.Steps > before.Steps+50 && r.Maps > before.Maps
 		})
 	}
@@ -91,9 +91,9 @@
 // of the two has dialled.
 func (s *system) delayOrders() {
 	late := faultproxy.Fault{Delay: 300 * time.Millisecond}
-	s.Inbound(s.Agents[0]).Set(faultproxy.Backward, late)
+	s.Inbound(s.Agents[0]).SetFault(faultproxy.Backward, late)
 	for _, h := range s.Agents[1:] {
-		s.Inbound(h).Set(faultproxy.Forward, late)
+		s.Inbound(h).SetFault(faultproxy.Forward, late)
 	}
 }
 
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -246,7 +246,7 @@
 
 	l.run(t, "the leader is killed between the claim and its reply", func(t *testing.T) {
 		leader := s.leader()
-		s.Link(one, leader).Set(faultproxy.Backward, faultproxy.Fault{Frozen: true})
+		s.Link(one, leader).SetFault(faultproxy.Backward, faultproxy.Fault{Frozen: true})
 		first := l.book(one, "reply-lost")
 		require.Equal(t, verdict.MayHaveRun, first.Verdict)
 		require.Contains(t, first.Body, "SAME key")
--- a/test/local/faults.go
+++ b/test/local/faults.go
@@ -49,13 +49,13 @@
 	for k, p := range s.links {
 		switch h.Name {
 		case k.from:
-			p.Set(faultproxy.Forward, late)
+			p.SetFault(faultproxy.Forward, late)
 		case k.to:
-			p.Set(faultproxy.Backward, late)
+			p.SetFault(faultproxy.Backward, late)
 		}
 	}
 	if p := s.inbound[h.Name]; p != nil {
-		p.Set(faultproxy.Backward, late)
+		p.SetFault(faultproxy.Backward, late)
 	}
 }
 
--- a/test/local/settings.go
+++ b/test/local/settings.go
@@ -99,7 +99,7 @@
 	if !s.Layout.HasMessages {
 		return h.Peer
 	}
-	m := faultproxy.NewMessages(h.Peer)
+	m := faultproxy.NewWebSocket(h.Peer)
 	s.messages = append(s.messages, m)
 	return m.Address()
 }
--- a/test/local/system.go
+++ b/test/local/system.go
@@ -70,7 +70,7 @@
 	links   map[linkKey]*faultproxy.TCP
 	inbound map[string]*faultproxy.TCP
 	// messages are between agents and entry hosts, in both ways of dialling.
-	messages []*faultproxy.Messages
+	messages []*faultproxy.WebSocket
 	// secret is the system's own, so that processes of another one that a test left
 	// behind are strangers here, also where they come by a port that was theirs.
 	secret string
--- a/test/soak/callers.go
+++ b/test/soak/callers.go
@@ -118,7 +118,7 @@
 		c.r.count("streams whole")
 		return true
 	case a.Status == http.StatusOK:
-		c.r.fail(Whole, "stream %s: status 200 with %d bytes that are not its answer: %.200q", id, len(a.Body), a.Body)
+		c.r.fail(CompleteResponse, "stream %s: status 200 with %d bytes that are not its answer: %.200q", id, len(a.Body), a.Body)
 	default:
 		c.failed("streams", id, sent, a)
 	}
@@ -149,7 +149,7 @@
 			c.note(c.booked, key)
 			return true
 		case a.Status == http.StatusCreated:
-			c.r.fail(Whole, "booking %s: the answer to another one: %.200q", key, a.Body)
+			c.r.fail(CompleteResponse, "booking %s: the answer to another one: %.200q", key, a.Body)
 		case a.Verdict == verdict.NotRun && try == 0 && !me.isRacing:
 			c.failed("bookings", key, began, a)
 			return false
--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -14,7 +14,7 @@
 
 // executed adds up what the stand-ins have carried out.
 func executed(ctx context.Context, s *local.System) (standin.Report, error) {
-	all := standin.Report{ByRequest: map[string]standin.Executions{}, ByKey: map[string]standin.Executions{}, Ends: map[string]int{}}
+	all := standin.Report{ByRequest: map[string]standin.Executions{}, ByKey: map[string]standin.Executions{}, Crashes: map[string]int{}}
 	for _, a := range s.Agents {
 		if a.Upstream.Name == groupStandIn {
 			continue
@@ -25,8 +25,8 @@
 		}
 		add(all.ByRequest, r.ByRequest)
 		add(all.ByKey, r.ByKey)
-		for prompt, n := range r.Ends {
-			all.Ends[prompt] += n
+		for prompt, n := range r.Crashes {
+			all.Crashes[prompt] += n
 		}
 	}
 	return all, nil
@@ -45,12 +45,12 @@
 func (c *callers) checkExecutions(done standin.Report) {
 	for key, e := range done.ByKey {
 		if e.Begun > 1 {
-			c.r.fail(Once, "booking %s ran %d times", key, e.Begun)
+			c.r.fail(AtMostOnce, "booking %s ran %d times", key, e.Begun)
 		}
 	}
 	for key := range c.booked {
 		if done.ByKey[key].Finished != 1 {
-			c.r.fail(Whole, "booking %s was confirmed and made %d times", key, done.ByKey[key].Finished)
+			c.r.fail(CompleteResponse, "booking %s was confirmed and made %d times", key, done.ByKey[key].Finished)
 		}
 	}
 	for id := range c.refused {
@@ -81,8 +81,8 @@
 	if err := json.NewDecoder(resp.Body).Decode(&g); err != nil {
 		return err
 	}
-	if g.Mixed > 0 {
-		r.fail(OneMap, "%d of %d steps with two maps", g.Mixed, g.Steps)
+	if g.MixedSteps > 0 {
+		r.fail(OneMap, "%d of %d steps with two maps", g.MixedSteps, g.Steps)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/test/soak/poison.go
+++ b/test/soak/poison.go
@@ -42,7 +42,7 @@
 
 // checkEnds compares how many upstreams each such request has ended with what is promised.
 func (c *callers) checkEnds(done standin.Report) {
-	for prompt, n := range done.Ends {
+	for prompt, n := range done.Crashes {
 		c.r.mu.Lock()
 		c.r.counts["upstreams ended"] += n
 		c.r.mu.Unlock()
--- a/test/soak/record.go
+++ b/test/soak/record.go
@@ -13,9 +13,9 @@
 // The promises.
 const (
 	// Whole: an answer that says that all went well is the whole answer to its own request.
-	Whole Promise = "whole"
+	CompleteResponse Promise = "whole"
 	// Once: a request that may not be repeated runs at most once.
-	Once Promise = "once"
+	AtMostOnce Promise = "once"
 	// NotRun: what was told not to have run did not run, and never does.
 	NotRun Promise = "not-run"
 	// Shutdown: a process that is asked to end does so in time and in order, and cuts no
@@ -34,10 +34,10 @@
 )
 
 // Promises are all of them.
-var Promises = []Promise{Whole, Once, NotRun, Shutdown, Configuration, OneMap, Recovery, Contained}
+var Promises = []Promise{CompleteResponse, AtMostOnce, NotRun, Shutdown, Configuration, OneMap, Recovery, Contained}
 
-// Broken is a promise that was seen broken.
-type Broken struct {
+// Violation is a promise that was seen broken.
+type Violation struct {
 	Promise Promise
 	At      time.Time
 	Text    string
@@ -54,7 +54,7 @@
 // record collects what happens in a run. It is safe for concurrent use.
 type record struct {
 	mu     sync.Mutex
-	broken []Broken
+	broken []Violation
 	events []*Event
 	counts map[string]int
 }
@@ -65,7 +65,7 @@
 func (r *record) fail(p Promise, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = append(r.broken, Broken{Promise: p, At: time.Now(), Text: fmt.Sprintf(format, args...)})
+	r.broken = append(r.broken, Violation{Promise: p, At: time.Now(), Text: fmt.Sprintf(format, args...)})
 }
 
 // count adds one to a named count.
--- a/test/soak/report.go
+++ b/test/soak/report.go
@@ -15,8 +15,8 @@
 // Report is what came of a run.
 type Report struct {
 	Config Config
-	// Broken are the promises that were seen broken, by time.
-	Broken []Broken
+	// Violations are the promises that were seen broken, by time.
+	Violations []Violation
 	// Events is the timeline of the faults.
 	Events []Event
 	// Counts are what callers and operators got, by name.
@@ -26,7 +26,7 @@
 func newReport(cfg Config, r *record) *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := &Report{Config: cfg, Broken: slices.Clone(r.broken), Counts: maps.Clone(r.counts)}
+	out := &Report{Config: cfg, Violations: slices.Clone(r.broken), Counts: maps.Clone(r.counts)}
 	for _, e := range r.events {
 		out.Events = append(out.Events, *e)
 	}
@@ -40,10 +40,10 @@
 		counts = append(counts, fmt.Sprintf("%s %d", name, r.Counts[name]))
 	}
 	verdict := "kept"
-	if len(r.Broken) > 0 {
-		verdict = fmt.Sprintf("%d BROKEN", len(r.Broken))
+	if len(r.Violations) > 0 {
+		verdict = fmt.Sprintf("%d BROKEN", len(r.Violations))
 	}
-	return fmt.Sprintf("seed %d, size %d, %s, %d faults: %s; %s", r.Config.Seed, r.Config.Size, r.Config.Length, len(r.Events), verdict, strings.Join(counts, ", "))
+	return fmt.Sprintf("seed %d, size %d, %s, %d faults: %s; %s", r.Config.Seed, r.Config.Size, r.Config.FaultTime, len(r.Events), verdict, strings.Join(counts, ", "))
 }
 
 // Write tells of each broken promise with the faults around it.
@@ -53,7 +53,7 @@
 		return
 	}
 	start := r.Events[0].At
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		fmt.Fprintf(w, "  %7.2f s  BROKEN %s: %s\n", b.At.Sub(start).Seconds(), b.Promise, b.Text)
 		for _, e := range r.Events {
 			if e.At.Before(b.At) && (e.Until.IsZero() || e.Until.Add(around).After(b.At)) {
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -51,12 +51,12 @@
 
 // Config is one run.
 type Config struct {
-	Seed   uint64
-	Length time.Duration
+	Seed      uint64
+	FaultTime time.Duration
 	// Size is the size of the system, from 1 to MaxSize; 1 if zero.
 	Size int
-	// Only are the kinds of faults to play; all if empty.
-	Only []Kind
+	// OnlyKinds are the kinds of faults to play; all if empty.
+	OnlyKinds []Kind
 	// Dir is where logs and data go, Bin where local.Build put the programs.
 	Dir, Bin string
 }
@@ -116,11 +116,11 @@
 	}
 	began := time.Now()
 	var wg sync.WaitGroup
-	kinds := cfg.Only
+	kinds := cfg.OnlyKinds
 	if len(kinds) == 0 {
 		kinds = Kinds
 	}
-	for _, f := range Plan(cfg.Seed, kinds, control, others, cfg.Length) {
+	for _, f := range Plan(cfg.Seed, kinds, control, others, cfg.FaultTime) {
 		pause(ctx, time.Until(began.Add(f.At)))
 		h, err := s.Find(f.Host)
 		if err != nil || ctx.Err() != nil {
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -53,8 +53,8 @@
 		done standin.Report
 		want Promise
 	}{
-		"ran twice":                 {done: standin.Report{ByKey: map[string]standin.Executions{"k": ran(2, 1)}}, want: Once},
-		"confirmed, not made":       {told: func(c *callers) { c.booked["k"] = true }, want: Whole},
+		"ran twice":                 {done: standin.Report{ByKey: map[string]standin.Executions{"k": ran(2, 1)}}, want: AtMostOnce},
+		"confirmed, not made":       {told: func(c *callers) { c.booked["k"] = true }, want: CompleteResponse},
 		"refused, and ran":          {told: func(c *callers) { c.refused["k"] = true }, done: standin.Report{ByKey: map[string]standin.Executions{"k": ran(1, 1)}}, want: NotRun},
 		"refused, and was streamed": {told: func(c *callers) { c.refused["s"] = true }, done: standin.Report{ByRequest: map[string]standin.Executions{"s": ran(1, 0)}}, want: NotRun},
 		"cut while it ran":          {told: func(c *callers) { c.lost["s"] = "cut" }, done: standin.Report{ByRequest: map[string]standin.Executions{"s": ran(1, 0)}}, want: Shutdown},
@@ -114,21 +114,21 @@
 	bin := t.TempDir()
 	require.NoError(t, local.Build(bin))
 	for name, cfg := range map[string]Config{
-		"all":       {Seed: 7, Length: 15 * time.Second},
-		"at size":   {Seed: 9, Length: 8 * time.Second, Size: 4},
-		"shutdowns": {Seed: 8, Length: 10 * time.Second, Only: []Kind{Terminate}},
+		"all":       {Seed: 7, FaultTime: 15 * time.Second},
+		"at size":   {Seed: 9, FaultTime: 8 * time.Second, Size: 4},
+		"shutdowns": {Seed: 8, FaultTime: 10 * time.Second, OnlyKinds: []Kind{Terminate}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ctx, cancel := context.WithTimeout(context.Background(), cfg.Length+3*time.Minute)
+			ctx, cancel := context.WithTimeout(context.Background(), cfg.FaultTime+3*time.Minute)
 			defer cancel()
 			cfg.Dir, cfg.Bin = t.TempDir(), bin
 			r, err := Run(ctx, cfg)
 			require.NoError(t, err)
 			t.Log(r)
-			if len(r.Broken) > 0 {
+			if len(r.Violations) > 0 {
 				r.Write(os.Stderr)
 			}
-			require.Empty(t, r.Broken)
+			require.Empty(t, r.Violations)
 			require.Positive(t, r.Counts["streams whole"])
 			require.Positive(t, r.Counts["bookings made"])
 			require.Positive(t, r.Counts["changes accepted"])
--- a/test/standin/engine.go
+++ b/test/standin/engine.go
@@ -22,18 +22,18 @@
 	Step time.Duration
 	// Concurrency is how many requests run at once; others wait. Default 64.
 	Concurrency int
-	// Lag is how old load reports are; EventDelay how late cache events come.
-	Lag, EventDelay time.Duration
-	// EventGap drops each cache event whose number it divides; zero drops none.
-	EventGap uint64
+	// LoadReportAge is how old load reports are; EventDelay how late cache events come.
+	LoadReportAge, EventDelay time.Duration
+	// DropEvery drops each cache event whose number it divides; zero drops none.
+	DropEvery uint64
 	// CacheBlocks is how many prompt prefixes the cache holds. Default 1024.
 	CacheBlocks int
 	// ChecksFencing makes the engine refuse an order with an old fencing number.
 	ChecksFencing bool
 	Version       string
-	// End ends the engine for a while, as a process ends, when it has begun to run a prompt
+	// Crash ends the engine for a while, as a process ends, when it has begun to run a prompt
 	// that starts with Poison. Without it the engine only breaks off the answer.
-	End func()
+	Crash func()
 }
 
 // Poison is what a prompt starts with that ends whoever runs it.
@@ -229,9 +229,9 @@
 
 // end ends the engine under a prompt, if it can end.
 func (e *Engine) end(prompt string) {
-	if e.cfg.End != nil {
+	if e.cfg.Crash != nil {
 		e.countEnd(prompt)
-		e.cfg.End()
+		e.cfg.Crash()
 	}
 }
 
@@ -270,7 +270,7 @@
 	e.running += uint32(running)
 	e.waiting += uint32(waiting)
 	e.loads = append(e.loads, timedLoad{time.Now(), agent.LoadReport{Running: e.running, Queued: e.waiting}})
-	for len(e.loads) > 1 && time.Since(e.loads[1].at) >= e.cfg.Lag {
+	for len(e.loads) > 1 && time.Since(e.loads[1].at) >= e.cfg.LoadReportAge {
 		e.loads = e.loads[1:]
 	}
 }
@@ -280,11 +280,11 @@
 	e.mu.Lock()
 	var out agent.LoadReport
 	for _, l := range e.loads {
-		if time.Since(l.at) >= e.cfg.Lag {
+		if time.Since(l.at) >= e.cfg.LoadReportAge {
 			out = l.load
 		}
 	}
-	out.AgeMS = uint32(e.cfg.Lag.Milliseconds())
+	out.AgeMS = uint32(e.cfg.LoadReportAge.Milliseconds())
 	out.StepUS = uint64(e.cfg.Step.Microseconds())
 	out.FirstTokenUS = out.StepUS
 	out.CacheFree = 1 - float32(len(e.cache))/float32(e.cfg.CacheBlocks)
@@ -315,7 +315,7 @@
 // event requires mu.
 func (e *Engine) event(prefix uint64, stored bool) {
 	e.lastEvent++
-	if e.cfg.EventGap > 0 && e.lastEvent%e.cfg.EventGap == 0 {
+	if e.cfg.DropEvery > 0 && e.lastEvent%e.cfg.DropEvery == 0 {
 		return
 	}
 	ev := agent.CacheEventReport{Seq: e.lastEvent, Prefix: prefix, Stored: stored}
--- a/test/standin/ranks.go
+++ b/test/standin/ranks.go
@@ -20,8 +20,8 @@
 	Ranks, Experts, Layers int
 	// Step is the time of one step.
 	Step time.Duration
-	// Load is how long the weights of a map take to load.
-	Load time.Duration
+	// LoadTime is how long the weights of a map take to load.
+	LoadTime time.Duration
 	// DriftSteps is how many steps the popularity of the experts holds still.
 	DriftSteps uint64
 }
@@ -29,10 +29,10 @@
 // GroupReport is the answer to GET /group.
 type GroupReport struct {
 	Steps uint64 `json:"steps"`
-	// Mixed counts the steps in which two ranks used different maps.
-	Mixed uint64 `json:"mixed"`
-	// Held counts the times that a step could not begin.
-	Held uint64 `json:"held"`
+	// MixedSteps counts the steps in which two ranks used different maps.
+	MixedSteps uint64 `json:"mixed"`
+	// PausedTicks counts the times that a step could not begin.
+	PausedTicks uint64 `json:"held"`
 	// Maps counts the maps that were used in turn.
 	Maps int `json:"maps"`
 	// Armed tells by rank whether the rank is armed and not committed.
@@ -112,7 +112,7 @@
 	next := g.report.Steps + 1
 	for _, e := range g.ranks {
 		if !e.mayStart(next) {
-			g.report.Held++
+			g.report.PausedTicks++
 			return
 		}
 	}
@@ -161,7 +161,7 @@
 	version := g.ranks[0].status.Active.Version
 	for _, e := range g.ranks {
 		if e.status.Active.Version != version {
-			g.report.Mixed++
+			g.report.MixedSteps++
 			return
 		}
 	}
@@ -261,7 +261,7 @@
 	if e.loaded(m.Version) != nil {
 		return
 	}
-	time.AfterFunc(g.cfg.Load, func() {
+	time.AfterFunc(g.cfg.LoadTime, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if e.loaded(m.Version) == nil {
--- a/test/standin/standin.go
+++ b/test/standin/standin.go
@@ -49,8 +49,8 @@
 type Report struct {
 	ByRequest map[string]Executions `json:"by_request"`
 	ByKey     map[string]Executions `json:"by_key"`
-	// Ends counts the stand-in's ends by the prompt that ended it.
-	Ends map[string]int `json:"ends"`
+	// Crashes counts the stand-in's ends by the prompt that ended it.
+	Crashes map[string]int `json:"ends"`
 	// Orders counts the orders that were carried out; Order is the last one.
 	Orders int               `json:"orders"`
 	Order  agent.EngineOrder `json:"order"`
@@ -66,14 +66,14 @@
 func (c *counts) init() {
 	c.report.ByRequest = make(map[string]Executions)
 	c.report.ByKey = make(map[string]Executions)
-	c.report.Ends = make(map[string]int)
+	c.report.Crashes = make(map[string]int)
 }
 
 // countEnd counts an end under a prompt.
 func (c *counts) countEnd(prompt string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.report.Ends[prompt]++
+	c.report.Crashes[prompt]++
 }
 
 // Fail sets how the next requests fail.
@@ -90,7 +90,7 @@
 	out := c.report
 	out.ByRequest = make(map[string]Executions, len(c.report.ByRequest))
 	out.ByKey = make(map[string]Executions, len(c.report.ByKey))
-	out.Ends = maps.Clone(c.report.Ends)
+	out.Crashes = maps.Clone(c.report.Crashes)
 	for k, v := range c.report.ByRequest {
 		out.ByRequest[k] = v
 	}
