--- a/test/cmd/capacity/main.go
+++ b/test/cmd/capacity/main.go
@@ -23,7 +23,7 @@
 type options struct {
 	control, centres, entries, agents int
 	teams, workspaces, changes        int
-	span                              time.Duration
+	idleTime                          time.Duration
 }
 
 func main() {
@@ -43,7 +43,7 @@
 	fs.IntVar(&o.teams, "teams", 27, "documents")
 	fs.IntVar(&o.workspaces, "workspaces", 249, "workspaces in each document")
 	fs.IntVar(&o.changes, "changes", 20, "changes to time")
-	fs.DurationVar(&o.span, "span", 20*time.Second, "how long to measure idle cost")
+	fs.DurationVar(&o.idleTime, "span", 20*time.Second, "how long to measure idle cost")
 	if err := cmd.Execute(); err != nil {
 		os.Exit(1)
 	}
@@ -63,31 +63,31 @@
 	if err := s.Found(ctx); err != nil {
 		return err
 	}
-	m := measurement{System: s, o: o}
+	m := measurement{System: s, options: o}
 	if err := m.submitAll(ctx); err != nil {
 		return err
 	}
-	if err := m.idle(ctx); err != nil {
+	if err := m.measureIdle(ctx); err != nil {
 		return err
 	}
-	return m.change(ctx)
+	return m.measureChanges(ctx)
 }
 
 type measurement struct {
 	*local.System
-	o options
+	options options
 }
 
 func (m measurement) submitAll(ctx context.Context) error {
 	begin := time.Now()
-	for team := range m.o.teams {
-		if out, err := m.SubmitOver(ctx, 0, local.TeamDocument(team, m.o.workspaces, "v1")); err != nil {
+	for team := range m.options.teams {
+		if out, err := m.SubmitOver(ctx, 0, local.TeamDocument(team, m.options.workspaces, "v1")); err != nil {
 			return errors.Wrap(err, out)
 		}
 	}
-	revision, err := m.await(ctx, m.o.teams-1)
+	revision, err := m.awaitInForce(ctx, m.options.teams-1)
 	fmt.Printf("%d documents of %d workspaces, %d bytes each, in force on %d hosts after %v, revision %d\n",
-		m.o.teams, m.o.workspaces, len(local.TeamDocument(0, m.o.workspaces, "v1")), len(m.Entries),
+		m.options.teams, m.options.workspaces, len(local.TeamDocument(0, m.options.workspaces, "v1")), len(m.Entries),
 		time.Since(begin).Round(time.Millisecond), revision)
 	return err
 }
@@ -97,8 +97,8 @@
 	InForce  int    `json:"inForce"`
 }
 
-// await waits until the document of a team is in force on every entry host.
-func (m measurement) await(ctx context.Context, team int) (uint64, error) {
+// awaitInForce waits until the document of a team is in force on every entry host.
+func (m measurement) awaitInForce(ctx context.Context, team int) (uint64, error) {
 	var st status
 	err := local.Await(ctx, func() bool {
 		out, err := m.Tool(ctx, "status", fmt.Sprintf("team-%d", team), "-o", "json")
@@ -107,42 +107,42 @@
 	return st.Revision, err
 }
 
-// idle measures what nodes spend while nothing changes.
-func (m measurement) idle(ctx context.Context) error {
+// measureIdle measures what nodes spend while nothing changes.
+func (m measurement) measureIdle(ctx context.Context) error {
 	kinds := []struct {
 		name  string
 		hosts []*local.Host
 	}{{"control host", m.Control}, {"entry host", m.Entries}, {"agent", m.Agents}}
-	before := make([]spent, len(kinds))
+	before := make([]usage, len(kinds))
 	for i, k := range kinds {
 		var err error
-		if before[i], err = read(ctx, k.hosts); err != nil {
+		if before[i], err = readUsage(ctx, k.hosts); err != nil {
 			return err
 		}
 	}
-	<-time.After(m.o.span)
+	<-time.After(m.options.idleTime)
 	for i, k := range kinds {
 		if len(k.hosts) == 0 {
 			continue
 		}
-		after, err := read(ctx, k.hosts)
+		after, err := readUsage(ctx, k.hosts)
 		if err != nil {
 			return err
 		}
-		after.show(k.name, before[i], m.o.span.Seconds()*float64(len(k.hosts)), len(k.hosts))
+		after.print(k.name, before[i], m.options.idleTime.Seconds()*float64(len(k.hosts)), len(k.hosts))
 	}
 	return nil
 }
 
-// spent is what some hosts have spent, summed.
-type spent struct {
+// usage is what some hosts have spent, summed.
+type usage struct {
 	counters map[string]int64
 	cpu      time.Duration
 	resident int64
 }
 
-func read(ctx context.Context, hosts []*local.Host) (spent, error) {
-	var out spent
+func readUsage(ctx context.Context, hosts []*local.Host) (usage, error) {
+	var out usage
 	var err error
 	if out.counters, err = local.Counters(ctx, hosts); err != nil {
 		return out, err
@@ -158,7 +158,7 @@
 	return out, nil
 }
 
-func (s spent) show(name string, before spent, per float64, hosts int) {
+func (s usage) print(name string, before usage, per float64, hosts int) {
 	rate := func(counter string) float64 {
 		key := "sassafraspost_peer_control_" + counter
 		return float64(s.counters[key]-before.counters[key]) / per
@@ -168,10 +168,10 @@
 		100*(s.cpu-before.cpu).Seconds()/per, float64(s.resident)/float64(hosts)/(1<<20))
 }
 
-// change times changes from the answer to the submission until in force everywhere.
-func (m measurement) change(ctx context.Context) error {
+// measureChanges times changes from the answer to the submission until in force everywhere.
+func (m measurement) measureChanges(ctx context.Context) error {
 	var times []time.Duration
-	for i := range m.o.changes {
+	for i := range m.options.changes {
 		out, err := m.Tool(ctx, "status", "team-0", "-o", "json")
 		if err != nil {
 			return errors.Wrap(err, out)
@@ -180,12 +180,12 @@
 		if err := json.Unmarshal([]byte(out), &st); err != nil {
 			return err
 		}
-		text := local.TeamDocument(0, m.o.workspaces, fmt.Sprintf("v%d", i+2))
+		text := local.TeamDocument(0, m.options.workspaces, fmt.Sprintf("v%d", i+2))
 		if out, err := m.SubmitOver(ctx, st.Revision, text); err != nil {
 			return errors.Wrap(err, out)
 		}
 		accepted := time.Now()
-		if _, err := m.await(ctx, 0); err != nil {
+		if _, err := m.awaitInForce(ctx, 0); err != nil {
 			return err
 		}
 		times = append(times, time.Since(accepted))
--- a/test/cmd/demo/main.go
+++ b/test/cmd/demo/main.go
@@ -30,20 +30,20 @@
 func run(ctx context.Context) error {
 	fmt.Println("building, and starting 3 control hosts, 2 entry hosts, 3 agents and their stand-ins")
 	layout := local.Layout{Control: 3, Entries: 2, Engines: 2, Services: 1}
-	return local.With(layout, func(s *local.System) error { return present(ctx, s) })
+	return local.With(layout, func(s *local.System) error { return runDemo(ctx, s) })
 }
 
-func present(ctx context.Context, s *local.System) error {
+func runDemo(ctx context.Context, s *local.System) error {
 	if err := s.Prepare(ctx, local.Document("v1")); err != nil {
 		return err
 	}
-	if err := show(ctx, s); err != nil {
+	if err := sendRequests(ctx, s); err != nil {
 		return err
 	}
 	return shutDown(ctx, s)
 }
 
-func show(ctx context.Context, s *local.System) error {
+func sendRequests(ctx context.Context, s *local.System) error {
 	for _, command := range []string{"cluster", "status local", "history"} {
 		out, err := s.Tool(ctx, strings.Fields(command)...)
 		fmt.Printf("$ sassafraspost %s\n%s\n", command, out)
@@ -65,10 +65,10 @@
 		fmt.Printf("%s %s via %s: %d, verdict %s, replayed %q\n%s\n", q.Method, q.Path,
 			s.Entries[i%len(s.Entries)].Name, a.Status, a.Verdict, a.Header.Get("Idempotency-Replayed"), a.Body)
 	}
-	return check(ctx, s)
+	return checkCompletion(ctx, s)
 }
 
-func check(ctx context.Context, s *local.System) error {
+func checkCompletion(ctx context.Context, s *local.System) error {
 	want := standin.Text("draft a confirmation", 8)
 	a := local.Do(ctx, s.Entries[0].Listen, local.Completion("draft a confirmation", 8, false))
 	if a.Status != http.StatusOK || !strings.Contains(a.Body, want) {
--- a/test/cmd/emulate/main.go
+++ b/test/cmd/emulate/main.go
@@ -42,7 +42,7 @@
 	outages                     []string
 	seed                        uint64
 	seeds, jobs                 int
-	output, against             string
+	output, baselineFile        string
 }
 
 func command() *cobra.Command {
@@ -76,7 +76,7 @@
 	fs.IntVar(&o.seeds, "seeds", 20, "how many seeds")
 	fs.IntVar(&o.jobs, "jobs", runtime.NumCPU(), "seeds that are played at once")
 	fs.StringVarP(&o.output, "output", "o", "text", "text or json")
-	fs.StringVar(&o.against, "against", "", "file of an earlier answer in JSON, of the same seeds: the differences are told too")
+	fs.StringVar(&o.baselineFile, "against", "", "file of an earlier answer in JSON, of the same seeds: the differences are told too")
 	return cmd
 }
 
@@ -87,41 +87,41 @@
 	if o.seeds < 1 || o.jobs < 1 || o.callers <= 0 {
 		return errors.New("--seeds, --jobs and --callers have to be above zero")
 	}
-	before, err := earlier(o)
+	before, err := readBaseline(o)
 	if err != nil {
 		return err
 	}
-	all, err := play(cmd.Context(), o)
+	all, err := runSeeds(cmd.Context(), o)
 	if err != nil {
 		return err
 	}
 	if o.output == "json" {
 		return errors.Wrap(json.NewEncoder(cmd.OutOrStdout()).Encode(all), "output")
 	}
-	return write(cmd.OutOrStdout(), all, before)
+	return writeTable(cmd.OutOrStdout(), all, before)
 }
 
-// earlier reads the answer to compare with, nil if there is none.
-func earlier(o *options) ([]outcome, error) {
-	if o.against == "" {
+// readBaseline reads the answer to compare with, nil if there is none.
+func readBaseline(o *options) ([]outcome, error) {
+	if o.baselineFile == "" {
 		return nil, nil
 	}
-	data, err := os.ReadFile(o.against)
+	data, err := os.ReadFile(o.baselineFile)
 	if err != nil {
 		return nil, errors.Wrap(err, "--against")
 	}
 	var out []outcome
 	if err := json.Unmarshal(data, &out); err != nil {
-		return nil, errors.Wrapf(err, "--against %s", o.against)
+		return nil, errors.Wrapf(err, "--against %s", o.baselineFile)
 	}
 	if len(out) != o.seeds || out[0].Seed != o.seed {
-		return nil, errors.Errorf("--against %s: not of the seeds %d to %d", o.against, o.seed, o.seed+uint64(o.seeds)-1)
+		return nil, errors.Errorf("--against %s: not of the seeds %d to %d", o.baselineFile, o.seed, o.seed+uint64(o.seeds)-1)
 	}
 	return out, nil
 }
 
-// play plays all seeds.
-func play(ctx context.Context, o *options) ([]outcome, error) {
+// runSeeds plays all seeds.
+func runSeeds(ctx context.Context, o *options) ([]outcome, error) {
 	cfg, err := o.config()
 	if err != nil {
 		return nil, err
--- a/test/cmd/emulate/main_test.go
+++ b/test/cmd/emulate/main_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func emulate(t *testing.T, args ...string) (string, error) {
+func runCommand(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	cmd := command()
 	var out bytes.Buffer
@@ -21,36 +21,36 @@
 }
 
 // The same seeds give the same answer, and no difference to it.
-func TestAnswersRepeatAndAreCompared(t *testing.T) {
-	first, err := emulate(t, "-o", "json", "--outage", "1:500ms-1s")
+func TestSameSeedsGiveTheSameOutcome(t *testing.T) {
+	first, err := runCommand(t, "-o", "json", "--outage", "1:500ms-1s")
 	require.NoError(t, err)
-	again, err := emulate(t, "-o", "json", "--outage", "1:500ms-1s")
+	again, err := runCommand(t, "-o", "json", "--outage", "1:500ms-1s")
 	require.NoError(t, err)
 	require.Equal(t, first, again)
 
 	name := filepath.Join(t.TempDir(), "before.json")
 	require.NoError(t, os.WriteFile(name, []byte(first), 0o600))
-	text, err := emulate(t, "--outage", "1:500ms-1s", "--against", name)
+	text, err := runCommand(t, "--outage", "1:500ms-1s", "--against", name)
 	require.NoError(t, err)
 	require.Contains(t, text, "0 ± 0")
-	_, err = emulate(t, "--seed", "9", "--against", name)
+	_, err = runCommand(t, "--seed", "9", "--against", name)
 	require.ErrorContains(t, err, "not of the seeds")
 }
 
-func TestBadInputIsTold(t *testing.T) {
+func TestInvalidFlagsAreRejected(t *testing.T) {
 	for _, args := range [][]string{
 		{"--outage", "1"}, {"--outage", "x:1s-2s"}, {"--outage", "7:1s-2s"}, {"--outage", "0:2s-1s"}, {"-o", "xml"},
 		{"--hosts", "0"}, {"--against", "no such file"}, {"--patience", "1ms"}, {"--jobs", "0"}, {"--callers", "-1"},
 	} {
-		_, err := emulate(t, args...)
+		_, err := runCommand(t, args...)
 		require.Error(t, err, args)
 	}
 }
 
-func TestIntervals(t *testing.T) {
+func TestIntervalOfMeanUsesStudentsDistribution(t *testing.T) {
 	require.Equal(t, interval{3, math.Inf(1)}, intervalOf([]float64{3}))
 	i := intervalOf([]float64{1, 2, 3, 4, 5})
 	require.InDelta(t, 3, i.mean, 1e-9)
 	// 2.776 is Student's t of four degrees of freedom, 1.581 the deviation.
-	require.InDelta(t, 2.776*1.5811/math.Sqrt(5), i.off, 1e-3)
+	require.InDelta(t, 2.776*1.5811/math.Sqrt(5), i.halfWidth, 1e-3)
 }
--- a/test/cmd/emulate/outcome.go
+++ b/test/cmd/emulate/outcome.go
@@ -23,8 +23,8 @@
 	Refused  float64 `json:"refused"`
 	Cut      float64 `json:"cut"`
 	Returned float64 `json:"returned"`
-	// Held is the longest time from a try to its refusal, in seconds.
-	Held float64 `json:"heldSeconds"`
+	// LongestRefusalWait is the longest time from a try to its refusal, in seconds.
+	LongestRefusalWait float64 `json:"heldSeconds"`
 	// Busiest is how many requests the busiest engine was given, over the mean.
 	Busiest float64 `json:"busiest"`
 }
@@ -32,12 +32,12 @@
 func outcomeOf(seed uint64, r *emulator.Report) outcome {
 	return outcome{
 		Seed: seed, Asked: r.Asked, InAim: r.Share(r.InAim), Late: r.Share(r.Late), Refused: r.Share(r.Refused),
-		Cut: r.Share(r.Cut), Returned: r.Share(r.Returned), Held: r.LongestHeld(0).Seconds(), Busiest: r.Busiest,
+		Cut: r.Share(r.Cut), Returned: r.Share(r.Returned), LongestRefusalWait: r.LongestHeld(0).Seconds(), Busiest: r.Busiest,
 	}
 }
 
-// figures are what is told of outcomes.
-var figures = []struct {
+// metrics are what is told of outcomes.
+var metrics = []struct {
 	name string
 	of   func(outcome) float64
 }{
@@ -47,15 +47,15 @@
 	{"refused", func(o outcome) float64 { return o.Refused }},
 	{"cut", func(o outcome) float64 { return o.Cut }},
 	{"returned", func(o outcome) float64 { return o.Returned }},
-	{"longest held, s", func(o outcome) float64 { return o.Held }},
+	{"longest held, s", func(o outcome) float64 { return o.LongestRefusalWait }},
 	{"busiest engine", func(o outcome) float64 { return o.Busiest }},
 }
 
 // interval is a mean, and by how much it may be off with 95 in 100; that is infinite for one
 // value.
-type interval struct{ mean, off float64 }
+type interval struct{ mean, halfWidth float64 }
 
-func (i interval) String() string { return fmt.Sprintf("%.4g ± %.2g", i.mean, i.off) }
+func (i interval) String() string { return fmt.Sprintf("%.4g ± %.2g", i.mean, i.halfWidth) }
 
 // intervalOf returns the mean of values by Student's distribution.
 func intervalOf(values []float64) interval {
@@ -68,16 +68,16 @@
 	return interval{mean, t * deviation / math.Sqrt(n)}
 }
 
-// write tells the means, and the differences to an earlier answer, seed by seed, if there is
+// writeTable tells the means, and the differences to an earlier answer, seed by seed, if there is
 // one.
-func write(w io.Writer, all, before []outcome) error {
+func writeTable(w io.Writer, all, before []outcome) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	head := "figure\tmean"
 	if before != nil {
 		head += "\tbefore\tdifference"
 	}
 	fmt.Fprintln(t, head)
-	for _, f := range figures {
+	for _, f := range metrics {
 		row := fmt.Sprintf("%s\t%s", f.name, intervalOf(values(all, f.of)))
 		if before != nil {
 			row += fmt.Sprintf("\t%s\t%s", intervalOf(values(before, f.of)), intervalOf(differences(all, before, f.of)))
--- a/test/cmd/loadtool/load.go
+++ b/test/cmd/loadtool/load.go
@@ -20,21 +20,21 @@
 
 // The load: engines run slots requests at once, each of answerTokens steps.
 const (
-	engines      = 6
-	slots        = 64 // the agents' default capacity
-	step         = 50 * time.Millisecond
-	answerTokens = 10
-	deadline     = 2 * time.Second
+	engineCount    = 6
+	slotsPerEngine = 64 // the agents' default capacity
+	stepTime       = 50 * time.Millisecond
+	responseTokens = 10
+	deadline       = 2 * time.Second
 
 	largeCount, largeShare = 2, 10
 	smallCount, smallShare = 40, 1
-	// smallPart is what all small workspaces together offer, as a part of the capacity:
+	// smallWorkspacesLoad is what all small workspaces together offer, as a part of the capacity:
 	// each three quarters of its share.
-	smallPart = 0.5
+	smallWorkspacesLoad = 0.5
 
 	// limitRate is the limit of capped workspaces, cappedLoad what they offer of it.
-	limitRate  = 100
-	cappedLoad = 2
+	limitRate   = 100
+	limitedLoad = 2
 
 	phaseTime  = 6 * time.Second
 	warmUp     = 2 * time.Second
@@ -42,11 +42,11 @@
 )
 
 // capacity is the rate of all engines, in requests a second.
-const capacity = engines * slots / (float64(answerTokens*step) / float64(time.Second))
+const capacity = engineCount * slotsPerEngine / (float64(responseTokens*stepTime) / float64(time.Second))
 
 var loadLayout = local.Layout{
-	Control: 1, Entries: 2, Engines: engines,
-	EngineArgs: []string{"--step", step.String(), "--concurrency", fmt.Sprint(slots)},
+	Control: 1, Entries: 2, Engines: engineCount,
+	EngineArgs: []string{"--step", stepTime.String(), "--concurrency", fmt.Sprint(slotsPerEngine)},
 }
 
 type workspace struct {
@@ -55,14 +55,14 @@
 	isLarge     bool
 	// limit is in requests a second, zero for none; isOneSided callers all come by one
 	// entry host.
-	limit      int
-	isOneSided bool
+	limit        int
+	usesOneEntry bool
 }
 
-// capped are the workspaces of the scenario limits.
-var capped = []workspace{
+// limitedWorkspaces are the workspaces of the scenario limits.
+var limitedWorkspaces = []workspace{
 	{name: "capped-even", token: "load-token-capped-even", share: 1, limit: limitRate},
-	{name: "capped-one-sided", token: "load-token-capped-one-sided", share: 1, limit: limitRate, isOneSided: true},
+	{name: "capped-one-sided", token: "load-token-capped-one-sided", share: 1, limit: limitRate, usesOneEntry: true},
 }
 
 func workspaces() []workspace {
@@ -78,7 +78,7 @@
 
 func document() string {
 	text := strings.Replace(local.Document("v1"), "deadline = 20s", "deadline = "+deadline.String(), 1)
-	for _, w := range append(workspaces(), capped...) {
+	for _, w := range append(workspaces(), limitedWorkspaces...) {
 		text += fmt.Sprintf("\n[workspace %q]\nshare = %d\ntoken-sha256 = %x\nmax-requests-per-second = %d\n",
 			w.name, w.share, sha256.Sum256([]byte(w.token)), w.limit)
 	}
@@ -110,14 +110,14 @@
 	entries []string
 	pending chan struct{}
 	start   time.Time
-	span    time.Duration
+	length  time.Duration
 	// answered counts the answers that ended within the measured time.
 	answered atomic.Int64
 
 	// mu guards the results.
 	mu      sync.Mutex
 	results []*result
-	dropped int
+	notSent int
 }
 
 func newClient() *http.Client {
@@ -130,9 +130,9 @@
 	rate      float64
 }
 
-// mixed are the large and small workspaces, which offer factor times the capacity.
-func mixed(factor float64) []source {
-	small := min(smallPart, factor/2) * capacity / smallCount
+// mixedSources are the large and small workspaces, which offer factor times the capacity.
+func mixedSources(factor float64) []source {
+	small := min(smallWorkspacesLoad, factor/2) * capacity / smallCount
 	large := (factor*capacity - small*smallCount) / largeCount
 	var out []source
 	for _, w := range workspaces() {
@@ -145,9 +145,9 @@
 	return out
 }
 
-// offer loads the system for phaseTime.
-func offer(ctx context.Context, s *local.System, client *http.Client, sources []source) *phase {
-	p := &phase{client: client, pending: make(chan struct{}, maxPending), start: time.Now(), span: phaseTime}
+// runPhase loads the system for phaseTime.
+func runPhase(ctx context.Context, s *local.System, client *http.Client, sources []source) *phase {
+	p := &phase{client: client, pending: make(chan struct{}, maxPending), start: time.Now(), length: phaseTime}
 	for _, h := range s.Entries {
 		p.entries = append(p.entries, h.Listen)
 	}
@@ -158,20 +158,20 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			p.arrivals(ctx, r, from.rate, rand.New(rand.NewPCG(1, uint64(i))), &wg)
+			p.sendAll(ctx, r, from.rate, rand.New(rand.NewPCG(1, uint64(i))), &wg)
 		}()
 	}
 	wg.Wait()
 	return p
 }
 
-// arrivals sends at exponential distances until the phase ends.
-func (p *phase) arrivals(ctx context.Context, r *result, rate float64, rng *rand.Rand, wg *sync.WaitGroup) {
+// sendAll sends at exponential distances until the phase ends.
+func (p *phase) sendAll(ctx context.Context, r *result, rate float64, rng *rand.Rand, wg *sync.WaitGroup) {
 	next := p.start
 	for n := 0; ; n++ {
 		next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		due := next
-		if due.Sub(p.start) >= p.span || ctx.Err() != nil {
+		if due.Sub(p.start) >= p.length || ctx.Err() != nil {
 			return
 		}
 		time.Sleep(time.Until(due))
@@ -179,7 +179,7 @@
 		case p.pending <- struct{}{}:
 		default:
 			p.mu.Lock()
-			p.dropped++
+			p.notSent++
 			p.mu.Unlock()
 			continue
 		}
@@ -195,13 +195,13 @@
 // send counts times from when the request was due, not from when it was sent.
 func (p *phase) send(ctx context.Context, r *result, n int, due time.Time) {
 	entry := p.entries[n%len(p.entries)]
-	if r.workspace.isOneSided {
+	if r.workspace.usesOneEntry {
 		entry = p.entries[0]
 	}
-	status, v := call(ctx, p.client, entry, r.workspace.token, fmt.Sprintf("%s asks %d", r.workspace.name, n), answerTokens)
+	status, v := call(ctx, p.client, entry, r.workspace.token, fmt.Sprintf("%s asks %d", r.workspace.name, n), responseTokens)
 	done := time.Now()
 	took := done.Sub(due).Microseconds()
-	if since := done.Sub(p.start); status == http.StatusOK && since >= warmUp && since < p.span {
+	if since := done.Sub(p.start); status == http.StatusOK && since >= warmUp && since < p.length {
 		p.answered.Add(1)
 	}
 	if due.Sub(p.start) < warmUp {
--- a/test/cmd/loadtool/main.go
+++ b/test/cmd/loadtool/main.go
@@ -23,10 +23,10 @@
 }
 
 var scenarios = []scenario{
-	{"overload", "Offer up to three times the capacity, from large and small workspaces", loadLayout, overload},
-	{"failing", "Let a third of the upstreams fail", loadLayout, failing},
-	{"limits", "Offer more than the limits of two workspaces", loadLayout, limits},
-	{"path", "Compare the path with direct calls and load one entry host", pathLayout, path},
+	{"overload", "Offer up to three times the capacity, from large and small workspaces", loadLayout, measureOverload},
+	{"failing", "Let a third of the upstreams fail", loadLayout, measureFailures},
+	{"limits", "Offer more than the limits of two workspaces", loadLayout, measureLimits},
+	{"path", "Compare the path with direct calls and load one entry host", pathLayout, measurePath},
 }
 
 func main() {
--- a/test/cmd/loadtool/scenarios.go
+++ b/test/cmd/loadtool/scenarios.go
@@ -15,8 +15,8 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// sum adds up the results of a phase.
-func (p *phase) sum() *result {
+// total adds up the results of a phase.
+func (p *phase) total() *result {
 	all := newResult(workspace{})
 	for _, r := range p.results {
 		all.offered += r.offered
@@ -29,27 +29,27 @@
 	return all
 }
 
-func (p *phase) rate(n int) float64 { return float64(n) / (p.span - warmUp).Seconds() }
+func (p *phase) rate(n int) float64 { return float64(n) / (p.length - warmUp).Seconds() }
 
 func ms(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 
-// lateRefusal is the time from which on a refusal counts as late.
-const lateRefusal = 100 * time.Millisecond
+// minLateRefusal is the time from which on a refusal counts as late.
+const minLateRefusal = 100 * time.Millisecond
 
-// late counts the refusals that did not come at once.
-func (p *phase) late() int {
+// lateRefusals counts the refusals that did not come at once.
+func (p *phase) lateRefusals() int {
 	n := int64(0)
-	for _, bar := range p.sum().refusal.Distribution() {
-		if bar.From >= lateRefusal.Microseconds() {
+	for _, bar := range p.total().refusal.Distribution() {
+		if bar.From >= minLateRefusal.Microseconds() {
 			n += bar.Count
 		}
 	}
 	return int(n)
 }
 
-// parts returns the part of their requests that the small and the large workspaces
+// answeredFractions returns the part of their requests that the small and the large workspaces
 // got answered, and the least that a small one got.
-func (p *phase) parts() (least, small, large float64) {
+func (p *phase) answeredFractions() (least, small, large float64) {
 	least = 1
 	var ok, offered, smallOK, smallOffered int
 	for _, r := range p.results {
@@ -67,29 +67,29 @@
 	return least, float64(smallOK) / float64(max(smallOffered, 1)), float64(ok) / float64(max(offered, 1))
 }
 
-func overload(ctx context.Context, s *local.System) error {
+func measureOverload(ctx context.Context, s *local.System) error {
 	client := newClient()
 	fmt.Printf("%d engines of %d slots, %.0f requests/s; %d entry hosts; %d large workspaces of share %d, %d small ones of share %d; deadline %s\n\n",
-		engines, slots, capacity, len(s.Entries), largeCount, largeShare, smallCount, smallShare, deadline)
+		engineCount, slotsPerEngine, capacity, len(s.Entries), largeCount, largeShare, smallCount, smallShare, deadline)
 	fmt.Println("| offered / capacity | offered/s | answered/s | refused/s | failed | answered ms p50 | p99 | refused ms p50 | p99 | refused late | large answered | small answered | least of them | not sent |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|---|---|---|---|---|")
 	peak, last := 0.0, 0.0
 	for _, factor := range []float64{0.8, 1, 1.2, 3} {
-		p := offer(ctx, s, client, mixed(factor))
-		r := p.sum()
-		least, small, large := p.parts()
+		p := runPhase(ctx, s, client, mixedSources(factor))
+		r := p.total()
+		least, small, large := p.answeredFractions()
 		last = p.rate(int(p.answered.Load()))
 		peak = max(peak, last)
 		fmt.Printf("| %.1f | %.0f | %.0f | %.0f | %d | %.0f | %.0f | %.1f | %.1f | %d | %.0f%% | %.0f%% | %.0f%% | %d |\n",
 			factor, p.rate(r.offered), last, p.rate(r.refused), r.failed, ms(r.latency, 50), ms(r.latency, 99),
-			ms(r.refusal, 50), ms(r.refusal, 99), p.late(), 100*large, 100*small, 100*least, p.dropped)
+			ms(r.refusal, 50), ms(r.refusal, 99), p.lateRefusals(), 100*large, 100*small, 100*least, p.notSent)
 	}
 	fmt.Printf("\nanswered at the last load over the most: %.3f\n", last/peak)
 	return nil
 }
 
-// failures are the ways in which a third of the upstreams fails.
-var failures = []struct {
+// failureModes are the ways in which a third of the upstreams fails.
+var failureModes = []struct {
 	name string
 	set  func(ctx context.Context, h *local.Host, on bool) error
 }{
@@ -120,13 +120,13 @@
 // failingLoad is a part of the capacity that two thirds of it can carry.
 const failingLoad = 0.5
 
-func failing(ctx context.Context, s *local.System) error {
+func measureFailures(ctx context.Context, s *local.System) error {
 	client := newClient()
-	fmt.Printf("%.1f of the capacity; %d of %d upstreams fail\n\n", failingLoad, engines/3, engines)
+	fmt.Printf("%.1f of the capacity; %d of %d upstreams fail\n\n", failingLoad, engineCount/3, engineCount)
 	fmt.Println("| failure | requests | retries | attempts / requests | answered | refused as not run | failed | answered ms p50 | p99 |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|")
-	for _, f := range failures {
-		for _, h := range s.Agents[:engines/3] {
+	for _, f := range failureModes {
+		for _, h := range s.Agents[:engineCount/3] {
 			if err := f.set(ctx, h, true); err != nil {
 				return errors.Wrap(err, f.name)
 			}
@@ -135,17 +135,17 @@
 		if err != nil {
 			return err
 		}
-		p := offer(ctx, s, client, mixed(failingLoad))
+		p := runPhase(ctx, s, client, mixedSources(failingLoad))
 		after, err := local.Counters(ctx, s.Entries)
 		if err != nil {
 			return err
 		}
-		for _, h := range s.Agents[:engines/3] {
+		for _, h := range s.Agents[:engineCount/3] {
 			if err := f.set(ctx, h, false); err != nil {
 				return errors.Wrap(err, f.name)
 			}
 		}
-		r := p.sum()
+		r := p.total()
 		requests := after[requestsMetric] - before[requestsMetric]
 		retries := after[retriesMetric] - before[retriesMetric]
 		fmt.Printf("| %s | %d | %d | %.3f | %.2f%% | %.2f%% | %.2f%% | %.0f | %.0f |\n", f.name, requests, retries,
@@ -155,18 +155,18 @@
 	return nil
 }
 
-// limits offers more than their limits from two workspaces, twice: the second time
+// measureLimits offers more than their limits from two workspaces, twice: the second time
 // the hosts know the demand.
-func limits(ctx context.Context, s *local.System) error {
+func measureLimits(ctx context.Context, s *local.System) error {
 	client := newClient()
 	var sources []source
-	for _, w := range capped {
-		sources = append(sources, source{w, cappedLoad * limitRate})
+	for _, w := range limitedWorkspaces {
+		sources = append(sources, source{w, limitedLoad * limitRate})
 	}
 	fmt.Printf("limit %d requests/s over %d entry hosts\n\n", limitRate, len(s.Entries))
 	fmt.Println("| workspace | round | offered/s | answered/s | refused/s | failed | refused ms p99 |\n|---|---|---|---|---|---|---|")
 	for round := range 2 {
-		p := offer(ctx, s, client, sources)
+		p := runPhase(ctx, s, client, sources)
 		for _, r := range p.results {
 			fmt.Printf("| %s | %d | %.0f | %.0f | %.0f | %d | %.1f |\n", r.workspace.name, round+1,
 				p.rate(r.offered), p.rate(r.ok), p.rate(r.refused), r.failed, ms(r.refusal, 99))
@@ -180,23 +180,23 @@
 var pathLayout = local.Layout{Control: 3, Entries: 1, Engines: 4, Services: 1, EngineArgs: []string{"--step", "0s"}}
 
 const (
-	pathCalls   = 3000
-	pathTokens  = 8
-	callers     = 64
-	callersTime = 5 * time.Second
+	pathCalls      = 3000
+	pathTokens     = 8
+	callerCount    = 64
+	callersRunTime = 5 * time.Second
 )
 
-func path(ctx context.Context, s *local.System) error {
-	if err := idleMemory(s); err != nil {
+func measurePath(ctx context.Context, s *local.System) error {
+	if err := printIdleMemory(s); err != nil {
 		return err
 	}
-	if err := addedLatency(ctx, s); err != nil {
+	if err := measureAddedLatency(ctx, s); err != nil {
 		return err
 	}
-	return entryRate(ctx, s)
+	return measureEntryRate(ctx, s)
 }
 
-func addedLatency(ctx context.Context, s *local.System) error {
+func measureAddedLatency(ctx context.Context, s *local.System) error {
 	client := newClient()
 	names := []string{"direct", "path"}
 	targets := []string{s.StandIns[0].Listen, s.Entries[0].Listen}
@@ -219,8 +219,8 @@
 	return nil
 }
 
-// entryRate loads one entry host with callers that ask again at once.
-func entryRate(ctx context.Context, s *local.System) error {
+// measureEntryRate loads one entry host with callers that ask again at once.
+func measureEntryRate(ctx context.Context, s *local.System) error {
 	client := newClient()
 	token := workspaces()[0].token
 	var ok, other atomic.Int64
@@ -230,11 +230,11 @@
 	}
 	began := time.Now()
 	var wg sync.WaitGroup
-	for c := range callers {
+	for c := range callerCount {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for n := 0; time.Since(began) < callersTime && ctx.Err() == nil; n++ {
+			for n := 0; time.Since(began) < callersRunTime && ctx.Err() == nil; n++ {
 				if status, _ := call(ctx, client, s.Entries[0].Listen, token, fmt.Sprint(c, " asks ", n), pathTokens); status == http.StatusOK {
 					ok.Add(1)
 				} else {
@@ -251,12 +251,12 @@
 	}
 	used := (after.CPU - before.CPU).Seconds()
 	fmt.Printf("\n| callers | answered/s | others | cores used by the entry process | answered per core and second | RSS after MiB |\n|---|---|---|---|---|---|\n")
-	fmt.Printf("| %d | %.0f | %d | %.2f | %.0f | %.1f |\n", callers, float64(ok.Load())/took.Seconds(), other.Load(),
+	fmt.Printf("| %d | %.0f | %d | %.2f | %.0f | %.1f |\n", callerCount, float64(ok.Load())/took.Seconds(), other.Load(),
 		used/took.Seconds(), float64(ok.Load())/used, mebibytes(after.Resident))
 	return nil
 }
 
-func idleMemory(s *local.System) error {
+func printIdleMemory(s *local.System) error {
 	fmt.Println("| idle process | RSS MiB |\n|---|---|")
 	for _, h := range s.Daemons() {
 		u, err := h.Usage()
--- a/test/cmd/members/main.go
+++ b/test/cmd/members/main.go
@@ -25,15 +25,15 @@
 )
 
 const (
-	secret   = "secret of the measurement"
-	patience = time.Minute
+	secret           = "secret of the measurement"
+	discoveryTimeout = time.Minute
 )
 
 type options struct {
 	entries, agents int
-	span            time.Duration
+	duration        time.Duration
 	interval        time.Duration
-	hasDispatch     bool
+	dialsAgents     bool
 }
 
 func main() {
@@ -48,16 +48,16 @@
 	fs := cmd.Flags()
 	fs.IntVar(&o.entries, "entries", 9, "entry hosts")
 	fs.IntVar(&o.agents, "agents", 15, "agents")
-	fs.DurationVar(&o.span, "span", 20*time.Second, "how long to measure")
+	fs.DurationVar(&o.duration, "span", 20*time.Second, "how long to measure")
 	fs.DurationVar(&o.interval, "interval", time.Second, "time between announcements of an agent")
-	fs.BoolVar(&o.hasDispatch, "dispatch", true, "hold a session from each entry host to each agent, as requests do")
+	fs.BoolVar(&o.dialsAgents, "dispatch", true, "hold a session from each entry host to each agent, as requests do")
 	if err := cmd.Execute(); err != nil {
 		os.Exit(1)
 	}
 }
 
-// node is one host of the measured data centre.
-type node struct {
+// testHost is one host of the measured data centre.
+type testHost struct {
 	host     directory.Host
 	pool     *peer.Pool
 	registry metrics.Registry
@@ -68,12 +68,12 @@
 	announcer *directory.Announcer
 }
 
-var started = time.Now()
+var startTime = time.Now()
 
-func now() time.Duration { return time.Since(started) }
+func now() time.Duration { return time.Since(startTime) }
 
 func run(o options) error {
-	before := heap()
+	before := memoryInUse()
 	entries, err := startEntries(o)
 	if err != nil {
 		return err
@@ -85,36 +85,36 @@
 	if err := awaitKnown(entries, o.agents); err != nil {
 		return err
 	}
-	if o.hasDispatch {
+	if o.dialsAgents {
 		if err := dialAgents(entries, agents); err != nil {
 			return err
 		}
 	}
-	measure(o, entries, agents, before)
-	return change(entries, agents)
+	measureCost(o, entries, agents, before)
+	return measureChanges(entries, agents)
 }
 
-// change measures how long it takes until all entry hosts know that an agent leaves,
+// measureChanges measures how long it takes until all entry hosts know that an agent leaves,
 // and that another one has fallen silent.
-func change(entries, agents []*node) error {
+func measureChanges(entries, agents []*testHost) error {
 	leaving, silent := agents[0], agents[1]
 	leaving.state.Store(uint32(wire.UpstreamLeaving))
 	leaving.announcer.AnnounceNow()
-	err := timeUntil("leaving agent", entries, leaving, func(e directory.Entry) bool {
+	err := printTimeUntil("leaving agent", entries, leaving, func(e directory.Entry) bool {
 		return e.Upstream.State == wire.UpstreamLeaving
 	})
 	if err != nil {
 		return err
 	}
 	silent.stop()
-	return timeUntil("silent agent", entries, silent, func(e directory.Entry) bool { return e.Suspect })
+	return printTimeUntil("silent agent", entries, silent, func(e directory.Entry) bool { return e.Suspect })
 }
 
-func timeUntil(what string, entries []*node, agent *node, ok func(directory.Entry) bool) error {
+func printTimeUntil(what string, entries []*testHost, agent *testHost, ok func(directory.Entry) bool) error {
 	begin := time.Now()
 	for _, n := range entries {
-		for !knows(n, agent.host.Name, ok) {
-			if time.Since(begin) > patience {
+		for !entryMatches(n, agent.host.Name, ok) {
+			if time.Since(begin) > discoveryTimeout {
 				return fmt.Errorf("%s does not know of the %s", n.host.Name, what)
 			}
 			time.Sleep(time.Millisecond)
@@ -124,7 +124,7 @@
 	return nil
 }
 
-func knows(n *node, name string, ok func(directory.Entry) bool) bool {
+func entryMatches(n *testHost, name string, ok func(directory.Entry) bool) bool {
 	for _, e := range n.service.Entries() {
 		if e.Upstream.Name == name {
 			return ok(e)
@@ -133,12 +133,12 @@
 	return false
 }
 
-func newNode(name string, handler peer.Handler) (*node, error) {
+func newTestHost(name string, handler peer.Handler) (*testHost, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	n := &node{host: directory.Host{Name: name, Address: l.Addr().String()}, registry: metrics.NewRegistry()}
+	n := &testHost{host: directory.Host{Name: name, Address: l.Addr().String()}, registry: metrics.NewRegistry()}
 	n.pool = peer.NewPool(peer.Config{
 		Hello:   wire.Hello{Host: name, DataCentre: "centre-a", Address: n.host.Address},
 		Secret:  secret,
@@ -151,11 +151,11 @@
 	return n, nil
 }
 
-func startEntries(o options) ([]*node, error) {
-	var nodes []*node
+func startEntries(o options) ([]*testHost, error) {
+	var nodes []*testHost
 	services := make([]atomic.Pointer[directory.Service], o.entries)
 	for i := range o.entries {
-		n, err := newNode(fmt.Sprintf("entry-%d", i), peer.HandlerFunc(func(s *peer.Session, call uint64, m wire.Message) {
+		n, err := newTestHost(fmt.Sprintf("entry-%d", i), peer.HandlerFunc(func(s *peer.Session, call uint64, m wire.Message) {
 			if d := services[i].Load(); d != nil {
 				d.HandlePeer(s, call, m)
 			}
@@ -180,14 +180,14 @@
 	return nodes, nil
 }
 
-func startAgents(o options, entries []*node) ([]*node, error) {
+func startAgents(o options, entries []*testHost) ([]*testHost, error) {
 	var hosts []directory.Host
 	for _, n := range entries {
 		hosts = append(hosts, n.host)
 	}
-	var nodes []*node
+	var nodes []*testHost
 	for i := range o.agents {
-		n, err := newNode(fmt.Sprintf("worker-a-%03d", i), peer.HandlerFunc(func(*peer.Session, uint64, wire.Message) {}))
+		n, err := newTestHost(fmt.Sprintf("worker-a-%03d", i), peer.HandlerFunc(func(*peer.Session, uint64, wire.Message) {}))
 		if err != nil {
 			return nil, err
 		}
@@ -213,11 +213,11 @@
 	return nodes, nil
 }
 
-func awaitKnown(entries []*node, agents int) error {
+func awaitKnown(entries []*testHost, agents int) error {
 	begin := time.Now()
 	for _, n := range entries {
 		for len(n.service.Entries()) != agents {
-			if time.Since(begin) > patience {
+			if time.Since(begin) > discoveryTimeout {
 				return fmt.Errorf("%s knows %d of %d agents", n.host.Name, len(n.service.Entries()), agents)
 			}
 			time.Sleep(time.Millisecond)
@@ -227,7 +227,7 @@
 	return nil
 }
 
-func dialAgents(entries, agents []*node) error {
+func dialAgents(entries, agents []*testHost) error {
 	for _, e := range entries {
 		for _, a := range agents {
 			if _, err := e.pool.Get(context.Background(), a.host.Address); err != nil {
@@ -238,49 +238,49 @@
 	return nil
 }
 
-// cost is what nodes spent, summed.
-type cost struct{ sentMessages, sentBytes, receivedMessages, receivedBytes int64 }
+// traffic is what nodes spent, summed.
+type traffic struct{ sentMessages, sentBytes, receivedMessages, receivedBytes int64 }
 
-func spent(nodes []*node) cost {
-	var c cost
+func totalTraffic(nodes []*testHost) traffic {
+	var c traffic
 	for _, n := range nodes {
-		c.sentMessages += count(n, "sent.messages")
-		c.sentBytes += count(n, "sent.bytes")
-		c.receivedMessages += count(n, "received.messages")
-		c.receivedBytes += count(n, "received.bytes")
+		c.sentMessages += counterValue(n, "sent.messages")
+		c.sentBytes += counterValue(n, "sent.bytes")
+		c.receivedMessages += counterValue(n, "received.messages")
+		c.receivedBytes += counterValue(n, "received.bytes")
 	}
 	return c
 }
 
-func count(n *node, name string) int64 {
+func counterValue(n *testHost, name string) int64 {
 	return metrics.GetOrRegisterCounter("peer.control."+name, n.registry).Count()
 }
 
-func measure(o options, entries, agents []*node, before uint64) {
-	e0, a0, cpu0 := spent(entries), spent(agents), cpu()
-	time.Sleep(o.span)
-	e1, a1, cpu1 := spent(entries), spent(agents), cpu()
-	seconds := o.span.Seconds()
-	show("entry host", e0, e1, float64(o.entries)*seconds)
-	show("agent", a0, a1, float64(o.agents)*seconds)
+func measureCost(o options, entries, agents []*testHost, before uint64) {
+	e0, a0, cpu0 := totalTraffic(entries), totalTraffic(agents), cpuTime()
+	time.Sleep(o.duration)
+	e1, a1, cpu1 := totalTraffic(entries), totalTraffic(agents), cpuTime()
+	seconds := o.duration.Seconds()
+	printTraffic("entry host", e0, e1, float64(o.entries)*seconds)
+	printTraffic("agent", a0, a1, float64(o.agents)*seconds)
 	nodes := float64(o.entries + o.agents)
 	fmt.Printf("cpu: %.3f%% of a core a node\n", 100*(cpu1-cpu0).Seconds()/seconds/nodes)
-	fmt.Printf("heap: %.1f KiB a node\n", float64(heap()-before)/1024/nodes)
+	fmt.Printf("heap: %.1f KiB a node\n", float64(memoryInUse()-before)/1024/nodes)
 }
 
-func show(who string, a, b cost, per float64) {
+func printTraffic(who string, a, b traffic, per float64) {
 	fmt.Printf("%s: sends %.1f messages/s, %.0f B/s; receives %.1f messages/s, %.0f B/s\n", who,
 		float64(b.sentMessages-a.sentMessages)/per, float64(b.sentBytes-a.sentBytes)/per,
 		float64(b.receivedMessages-a.receivedMessages)/per, float64(b.receivedBytes-a.receivedBytes)/per)
 }
 
-func cpu() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func heap() uint64 {
+func memoryInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/test/cmd/soak/main.go
+++ b/test/cmd/soak/main.go
@@ -19,8 +19,8 @@
 	"github.com/sassafraspost/sassafraspost/test/soak"
 )
 
-// startTime bounds the start and the end of a run, beside its faults.
-const startTime = 3 * time.Minute
+// startStopTimeout bounds the start and the end of a run, beside its faults.
+const startStopTimeout = 3 * time.Minute
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -33,12 +33,12 @@
 
 // options are what the command line says.
 type options struct {
-	seed   uint64
-	seeds  int
-	size   int
-	length time.Duration
-	only   []string
-	keep   string
+	seed      uint64
+	seeds     int
+	size      int
+	faultTime time.Duration
+	only      []string
+	keepDir   string
 }
 
 func command() *cobra.Command {
@@ -58,14 +58,14 @@
 	flags.Uint64Var(&o.seed, "seed", 1, "seed of the first run")
 	flags.IntVar(&o.seeds, "seeds", 1, "number of runs, each with the next seed")
 	flags.IntVar(&o.size, "size", 1, fmt.Sprintf("size of the system, 1 to %d: 21 to 176 processes", soak.MaxSize))
-	flags.DurationVar(&o.length, "for", 20*time.Second, "how long faults are played in a run")
+	flags.DurationVar(&o.faultTime, "for", 20*time.Second, "how long faults are played in a run")
 	flags.StringSliceVar(&o.only, "only", nil, "kinds of faults to play: kill, terminate, pause, cut, silence, delay, reset, poison (default: all)")
-	flags.StringVar(&o.keep, "keep", "", "folder for the logs of runs with a broken promise")
+	flags.StringVar(&o.keepDir, "keep", "", "folder for the logs of runs with a broken promise")
 	return cmd
 }
 
 func run(ctx context.Context, o options) error {
-	only, err := kinds(o.only)
+	only, err := parseKinds(o.only)
 	if err != nil {
 		return err
 	}
@@ -83,8 +83,8 @@
 	}
 	broken := 0
 	for n := range o.seeds {
-		cfg := soak.Config{Seed: o.seed + uint64(n), Size: o.size, FaultTime: o.length, OnlyKinds: only, Bin: bin}
-		r, err := one(ctx, dir, cfg, o.keep)
+		cfg := soak.Config{Seed: o.seed + uint64(n), Size: o.size, FaultTime: o.faultTime, OnlyKinds: only, Bin: bin}
+		r, err := runSeed(ctx, dir, cfg, o.keepDir)
 		if err != nil {
 			return errors.Wrapf(err, "seed %d", cfg.Seed)
 		}
@@ -99,9 +99,9 @@
 	return nil
 }
 
-// one plays a run in a folder of its own, which is kept only for its logs.
-func one(ctx context.Context, dir string, cfg soak.Config, keep string) (*soak.Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, cfg.FaultTime+startTime)
+// runSeed plays a run in a folder of its own, which is kept only for its logs.
+func runSeed(ctx context.Context, dir string, cfg soak.Config, keep string) (*soak.Report, error) {
+	ctx, cancel := context.WithTimeout(ctx, cfg.FaultTime+startStopTimeout)
 	defer cancel()
 	cfg.Dir = filepath.Join(dir, fmt.Sprintf("seed-%d", cfg.Seed))
 	if err := os.Mkdir(cfg.Dir, 0o700); err != nil {
@@ -119,8 +119,8 @@
 	return r, os.RemoveAll(cfg.Dir)
 }
 
-// kinds reads the kinds of faults.
-func kinds(names []string) ([]soak.Kind, error) {
+// parseKinds reads the kinds of faults.
+func parseKinds(names []string) ([]soak.Kind, error) {
 	var out []soak.Kind
 	for _, name := range names {
 		k := soak.Kind(name)
--- a/test/cmd/standin/main.go
+++ b/test/cmd/standin/main.go
@@ -14,10 +14,10 @@
 )
 
 type flags struct {
-	listen, kind string
-	delay, away  time.Duration
-	engine       standin.EngineConfig
-	group        standin.GroupConfig
+	listen, kind    string
+	delay, downtime time.Duration
+	engine          standin.EngineConfig
+	group           standin.GroupConfig
 }
 
 func main() {
@@ -33,7 +33,7 @@
 	fs.StringVar(&f.listen, "listen", "127.0.0.1:8000", "address to listen on")
 	fs.StringVar(&f.kind, "kind", "engine", "engine, service or group")
 	fs.DurationVar(&f.delay, "delay", 0, "time of one booking of a service")
-	fs.DurationVar(&f.away, "away", 0, "for how long an engine is away that a prompt has ended; zero lets none end it")
+	fs.DurationVar(&f.downtime, "away", 0, "for how long an engine is away that a prompt has ended; zero lets none end it")
 	fs.DurationVar(&f.engine.Step, "step", 5*time.Millisecond, "time of one engine step")
 	fs.IntVar(&f.engine.Concurrency, "concurrency", 64, "requests that an engine runs at once")
 	fs.DurationVar(&f.engine.LoadReportAge, "lag", 100*time.Millisecond, "age of load reports")
@@ -53,8 +53,8 @@
 
 func (f *flags) run() error {
 	s := &server{flags: f}
-	if f.away > 0 {
-		f.engine.Crash = s.end
+	if f.downtime > 0 {
+		f.engine.Crash = s.crash
 	}
 	var h http.Handler
 	switch f.kind {
@@ -78,29 +78,29 @@
 
 	// mu guards present, which is nil while the stand-in is away.
 	mu      sync.Mutex
-	present *http.Server
+	current *http.Server
 }
 
 func (s *server) run() error {
 	for {
 		srv := &http.Server{Addr: s.listen, Handler: s.handler, ReadHeaderTimeout: 10 * time.Second}
 		s.mu.Lock()
-		s.present = srv
+		s.current = srv
 		s.mu.Unlock()
 		if err := srv.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
-		<-time.After(s.away)
+		<-time.After(s.downtime)
 	}
 }
 
-// end closes the listener and all connections, as the end of a process does.
-func (s *server) end() {
+// crash closes the listener and all connections, as the end of a process does.
+func (s *server) crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.present != nil {
-		_ = s.present.Close()
-		s.present = nil
+	if s.current != nil {
+		_ = s.current.Close()
+		s.current = nil
 	}
 }
 
--- a/test/cmd/streams/main.go
+++ b/test/cmd/streams/main.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	timeout    = 2 * time.Minute
-	maxGapUS   = 60_000_000
-	precision  = 3
-	tokenStart = "data: {"
+	timeout           = 2 * time.Minute
+	maxRecordedUS     = 60_000_000
+	significantDigits = 3
+	tokenPrefix       = "data: {"
 )
 
 type options struct {
@@ -53,11 +53,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	layout := local.Layout{Control: 1, Entries: 1, Engines: 1, EngineArgs: []string{"--step", o.step.String()}}
-	return local.With(layout, func(s *local.System) error { return compare(ctx, s, o) })
+	return local.With(layout, func(s *local.System) error { return measureBoth(ctx, s, o) })
 }
 
-// compare streams past the system and through it.
-func compare(ctx context.Context, s *local.System, o options) error {
+// measureBoth streams past the system and through it.
+func measureBoth(ctx context.Context, s *local.System, o options) error {
 	if err := s.Prepare(ctx, local.Document("v1")); err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 		return err
 	}
 	begin := time.Now()
-	c := &crowd{gaps: hdrhistogram.New(1, maxGapUS, precision), first: hdrhistogram.New(1, maxGapUS, precision)}
+	c := &streamStats{gaps: hdrhistogram.New(1, maxRecordedUS, significantDigits), first: hdrhistogram.New(1, maxRecordedUS, significantDigits)}
 	var wg sync.WaitGroup
 	for i := range o.callers {
 		wg.Go(func() { c.stream(ctx, address, fmt.Sprint("caller ", i), o.tokens) })
@@ -109,42 +109,42 @@
 	return float64(h.ValueAtPercentile(percentile)) / 1000
 }
 
-// crowd counts over all callers.
-type crowd struct {
+// streamStats counts over all callers.
+type streamStats struct {
 	mu             sync.Mutex
 	gaps, first    *hdrhistogram.Histogram
 	tokens, failed int
 }
 
-func (c *crowd) stream(ctx context.Context, address, prompt string, tokens int) {
+func (c *streamStats) stream(ctx context.Context, address, prompt string, tokens int) {
 	q := local.Completion(prompt, tokens, true)
 	req, err := http.NewRequestWithContext(ctx, q.Method, "http://"+address+q.Path, strings.NewReader(q.Body))
 	if err != nil {
-		c.fail()
+		c.recordFailure()
 		return
 	}
 	req.Header.Set("Authorization", "Bearer "+local.CallerToken)
 	asked := time.Now()
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		c.fail()
+		c.recordFailure()
 		return
 	}
 	defer resp.Body.Close()
 	last := time.Time{}
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
-		if strings.HasPrefix(lines.Text(), tokenStart) {
-			last = c.note(asked, last)
+		if strings.HasPrefix(lines.Text(), tokenPrefix) {
+			last = c.recordToken(asked, last)
 		}
 	}
 	if lines.Err() != nil {
-		c.fail()
+		c.recordFailure()
 	}
 }
 
-// note counts a token and returns when it came.
-func (c *crowd) note(asked, last time.Time) time.Time {
+// recordToken counts a token and returns when it came.
+func (c *streamStats) recordToken(asked, last time.Time) time.Time {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,7 +157,7 @@
 	return now
 }
 
-func (c *crowd) fail() {
+func (c *streamStats) recordFailure() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.failed++
--- a/test/faultproxy/faultproxy_test.go
+++ b/test/faultproxy/faultproxy_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func echo(t *testing.T) string {
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -27,8 +27,8 @@
 	return l.Addr().String()
 }
 
-func TestFrozenBytesComeLateAndCutConnectionsEnd(t *testing.T) {
-	p, err := NewTCP(echo(t))
+func TestFreezeDelaysBytesAndCutClosesConnections(t *testing.T) {
+	p, err := NewTCP(startEchoServer(t))
 	require.NoError(t, err)
 	t.Cleanup(p.Close)
 	c, err := net.Dial("tcp", p.Address())
--- a/test/faultproxy/messages.go
+++ b/test/faultproxy/messages.go
@@ -65,12 +65,12 @@
 	in.SetReadLimit(readLimit)
 	out.SetReadLimit(readLimit)
 	done := make(chan struct{}, 2)
-	go p.carry(ctx, out, in, Forward, done)
-	go p.carry(ctx, in, out, Backward, done)
+	go p.relay(ctx, out, in, Forward, done)
+	go p.relay(ctx, in, out, Backward, done)
 	<-done
 }
 
-func (p *WebSocket) carry(ctx context.Context, to, from *websocket.Conn, d Direction, done chan<- struct{}) {
+func (p *WebSocket) relay(ctx context.Context, to, from *websocket.Conn, d Direction, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	for {
 		kind, data, err := from.Read(ctx)
--- a/test/faultproxy/tcp.go
+++ b/test/faultproxy/tcp.go
@@ -34,12 +34,12 @@
 	target   string
 
 	// mu guards the fields below; change wakes those who wait for a fault to end.
-	mu     sync.Mutex
-	change *sync.Cond
-	faults [2]Fault
-	cut    bool
-	closed bool
-	conns  map[net.Conn]bool
+	mu            sync.Mutex
+	faultsChanged *sync.Cond
+	faults        [2]Fault
+	cut           bool
+	closed        bool
+	conns         map[net.Conn]bool
 }
 
 // NewTCP starts a proxy on a port from the kernel.
@@ -49,7 +49,7 @@
 		return nil, err
 	}
 	p := &TCP{listener: l, target: target, conns: make(map[net.Conn]bool)}
-	p.change = sync.NewCond(&p.mu)
+	p.faultsChanged = sync.NewCond(&p.mu)
 	go p.accept()
 	return p, nil
 }
@@ -77,7 +77,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults[d] = f
-	p.change.Broadcast()
+	p.faultsChanged.Broadcast()
 }
 
 // Freeze holds both directions, without ending a connection.
@@ -92,7 +92,7 @@
 	defer p.mu.Unlock()
 	p.cut = false
 	p.faults = [2]Fault{}
-	p.change.Broadcast()
+	p.faultsChanged.Broadcast()
 }
 
 // Close ends the proxy.
@@ -102,7 +102,7 @@
 	p.closed = true
 	_ = p.listener.Close()
 	p.closeConns()
-	p.change.Broadcast()
+	p.faultsChanged.Broadcast()
 }
 
 // closeConns ends all connections. The caller holds mu.
@@ -139,8 +139,8 @@
 	}
 	defer p.untrack(out)
 	done := make(chan struct{}, 2)
-	go p.carry(out, in, Forward, done)
-	go p.carry(in, out, Backward, done)
+	go p.copyBytes(out, in, Forward, done)
+	go p.copyBytes(in, out, Backward, done)
 	<-done
 }
 
@@ -160,13 +160,13 @@
 	delete(p.conns, c)
 }
 
-func (p *TCP) carry(to io.Writer, from io.Reader, d Direction, done chan<- struct{}) {
+func (p *TCP) copyBytes(to io.Writer, from io.Reader, d Direction, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			p.hold(d)
+			p.awaitFault(d)
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				return
 			}
@@ -177,8 +177,8 @@
 	}
 }
 
-// hold waits as long as the fault of the direction says.
-func (p *TCP) hold(d Direction) {
+// awaitFault waits as long as the fault of the direction says.
+func (p *TCP) awaitFault(d Direction) {
 	p.mu.Lock()
 	delay := p.faults[d].Delay
 	p.mu.Unlock()
@@ -188,6 +188,6 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for p.faults[d].Frozen && !p.closed && !p.cut {
-		p.change.Wait()
+		p.faultsChanged.Wait()
 	}
 }
--- a/test/soak/callers.go
+++ b/test/soak/callers.go
@@ -14,46 +14,46 @@
 )
 
 const (
-	// tokens is how long the streams of callers are.
-	tokens = 30
-	// patience is for how long a caller waits for an answer.
-	patience = 15 * time.Second
-	// aftermath is for how long after an unplanned fault requests may be lost by it: leases
+	// streamTokens is how long the streams of callers are.
+	streamTokens = 30
+	// requestTimeout is for how long a caller waits for an answer.
+	requestTimeout = 15 * time.Second
+	// aftermathTime is for how long after an unplanned fault requests may be lost by it: leases
 	// and calls that were on their way have ended by then.
-	aftermath = 5 * time.Second
-	// resends is how often a caller asks again for the outcome of a booking.
-	resends = 20
-	// breath is the pause after a request that was not served.
-	breath = 50 * time.Millisecond
+	aftermathTime = 5 * time.Second
+	// maxBookingAttempts is how often a caller asks again for the outcome of a booking.
+	maxBookingAttempts = 20
+	// retryPause is the pause after a request that was not served.
+	retryPause = 50 * time.Millisecond
 )
 
-// callers ask until they are stopped. Each keeps its connection to one entry host open for as
+// callerPool ask until they are stopped. Each keeps its connection to one entry host open for as
 // long as that host answers, also while it shuts down.
-type callers struct {
+type callerPool struct {
 	s    *local.System
 	r    *record
 	stop chan struct{}
 	wg   sync.WaitGroup
 
 	mu sync.Mutex
-	// refused are the ids and keys that were told not to have run; lost are the requests that
+	// notRun are the ids and keys that were told not to have run; lost are the requests that
 	// were cut in a calm time; booked are the keys with an answer.
-	refused, booked map[string]bool
-	lost            map[string]string
+	notRun, confirmed map[string]bool
+	interrupted       map[string]string
 }
 
-func newCallers(s *local.System, r *record) *callers {
-	return &callers{s: s, r: r, stop: make(chan struct{}), refused: map[string]bool{}, booked: map[string]bool{}, lost: map[string]string{}}
+func newCallerPool(s *local.System, r *record) *callerPool {
+	return &callerPool{s: s, r: r, stop: make(chan struct{}), notRun: map[string]bool{}, confirmed: map[string]bool{}, interrupted: map[string]string{}}
 }
 
 // startCallers starts size times the callers of each kind.
-func startCallers(ctx context.Context, size int, s *local.System, r *record) *callers {
-	c := newCallers(s, r)
-	for n := range size * (streamCallers + bookCallers + racers) {
+func startCallers(ctx context.Context, size int, s *local.System, r *record) *callerPool {
+	c := newCallerPool(s, r)
+	for n := range size * (streamCallers + bookingCallers + racingCallers) {
 		ask := c.stream
 		switch {
-		case n >= size*(streamCallers+bookCallers):
-			ask = c.race
+		case n >= size*(streamCallers+bookingCallers):
+			ask = c.bookTwice
 		case n >= size*streamCallers:
 			ask = c.book
 		}
@@ -62,25 +62,25 @@
 	return c
 }
 
-// end stops the callers and waits for their last answers.
-func (c *callers) end() {
+// stopAndWait stops the callers and waits for their last answers.
+func (c *callerPool) stopAndWait() {
 	close(c.stop)
 	c.wg.Wait()
 }
 
 // caller is one of them, at an entry host.
 type caller struct {
-	name   string
-	client *http.Client
-	at     int
+	name       string
+	client     *http.Client
+	entryIndex int
 	// isRacing tells that another caller asks for the same: what was not run by this one may
 	// have been by that one.
 	isRacing bool
 }
 
 // run asks one request after the other. A caller whose host does not answer goes to the next.
-func (c *callers) run(ctx context.Context, n int, ask func(context.Context, *caller, string) bool) {
-	me := &caller{name: fmt.Sprintf("caller-%d", n), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}, at: n}
+func (c *callerPool) run(ctx context.Context, n int, ask func(context.Context, *caller, string) bool) {
+	me := &caller{name: fmt.Sprintf("caller-%d", n), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}, entryIndex: n}
 	for i := 0; ; i++ {
 		select {
 		case <-c.stop:
@@ -90,45 +90,45 @@
 		default:
 		}
 		if !ask(ctx, me, fmt.Sprintf("%s-request-%d", me.name, i)) {
-			me.at++
-			<-time.After(breath)
+			me.entryIndex++
+			<-time.After(retryPause)
 		}
 	}
 }
 
-// do sends a request to the caller's entry host.
-func (c *callers) do(ctx context.Context, me *caller, q local.Request) local.Answer {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// send sends a request to the caller's entry host.
+func (c *callerPool) send(ctx context.Context, me *caller, q local.Request) local.Answer {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	e := c.s.Entries[me.at%len(c.s.Entries)]
+	e := c.s.Entries[me.entryIndex%len(c.s.Entries)]
 	return local.DoBy(ctx, me.client, e.Listen, q)
 }
 
 // stream asks for a streamed completion. It returns whether it was answered whole.
-func (c *callers) stream(ctx context.Context, me *caller, id string) bool {
-	q := local.Completion(id, tokens, true)
+func (c *callerPool) stream(ctx context.Context, me *caller, id string) bool {
+	q := local.Completion(id, streamTokens, true)
 	q.ID = id
 	sent := time.Now()
-	a := c.do(ctx, me, q)
+	a := c.send(ctx, me, q)
 	switch {
 	case a.Err != nil:
 		c.r.count("connections broken")
-		c.lose(id, sent, a)
-	case a.Status == http.StatusOK && a.Body == strings.Join(standin.Stream(id, tokens), ""):
+		c.noteInterrupted(id, sent, a)
+	case a.Status == http.StatusOK && a.Body == strings.Join(standin.Stream(id, streamTokens), ""):
 		c.r.count("streams whole")
 		return true
 	case a.Status == http.StatusOK:
-		c.r.fail(CompleteResponse, "stream %s: status 200 with %d bytes that are not its answer: %.200q", id, len(a.Body), a.Body)
+		c.r.addViolation(CompleteResponse, "stream %s: status 200 with %d bytes that are not its answer: %.200q", id, len(a.Body), a.Body)
 	default:
-		c.failed("streams", id, sent, a)
+		c.noteFailure("streams", id, sent, a)
 	}
 	return false
 }
 
-// race makes one booking through two entry hosts at once.
-func (c *callers) race(ctx context.Context, me *caller, key string) bool {
-	one := &caller{client: me.client, at: me.at, isRacing: true}
-	other := &caller{client: me.client, at: me.at + 1, isRacing: true}
+// bookTwice makes one booking through two entry hosts at once.
+func (c *callerPool) bookTwice(ctx context.Context, me *caller, key string) bool {
+	one := &caller{client: me.client, entryIndex: me.entryIndex, isRacing: true}
+	other := &caller{client: me.client, entryIndex: me.entryIndex + 1, isRacing: true}
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { c.book(ctx, other, key) })
@@ -136,63 +136,63 @@
 }
 
 // book makes a booking, and asks for its outcome until that is known.
-func (c *callers) book(ctx context.Context, me *caller, key string) bool {
+func (c *callerPool) book(ctx context.Context, me *caller, key string) bool {
 	q := local.Booking(key, "rider of "+key)
 	began := time.Now()
-	for try := range resends {
-		a := c.do(ctx, me, q)
+	for try := range maxBookingAttempts {
+		a := c.send(ctx, me, q)
 		switch {
 		case a.Err != nil:
 			c.r.count("connections broken")
 		case a.Status == http.StatusCreated && strings.Contains(a.Body, `"rider of `+key+`"`):
 			c.r.count("bookings made")
-			c.note(c.booked, key)
+			c.addID(c.confirmed, key)
 			return true
 		case a.Status == http.StatusCreated:
-			c.r.fail(CompleteResponse, "booking %s: the answer to another one: %.200q", key, a.Body)
+			c.r.addViolation(CompleteResponse, "booking %s: the answer to another one: %.200q", key, a.Body)
 		case a.Verdict == verdict.NotRun && try == 0 && !me.isRacing:
-			c.failed("bookings", key, began, a)
+			c.noteFailure("bookings", key, began, a)
 			return false
 		case strings.Contains(a.Body, `"conflict"`):
 			c.r.count("bookings unknown for good")
-			c.lose(key, began, a)
+			c.noteInterrupted(key, began, a)
 			return false
 		}
 		select {
 		case <-c.stop:
 			return false
-		case <-time.After(breath):
+		case <-time.After(retryPause):
 		}
-		me.at++
+		me.entryIndex++
 	}
 	c.r.count("bookings given up")
 	return false
 }
 
-// failed notes a failure that the system told of. What may have run is as good as cut.
-func (c *callers) failed(what, id string, sent time.Time, a local.Answer) {
-	c.noteHeld(id, a)
+// noteFailure notes a failure that the system told of. What may have run is as good as cut.
+func (c *callerPool) noteFailure(what, id string, sent time.Time, a local.Answer) {
+	c.checkNotQuarantined(id, a)
 	if a.Verdict != verdict.NotRun {
 		c.r.count(what + " failed")
-		c.lose(id, sent, a)
+		c.noteInterrupted(id, sent, a)
 		return
 	}
 	c.r.count(what + " refused")
-	c.note(c.refused, id)
+	c.addID(c.notRun, id)
 }
 
-// lose notes a request whose answer broke off, never came or never will, if that was in a calm
+// noteInterrupted notes a request whose answer broke off, never came or never will, if that was in a calm
 // time.
-func (c *callers) lose(id string, sent time.Time, a local.Answer) {
-	if !c.r.isCalm(sent, time.Now(), aftermath) {
+func (c *callerPool) noteInterrupted(id string, sent time.Time, a local.Answer) {
+	if !c.r.isCalm(sent, time.Now(), aftermathTime) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lost[id] = fmt.Sprintf("after %s, status %d, %.200s: %v", time.Since(sent).Round(time.Millisecond), a.Status, a.Body, a.Err)
+	c.interrupted[id] = fmt.Sprintf("after %s, status %d, %.200s: %v", time.Since(sent).Round(time.Millisecond), a.Status, a.Body, a.Err)
 }
 
-func (c *callers) note(in map[string]bool, id string) {
+func (c *callerPool) addID(in map[string]bool, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	in[id] = true
--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -12,8 +12,8 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// executed adds up what the stand-ins have carried out.
-func executed(ctx context.Context, s *local.System) (standin.Report, error) {
+// totalExecutions adds up what the stand-ins have carried out.
+func totalExecutions(ctx context.Context, s *local.System) (standin.Report, error) {
 	all := standin.Report{ByRequest: map[string]standin.Executions{}, ByKey: map[string]standin.Executions{}, Crashes: map[string]int{}}
 	for _, a := range s.Agents {
 		if a.Upstream.Name == groupStandIn {
@@ -23,8 +23,8 @@
 		if err != nil {
 			return all, errors.Wrap(err, a.Upstream.Name)
 		}
-		add(all.ByRequest, r.ByRequest)
-		add(all.ByKey, r.ByKey)
+		addExecutions(all.ByRequest, r.ByRequest)
+		addExecutions(all.ByKey, r.ByKey)
 		for prompt, n := range r.Crashes {
 			all.Crashes[prompt] += n
 		}
@@ -32,7 +32,7 @@
 	return all, nil
 }
 
-func add(to, from map[string]standin.Executions) {
+func addExecutions(to, from map[string]standin.Executions) {
 	for id, e := range from {
 		sum := to[id]
 		sum.Begun += e.Begun
@@ -42,32 +42,32 @@
 }
 
 // checkExecutions compares what callers were told with what was carried out.
-func (c *callers) checkExecutions(done standin.Report) {
+func (c *callerPool) checkExecutions(done standin.Report) {
 	for key, e := range done.ByKey {
 		if e.Begun > 1 {
-			c.r.fail(AtMostOnce, "booking %s ran %d times", key, e.Begun)
+			c.r.addViolation(AtMostOnce, "booking %s ran %d times", key, e.Begun)
 		}
 	}
-	for key := range c.booked {
+	for key := range c.confirmed {
 		if done.ByKey[key].Finished != 1 {
-			c.r.fail(CompleteResponse, "booking %s was confirmed and made %d times", key, done.ByKey[key].Finished)
+			c.r.addViolation(CompleteResponse, "booking %s was confirmed and made %d times", key, done.ByKey[key].Finished)
 		}
 	}
-	for id := range c.refused {
+	for id := range c.notRun {
 		if done.ByRequest[id].Begun > 0 || done.ByKey[id].Begun > 0 {
-			c.r.fail(NotRun, "%s was told not to have run, and ran", id)
+			c.r.addViolation(NotRun, "%s was told not to have run, and ran", id)
 		}
 	}
-	for id, how := range c.lost {
+	for id, how := range c.interrupted {
 		// One that crossed the close of its connection was not taken.
 		if done.ByRequest[id].Begun > 0 || done.ByKey[id].Begun > 0 {
-			c.r.fail(Shutdown, "%s was cut without an unplanned fault, %s", id, how)
+			c.r.addViolation(Shutdown, "%s was cut without an unplanned fault, %s", id, how)
 		}
 	}
 }
 
-// checkGroup looks at the steps of the stand-in group.
-func checkGroup(ctx context.Context, s *local.System, r *record) error {
+// checkGroupMaps looks at the steps of the stand-in group.
+func checkGroupMaps(ctx context.Context, s *local.System, r *record) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Agents[0].Upstream.Listen+"/group", nil)
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 		return err
 	}
 	if g.MixedSteps > 0 {
-		r.fail(OneMap, "%d of %d steps with two maps", g.MixedSteps, g.Steps)
+		r.addViolation(OneMap, "%d of %d steps with two maps", g.MixedSteps, g.Steps)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,15 +92,15 @@
 
 // checkRecovery waits until everything is served again.
 func checkRecovery(ctx context.Context, s *local.System, r *record) {
-	ctx, cancel := context.WithTimeout(ctx, recoveryTime)
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	began := time.Now()
 	if err := s.AwaitServing(ctx); err != nil {
-		r.fail(Recovery, "%s after the last fault: %v", time.Since(began).Round(time.Millisecond), err)
+		r.addViolation(Recovery, "%s after the last fault: %v", time.Since(began).Round(time.Millisecond), err)
 		return
 	}
 	if err := s.AwaitInForce(ctx); err != nil {
-		r.fail(Configuration, "the newest configuration is not in force everywhere %s after the last fault: %v",
+		r.addViolation(Configuration, "the newest configuration is not in force everywhere %s after the last fault: %v",
 			time.Since(began).Round(time.Millisecond), err)
 	}
 }
--- a/test/soak/operator.go
+++ b/test/soak/operator.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// changePause is the pause between two changes of the configuration.
-	changePause = 300 * time.Millisecond
-	// lookPause is the pause between two looks at a host.
-	lookPause = 20 * time.Millisecond
-	// callTime bounds one call of the operators' tool.
-	callTime = 10 * time.Second
+	// changeInterval is the pause between two changes of the configuration.
+	changeInterval = 300 * time.Millisecond
+	// revisionPollInterval is the pause between two looks at a host.
+	revisionPollInterval = 20 * time.Millisecond
+	// toolTimeout bounds one call of the operators' tool.
+	toolTimeout = 10 * time.Second
 )
 
 // operator changes the configuration with the operators' tool, one change after the other.
@@ -31,38 +31,38 @@
 	// size is that of the system.
 	size int
 	// base is the newest revision that is known to be accepted.
-	base uint64
-	n    int
+	base         uint64
+	changeNumber int
 }
 
 // run changes the configuration until ctx ends.
 func (o *operator) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		o.change(ctx)
-		pause(ctx, changePause)
+		o.submitChange(ctx)
+		sleep(ctx, changeInterval)
 	}
 }
 
 // document returns the nth one, for a system of this size. Its streams can't go on at another
 // upstream, so that one that is cut stays cut.
 func document(n, size int) string {
-	ranks := fmt.Sprintf("ranks = %d\n", groupHosts*ranksPerHost*size)
+	ranks := fmt.Sprintf("ranks = %d\n", groupHostCount*ranksPerHost*size)
 	return strings.NewReplacer("resumable = true", "resumable = false", "ranks = 8\n", ranks).
 		Replace(local.Document(fmt.Sprintf("v%d", n)))
 }
 
-// change submits the next document, again under its own id until the outcome is known.
-func (o *operator) change(ctx context.Context) {
-	o.n++
-	id := fmt.Sprintf("soak-change-%05d", o.n)
-	text := document(o.n+1, o.size)
+// submitChange submits the next document, again under its own id until the outcome is known.
+func (o *operator) submitChange(ctx context.Context) {
+	o.changeNumber++
+	id := fmt.Sprintf("soak-change-%05d", o.changeNumber)
+	text := document(o.changeNumber+1, o.size)
 	for ctx.Err() == nil {
-		call, cancel := context.WithTimeout(ctx, callTime)
+		call, cancel := context.WithTimeout(ctx, toolTimeout)
 		out, err := o.s.SubmitOver(call, o.base, text, "--change-id", id, "-o", "json")
 		cancel()
 		switch code := exitCode(err); {
 		case err == nil:
-			o.accepted(out)
+			o.noteAccepted(out)
 			return
 		case code == cli.ExitConflict:
 			// An attempt of this operator's own, whose outcome it never learnt, came first.
@@ -72,19 +72,19 @@
 		case code == cli.ExitNotRun || code == cli.ExitUnknown:
 			o.r.count("changes asked again")
 		case ctx.Err() == nil && call.Err() == nil:
-			o.r.fail(Configuration, "change %s: %v: %.200s", id, err, out)
+			o.r.addViolation(Configuration, "change %s: %v: %.200s", id, err, out)
 			return
 		}
-		pause(ctx, breath)
+		sleep(ctx, retryPause)
 	}
 }
 
-func (o *operator) accepted(out string) {
+func (o *operator) noteAccepted(out string) {
 	var a struct {
 		Revision uint64 `json:"revision"`
 	}
 	if err := json.Unmarshal([]byte(out), &a); err != nil || a.Revision <= o.base {
-		o.r.fail(Configuration, "accepted as revision %d after %d: %.200s", a.Revision, o.base, out)
+		o.r.addViolation(Configuration, "accepted as revision %d after %d: %.200s", a.Revision, o.base, out)
 		return
 	}
 	o.base = a.Revision
@@ -99,8 +99,8 @@
 	return cli.ExitCode(exit.ExitCode())
 }
 
-// watch notes each host that goes back to an older revision within one life of its process.
-func watch(ctx context.Context, s *local.System, r *record, wg *sync.WaitGroup) {
+// watchRevisions notes each host that goes back to an older revision within one life of its process.
+func watchRevisions(ctx context.Context, s *local.System, r *record, wg *sync.WaitGroup) {
 	for _, h := range s.Entries {
 		wg.Go(func() {
 			newest, life := uint64(0), h.Done()
@@ -112,18 +112,18 @@
 				}
 				if ok && before == h.Done() {
 					if revision < newest {
-						r.fail(Configuration, "%s went from revision %d back to %d", h.Name, newest, revision)
+						r.addViolation(Configuration, "%s went from revision %d back to %d", h.Name, newest, revision)
 					}
 					newest = max(newest, revision)
 				}
-				pause(ctx, lookPause)
+				sleep(ctx, revisionPollInterval)
 			}
 		})
 	}
 }
 
-// pause waits, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -56,14 +56,14 @@
 }
 
 const (
-	// shortest and longest bound how long a fault lasts: from less than any timeout of the
+	// minFaultTime and longest bound how long a fault lasts: from less than any timeout of the
 	// product to more than a lease and an election.
-	shortest, longest = 100 * time.Millisecond, 4 * time.Second
-	// meanPause is the mean pause between the beginnings of two faults, so that two or three
+	minFaultTime, maxFaultTime = 100 * time.Millisecond, 4 * time.Second
+	// meanFaultInterval is the mean pause between the beginnings of two faults, so that two or three
 	// overlap at most times.
-	meanPause = 800 * time.Millisecond
-	// settling is for how long a host is left alone after a fault.
-	settling = time.Second
+	meanFaultInterval = 800 * time.Millisecond
+	// minFaultGap is for how long a host is left alone after a fault.
+	minFaultGap = time.Second
 )
 
 // Plan draws a series of faults of these kinds on hosts. A host has one fault at a time; of the control
@@ -73,7 +73,7 @@
 	free := map[string]time.Duration{}
 	var busyControl []time.Duration
 	var out []Fault
-	for at := time.Duration(0); at < length; at += time.Duration(rng.Float64() * 2 * float64(meanPause)) {
+	for at := time.Duration(0); at < length; at += time.Duration(rng.Float64() * 2 * float64(meanFaultInterval)) {
 		isControl := rng.IntN(4) == 0
 		hosts := others
 		if isControl {
@@ -81,9 +81,9 @@
 		}
 		f := Fault{
 			Kind: kinds[rng.IntN(len(kinds))], Host: hosts[rng.IntN(len(hosts))], At: at,
-			For: shortest + time.Duration(rng.Float64()*float64(longest-shortest)),
+			For: minFaultTime + time.Duration(rng.Float64()*float64(maxFaultTime-minFaultTime)),
 		}
-		end := f.At + f.For + settling
+		end := f.At + f.For + minFaultGap
 		busyControl = slices.DeleteFunc(busyControl, func(until time.Duration) bool { return until <= at })
 		if free[f.Host] > at || isControl && len(busyControl) >= (len(control)-1)/2 {
 			continue
--- a/test/soak/poison.go
+++ b/test/soak/poison.go
@@ -12,49 +12,49 @@
 )
 
 const (
-	// poisons is how many different requests end upstreams in a run.
-	poisons = 2
-	// mostEnds is how many upstreams one such request may end, as long as all hosts hear of each
+	// poisonPrompts is how many different requests end upstreams in a run.
+	poisonPrompts = 2
+	// maxCrashesPerPrompt is how many upstreams one such request may end, as long as all hosts hear of each
 	// other.
-	mostEnds = 3
+	maxCrashesPerPrompt = 3
 	// poisonPause is the pause between two askings: longer than what hosts take to tell each
 	// other, and shorter than an upstream is away.
 	poisonPause = 300 * time.Millisecond
 )
 
-// poison asks for one of the prompts that end whoever runs them until the fault is over, at
+// sendPoison asks for one of the prompts that end whoever runs them until the fault is over, at
 // one entry host after the other.
-func poison(ctx context.Context, s *local.System, r *record, f Fault) {
+func sendPoison(ctx context.Context, s *local.System, r *record, f Fault) {
 	ctx, cancel := context.WithTimeout(ctx, f.For)
 	defer cancel()
-	prompt := fmt.Sprintf("%s %d", standin.Poison, int(f.At/time.Millisecond)%poisons)
+	prompt := fmt.Sprintf("%s %d", standin.Poison, int(f.At/time.Millisecond)%poisonPrompts)
 	for n := int(f.At); ctx.Err() == nil; n++ {
-		a := local.Do(ctx, s.Entries[n%len(s.Entries)].Listen, local.Completion(prompt, tokens, true))
+		a := local.Do(ctx, s.Entries[n%len(s.Entries)].Listen, local.Completion(prompt, streamTokens, true))
 		switch {
 		case strings.Contains(a.Body, string(verdict.CodeQuarantined)):
 			r.count("poison held")
 		case ctx.Err() == nil:
 			r.count("poison asked")
 		}
-		pause(ctx, poisonPause)
+		sleep(ctx, poisonPause)
 	}
 }
 
-// checkEnds compares how many upstreams each such request has ended with what is promised.
-func (c *callers) checkEnds(done standin.Report) {
+// checkCrashes compares how many upstreams each such request has ended with what is promised.
+func (c *callerPool) checkCrashes(done standin.Report) {
 	for prompt, n := range done.Crashes {
 		c.r.mu.Lock()
 		c.r.counts["upstreams ended"] += n
 		c.r.mu.Unlock()
-		if n > mostEnds {
-			c.r.fail(Contained, "%q has ended %d upstreams", prompt, n)
+		if n > maxCrashesPerPrompt {
+			c.r.addViolation(Contained, "%q has ended %d upstreams", prompt, n)
 		}
 	}
 }
 
-// noteHeld notes an answer to an innocent request that was taken for one that ends upstreams.
-func (c *callers) noteHeld(id string, a local.Answer) {
+// checkNotQuarantined notes an answer to an innocent request that was taken for one that ends upstreams.
+func (c *callerPool) checkNotQuarantined(id string, a local.Answer) {
 	if strings.Contains(a.Body, `"`+string(verdict.CodeQuarantined)+`"`) {
-		c.r.fail(Contained, "%s is held, and has ended nobody", id)
+		c.r.addViolation(Contained, "%s is held, and has ended nobody", id)
 	}
 }
--- a/test/soak/record.go
+++ b/test/soak/record.go
@@ -53,19 +53,19 @@
 
 // record collects what happens in a run. It is safe for concurrent use.
 type record struct {
-	mu     sync.Mutex
-	broken []Violation
-	events []*Event
-	counts map[string]int
+	mu         sync.Mutex
+	violations []Violation
+	events     []*Event
+	counts     map[string]int
 }
 
 func newRecord() *record { return &record{counts: map[string]int{}} }
 
-// fail notes a broken promise.
-func (r *record) fail(p Promise, format string, args ...any) {
+// addViolation notes a broken promise.
+func (r *record) addViolation(p Promise, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = append(r.broken, Violation{Promise: p, At: time.Now(), Text: fmt.Sprintf(format, args...)})
+	r.violations = append(r.violations, Violation{Promise: p, At: time.Now(), Text: fmt.Sprintf(format, args...)})
 }
 
 // count adds one to a named count.
@@ -75,8 +75,8 @@
 	r.counts[name]++
 }
 
-// begin notes an event; the function that it returns ends it.
-func (r *record) begin(text string, isUnplanned bool) (end func()) {
+// beginEvent notes an event; the function that it returns ends it.
+func (r *record) beginEvent(text string, isUnplanned bool) (end func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := &Event{At: time.Now(), Text: text, IsUnplanned: isUnplanned}
--- a/test/soak/report.go
+++ b/test/soak/report.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// around is how much of the timeline is shown before a broken promise.
-const around = 10 * time.Second
+// timelineBefore is how much of the timeline is shown before a broken promise.
+const timelineBefore = 10 * time.Second
 
 // Report is what came of a run.
 type Report struct {
@@ -26,7 +26,7 @@
 func newReport(cfg Config, r *record) *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := &Report{Config: cfg, Violations: slices.Clone(r.broken), Counts: maps.Clone(r.counts)}
+	out := &Report{Config: cfg, Violations: slices.Clone(r.violations), Counts: maps.Clone(r.counts)}
 	for _, e := range r.events {
 		out.Events = append(out.Events, *e)
 	}
@@ -56,7 +56,7 @@
 	for _, b := range r.Violations {
 		fmt.Fprintf(w, "  %7.2f s  BROKEN %s: %s\n", b.At.Sub(start).Seconds(), b.Promise, b.Text)
 		for _, e := range r.Events {
-			if e.At.Before(b.At) && (e.Until.IsZero() || e.Until.Add(around).After(b.At)) {
+			if e.At.Before(b.At) && (e.Until.IsZero() || e.Until.Add(timelineBefore).After(b.At)) {
 				fmt.Fprintf(w, "      %7.2f to %7.2f s  %s\n", e.At.Sub(start).Seconds(), e.Until.Sub(start).Seconds(), e.Text)
 			}
 		}
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -14,20 +14,20 @@
 const (
 	// groupStandIn is the name of the stand-in that runs all ranks of the group.
 	groupStandIn = "upstream-group"
-	// recoveryTime is within what everything has to be served again after the last fault.
-	recoveryTime = 60 * time.Second
-	// grace is the shutdown grace of the daemons, endTime within what they have to be gone.
-	grace, endTime = 10 * time.Second, 15 * time.Second
+	// recoveryTimeout is within what everything has to be served again after the last fault.
+	recoveryTimeout = 60 * time.Second
+	// shutdownGrace is the shutdown grace of the daemons, endTime within what they have to be gone.
+	shutdownGrace, shutdownTimeout = 10 * time.Second, 15 * time.Second
 	// sendDelay is by how much Delay holds each piece.
 	sendDelay = 250 * time.Millisecond
-	// brokenAnswers is how many answers each upstream breaks off after Reset.
-	brokenAnswers = 3
+	// brokenResponses is how many answers each upstream breaks off after Reset.
+	brokenResponses = 3
 	// streamCallers, bookCallers and racers are the callers by kind, at size 1.
-	streamCallers, bookCallers, racers = 8, 6, 3
-	// fewControl and manyControl are the control hosts at size 1 and above.
-	fewControl, manyControl = 3, 5
-	// groupHosts is the number of hosts of the group at size 1, with ranksPerHost ranks each.
-	groupHosts, ranksPerHost = 4, 2
+	streamCallers, bookingCallers, racingCallers = 8, 6, 3
+	// smallControlCount and manyControl are the control hosts at size 1 and above.
+	smallControlCount, largeControlCount = 3, 5
+	// groupHostCount is the number of hosts of the group at size 1, with ranksPerHost ranks each.
+	groupHostCount, ranksPerHost = 4, 2
 )
 
 // MaxSize is the largest size: 176 processes with the stand-ins.
@@ -37,13 +37,13 @@
 // five control hosts, and of everything else size times as many: from size 4 on changes of
 // maps, and other messages to all of a group, are passed on by some of its hosts.
 func Layout(size int) local.Layout {
-	control := fewControl
+	control := smallControlCount
 	if size > 1 {
-		control = manyControl
+		control = largeControlCount
 	}
 	return local.Layout{
 		Control: control, Entries: 3 * size, Engines: 3 * size, Services: 2 * size,
-		GroupHosts: groupHosts * size, RanksPerHost: ranksPerHost, HasProxies: true, Grace: grace,
+		GroupHosts: groupHostCount * size, RanksPerHost: ranksPerHost, HasProxies: true, Grace: shutdownGrace,
 		EngineArgs: []string{"--step", "10ms", "--away", "1s"}, ServiceArgs: []string{"--delay", "30ms"},
 		GroupArgs: []string{"--step", "5ms", "--drift-steps", "150", "--load-time", "100ms"},
 	}
@@ -76,37 +76,37 @@
 		return nil, errors.Wrap(err, "prepare")
 	}
 	r := newRecord()
-	if err := play(ctx, cfg, s, r); err != nil {
+	if err := runWithFaults(ctx, cfg, s, r); err != nil {
 		return nil, err
 	}
 	return newReport(cfg, r), nil
 }
 
-// play runs callers and operators beside the faults, and then checks what was done.
-func play(ctx context.Context, cfg Config, s *local.System, r *record) error {
+// runWithFaults runs callers and operators beside the faults, and then checks what was done.
+func runWithFaults(ctx context.Context, cfg Config, s *local.System, r *record) error {
 	beside, stop := context.WithCancel(ctx)
 	defer stop()
 	var wg sync.WaitGroup
 	o := &operator{s: s, r: r, size: cfg.Size, base: s.Revision(ctx)}
 	wg.Go(func() { o.run(beside) })
-	watch(beside, s, r, &wg)
+	watchRevisions(beside, s, r, &wg)
 	c := startCallers(ctx, cfg.Size, s, r)
-	playFaults(ctx, cfg, s, r)
+	injectFaults(ctx, cfg, s, r)
 	stop()
 	wg.Wait()
 	checkRecovery(ctx, s, r)
-	c.end()
-	done, err := executed(ctx, s)
+	c.stopAndWait()
+	done, err := totalExecutions(ctx, s)
 	if err != nil {
 		return err
 	}
 	c.checkExecutions(done)
-	c.checkEnds(done)
-	return checkGroup(ctx, s, r)
+	c.checkCrashes(done)
+	return checkGroupMaps(ctx, s, r)
 }
 
-// playFaults plays the faults of the run and waits until all are over.
-func playFaults(ctx context.Context, cfg Config, s *local.System, r *record) {
+// injectFaults plays the faults of the run and waits until all are over.
+func injectFaults(ctx context.Context, cfg Config, s *local.System, r *record) {
 	var control, others []string
 	for _, h := range s.Control {
 		control = append(control, h.Name)
@@ -121,72 +121,72 @@
 		kinds = Kinds
 	}
 	for _, f := range Plan(cfg.Seed, kinds, control, others, cfg.FaultTime) {
-		pause(ctx, time.Until(began.Add(f.At)))
+		sleep(ctx, time.Until(began.Add(f.At)))
 		h, err := s.Find(f.Host)
 		if err != nil || ctx.Err() != nil {
 			break
 		}
-		wg.Go(func() { playFault(ctx, s, r, h, f) })
+		wg.Go(func() { injectFault(ctx, s, r, h, f) })
 	}
 	wg.Wait()
 }
 
-// playFault plays one fault to its end.
-func playFault(ctx context.Context, s *local.System, r *record, h *local.Host, f Fault) {
-	end := r.begin(f.String(), !f.Kind.IsPlanned())
+// injectFault plays one fault to its end.
+func injectFault(ctx context.Context, s *local.System, r *record, h *local.Host, f Fault) {
+	end := r.beginEvent(f.String(), !f.Kind.IsPlanned())
 	defer end()
 	switch f.Kind {
 	case Kill:
 		h.Kill()
-		pause(ctx, f.For)
+		sleep(ctx, f.For)
 		restart(r, h)
 	case Terminate:
-		terminate(r, h)
+		terminateAndCheck(r, h)
 		restart(r, h)
 	case Pause:
 		h.Freeze()
-		pause(ctx, f.For)
+		sleep(ctx, f.For)
 		h.Thaw()
 	case Cut:
 		s.Cut(h)
-		pause(ctx, f.For)
+		sleep(ctx, f.For)
 		s.Heal(h)
 	case Silence:
 		s.FreezeLinks(h)
-		pause(ctx, f.For)
+		sleep(ctx, f.For)
 		s.Heal(h)
 	case Reset:
-		reset(ctx, s, h)
+		resetConnections(ctx, s, h)
 	case Poison:
-		poison(ctx, s, r, f)
+		sendPoison(ctx, s, r, f)
 	case Delay:
 		s.DelaySends(h, sendDelay)
-		pause(ctx, f.For)
+		sleep(ctx, f.For)
 		s.Heal(h)
 	}
 }
 
-// terminate asks a process to end and checks how it does.
-func terminate(r *record, h *local.Host) {
+// terminateAndCheck asks a process to end and checks how it does.
+func terminateAndCheck(r *record, h *local.Host) {
 	h.Terminate()
 	select {
 	case <-h.Done():
 		if err := h.Err(); err != nil {
-			r.fail(Shutdown, "%s ended in failure: %v", h.Name, err)
+			r.addViolation(Shutdown, "%s ended in failure: %v", h.Name, err)
 		}
-	case <-time.After(endTime):
-		r.fail(Shutdown, "%s is still there %s after it was asked to end", h.Name, endTime)
+	case <-time.After(shutdownTimeout):
+		r.addViolation(Shutdown, "%s is still there %s after it was asked to end", h.Name, shutdownTimeout)
 		h.Kill()
 	}
 }
 
-// reset ends the connections of a host, and lets all upstreams break off their next answers.
+// resetConnections ends the connections of a host, and lets all upstreams break off their next answers.
 // It is over when the links are back; what it cost shows within the aftermath.
-func reset(ctx context.Context, s *local.System, h *local.Host) {
+func resetConnections(ctx context.Context, s *local.System, h *local.Host) {
 	for _, up := range s.StandIns {
 		if up.Name != groupStandIn {
 			// A stand-in that can't be told just answers.
-			_ = local.Fail(ctx, up, standin.Failure{Mode: standin.Die, After: tokens / 2, Times: brokenAnswers})
+			_ = local.Fail(ctx, up, standin.Failure{Mode: standin.Die, After: streamTokens / 2, Times: brokenResponses})
 		}
 	}
 	s.Cut(h)
@@ -195,6 +195,6 @@
 
 func restart(r *record, h *local.Host) {
 	if err := h.Start(); err != nil {
-		r.fail(Recovery, "%s does not start: %v", h.Name, err)
+		r.addViolation(Recovery, "%s does not start: %v", h.Name, err)
 	}
 }
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -15,20 +15,20 @@
 )
 
 var (
-	threeControl = []string{"control-1", "control-2", "control-3"}
-	someOthers   = []string{"entry-1", "entry-2", "engine-1", "group-0"}
+	controlNames = []string{"control-1", "control-2", "control-3"}
+	otherNames   = []string{"entry-1", "entry-2", "engine-1", "group-0"}
 )
 
 // A seed plays the same faults each time. A host has one fault at a time, and a majority of
 // the control hosts has none.
-func TestPlanIsBoundedAndRepeats(t *testing.T) {
+func TestPlanRepeatsAndOverlapsNoFaultsOfOneHost(t *testing.T) {
 	for seed := range uint64(50) {
-		plan := Plan(seed, Kinds, threeControl, someOthers, time.Minute)
-		require.Equal(t, plan, Plan(seed, Kinds, threeControl, someOthers, time.Minute))
+		plan := Plan(seed, Kinds, controlNames, otherNames, time.Minute)
+		require.Equal(t, plan, Plan(seed, Kinds, controlNames, otherNames, time.Minute))
 		require.Greater(t, len(plan), 20)
 		for i, f := range plan {
 			for _, g := range plan[:i] {
-				isOver := g.At+g.For+settling <= f.At
+				isOver := g.At+g.For+minFaultGap <= f.At
 				require.True(t, isOver || g.Host != f.Host, "%s while %s", f, g)
 				isControl := func(f Fault) bool { return f.Host < "d" }
 				require.True(t, isOver || !isControl(f) || !isControl(g), "%s while %s", f, g)
@@ -37,64 +37,64 @@
 	}
 }
 
-func TestPlanKeepsToTheKinds(t *testing.T) {
-	for _, f := range Plan(3, []Kind{Terminate}, threeControl, someOthers, time.Minute) {
+func TestPlanDrawsOnlyTheGivenKinds(t *testing.T) {
+	for _, f := range Plan(3, []Kind{Terminate}, controlNames, otherNames, time.Minute) {
 		require.Equal(t, Terminate, f.Kind)
 	}
 }
 
 // Each way to break a promise that only shows in what was carried out is seen.
-func TestWhatWasCarriedOutIsComparedWithWhatCallersWereTold(t *testing.T) {
+func TestExecutionsAreComparedWithResponses(t *testing.T) {
 	ran := func(begun, finished int) standin.Executions {
 		return standin.Executions{Begun: begun, Finished: finished}
 	}
 	for name, c := range map[string]struct {
-		told func(*callers)
+		told func(*callerPool)
 		done standin.Report
 		want Promise
 	}{
 		"ran twice":                 {done: standin.Report{ByKey: map[string]standin.Executions{"k": ran(2, 1)}}, want: AtMostOnce},
-		"confirmed, not made":       {told: func(c *callers) { c.booked["k"] = true }, want: CompleteResponse},
-		"refused, and ran":          {told: func(c *callers) { c.refused["k"] = true }, done: standin.Report{ByKey: map[string]standin.Executions{"k": ran(1, 1)}}, want: NotRun},
-		"refused, and was streamed": {told: func(c *callers) { c.refused["s"] = true }, done: standin.Report{ByRequest: map[string]standin.Executions{"s": ran(1, 0)}}, want: NotRun},
-		"cut while it ran":          {told: func(c *callers) { c.lost["s"] = "cut" }, done: standin.Report{ByRequest: map[string]standin.Executions{"s": ran(1, 0)}}, want: Shutdown},
-		"crossed the close":         {told: func(c *callers) { c.lost["s"] = "cut" }},
-		"all is well": {told: func(c *callers) { c.booked["k"], c.refused["r"] = true, true },
+		"confirmed, not made":       {told: func(c *callerPool) { c.confirmed["k"] = true }, want: CompleteResponse},
+		"refused, and ran":          {told: func(c *callerPool) { c.notRun["k"] = true }, done: standin.Report{ByKey: map[string]standin.Executions{"k": ran(1, 1)}}, want: NotRun},
+		"refused, and was streamed": {told: func(c *callerPool) { c.notRun["s"] = true }, done: standin.Report{ByRequest: map[string]standin.Executions{"s": ran(1, 0)}}, want: NotRun},
+		"cut while it ran":          {told: func(c *callerPool) { c.interrupted["s"] = "cut" }, done: standin.Report{ByRequest: map[string]standin.Executions{"s": ran(1, 0)}}, want: Shutdown},
+		"crossed the close":         {told: func(c *callerPool) { c.interrupted["s"] = "cut" }},
+		"all is well": {told: func(c *callerPool) { c.confirmed["k"], c.notRun["r"] = true, true },
 			done: standin.Report{ByKey: map[string]standin.Executions{"k": ran(1, 1)}}},
 	} {
-		heard := newCallers(nil, newRecord())
+		heard := newCallerPool(nil, newRecord())
 		if c.told != nil {
 			c.told(heard)
 		}
 		heard.checkExecutions(c.done)
 		if c.want == "" {
-			require.Empty(t, heard.r.broken, name)
+			require.Empty(t, heard.r.violations, name)
 			continue
 		}
-		require.Len(t, heard.r.broken, 1, name)
-		require.Equal(t, c.want, heard.r.broken[0].Promise, name)
+		require.Len(t, heard.r.violations, 1, name)
+		require.Equal(t, c.want, heard.r.violations[0].Promise, name)
 	}
 }
 
 // Only what was cut while no unplanned fault went on, or had just ended, counts as a cut.
-func TestCutsCountInCalmTimesOnly(t *testing.T) {
-	c := newCallers(nil, newRecord())
+func TestInterruptedRequestsCountOnlyWithoutUnplannedFaults(t *testing.T) {
+	c := newCallerPool(nil, newRecord())
 	cut := local.Answer{Err: os.ErrDeadlineExceeded, Verdict: verdict.MayHaveRun}
-	end := c.r.begin("terminate", false)
-	c.lose("calm", time.Now(), cut)
+	end := c.r.beginEvent("terminate", false)
+	c.noteInterrupted("calm", time.Now(), cut)
 	end()
-	end = c.r.begin("kill", true)
-	c.lose("during", time.Now(), cut)
+	end = c.r.beginEvent("kill", true)
+	c.noteInterrupted("during", time.Now(), cut)
 	end()
-	c.lose("just after", time.Now(), cut)
-	require.Len(t, c.lost, 1)
-	require.Contains(t, c.lost, "calm")
-	require.True(t, c.r.isCalm(time.Now().Add(2*aftermath), time.Now().Add(3*aftermath), aftermath))
+	c.noteInterrupted("just after", time.Now(), cut)
+	require.Len(t, c.interrupted, 1)
+	require.Contains(t, c.interrupted, "calm")
+	require.True(t, c.r.isCalm(time.Now().Add(2*aftermathTime), time.Now().Add(3*aftermathTime), aftermathTime))
 }
 
 // A larger size is the same system with more hosts, and its changes of maps are passed on by
 // some of them.
-func TestLayoutGrowsWithTheSize(t *testing.T) {
+func TestLayoutScalesWithSize(t *testing.T) {
 	for size := 1; size <= MaxSize; size++ {
 		l := Layout(size)
 		s, err := local.New(t.TempDir(), t.TempDir(), l)
--- a/test/standin/engine.go
+++ b/test/standin/engine.go
@@ -41,14 +41,14 @@
 
 // Engine is the stand-in for a model engine.
 type Engine struct {
-	counts
+	counters
 	cfg   EngineConfig
 	mux   *http.ServeMux
 	slots chan struct{}
 
 	// The rest is guarded by counts.mu.
 	running, waiting uint32
-	loads            []timedLoad
+	loadHistory      []timedLoad
 	cache            []uint64
 	cached           map[uint64]bool
 	events           []timedEvent
@@ -95,11 +95,11 @@
 	}
 	e.init()
 	e.report.Order.Version = cfg.Version
-	e.mux.HandleFunc("POST /v1/completions", e.complete)
-	e.mux.HandleFunc("POST /v1/chat/completions", e.complete)
+	e.mux.HandleFunc("POST /v1/completions", e.serveCompletion)
+	e.mux.HandleFunc("POST /v1/chat/completions", e.serveCompletion)
 	e.mux.HandleFunc("GET /load", e.load)
-	e.mux.HandleFunc("GET /cache-events", e.cacheEvents)
-	e.mux.HandleFunc("POST /orders", e.order)
+	e.mux.HandleFunc("GET /cache-events", e.serveCacheEvents)
+	e.mux.HandleFunc("POST /orders", e.serveOrder)
 	e.mux.HandleFunc("GET /executions", e.serveExecutions)
 	e.mux.HandleFunc("POST /admin/fail", e.serveFail)
 	return e
@@ -128,7 +128,7 @@
 func Stream(prompt string, n int) []string {
 	out := make([]string, 0, n+1)
 	for i := range n {
-		data, _ := json.Marshal(answerBody(Token(prompt, i)))
+		data, _ := json.Marshal(responseBody(Token(prompt, i)))
 		out = append(out, "data: "+string(data)+"\n\n")
 	}
 	return append(out, "data: [DONE]\n\n")
@@ -139,12 +139,12 @@
 	Text  string `json:"text"`
 }
 
-type completionAnswer struct {
+type completionResponse struct {
 	Choices []choice `json:"choices"`
 }
 
-func answerBody(text string) completionAnswer {
-	return completionAnswer{Choices: []choice{{Text: text}}}
+func responseBody(text string) completionResponse {
+	return completionResponse{Choices: []choice{{Text: text}}}
 }
 
 func (q *completionRequest) text() string {
@@ -158,7 +158,7 @@
 	return b.String()
 }
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	var q completionRequest
 	if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -167,30 +167,30 @@
 	if q.MaxTokens <= 0 {
 		q.MaxTokens = defaultTokens
 	}
-	f := e.take()
+	f := e.nextFailure()
 	if f.Mode == Refuse {
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
-	e.count(r, begun)
-	e.enter()
-	defer e.leave()
-	e.note(q.text())
+	e.update(r, begun)
+	e.acquireSlot()
+	defer e.releaseSlot()
+	e.cachePrefixes(q.text())
 	if strings.HasPrefix(q.Prompt, Poison) {
-		e.step(r, f)
-		e.end(q.Prompt)
+		e.waitStep(r, f)
+		e.crash(q.Prompt)
 		panic(http.ErrAbortHandler)
 	}
-	if f.Mode == Hang || !e.answer(w, r, &q, f) {
+	if f.Mode == Hang || !e.writeResponse(w, r, &q, f) {
 		<-r.Context().Done()
-		e.count(r, cancelled)
+		e.update(r, cancelled)
 		return
 	}
-	e.count(r, finished)
+	e.update(r, finished)
 }
 
-// answer reports whether the work came to an end; false means that the caller left.
-func (e *Engine) answer(w http.ResponseWriter, r *http.Request, q *completionRequest, f Failure) bool {
+// writeResponse reports whether the work came to an end; false means that the caller left.
+func (e *Engine) writeResponse(w http.ResponseWriter, r *http.Request, q *completionRequest, f Failure) bool {
 	pieces := Stream(q.text(), q.MaxTokens)
 	offset, _ := strconv.Atoi(r.Header.Get(agent.ResumeHeader))
 	if offset > 0 {
@@ -213,7 +213,7 @@
 		if piece == "" {
 			continue
 		}
-		if i < q.MaxTokens && !e.step(r, f) {
+		if i < q.MaxTokens && !e.waitStep(r, f) {
 			return false
 		}
 		if q.Stream {
@@ -222,20 +222,20 @@
 		}
 	}
 	if !q.Stream {
-		writeJSON(w, answerBody(Text(q.text(), q.MaxTokens)))
+		writeJSON(w, responseBody(Text(q.text(), q.MaxTokens)))
 	}
 	return true
 }
 
-// end ends the engine under a prompt, if it can end.
-func (e *Engine) end(prompt string) {
+// crash ends the engine under a prompt, if it can end.
+func (e *Engine) crash(prompt string) {
 	if e.cfg.Crash != nil {
-		e.countEnd(prompt)
+		e.countCrash(prompt)
 		e.cfg.Crash()
 	}
 }
 
-func (e *Engine) step(r *http.Request, f Failure) bool {
+func (e *Engine) waitStep(r *http.Request, f Failure) bool {
 	d := e.cfg.Step
 	if f.Mode == Slow {
 		d *= SlowFactor
@@ -253,13 +253,13 @@
 	}
 }
 
-func (e *Engine) enter() {
+func (e *Engine) acquireSlot() {
 	e.addLoad(0, 1)
 	e.slots <- struct{}{}
 	e.addLoad(1, -1)
 }
 
-func (e *Engine) leave() {
+func (e *Engine) releaseSlot() {
 	<-e.slots
 	e.addLoad(-1, 0)
 }
@@ -269,9 +269,9 @@
 	defer e.mu.Unlock()
 	e.running += uint32(running)
 	e.waiting += uint32(waiting)
-	e.loads = append(e.loads, timedLoad{time.Now(), agent.LoadReport{Running: e.running, Queued: e.waiting}})
-	for len(e.loads) > 1 && time.Since(e.loads[1].at) >= e.cfg.LoadReportAge {
-		e.loads = e.loads[1:]
+	e.loadHistory = append(e.loadHistory, timedLoad{time.Now(), agent.LoadReport{Running: e.running, Queued: e.waiting}})
+	for len(e.loadHistory) > 1 && time.Since(e.loadHistory[1].at) >= e.cfg.LoadReportAge {
+		e.loadHistory = e.loadHistory[1:]
 	}
 }
 
@@ -279,7 +279,7 @@
 func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	var out agent.LoadReport
-	for _, l := range e.loads {
+	for _, l := range e.loadHistory {
 		if time.Since(l.at) >= e.cfg.LoadReportAge {
 			out = l.load
 		}
@@ -293,8 +293,8 @@
 	writeJSON(w, out)
 }
 
-// note puts the prompt's prefixes into the cache, and the oldest out of it.
-func (e *Engine) note(prompt string) {
+// cachePrefixes puts the prompt's prefixes into the cache, and the oldest out of it.
+func (e *Engine) cachePrefixes(prompt string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, p := range entry.PrefixHashes([]byte(prompt)) {
@@ -303,17 +303,17 @@
 		}
 		e.cached[p] = true
 		e.cache = append(e.cache, p)
-		e.event(p, true)
+		e.addCacheEvent(p, true)
 	}
 	for len(e.cache) > e.cfg.CacheBlocks {
 		delete(e.cached, e.cache[0])
-		e.event(e.cache[0], false)
+		e.addCacheEvent(e.cache[0], false)
 		e.cache = e.cache[1:]
 	}
 }
 
-// event requires mu.
-func (e *Engine) event(prefix uint64, stored bool) {
+// addCacheEvent requires mu.
+func (e *Engine) addCacheEvent(prefix uint64, stored bool) {
 	e.lastEvent++
 	if e.cfg.DropEvery > 0 && e.lastEvent%e.cfg.DropEvery == 0 {
 		return
@@ -325,7 +325,7 @@
 	}
 }
 
-func (e *Engine) cacheEvents(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	var out agent.CacheEventsReport
 	e.mu.Lock()
@@ -338,7 +338,7 @@
 	writeJSON(w, out)
 }
 
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o agent.EngineOrder
 	var body bytes.Buffer
 	if _, err := body.ReadFrom(r.Body); err != nil || json.Unmarshal(body.Bytes(), &o) != nil {
--- a/test/standin/ranks.go
+++ b/test/standin/ranks.go
@@ -48,13 +48,13 @@
 	mux *http.ServeMux
 
 	// mu guards the rest.
-	mu         sync.Mutex
-	ranks      []*rankEngine
-	report     GroupReport
-	lastMap    expertmap.Version
-	popularity [][]float64
-	rng        *rand.Rand
-	skewSum    float64
+	mu           sync.Mutex
+	ranks        []*rankEngine
+	report       GroupReport
+	lastMap      expertmap.Version
+	popularity   [][]float64
+	rng          *rand.Rand
+	imbalanceSum float64
 }
 
 // rankEngine is the engine of one rank as expertmap.Engine describes it.
@@ -69,7 +69,7 @@
 	for range cfg.Ranks {
 		g.ranks = append(g.ranks, &rankEngine{})
 	}
-	g.drift()
+	g.drawPopularity()
 	g.mux.HandleFunc("GET /ranks/{rank}/status", g.serveRank(g.serveStatus))
 	g.mux.HandleFunc("GET /ranks/{rank}/expert-load", g.serveRank(g.serveLoad))
 	g.mux.HandleFunc("POST /ranks/{rank}/stage", g.serveRank(g.serveStage))
@@ -94,44 +94,44 @@
 		r.Armed = append(r.Armed, e.status.HasUncommittedChange())
 	}
 	if r.Steps > 0 {
-		r.Skew = g.skewSum / float64(r.Steps)
+		r.Skew = g.imbalanceSum / float64(r.Steps)
 	}
 	return r
 }
 
 func (g *Group) run() {
 	for range time.Tick(g.cfg.Step) {
-		g.step()
+		g.runStep()
 	}
 }
 
-// step runs one step on all ranks, if none of them holds.
-func (g *Group) step() {
+// runStep runs one step on all ranks, if none of them holds.
+func (g *Group) runStep() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	next := g.report.Steps + 1
 	for _, e := range g.ranks {
-		if !e.mayStart(next) {
+		if !e.canStart(next) {
 			g.report.PausedTicks++
 			return
 		}
 	}
 	for _, e := range g.ranks {
-		e.start(next)
+		e.startStep(next)
 	}
 	g.report.Steps = next
-	g.judge()
+	g.checkActiveMaps()
 	if g.cfg.DriftSteps > 0 && next%g.cfg.DriftSteps == 0 {
-		g.drift()
+		g.drawPopularity()
 	}
 }
 
-func (e *rankEngine) mayStart(step uint64) bool {
+func (e *rankEngine) canStart(step uint64) bool {
 	s := e.status
 	return s.HasMap() && !(s.HasUncommittedChange() && step >= s.Armed.Step)
 }
 
-func (e *rankEngine) start(step uint64) {
+func (e *rankEngine) startStep(step uint64) {
 	e.status.Step = step
 	a := e.status.Armed
 	if a == nil || !a.Committed || step < a.Step {
@@ -139,15 +139,15 @@
 	}
 	e.status.Active = expertmap.Installed{Version: a.Version, FromStep: a.Step}
 	e.status.Armed = nil
-	e.drop(func(v expertmap.Version) bool { return v != a.Version })
+	e.removeMaps(func(v expertmap.Version) bool { return v != a.Version })
 	e.tokens = nil
 }
 
-func (e *rankEngine) drop(isDropped func(expertmap.Version) bool) {
+func (e *rankEngine) removeMaps(isDropped func(expertmap.Version) bool) {
 	e.status.Maps = slices.DeleteFunc(slices.Clone(e.status.Maps), func(m expertmap.Map) bool { return isDropped(m.Version) })
 }
 
-func (e *rankEngine) loaded(v expertmap.Version) *expertmap.Map {
+func (e *rankEngine) loadedMap(v expertmap.Version) *expertmap.Map {
 	for i := range e.status.Maps {
 		if e.status.Maps[i].Version == v {
 			return &e.status.Maps[i]
@@ -156,8 +156,8 @@
 	return nil
 }
 
-// judge notes mixed maps and counts the tokens of the step.
-func (g *Group) judge() {
+// checkActiveMaps notes mixed maps and counts the tokens of the step.
+func (g *Group) checkActiveMaps() {
 	version := g.ranks[0].status.Active.Version
 	for _, e := range g.ranks {
 		if e.status.Active.Version != version {
@@ -169,12 +169,12 @@
 		g.lastMap = version
 		g.report.Maps++
 	}
-	g.count()
+	g.countTokens()
 }
 
-// count spreads the tokens of a step over the replicas of each expert.
-func (g *Group) count() {
-	m := g.ranks[0].loaded(g.lastMap)
+// countTokens spreads the tokens of a step over the replicas of each expert.
+func (g *Group) countTokens() {
+	m := g.ranks[0].loadedMap(g.lastMap)
 	if m == nil {
 		return
 	}
@@ -188,7 +188,7 @@
 			n := g.popularity[l][x] / float64(replicas[x])
 			rank := s / m.SlotsPerRank
 			byRank[rank] += n
-			g.ranks[rank].add(l, s%m.SlotsPerRank, uint32(n), len(m.Layers), m.SlotsPerRank)
+			g.ranks[rank].addTokens(l, s%m.SlotsPerRank, uint32(n), len(m.Layers), m.SlotsPerRank)
 		}
 	}
 	sum, top := 0.0, 0.0
@@ -196,10 +196,10 @@
 		sum += n
 		top = math.Max(top, n)
 	}
-	g.skewSum += top / (sum / float64(len(byRank)))
+	g.imbalanceSum += top / (sum / float64(len(byRank)))
 }
 
-func (e *rankEngine) add(layer, slot int, n uint32, layers, slots int) {
+func (e *rankEngine) addTokens(layer, slot int, n uint32, layers, slots int) {
 	if e.tokens == nil {
 		e.tokens = make([][]uint32, layers)
 		for l := range e.tokens {
@@ -209,8 +209,8 @@
 	e.tokens[layer][slot] += n
 }
 
-// drift draws a new popularity: few experts get most of the tokens.
-func (g *Group) drift() {
+// drawPopularity draws a new popularity: few experts get most of the tokens.
+func (g *Group) drawPopularity() {
 	g.popularity = make([][]float64, g.cfg.Layers)
 	for l := range g.popularity {
 		g.popularity[l] = make([]float64, g.cfg.Experts)
@@ -258,13 +258,13 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if e.loaded(m.Version) != nil {
+	if e.loadedMap(m.Version) != nil {
 		return
 	}
 	time.AfterFunc(g.cfg.LoadTime, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if e.loaded(m.Version) == nil {
+		if e.loadedMap(m.Version) == nil {
 			e.status.Maps = append(e.status.Maps, m)
 		}
 	})
@@ -282,7 +282,7 @@
 		w.WriteHeader(http.StatusConflict)
 	case a != nil && a.Version == c.Version && a.Step == c.Step:
 		a.Ballot = c.Ballot
-	case e.loaded(c.Version) == nil, !c.Base.IsZero() && e.loaded(c.Base) == nil:
+	case e.loadedMap(c.Version) == nil, !c.Base.IsZero() && e.loadedMap(c.Base) == nil:
 		w.WriteHeader(http.StatusConflict)
 	case e.status.HasMap() && (c.Step <= e.status.Step || !e.status.Active.Version.Less(c.Version)):
 		w.WriteHeader(http.StatusConflict)
@@ -318,7 +318,7 @@
 		return
 	}
 	if a != nil && !a.Committed && !o.Ballot.Less(a.Ballot) {
-		e.drop(func(v expertmap.Version) bool { return v == a.Version })
+		e.removeMaps(func(v expertmap.Version) bool { return v == a.Version })
 		e.status.Armed = nil
 	}
 }
--- a/test/standin/standin.go
+++ b/test/standin/standin.go
@@ -56,35 +56,35 @@
 	Order  agent.EngineOrder `json:"order"`
 }
 
-// counts is shared by both stand-ins. mu guards the rest.
-type counts struct {
+// counters is shared by both stand-ins. mu guards the rest.
+type counters struct {
 	mu      sync.Mutex
 	report  Report
 	failure Failure
 }
 
-func (c *counts) init() {
+func (c *counters) init() {
 	c.report.ByRequest = make(map[string]Executions)
 	c.report.ByKey = make(map[string]Executions)
 	c.report.Crashes = make(map[string]int)
 }
 
-// countEnd counts an end under a prompt.
-func (c *counts) countEnd(prompt string) {
+// countCrash counts an end under a prompt.
+func (c *counters) countCrash(prompt string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.report.Crashes[prompt]++
 }
 
 // Fail sets how the next requests fail.
-func (c *counts) Fail(f Failure) {
+func (c *counters) Fail(f Failure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.failure = f
 }
 
 // Executions returns a copy of the counts.
-func (c *counts) Executions() Report {
+func (c *counters) Executions() Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := c.report
@@ -100,8 +100,8 @@
 	return out
 }
 
-// take returns the failure of the next request.
-func (c *counts) take() Failure {
+// nextFailure returns the failure of the next request.
+func (c *counters) nextFailure() Failure {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.failure.Times == 0 {
@@ -111,15 +111,15 @@
 	return c.failure
 }
 
-// count changes the counts of a request's id and key.
-func (c *counts) count(r *http.Request, change func(*Executions)) {
+// update changes the counts of a request's id and key.
+func (c *counters) update(r *http.Request, change func(*Executions)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	bump(c.report.ByRequest, r.Header.Get(agent.RequestIDHeader), change)
-	bump(c.report.ByKey, r.Header.Get(entry.IdempotencyKeyHeader), change)
+	updateEntry(c.report.ByRequest, r.Header.Get(agent.RequestIDHeader), change)
+	updateEntry(c.report.ByKey, r.Header.Get(entry.IdempotencyKeyHeader), change)
 }
 
-func bump(m map[string]Executions, name string, change func(*Executions)) {
+func updateEntry(m map[string]Executions, name string, change func(*Executions)) {
 	if name == "" {
 		return
 	}
@@ -132,11 +132,11 @@
 func finished(e *Executions)  { e.Finished++ }
 func cancelled(e *Executions) { e.Cancelled++ }
 
-func (c *counts) serveExecutions(w http.ResponseWriter, _ *http.Request) {
+func (c *counters) serveExecutions(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, c.Executions())
 }
 
-func (c *counts) serveFail(w http.ResponseWriter, r *http.Request) {
+func (c *counters) serveFail(w http.ResponseWriter, r *http.Request) {
 	var f Failure
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -153,7 +153,7 @@
 
 // Service is the stand-in for a plain service that books start slots.
 type Service struct {
-	counts
+	counters
 	delay time.Duration
 	mux   *http.ServeMux
 	// bookings is guarded by counts.mu.
@@ -171,8 +171,8 @@
 func NewService(delay time.Duration) *Service {
 	s := &Service{delay: delay, mux: http.NewServeMux()}
 	s.init()
-	s.mux.HandleFunc("POST /slots/book", s.book)
-	s.mux.HandleFunc("GET /slots", s.list)
+	s.mux.HandleFunc("POST /slots/book", s.serveBook)
+	s.mux.HandleFunc("GET /slots", s.serveList)
 	s.mux.HandleFunc("GET /executions", s.serveExecutions)
 	s.mux.HandleFunc("POST /admin/fail", s.serveFail)
 	return s
@@ -181,21 +181,21 @@
 // ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-func (s *Service) book(w http.ResponseWriter, r *http.Request) {
+func (s *Service) serveBook(w http.ResponseWriter, r *http.Request) {
 	var b Booking
 	if err := json.NewDecoder(r.Body).Decode(&b); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f := s.take()
+	f := s.nextFailure()
 	if f.Mode == Refuse {
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
-	s.count(r, begun)
+	s.update(r, begun)
 	if f.Mode == Hang {
 		<-r.Context().Done()
-		s.count(r, cancelled)
+		s.update(r, cancelled)
 		return
 	}
 	<-time.After(s.delay)
@@ -203,7 +203,7 @@
 	b.Number = len(s.bookings) + 1
 	s.bookings = append(s.bookings, b)
 	s.mu.Unlock()
-	s.count(r, finished)
+	s.update(r, finished)
 	if f.Mode == Die {
 		panic(http.ErrAbortHandler)
 	}
@@ -211,7 +211,7 @@
 	writeJSON(w, b)
 }
 
-func (s *Service) list(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) serveList(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	out := append([]Booking{}, s.bookings...)
 	s.mu.Unlock()
