--- a/test/faultproxy/faultproxy_test.go
+++ b/test/faultproxy/faultproxy_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// startEchoServer starts a TCP server that returns all bytes it gets, and returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,33 +28,35 @@
 	return l.Addr().String()
 }
 
+// Freeze must keep the connection open and lose no byte: what was sent while frozen arrives
+// after Heal. Cut must close the connection.
 func TestFreezeDelaysBytesAndCutClosesConnections(t *testing.T) {
-	p, err := NewTCP(startEchoServer(t))
+	proxy, err := NewTCP(startEchoServer(t))
 	require.NoError(t, err)
-	t.Cleanup(p.Close)
-	c, err := net.Dial("tcp", p.Address())
+	t.Cleanup(proxy.Close)
+	conn, err := net.Dial("tcp", proxy.Address())
 	require.NoError(t, err)
-	r := bufio.NewReader(c)
+	reader := bufio.NewReader(conn)
 
-	_, err = c.Write([]byte("one\n"))
+	_, err = conn.Write([]byte("one\n"))
 	require.NoError(t, err)
-	line, err := r.ReadString('\n')
+	line, err := reader.ReadString('\n')
 	require.NoError(t, err)
 	require.Equal(t, "one\n", line)
 
-	p.Freeze()
-	_, err = c.Write([]byte("two\n"))
+	proxy.Freeze()
+	_, err = conn.Write([]byte("two\n"))
 	require.NoError(t, err)
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
-	_, err = r.ReadString('\n')
+	require.NoError(t, conn.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
+	_, err = reader.ReadString('\n')
 	require.Error(t, err, "nothing comes through while frozen")
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(20*time.Second)))
-	p.Heal()
-	line, err = r.ReadString('\n')
+	require.NoError(t, conn.SetReadDeadline(time.Now().Add(20*time.Second)))
+	proxy.Heal()
+	line, err = reader.ReadString('\n')
 	require.NoError(t, err)
 	require.Equal(t, "two\n", line)
 
-	p.Cut()
-	_, err = r.ReadString('\n')
+	proxy.Cut()
+	_, err = reader.ReadString('\n')
 	require.Error(t, err)
 }
--- a/test/faultproxy/messages.go
+++ b/test/faultproxy/messages.go
@@ -10,22 +10,24 @@
 	"github.com/coder/websocket"
 )
 
-// Rewrite returns what is delivered in place of one message: nothing drops it,
-// two copies duplicate it, an earlier one kept back crosses it. It is called for
-// each session and direction in order, by one goroutine per direction.
+// Rewrite returns the messages that are delivered in place of one message. An empty result
+// drops the message, two copies duplicate it, and a function that keeps a message and returns
+// it later reorders messages. Within one session and direction the calls are in the order of
+// the messages and never concurrent; different sessions and directions call it concurrently.
 type Rewrite func(d Direction, message []byte) [][]byte
 
-// WebSocket is a proxy of WebSocket sessions before one target address.
+// WebSocket is a proxy that forwards WebSocket sessions to one target address.
 type WebSocket struct {
 	server  *httptest.Server
 	target  string
 	rewrite atomic.Pointer[Rewrite]
 }
 
+// readLimit is the largest message that the proxy forwards, in bytes.
 const readLimit = 32 << 20
 
-// NewWebSocket starts a proxy on a port from the kernel. It passes everything on
-// until SetRewrite.
+// NewWebSocket starts a proxy on a port that the kernel chooses. It forwards every message
+// unchanged until SetRewrite is called.
 func NewWebSocket(target string) *WebSocket {
 	p := &WebSocket{target: target}
 	p.SetRewrite(func(_ Direction, m []byte) [][]byte { return [][]byte{m} })
@@ -33,16 +35,16 @@
 	return p
 }
 
-// Address is where the proxy listens.
+// Address returns the host and port on which the proxy listens.
 func (p *WebSocket) Address() string { return strings.TrimPrefix(p.server.URL, "http://") }
 
-// SetRewrite changes what happens to messages from now on.
+// SetRewrite replaces the function that rewrites messages, also for sessions that are open.
 func (p *WebSocket) SetRewrite(r Rewrite) { p.rewrite.Store(&r) }
 
-// Close ends the proxy.
+// Close closes the client connections, but not the listener.
 func (p *WebSocket) Close() { p.server.CloseClientConnections() }
 
-// ServeHTTP carries one session.
+// ServeHTTP relays one session in both directions until either side closes it.
 func (p *WebSocket) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -70,6 +72,7 @@
 	<-done
 }
 
+// relay forwards messages in one direction until a connection fails.
 func (p *WebSocket) relay(ctx context.Context, to, from *websocket.Conn, d Direction, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	for {
--- a/test/faultproxy/tcp.go
+++ b/test/faultproxy/tcp.go
@@ -1,6 +1,6 @@
-// Package faultproxy puts faults between real processes: it cuts, freezes and
-// delays TCP connections in either direction, and it crosses, duplicates and
-// drops the messages of WebSocket sessions. Tests only.
+// Package faultproxy injects network faults between real processes: it cuts, freezes and
+// delays TCP connections in either direction, and it reorders, duplicates and
+// drops the messages of WebSocket sessions. For tests only.
 package faultproxy
 
 import (
@@ -10,30 +10,31 @@
 	"time"
 )
 
-// Direction tells who sent what the proxy carries.
+// Direction is the direction in which data flows through a proxy.
 type Direction int
 
 const (
-	// Forward is from the dialling side to the target.
+	// Forward is from the client, which dialled the proxy, to the target.
 	Forward Direction = iota
-	// Backward is from the target to the dialling side.
+	// Backward is from the target to the client.
 	Backward
 )
 
-// Fault is what happens to one direction.
+// Fault is the fault injected into one direction. The zero Fault forwards all bytes at once.
 type Fault struct {
-	// Frozen holds all bytes until it is lifted.
+	// Frozen delays all bytes until the fault is removed.
 	Frozen bool
-	// Delay holds each piece of bytes that long.
+	// Delay is waited for before each block of bytes that was read is written. Blocks wait one
+	// after the other, so it limits throughput too.
 	Delay time.Duration
 }
 
-// TCP is a proxy before one target address.
+// TCP is a proxy that forwards TCP connections to one target address.
 type TCP struct {
 	listener net.Listener
 	target   string
 
-	// mu guards the fields below; change wakes those who wait for a fault to end.
+	// mu guards the fields below. faultsChanged wakes the goroutines that wait in awaitFault.
 	mu            sync.Mutex
 	faultsChanged *sync.Cond
 	faults        [2]Fault
@@ -42,7 +43,7 @@
 	conns         map[net.Conn]bool
 }
 
-// NewTCP starts a proxy on a port from the kernel.
+// NewTCP starts a proxy on a port that the kernel chooses.
 func NewTCP(target string) (*TCP, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,17 +55,17 @@
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the host and port on which the proxy listens.
 func (p *TCP) Address() string { return p.listener.Addr().String() }
 
-// SetTarget moves the target; live connections stay with the old one.
+// SetTarget changes the target of new connections. Open connections keep the old target.
 func (p *TCP) SetTarget(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = address
 }
 
-// Cut ends all connections and refuses new ones until Heal.
+// Cut closes all connections, and closes new ones at once until Heal.
 func (p *TCP) Cut() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,7 +73,7 @@
 	p.closeConns()
 }
 
-// SetFault puts a fault on one direction.
+// SetFault sets the fault of one direction; the zero Fault removes it.
 func (p *TCP) SetFault(d Direction, f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,13 +81,13 @@
 	p.faultsChanged.Broadcast()
 }
 
-// Freeze holds both directions, without ending a connection.
+// Freeze stops the flow of bytes in both directions without closing a connection.
 func (p *TCP) Freeze() {
 	p.SetFault(Forward, Fault{Frozen: true})
 	p.SetFault(Backward, Fault{Frozen: true})
 }
 
-// Heal lifts all faults. What was frozen goes on, late.
+// Heal removes all faults. Bytes that were frozen are delivered late, none is lost.
 func (p *TCP) Heal() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +96,7 @@
 	p.faultsChanged.Broadcast()
 }
 
-// Close ends the proxy.
+// Close closes the listener and all connections.
 func (p *TCP) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,7 +106,7 @@
 	p.faultsChanged.Broadcast()
 }
 
-// closeConns ends all connections. The caller holds mu.
+// closeConns closes all connections. The caller holds mu.
 func (p *TCP) closeConns() {
 	for c := range p.conns {
 		_ = c.Close()
@@ -122,6 +123,7 @@
 	}
 }
 
+// serve forwards one client connection to the target until either side closes.
 func (p *TCP) serve(in net.Conn) {
 	defer in.Close()
 	target, ok := p.track(in)
@@ -144,6 +146,8 @@
 	<-done
 }
 
+// track registers a connection for closeConns and returns the target. It reports false if the
+// proxy refuses connections.
 func (p *TCP) track(c net.Conn) (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,6 +164,7 @@
 	delete(p.conns, c)
 }
 
+// copyBytes forwards bytes in one direction, subject to its fault.
 func (p *TCP) copyBytes(to io.Writer, from io.Reader, d Direction, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, 64<<10)
@@ -177,7 +182,7 @@
 	}
 }
 
-// awaitFault waits as long as the fault of the direction says.
+// awaitFault waits for the delay of a direction, and then until the direction is not frozen.
 func (p *TCP) awaitFault(d Direction) {
 	p.mu.Lock()
 	delay := p.faults[d].Delay
--- a/test/soak/callers.go
+++ b/test/soak/callers.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// streamTokens is how long the streams of callers are.
+	// streamTokens is the number of tokens of each streamed completion.
 	streamTokens = 30
-	// requestTimeout is for how long a caller waits for an answer.
+	// requestTimeout is how long a caller waits for a response.
 	requestTimeout = 15 * time.Second
-	// aftermathTime is for how long after an unplanned fault requests may be lost by it: leases
-	// and calls that were on their way have ended by then.
-	aftermathTime = 5 * time.Second
-	// maxBookingAttempts is how often a caller asks again for the outcome of a booking.
+	// faultEffectTime is how long after its end an unplanned fault may still interrupt requests.
+	// After that time the leases and calls from before the end of the fault are over.
+	faultEffectTime = 5 * time.Second
+	// maxBookingAttempts is how often a caller sends a booking until it knows the outcome.
 	maxBookingAttempts = 20
-	// retryPause is the pause after a request that was not served.
+	// retryPause is the pause after a request that failed.
 	retryPause = 50 * time.Millisecond
 )
 
-// callerPool ask until they are stopped. Each keeps its connection to one entry host open for as
-// long as that host answers, also while it shuts down.
+// callerPool runs callers, which send requests until they are stopped. Each caller keeps its
+// connection to one entry host open as long as its requests succeed, also while that host shuts
+// down.
 type callerPool struct {
 	s    *local.System
 	r    *record
@@ -36,8 +37,9 @@
 	wg   sync.WaitGroup
 
 	mu sync.Mutex
-	// notRun are the ids and keys that were told not to have run; lost are the requests that
-	// were cut in a calm time; booked are the keys with an answer.
+	// notRun holds the request IDs and keys that failed with the verdict not-run. confirmed
+	// holds the keys of confirmed bookings. interrupted holds requests that were interrupted
+	// while no unplanned fault could be the cause, each with a description for the report.
 	notRun, confirmed map[string]bool
 	interrupted       map[string]string
 }
@@ -46,41 +48,44 @@
 	return &callerPool{s: s, r: r, stop: make(chan struct{}), notRun: map[string]bool{}, confirmed: map[string]bool{}, interrupted: map[string]string{}}
 }
 
-// startCallers starts size times the callers of each kind.
+// startCallers starts the callers of a system of this size: size times as many of each kind as at
+// size 1.
 func startCallers(ctx context.Context, size int, s *local.System, r *record) *callerPool {
 	c := newCallerPool(s, r)
 	for n := range size * (streamCallers + bookingCallers + racingCallers) {
-		ask := c.stream
+		request := c.stream
 		switch {
 		case n >= size*(streamCallers+bookingCallers):
-			ask = c.bookTwice
+			request = c.bookTwice
 		case n >= size*streamCallers:
-			ask = c.book
+			request = c.book
 		}
-		c.wg.Go(func() { c.run(ctx, n, ask) })
+		c.wg.Go(func() { c.run(ctx, n, request) })
 	}
 	return c
 }
 
-// stopAndWait stops the callers and waits for their last answers.
+// stopAndWait stops the callers and waits for the responses to their last requests.
 func (c *callerPool) stopAndWait() {
 	close(c.stop)
 	c.wg.Wait()
 }
 
-// caller is one of them, at an entry host.
+// caller sends requests to one entry host at a time, that with index entryIndex modulo the number
+// of entry hosts.
 type caller struct {
 	name       string
 	client     *http.Client
 	entryIndex int
-	// isRacing tells that another caller asks for the same: what was not run by this one may
-	// have been by that one.
+	// isRacing tells that another caller sends the same booking. If the booking did not run for
+	// this caller, it may still have run for the other one.
 	isRacing bool
 }
 
-// run asks one request after the other. A caller whose host does not answer goes to the next.
-func (c *callerPool) run(ctx context.Context, n int, ask func(context.Context, *caller, string) bool) {
-	me := &caller{name: fmt.Sprintf("caller-%d", n), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}, entryIndex: n}
+// run sends one request after the other. After a failed request the caller goes on with the next
+// entry host.
+func (c *callerPool) run(ctx context.Context, number int, request func(context.Context, *caller, string) bool) {
+	cl := &caller{name: fmt.Sprintf("caller-%d", number), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}, entryIndex: number}
 	for i := 0; ; i++ {
 		select {
 		case <-c.stop:
@@ -89,73 +94,73 @@
 			return
 		default:
 		}
-		if !ask(ctx, me, fmt.Sprintf("%s-request-%d", me.name, i)) {
-			me.entryIndex++
+		if !request(ctx, cl, fmt.Sprintf("%s-request-%d", cl.name, i)) {
+			cl.entryIndex++
 			<-time.After(retryPause)
 		}
 	}
 }
 
 // send sends a request to the caller's entry host.
-func (c *callerPool) send(ctx context.Context, me *caller, q local.Request) local.Answer {
+func (c *callerPool) send(ctx context.Context, cl *caller, q local.Request) local.Answer {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	e := c.s.Entries[me.entryIndex%len(c.s.Entries)]
-	return local.DoBy(ctx, me.client, e.Listen, q)
+	entry := c.s.Entries[cl.entryIndex%len(c.s.Entries)]
+	return local.DoBy(ctx, cl.client, entry.Listen, q)
 }
 
-// stream asks for a streamed completion. It returns whether it was answered whole.
-func (c *callerPool) stream(ctx context.Context, me *caller, id string) bool {
+// stream requests a streamed completion. It returns whether the response was complete.
+func (c *callerPool) stream(ctx context.Context, cl *caller, id string) bool {
 	q := local.Completion(id, streamTokens, true)
 	q.ID = id
 	sent := time.Now()
-	a := c.send(ctx, me, q)
+	answer := c.send(ctx, cl, q)
 	switch {
-	case a.Err != nil:
+	case answer.Err != nil:
 		c.r.count("connections broken")
-		c.noteInterrupted(id, sent, a)
-	case a.Status == http.StatusOK && a.Body == strings.Join(standin.Stream(id, streamTokens), ""):
+		c.noteInterrupted(id, sent, answer)
+	case answer.Status == http.StatusOK && answer.Body == strings.Join(standin.Stream(id, streamTokens), ""):
 		c.r.count("streams whole")
 		return true
-	case a.Status == http.StatusOK:
-		c.r.addViolation(CompleteResponse, "stream %s: status 200 with %d bytes that are not its answer: %.200q", id, len(a.Body), a.Body)
+	case answer.Status == http.StatusOK:
+		c.r.addViolation(CompleteResponse, "stream %s: status 200 with %d bytes that are not its answer: %.200q", id, len(answer.Body), answer.Body)
 	default:
-		c.noteFailure("streams", id, sent, a)
+		c.noteFailure("streams", id, sent, answer)
 	}
 	return false
 }
 
-// bookTwice makes one booking through two entry hosts at once.
-func (c *callerPool) bookTwice(ctx context.Context, me *caller, key string) bool {
-	one := &caller{client: me.client, entryIndex: me.entryIndex, isRacing: true}
-	other := &caller{client: me.client, entryIndex: me.entryIndex + 1, isRacing: true}
+// bookTwice sends the same booking to two entry hosts at once.
+func (c *callerPool) bookTwice(ctx context.Context, cl *caller, key string) bool {
+	first := &caller{client: cl.client, entryIndex: cl.entryIndex, isRacing: true}
+	second := &caller{client: cl.client, entryIndex: cl.entryIndex + 1, isRacing: true}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { c.book(ctx, other, key) })
-	return c.book(ctx, one, key)
+	wg.Go(func() { c.book(ctx, second, key) })
+	return c.book(ctx, first, key)
 }
 
-// book makes a booking, and asks for its outcome until that is known.
-func (c *callerPool) book(ctx context.Context, me *caller, key string) bool {
+// book sends a booking, and repeats the request with the same key until the outcome is known.
+func (c *callerPool) book(ctx context.Context, cl *caller, key string) bool {
 	q := local.Booking(key, "rider of "+key)
-	began := time.Now()
-	for try := range maxBookingAttempts {
-		a := c.send(ctx, me, q)
+	start := time.Now()
+	for attempt := range maxBookingAttempts {
+		answer := c.send(ctx, cl, q)
 		switch {
-		case a.Err != nil:
+		case answer.Err != nil:
 			c.r.count("connections broken")
-		case a.Status == http.StatusCreated && strings.Contains(a.Body, `"rider of `+key+`"`):
+		case answer.Status == http.StatusCreated && strings.Contains(answer.Body, `"rider of `+key+`"`):
 			c.r.count("bookings made")
 			c.addID(c.confirmed, key)
 			return true
-		case a.Status == http.StatusCreated:
-			c.r.addViolation(CompleteResponse, "booking %s: the answer to another one: %.200q", key, a.Body)
-		case a.Verdict == verdict.NotRun && try == 0 && !me.isRacing:
-			c.noteFailure("bookings", key, began, a)
+		case answer.Status == http.StatusCreated:
+			c.r.addViolation(CompleteResponse, "booking %s: the answer to another one: %.200q", key, answer.Body)
+		case answer.Verdict == verdict.NotRun && attempt == 0 && !cl.isRacing:
+			c.noteFailure("bookings", key, start, answer)
 			return false
-		case strings.Contains(a.Body, `"conflict"`):
+		case strings.Contains(answer.Body, `"conflict"`):
 			c.r.count("bookings unknown for good")
-			c.noteInterrupted(key, began, a)
+			c.noteInterrupted(key, start, answer)
 			return false
 		}
 		select {
@@ -163,37 +168,37 @@
 			return false
 		case <-time.After(retryPause):
 		}
-		me.entryIndex++
+		cl.entryIndex++
 	}
 	c.r.count("bookings given up")
 	return false
 }
 
-// noteFailure notes a failure that the system told of. What may have run is as good as cut.
-func (c *callerPool) noteFailure(what, id string, sent time.Time, a local.Answer) {
-	c.checkNotQuarantined(id, a)
-	if a.Verdict != verdict.NotRun {
+// noteFailure records an error response. A request that may have run counts as interrupted.
+func (c *callerPool) noteFailure(what, id string, sent time.Time, answer local.Answer) {
+	c.checkNotQuarantined(id, answer)
+	if answer.Verdict != verdict.NotRun {
 		c.r.count(what + " failed")
-		c.noteInterrupted(id, sent, a)
+		c.noteInterrupted(id, sent, answer)
 		return
 	}
 	c.r.count(what + " refused")
 	c.addID(c.notRun, id)
 }
 
-// noteInterrupted notes a request whose answer broke off, never came or never will, if that was in a calm
-// time.
-func (c *callerPool) noteInterrupted(id string, sent time.Time, a local.Answer) {
-	if !c.r.isCalm(sent, time.Now(), aftermathTime) {
+// noteInterrupted records a request whose response broke off, did not arrive, or can never be
+// known, unless an unplanned fault may be the cause.
+func (c *callerPool) noteInterrupted(id string, sent time.Time, answer local.Answer) {
+	if !c.r.isUndisturbed(sent, time.Now(), faultEffectTime) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.interrupted[id] = fmt.Sprintf("after %s, status %d, %.200s: %v", time.Since(sent).Round(time.Millisecond), a.Status, a.Body, a.Err)
+	c.interrupted[id] = fmt.Sprintf("after %s, status %d, %.200s: %v", time.Since(sent).Round(time.Millisecond), answer.Status, answer.Body, answer.Err)
 }
 
-func (c *callerPool) addID(in map[string]bool, id string) {
+func (c *callerPool) addID(ids map[string]bool, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	in[id] = true
+	ids[id] = true
 }
--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -12,26 +12,27 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// totalExecutions adds up what the stand-ins have carried out.
+// totalExecutions returns the sum of the executions and crashes that all stand-ins counted.
 func totalExecutions(ctx context.Context, s *local.System) (standin.Report, error) {
-	all := standin.Report{ByRequest: map[string]standin.Executions{}, ByKey: map[string]standin.Executions{}, Crashes: map[string]int{}}
+	total := standin.Report{ByRequest: map[string]standin.Executions{}, ByKey: map[string]standin.Executions{}, Crashes: map[string]int{}}
 	for _, a := range s.Agents {
 		if a.Upstream.Name == groupStandIn {
 			continue
 		}
-		r, err := local.Executions(ctx, a.Upstream)
+		report, err := local.Executions(ctx, a.Upstream)
 		if err != nil {
-			return all, errors.Wrap(err, a.Upstream.Name)
+			return total, errors.Wrap(err, a.Upstream.Name)
 		}
-		addExecutions(all.ByRequest, r.ByRequest)
-		addExecutions(all.ByKey, r.ByKey)
-		for prompt, n := range r.Crashes {
-			all.Crashes[prompt] += n
+		addExecutions(total.ByRequest, report.ByRequest)
+		addExecutions(total.ByKey, report.ByKey)
+		for prompt, n := range report.Crashes {
+			total.Crashes[prompt] += n
 		}
 	}
-	return all, nil
+	return total, nil
 }
 
+// addExecutions adds the numbers of begun and finished executions in from to those in to.
 func addExecutions(to, from map[string]standin.Executions) {
 	for id, e := range from {
 		sum := to[id]
@@ -41,32 +42,34 @@
 	}
 }
 
-// checkExecutions compares what callers were told with what was carried out.
-func (c *callerPool) checkExecutions(done standin.Report) {
-	for key, e := range done.ByKey {
+// checkExecutions compares the responses that callers got with what the upstreams executed.
+func (c *callerPool) checkExecutions(executions standin.Report) {
+	for key, e := range executions.ByKey {
 		if e.Begun > 1 {
 			c.r.addViolation(AtMostOnce, "booking %s ran %d times", key, e.Begun)
 		}
 	}
 	for key := range c.confirmed {
-		if done.ByKey[key].Finished != 1 {
-			c.r.addViolation(CompleteResponse, "booking %s was confirmed and made %d times", key, done.ByKey[key].Finished)
+		if executions.ByKey[key].Finished != 1 {
+			c.r.addViolation(CompleteResponse, "booking %s was confirmed and made %d times", key, executions.ByKey[key].Finished)
 		}
 	}
 	for id := range c.notRun {
-		if done.ByRequest[id].Begun > 0 || done.ByKey[id].Begun > 0 {
+		if executions.ByRequest[id].Begun > 0 || executions.ByKey[id].Begun > 0 {
 			c.r.addViolation(NotRun, "%s was told not to have run, and ran", id)
 		}
 	}
-	for id, how := range c.interrupted {
-		// One that crossed the close of its connection was not taken.
-		if done.ByRequest[id].Begun > 0 || done.ByKey[id].Begun > 0 {
-			c.r.addViolation(Shutdown, "%s was cut without an unplanned fault, %s", id, how)
+	for id, description := range c.interrupted {
+		// The request does not count if no upstream began to execute it: it was sent while the
+		// process closed the connection, and was never accepted.
+		if executions.ByRequest[id].Begun > 0 || executions.ByKey[id].Begun > 0 {
+			c.r.addViolation(Shutdown, "%s was cut without an unplanned fault, %s", id, description)
 		}
 	}
 }
 
-// checkGroupMaps looks at the steps of the stand-in group.
+// checkGroupMaps checks that the stand-in group used one expert map in each step, and adds its
+// steps and maps to the counts.
 func checkGroupMaps(ctx context.Context, s *local.System, r *record) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Agents[0].Upstream.Listen+"/group", nil)
 	if err != nil {
@@ -77,30 +80,31 @@
 		return err
 	}
 	defer resp.Body.Close()
-	var g standin.GroupReport
-	if err := json.NewDecoder(resp.Body).Decode(&g); err != nil {
+	var report standin.GroupReport
+	if err := json.NewDecoder(resp.Body).Decode(&report); err != nil {
 		return err
 	}
-	if g.MixedSteps > 0 {
-		r.addViolation(OneMap, "%d of %d steps with two maps", g.MixedSteps, g.Steps)
+	if report.MixedSteps > 0 {
+		r.addViolation(OneMap, "%d of %d steps with two maps", report.MixedSteps, report.Steps)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counts["steps"], r.counts["maps"] = int(g.Steps), g.Maps
+	r.counts["steps"], r.counts["maps"] = int(report.Steps), report.Maps
 	return nil
 }
 
-// checkRecovery waits until everything is served again.
+// checkRecovery checks that, within recoveryTimeout, all entry hosts and engines serve again and
+// the newest configuration is in force everywhere.
 func checkRecovery(ctx context.Context, s *local.System, r *record) {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	if err := s.AwaitServing(ctx); err != nil {
-		r.addViolation(Recovery, "%s after the last fault: %v", time.Since(began).Round(time.Millisecond), err)
+		r.addViolation(Recovery, "%s after the last fault: %v", time.Since(start).Round(time.Millisecond), err)
 		return
 	}
 	if err := s.AwaitInForce(ctx); err != nil {
 		r.addViolation(Configuration, "the newest configuration is not in force everywhere %s after the last fault: %v",
-			time.Since(began).Round(time.Millisecond), err)
+			time.Since(start).Round(time.Millisecond), err)
 	}
 }
--- a/test/soak/operator.go
+++ b/test/soak/operator.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// changeInterval is the pause between two changes of the configuration.
+	// changeInterval is the pause between two changes of the configuration by the operator.
 	changeInterval = 300 * time.Millisecond
-	// revisionPollInterval is the pause between two looks at a host.
+	// revisionPollInterval is the pause between two reads of the revision of a host.
 	revisionPollInterval = 20 * time.Millisecond
-	// toolTimeout bounds one call of the operators' tool.
+	// toolTimeout is the timeout of one call of the operators' tool.
 	toolTimeout = 10 * time.Second
 )
 
@@ -28,7 +28,7 @@
 type operator struct {
 	s *local.System
 	r *record
-	// size is that of the system.
+	// size is the size of the system.
 	size int
 	// base is the newest revision that is known to be accepted.
 	base         uint64
@@ -43,15 +43,16 @@
 	}
 }
 
-// document returns the nth one, for a system of this size. Its streams can't go on at another
-// upstream, so that one that is cut stays cut.
+// document returns version n of the service document for a system of this size. Its streams are
+// not resumable, so the system can't hide from the caller that a stream was interrupted.
 func document(n, size int) string {
 	ranks := fmt.Sprintf("ranks = %d\n", groupHostCount*ranksPerHost*size)
 	return strings.NewReplacer("resumable = true", "resumable = false", "ranks = 8\n", ranks).
 		Replace(local.Document(fmt.Sprintf("v%d", n)))
 }
 
-// submitChange submits the next document, again under its own id until the outcome is known.
+// submitChange submits the next document. It repeats the submission with the same change ID until
+// the outcome is known.
 func (o *operator) submitChange(ctx context.Context) {
 	o.changeNumber++
 	id := fmt.Sprintf("soak-change-%05d", o.changeNumber)
@@ -65,7 +66,8 @@
 			o.noteAccepted(out)
 			return
 		case code == cli.ExitConflict:
-			// An attempt of this operator's own, whose outcome it never learnt, came first.
+			// Nobody else submits documents, so the conflict is with an earlier submission of this
+			// operator whose outcome it did not learn.
 			o.base = max(o.base, o.s.Revision(ctx))
 			o.r.count("changes in conflict")
 			return
@@ -79,6 +81,8 @@
 	}
 }
 
+// noteAccepted reads the output of a successful submission, and checks that the revision is newer
+// than all before.
 func (o *operator) noteAccepted(out string) {
 	var a struct {
 		Revision uint64 `json:"revision"`
@@ -99,18 +103,19 @@
 	return cli.ExitCode(exit.ExitCode())
 }
 
-// watchRevisions notes each host that goes back to an older revision within one life of its process.
+// watchRevisions polls the revision in force on each entry host, and records a violation if it
+// decreases while the process runs. After a restart of the process it may be lower.
 func watchRevisions(ctx context.Context, s *local.System, r *record, wg *sync.WaitGroup) {
 	for _, h := range s.Entries {
 		wg.Go(func() {
-			newest, life := uint64(0), h.Done()
+			newest, watchedRun := uint64(0), h.Done()
 			for ctx.Err() == nil {
-				before := h.Done()
+				currentRun := h.Done()
 				revision, ok := local.InForce(ctx, h)
-				if before != life {
-					newest, life = 0, before
+				if currentRun != watchedRun {
+					newest, watchedRun = 0, currentRun
 				}
-				if ok && before == h.Done() {
+				if ok && currentRun == h.Done() {
 					if revision < newest {
 						r.addViolation(Configuration, "%s went from revision %d back to %d", h.Name, newest, revision)
 					}
@@ -122,7 +127,7 @@
 	}
 }
 
-// sleep waits, or until ctx ends.
+// sleep waits for d, or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -1,6 +1,7 @@
 // Package soak runs a whole system of real processes under a seeded series of faults, and
-// checks its promises by what callers, operators and stand-ins see. Faults come from outside
-// the processes: signals, and proxies on their links. Tests only; the product does not use it.
+// checks the promises of the system with what callers, operators and stand-ins observe. Faults
+// are injected from outside the processes, by signals and by proxies on their links. For tests
+// only; the product does not use it.
 package soak
 
 import (
@@ -11,87 +12,89 @@
 	"time"
 )
 
-// Kind is what a fault does to a host.
+// Kind is the kind of a fault.
 type Kind string
 
-// The kinds. All but Terminate are unplanned: they may cost requests that are on their way.
+// The kinds of faults. All but Terminate are unplanned: they may interrupt requests in progress.
 const (
-	// Kill ends the process at once; it starts again when the fault is over.
+	// Kill ends the process with SIGKILL, and starts it again when the fault is over.
 	Kill Kind = "kill"
-	// Terminate lets the process shut down; it starts again once it has ended.
+	// Terminate sends SIGTERM, and starts the process again once it has shut down.
 	Terminate Kind = "terminate"
-	// Pause stops the process without ending it.
+	// Pause suspends the process with SIGSTOP until the fault is over.
 	Pause Kind = "pause"
-	// Cut ends all connections of the host and refuses new ones.
+	// Cut closes all connections of the host, and refuses new ones until the fault is over.
 	Cut Kind = "cut"
-	// Silence holds all bytes to and from the host, without ending a connection.
+	// Silence delays all bytes to and from the host until the fault is over, without closing a
+	// connection.
 	Silence Kind = "silence"
-	// Delay holds each piece that the host sends, and none that it gets.
+	// Delay delays what the host sends by sendDelay, and nothing that it receives.
 	Delay Kind = "delay"
-	// Reset ends all connections of the host once, and each upstream breaks off its next
-	// answers.
+	// Reset closes all connections of the host once, and makes each upstream abort its next
+	// responses.
 	Reset Kind = "reset"
-	// Poison asks for a completion that ends the engine which runs it, again and again, at one
-	// entry host after the other.
+	// Poison sends a completion request that crashes the engine which executes it, again and
+	// again, to one entry host after the other.
 	Poison Kind = "poison"
 )
 
-// Kinds are all of them.
+// Kinds lists all kinds.
 var Kinds = []Kind{Kill, Terminate, Pause, Cut, Silence, Delay, Reset, Poison}
 
-// IsPlanned reports whether a fault must cost no request.
+// IsPlanned reports whether a fault of this kind must not interrupt any request.
 func (k Kind) IsPlanned() bool { return k == Terminate }
 
-// Fault is one fault of a run.
+// Fault is one fault of a run, injected into one host.
 type Fault struct {
 	Kind Kind
 	Host string
-	// At is when it begins, from the start of the faults, For how long it lasts.
+	// At is the time of the fault since the start of the fault injection, For its duration.
 	At, For time.Duration
 }
 
-// String is one line of a timeline.
+// String returns the text of the fault in a timeline.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s of %s for %s", f.Kind, f.Host, f.For.Round(time.Millisecond))
 }
 
 const (
-	// minFaultTime and longest bound how long a fault lasts: from less than any timeout of the
-	// product to more than a lease and an election.
+	// minFaultTime and maxFaultTime bound the duration of a fault. The minimum is shorter than
+	// any timeout of the product, the maximum longer than a lease and an election together.
 	minFaultTime, maxFaultTime = 100 * time.Millisecond, 4 * time.Second
-	// meanFaultInterval is the mean pause between the beginnings of two faults, so that two or three
-	// overlap at most times.
+	// meanFaultInterval is the mean time between the starts of two faults. It makes two or three
+	// faults overlap most of the time.
 	meanFaultInterval = 800 * time.Millisecond
-	// minFaultGap is for how long a host is left alone after a fault.
+	// minFaultGap is the minimum time between two faults of one host.
 	minFaultGap = time.Second
 )
 
-// Plan draws a series of faults of these kinds on hosts. A host has one fault at a time; of the control
-// hosts a majority has none, since nothing is promised to go on without.
+// Plan draws a random series of faults of these kinds. The same arguments give the same series. A
+// host has at most one fault at a time. A majority of the control hosts has none at any time,
+// because the system does not promise to work without a majority.
 func Plan(seed uint64, kinds []Kind, control, others []string, length time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, seed))
-	free := map[string]time.Duration{}
-	var busyControl []time.Duration
+	freeAt := map[string]time.Duration{}
+	var controlFaultEnds []time.Duration
 	var out []Fault
-	for at := time.Duration(0); at < length; at += time.Duration(rng.Float64() * 2 * float64(meanFaultInterval)) {
+	for start := time.Duration(0); start < length; start += time.Duration(rng.Float64() * 2 * float64(meanFaultInterval)) {
 		isControl := rng.IntN(4) == 0
 		hosts := others
 		if isControl {
 			hosts = control
 		}
 		f := Fault{
-			Kind: kinds[rng.IntN(len(kinds))], Host: hosts[rng.IntN(len(hosts))], At: at,
+			Kind: kinds[rng.IntN(len(kinds))], Host: hosts[rng.IntN(len(hosts))], At: start,
 			For: minFaultTime + time.Duration(rng.Float64()*float64(maxFaultTime-minFaultTime)),
 		}
 		end := f.At + f.For + minFaultGap
-		busyControl = slices.DeleteFunc(busyControl, func(until time.Duration) bool { return until <= at })
-		if free[f.Host] > at || isControl && len(busyControl) >= (len(control)-1)/2 {
+		controlFaultEnds = slices.DeleteFunc(controlFaultEnds, func(until time.Duration) bool { return until <= start })
+		if freeAt[f.Host] > start || isControl && len(controlFaultEnds) >= (len(control)-1)/2 {
 			continue
 		}
 		if isControl {
-			busyControl = append(busyControl, end)
+			controlFaultEnds = append(controlFaultEnds, end)
 		}
-		free[f.Host] = end
+		freeAt[f.Host] = end
 		out = append(out, f)
 	}
 	slices.SortStableFunc(out, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
--- a/test/soak/poison.go
+++ b/test/soak/poison.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// poisonPrompts is how many different requests end upstreams in a run.
+	// poisonPrompts is the number of different prompts in a run that crash upstreams.
 	poisonPrompts = 2
-	// maxCrashesPerPrompt is how many upstreams one such request may end, as long as all hosts hear of each
-	// other.
+	// maxCrashesPerPrompt is how many upstreams one such prompt may crash before it is
+	// quarantined everywhere. It holds as long as all hosts can reach each other.
 	maxCrashesPerPrompt = 3
-	// poisonPause is the pause between two askings: longer than what hosts take to tell each
-	// other, and shorter than an upstream is away.
+	// poisonPause is the pause between two such requests. It is longer than the entry hosts
+	// take to tell each other of a crash, and shorter than the downtime of a crashed upstream.
 	poisonPause = 300 * time.Millisecond
 )
 
-// sendPoison asks for one of the prompts that end whoever runs them until the fault is over, at
-// one entry host after the other.
+// sendPoison sends one of the prompts that crash upstreams again and again until the fault is
+// over, to one entry host after the other.
 func sendPoison(ctx context.Context, s *local.System, r *record, f Fault) {
 	ctx, cancel := context.WithTimeout(ctx, f.For)
 	defer cancel()
 	prompt := fmt.Sprintf("%s %d", standin.Poison, int(f.At/time.Millisecond)%poisonPrompts)
 	for n := int(f.At); ctx.Err() == nil; n++ {
-		a := local.Do(ctx, s.Entries[n%len(s.Entries)].Listen, local.Completion(prompt, streamTokens, true))
+		answer := local.Do(ctx, s.Entries[n%len(s.Entries)].Listen, local.Completion(prompt, streamTokens, true))
 		switch {
-		case strings.Contains(a.Body, string(verdict.CodeQuarantined)):
+		case strings.Contains(answer.Body, string(verdict.CodeQuarantined)):
 			r.count("poison held")
 		case ctx.Err() == nil:
 			r.count("poison asked")
@@ -40,9 +40,9 @@
 	}
 }
 
-// checkCrashes compares how many upstreams each such request has ended with what is promised.
-func (c *callerPool) checkCrashes(done standin.Report) {
-	for prompt, n := range done.Crashes {
+// checkCrashes checks that no prompt has crashed more than maxCrashesPerPrompt upstreams.
+func (c *callerPool) checkCrashes(executions standin.Report) {
+	for prompt, n := range executions.Crashes {
 		c.r.mu.Lock()
 		c.r.counts["upstreams ended"] += n
 		c.r.mu.Unlock()
@@ -52,9 +52,10 @@
 	}
 }
 
-// checkNotQuarantined notes an answer to an innocent request that was taken for one that ends upstreams.
-func (c *callerPool) checkNotQuarantined(id string, a local.Answer) {
-	if strings.Contains(a.Body, `"`+string(verdict.CodeQuarantined)+`"`) {
+// checkNotQuarantined records a violation if a request that crashes no upstream was refused as
+// quarantined.
+func (c *callerPool) checkNotQuarantined(id string, answer local.Answer) {
+	if strings.Contains(answer.Body, `"`+string(verdict.CodeQuarantined)+`"`) {
 		c.r.addViolation(Contained, "%s is held, and has ended nobody", id)
 	}
 }
--- a/test/soak/record.go
+++ b/test/soak/record.go
@@ -7,51 +7,52 @@
 	"time"
 )
 
-// Promise is what is checked.
+// Promise is a guarantee of the system that a run checks.
 type Promise string
 
-// The promises.
+// The promises, each with what it guarantees.
 const (
-	// Whole: an answer that says that all went well is the whole answer to its own request.
+	// CompleteResponse: a response with a success status is complete, and is the response to the
+	// caller's own request.
 	CompleteResponse Promise = "whole"
-	// Once: a request that may not be repeated runs at most once.
+	// AtMostOnce: a request that must not be repeated is executed at most once.
 	AtMostOnce Promise = "once"
-	// NotRun: what was told not to have run did not run, and never does.
+	// NotRun: a request with the verdict not-run was not executed, and is not executed later.
 	NotRun Promise = "not-run"
-	// Shutdown: a process that is asked to end does so in time and in order, and cuts no
-	// request.
+	// Shutdown: a process that gets SIGTERM exits in time and without an error, and interrupts
+	// no request.
 	Shutdown Promise = "shutdown"
-	// Configuration: no host goes back to an older configuration, and the newest accepted one is in
-	// force everywhere at the end.
+	// Configuration: no host returns to an older configuration, and at the end of the run the
+	// newest accepted configuration is in force on every host.
 	Configuration Promise = "configuration"
-	// OneMap: all ranks of a group use one expert map in every step.
+	// OneMap: all ranks of a group use the same expert map in each step.
 	OneMap Promise = "one-map"
-	// Recovery: all is served again soon after the last fault.
+	// Recovery: soon after the last fault the system serves all requests again.
 	Recovery Promise = "recovery"
-	// Contained: a request that ends the upstreams that run it ends few of them, and no other
-	// request is taken for one.
+	// Contained: a request that crashes each upstream that executes it crashes only few of
+	// them, and no other request is quarantined.
 	Contained Promise = "contained"
 )
 
-// Promises are all of them.
+// Promises lists all promises.
 var Promises = []Promise{CompleteResponse, AtMostOnce, NotRun, Shutdown, Configuration, OneMap, Recovery, Contained}
 
-// Violation is a promise that was seen broken.
+// Violation is one case of a broken promise.
 type Violation struct {
 	Promise Promise
 	At      time.Time
 	Text    string
 }
 
-// Event is a line of the timeline. Until is zero while it goes on.
+// Event is one fault in the timeline of a run. Until is zero while the fault goes on.
 type Event struct {
 	At, Until time.Time
 	Text      string
-	// IsUnplanned tells that requests may be lost by it.
+	// IsUnplanned tells that the fault may interrupt requests.
 	IsUnplanned bool
 }
 
-// record collects what happens in a run. It is safe for concurrent use.
+// record collects the violations, events and counts of a run. It is safe for concurrent use.
 type record struct {
 	mu         sync.Mutex
 	violations []Violation
@@ -61,21 +62,21 @@
 
 func newRecord() *record { return &record{counts: map[string]int{}} }
 
-// addViolation notes a broken promise.
+// addViolation records that a promise was broken.
 func (r *record) addViolation(p Promise, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.violations = append(r.violations, Violation{Promise: p, At: time.Now(), Text: fmt.Sprintf(format, args...)})
 }
 
-// count adds one to a named count.
+// count adds one to the count with this name.
 func (r *record) count(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts[name]++
 }
 
-// beginEvent notes an event; the function that it returns ends it.
+// beginEvent records the begin of an event. The returned function records its end.
 func (r *record) beginEvent(text string, isUnplanned bool) (end func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,12 +89,12 @@
 	}
 }
 
-// isCalm reports whether no unplanned event went on from one moment to another, or had ended
-// less than aftermath before.
-func (r *record) isCalm(from, to time.Time, aftermath time.Duration) bool {
+// isUndisturbed reports whether no unplanned event can have affected a request between two times:
+// none went on in between, and none had ended less than effectTime before.
+func (r *record) isUndisturbed(from, to time.Time, effectTime time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !slices.ContainsFunc(r.events, func(e *Event) bool {
-		return e.IsUnplanned && e.At.Before(to) && (e.Until.IsZero() || e.Until.Add(aftermath).After(from))
+	return !slices.ContainsFunc(r.events, func(event *Event) bool {
+		return event.IsUnplanned && event.At.Before(to) && (event.Until.IsZero() || event.Until.Add(effectTime).After(from))
 	})
 }
--- a/test/soak/report.go
+++ b/test/soak/report.go
@@ -9,17 +9,18 @@
 	"time"
 )
 
-// timelineBefore is how much of the timeline is shown before a broken promise.
+// timelineBefore is the time before a broken promise within which faults are printed with it.
 const timelineBefore = 10 * time.Second
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Config Config
-	// Violations are the promises that were seen broken, by time.
+	// Violations are the broken promises, sorted by time.
 	Violations []Violation
 	// Events is the timeline of the faults.
 	Events []Event
-	// Counts are what callers and operators got, by name.
+	// Counts holds the numbers of responses that callers and the operator got, by outcome, and the
+	// numbers of group steps, expert maps and upstream crashes.
 	Counts map[string]int
 }
 
@@ -33,7 +34,7 @@
 	return out
 }
 
-// String is one line.
+// String returns a summary in one line.
 func (r *Report) String() string {
 	var counts []string
 	for _, name := range slices.Sorted(maps.Keys(r.Counts)) {
@@ -46,18 +47,19 @@
 	return fmt.Sprintf("seed %d, size %d, %s, %d faults: %s; %s", r.Config.Seed, r.Config.Size, r.Config.FaultTime, len(r.Events), verdict, strings.Join(counts, ", "))
 }
 
-// Write tells of each broken promise with the faults around it.
+// Write prints the summary, and each broken promise with the faults that went on at that time or
+// had ended less than timelineBefore earlier.
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintln(w, r)
 	if len(r.Events) == 0 {
 		return
 	}
 	start := r.Events[0].At
-	for _, b := range r.Violations {
-		fmt.Fprintf(w, "  %7.2f s  BROKEN %s: %s\n", b.At.Sub(start).Seconds(), b.Promise, b.Text)
-		for _, e := range r.Events {
-			if e.At.Before(b.At) && (e.Until.IsZero() || e.Until.Add(timelineBefore).After(b.At)) {
-				fmt.Fprintf(w, "      %7.2f to %7.2f s  %s\n", e.At.Sub(start).Seconds(), e.Until.Sub(start).Seconds(), e.Text)
+	for _, violation := range r.Violations {
+		fmt.Fprintf(w, "  %7.2f s  BROKEN %s: %s\n", violation.At.Sub(start).Seconds(), violation.Promise, violation.Text)
+		for _, event := range r.Events {
+			if event.At.Before(violation.At) && (event.Until.IsZero() || event.Until.Add(timelineBefore).After(violation.At)) {
+				fmt.Fprintf(w, "      %7.2f to %7.2f s  %s\n", event.At.Sub(start).Seconds(), event.Until.Sub(start).Seconds(), event.Text)
 			}
 		}
 	}
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -14,28 +14,33 @@
 const (
 	// groupStandIn is the name of the stand-in that runs all ranks of the group.
 	groupStandIn = "upstream-group"
-	// recoveryTimeout is within what everything has to be served again after the last fault.
+	// recoveryTimeout is the time after the last fault within which all requests must be served
+	// again.
 	recoveryTimeout = 60 * time.Second
-	// shutdownGrace is the shutdown grace of the daemons, endTime within what they have to be gone.
+	// shutdownGrace is the grace period in the daemons' settings. shutdownTimeout is the time
+	// within which a daemon must exit after SIGTERM.
 	shutdownGrace, shutdownTimeout = 10 * time.Second, 15 * time.Second
-	// sendDelay is by how much Delay holds each piece.
+	// sendDelay is the delay of each block of bytes that a host with the fault Delay sends.
 	sendDelay = 250 * time.Millisecond
-	// brokenResponses is how many answers each upstream breaks off after Reset.
+	// brokenResponses is the number of responses that each upstream aborts after the fault Reset.
 	brokenResponses = 3
-	// streamCallers, bookCallers and racers are the callers by kind, at size 1.
+	// streamCallers, bookingCallers and racingCallers are the numbers of callers of each kind at
+	// size 1.
 	streamCallers, bookingCallers, racingCallers = 8, 6, 3
-	// smallControlCount and manyControl are the control hosts at size 1 and above.
+	// smallControlCount is the number of control hosts at size 1, largeControlCount at all larger
+	// sizes.
 	smallControlCount, largeControlCount = 3, 5
 	// groupHostCount is the number of hosts of the group at size 1, with ranksPerHost ranks each.
 	groupHostCount, ranksPerHost = 4, 2
 )
 
-// MaxSize is the largest size: 176 processes with the stand-ins.
+// MaxSize is the largest size of a system. It has 176 processes, stand-ins included.
 const MaxSize = 10
 
-// Layout is what a run starts: 21 processes with the stand-ins at size 1. Above it there are
-// five control hosts, and of everything else size times as many: from size 4 on changes of
-// maps, and other messages to all of a group, are passed on by some of its hosts.
+// Layout returns the processes of a system. Size 1 has 21 of them, stand-ins included. A larger
+// system has five control hosts, and size times as many processes of every other kind. From
+// size 4 on the group is so large that some of its hosts forward changes of the expert map, and
+// other messages to the whole group, to the others.
 func Layout(size int) local.Layout {
 	control := smallControlCount
 	if size > 1 {
@@ -49,19 +54,21 @@
 	}
 }
 
-// Config is one run.
+// Config configures one run. Runs with the same Seed inject the same faults. FaultTime is how long
+// faults are injected.
 type Config struct {
 	Seed      uint64
 	FaultTime time.Duration
 	// Size is the size of the system, from 1 to MaxSize; 1 if zero.
 	Size int
-	// OnlyKinds are the kinds of faults to play; all if empty.
+	// OnlyKinds are the kinds of faults to inject; all if empty.
 	OnlyKinds []Kind
-	// Dir is where logs and data go, Bin where local.Build put the programs.
+	// Dir is the folder for logs and data, Bin the folder to which local.Build wrote the programs.
 	Dir, Bin string
 }
 
-// Run plays one run. It returns an error where the system could not be run at all.
+// Run starts a system, injects the faults of cfg and checks the promises. Broken promises are in
+// the report; an error means that the run itself was not possible.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	cfg.Size = max(cfg.Size, 1)
 	s, err := local.New(cfg.Dir, cfg.Bin, Layout(cfg.Size))
@@ -82,30 +89,31 @@
 	return newReport(cfg, r), nil
 }
 
-// runWithFaults runs callers and operators beside the faults, and then checks what was done.
+// runWithFaults injects the faults while callers and an operator use the system. Afterwards it
+// checks that the system has recovered, and what the stand-ins executed.
 func runWithFaults(ctx context.Context, cfg Config, s *local.System, r *record) error {
-	beside, stop := context.WithCancel(ctx)
+	background, stop := context.WithCancel(ctx)
 	defer stop()
 	var wg sync.WaitGroup
-	o := &operator{s: s, r: r, size: cfg.Size, base: s.Revision(ctx)}
-	wg.Go(func() { o.run(beside) })
-	watchRevisions(beside, s, r, &wg)
+	op := &operator{s: s, r: r, size: cfg.Size, base: s.Revision(ctx)}
+	wg.Go(func() { op.run(background) })
+	watchRevisions(background, s, r, &wg)
 	c := startCallers(ctx, cfg.Size, s, r)
 	injectFaults(ctx, cfg, s, r)
 	stop()
 	wg.Wait()
 	checkRecovery(ctx, s, r)
 	c.stopAndWait()
-	done, err := totalExecutions(ctx, s)
+	executions, err := totalExecutions(ctx, s)
 	if err != nil {
 		return err
 	}
-	c.checkExecutions(done)
-	c.checkCrashes(done)
+	c.checkExecutions(executions)
+	c.checkCrashes(executions)
 	return checkGroupMaps(ctx, s, r)
 }
 
-// injectFaults plays the faults of the run and waits until all are over.
+// injectFaults injects the faults of the run, and returns when the last one is over.
 func injectFaults(ctx context.Context, cfg Config, s *local.System, r *record) {
 	var control, others []string
 	for _, h := range s.Control {
@@ -114,14 +122,14 @@
 	for _, h := range append(append([]*local.Host{}, s.Entries...), s.Agents...) {
 		others = append(others, h.Name)
 	}
-	began := time.Now()
+	start := time.Now()
 	var wg sync.WaitGroup
 	kinds := cfg.OnlyKinds
 	if len(kinds) == 0 {
 		kinds = Kinds
 	}
 	for _, f := range Plan(cfg.Seed, kinds, control, others, cfg.FaultTime) {
-		sleep(ctx, time.Until(began.Add(f.At)))
+		sleep(ctx, time.Until(start.Add(f.At)))
 		h, err := s.Find(f.Host)
 		if err != nil || ctx.Err() != nil {
 			break
@@ -131,7 +139,7 @@
 	wg.Wait()
 }
 
-// injectFault plays one fault to its end.
+// injectFault injects one fault and returns when it is over.
 func injectFault(ctx context.Context, s *local.System, r *record, h *local.Host, f Fault) {
 	end := r.beginEvent(f.String(), !f.Kind.IsPlanned())
 	defer end()
@@ -166,7 +174,8 @@
 	}
 }
 
-// terminateAndCheck asks a process to end and checks how it does.
+// terminateAndCheck sends SIGTERM to a process, and checks that it exits in time and without an
+// error.
 func terminateAndCheck(r *record, h *local.Host) {
 	h.Terminate()
 	select {
@@ -180,12 +189,14 @@
 	}
 }
 
-// resetConnections ends the connections of a host, and lets all upstreams break off their next answers.
-// It is over when the links are back; what it cost shows within the aftermath.
+// resetConnections closes the connections of a host, and makes all upstreams abort their next
+// responses. The fault is over once new connections are possible. Requests that it interrupts
+// fail within faultEffectTime after that.
 func resetConnections(ctx context.Context, s *local.System, h *local.Host) {
 	for _, up := range s.StandIns {
 		if up.Name != groupStandIn {
-			// A stand-in that can't be told just answers.
+			// A stand-in that can't be reached does not abort responses; that is no failure of the
+			// run.
 			_ = local.Fail(ctx, up, standin.Failure{Mode: standin.Die, After: streamTokens / 2, Times: brokenResponses})
 		}
 	}
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -19,8 +19,9 @@
 	otherNames   = []string{"entry-1", "entry-2", "engine-1", "group-0"}
 )
 
-// A seed plays the same faults each time. A host has one fault at a time, and a majority of
-// the control hosts has none.
+// A run could not be repeated if its seed gave different faults the next time. Two faults of one
+// host at a time would undo each other, and without a majority of the control hosts the system
+// promises nothing.
 func TestPlanRepeatsAndOverlapsNoFaultsOfOneHost(t *testing.T) {
 	for seed := range uint64(50) {
 		plan := Plan(seed, Kinds, controlNames, otherNames, time.Minute)
@@ -37,79 +38,84 @@
 	}
 }
 
+// A run that is limited to shutdowns checks that they interrupt no request. A fault of any other
+// kind in its plan would excuse such requests.
 func TestPlanDrawsOnlyTheGivenKinds(t *testing.T) {
 	for _, f := range Plan(3, []Kind{Terminate}, controlNames, otherNames, time.Minute) {
 		require.Equal(t, Terminate, f.Kind)
 	}
 }
 
-// Each way to break a promise that only shows in what was carried out is seen.
+// Some broken promises only show in what the upstreams executed: a request that ran twice, a
+// confirmed booking that was not made, a refused request that ran, or a request that a shutdown
+// interrupted. Each of them must be recorded.
 func TestExecutionsAreComparedWithResponses(t *testing.T) {
 	ran := func(begun, finished int) standin.Executions {
 		return standin.Executions{Begun: begun, Finished: finished}
 	}
 	for name, c := range map[string]struct {
-		told func(*callerPool)
-		done standin.Report
-		want Promise
+		setUp      func(*callerPool)
+		executions standin.Report
+		want       Promise
 	}{
-		"ran twice":                 {done: standin.Report{ByKey: map[string]standin.Executions{"k": ran(2, 1)}}, want: AtMostOnce},
-		"confirmed, not made":       {told: func(c *callerPool) { c.confirmed["k"] = true }, want: CompleteResponse},
-		"refused, and ran":          {told: func(c *callerPool) { c.notRun["k"] = true }, done: standin.Report{ByKey: map[string]standin.Executions{"k": ran(1, 1)}}, want: NotRun},
-		"refused, and was streamed": {told: func(c *callerPool) { c.notRun["s"] = true }, done: standin.Report{ByRequest: map[string]standin.Executions{"s": ran(1, 0)}}, want: NotRun},
-		"cut while it ran":          {told: func(c *callerPool) { c.interrupted["s"] = "cut" }, done: standin.Report{ByRequest: map[string]standin.Executions{"s": ran(1, 0)}}, want: Shutdown},
-		"crossed the close":         {told: func(c *callerPool) { c.interrupted["s"] = "cut" }},
-		"all is well": {told: func(c *callerPool) { c.confirmed["k"], c.notRun["r"] = true, true },
-			done: standin.Report{ByKey: map[string]standin.Executions{"k": ran(1, 1)}}},
+		"ran twice":                 {executions: standin.Report{ByKey: map[string]standin.Executions{"k": ran(2, 1)}}, want: AtMostOnce},
+		"confirmed, not made":       {setUp: func(c *callerPool) { c.confirmed["k"] = true }, want: CompleteResponse},
+		"refused, and ran":          {setUp: func(c *callerPool) { c.notRun["k"] = true }, executions: standin.Report{ByKey: map[string]standin.Executions{"k": ran(1, 1)}}, want: NotRun},
+		"refused, and was streamed": {setUp: func(c *callerPool) { c.notRun["s"] = true }, executions: standin.Report{ByRequest: map[string]standin.Executions{"s": ran(1, 0)}}, want: NotRun},
+		"cut while it ran":          {setUp: func(c *callerPool) { c.interrupted["s"] = "cut" }, executions: standin.Report{ByRequest: map[string]standin.Executions{"s": ran(1, 0)}}, want: Shutdown},
+		"closed before accepted":    {setUp: func(c *callerPool) { c.interrupted["s"] = "cut" }},
+		"all is well": {setUp: func(c *callerPool) { c.confirmed["k"], c.notRun["r"] = true, true },
+			executions: standin.Report{ByKey: map[string]standin.Executions{"k": ran(1, 1)}}},
 	} {
-		heard := newCallerPool(nil, newRecord())
-		if c.told != nil {
-			c.told(heard)
+		pool := newCallerPool(nil, newRecord())
+		if c.setUp != nil {
+			c.setUp(pool)
 		}
-		heard.checkExecutions(c.done)
+		pool.checkExecutions(c.executions)
 		if c.want == "" {
-			require.Empty(t, heard.r.violations, name)
+			require.Empty(t, pool.r.violations, name)
 			continue
 		}
-		require.Len(t, heard.r.violations, 1, name)
-		require.Equal(t, c.want, heard.r.violations[0].Promise, name)
+		require.Len(t, pool.r.violations, 1, name)
+		require.Equal(t, c.want, pool.r.violations[0].Promise, name)
 	}
 }
 
-// Only what was cut while no unplanned fault went on, or had just ended, counts as a cut.
+// An unplanned fault may interrupt requests, also shortly after its end. If such requests counted,
+// runs would report failures of shutdown that are none. A planned shutdown excuses nothing.
 func TestInterruptedRequestsCountOnlyWithoutUnplannedFaults(t *testing.T) {
-	c := newCallerPool(nil, newRecord())
-	cut := local.Answer{Err: os.ErrDeadlineExceeded, Verdict: verdict.MayHaveRun}
-	end := c.r.beginEvent("terminate", false)
-	c.noteInterrupted("calm", time.Now(), cut)
+	pool := newCallerPool(nil, newRecord())
+	interrupted := local.Answer{Err: os.ErrDeadlineExceeded, Verdict: verdict.MayHaveRun}
+	end := pool.r.beginEvent("terminate", false)
+	pool.noteInterrupted("calm", time.Now(), interrupted)
 	end()
-	end = c.r.beginEvent("kill", true)
-	c.noteInterrupted("during", time.Now(), cut)
+	end = pool.r.beginEvent("kill", true)
+	pool.noteInterrupted("during", time.Now(), interrupted)
 	end()
-	c.noteInterrupted("just after", time.Now(), cut)
-	require.Len(t, c.interrupted, 1)
-	require.Contains(t, c.interrupted, "calm")
-	require.True(t, c.r.isCalm(time.Now().Add(2*aftermathTime), time.Now().Add(3*aftermathTime), aftermathTime))
+	pool.noteInterrupted("just after", time.Now(), interrupted)
+	require.Len(t, pool.interrupted, 1)
+	require.Contains(t, pool.interrupted, "calm")
+	require.True(t, pool.r.isUndisturbed(time.Now().Add(2*faultEffectTime), time.Now().Add(3*faultEffectTime), faultEffectTime))
 }
 
-// A larger size is the same system with more hosts, and its changes of maps are passed on by
-// some of them.
+// A larger size must be the same system with more hosts, and its document must name as many ranks
+// as the layout starts: otherwise the group never serves. The number of processes is bounded.
 func TestLayoutScalesWithSize(t *testing.T) {
 	for size := 1; size <= MaxSize; size++ {
-		l := Layout(size)
-		s, err := local.New(t.TempDir(), t.TempDir(), l)
+		layout := Layout(size)
+		system, err := local.New(t.TempDir(), t.TempDir(), layout)
 		require.NoError(t, err)
-		require.Len(t, s.Entries, 3*size)
-		require.Len(t, s.Agents, 9*size)
-		require.Contains(t, document(1, size), fmt.Sprintf("ranks = %d\n", l.GroupHosts*l.RanksPerHost))
-		require.LessOrEqual(t, len(s.Daemons())+len(s.StandIns), 200)
-		s.Stop()
+		require.Len(t, system.Entries, 3*size)
+		require.Len(t, system.Agents, 9*size)
+		require.Contains(t, document(1, size), fmt.Sprintf("ranks = %d\n", layout.GroupHosts*layout.RanksPerHost))
+		require.LessOrEqual(t, len(system.Daemons())+len(system.StandIns), 200)
+		system.Stop()
 	}
 }
 
-// A short run of each: all faults together, the same at a size at which some hosts pass
-// messages on to others, and shutdowns alone, which must cost nothing.
-// Longer ones are started by hand with test/cmd/soak.
+// No promise may be broken under faults. There are three short runs: all kinds of faults, the same
+// at a size at which some group hosts forward messages to the others, and shutdowns alone, which
+// must not interrupt any request. Longer runs are started by hand with test/cmd/soak.
 func TestPromisesHoldUnderSeededFaults(t *testing.T) {
 	bin := t.TempDir()
 	require.NoError(t, local.Build(bin))
@@ -122,17 +128,17 @@
 			ctx, cancel := context.WithTimeout(context.Background(), cfg.FaultTime+3*time.Minute)
 			defer cancel()
 			cfg.Dir, cfg.Bin = t.TempDir(), bin
-			r, err := Run(ctx, cfg)
+			report, err := Run(ctx, cfg)
 			require.NoError(t, err)
-			t.Log(r)
-			if len(r.Violations) > 0 {
-				r.Write(os.Stderr)
+			t.Log(report)
+			if len(report.Violations) > 0 {
+				report.Write(os.Stderr)
 			}
-			require.Empty(t, r.Violations)
-			require.Positive(t, r.Counts["streams whole"])
-			require.Positive(t, r.Counts["bookings made"])
-			require.Positive(t, r.Counts["changes accepted"])
-			require.Positive(t, r.Counts["maps"])
+			require.Empty(t, report.Violations)
+			require.Positive(t, report.Counts["streams whole"])
+			require.Positive(t, report.Counts["bookings made"])
+			require.Positive(t, report.Counts["changes accepted"])
+			require.Positive(t, report.Counts["maps"])
 		})
 	}
 }
--- a/test/standin/engine.go
+++ b/test/standin/engine.go
@@ -16,27 +16,31 @@
 	"github.com/sassafraspost/sassafraspost/internal/entry"
 )
 
-// EngineConfig is what an Engine needs.
+// EngineConfig configures an Engine.
 type EngineConfig struct {
-	// Step is the time of one token.
+	// Step is the duration of one decode step, which generates one token of a request.
 	Step time.Duration
-	// Concurrency is how many requests run at once; others wait. Default 64.
+	// Concurrency is how many requests run at once; the others are queued. Default 64.
 	Concurrency int
-	// LoadReportAge is how old load reports are; EventDelay how late cache events come.
+	// LoadReportAge is the age of the load reports that the engine returns. EventDelay is the
+	// time after which it returns a cache event.
 	LoadReportAge, EventDelay time.Duration
-	// DropEvery drops each cache event whose number it divides; zero drops none.
+	// DropEvery drops each cache event whose sequence number is a multiple of it, as when the
+	// engine loses events. Zero drops none.
 	DropEvery uint64
-	// CacheBlocks is how many prompt prefixes the cache holds. Default 1024.
+	// CacheBlocks is how many prompt prefixes fit into the prefix cache. Default 1024.
 	CacheBlocks int
-	// ChecksFencing makes the engine refuse an order with an old fencing number.
+	// ChecksFencing makes the engine refuse an order whose fencing token is lower than that of
+	// the last order.
 	ChecksFencing bool
 	Version       string
-	// Crash ends the engine for a while, as a process ends, when it has begun to run a prompt
-	// that starts with Poison. Without it the engine only breaks off the answer.
+	// Crash is called after the engine has begun to execute a prompt that starts with Poison.
+	// It makes the engine unreachable for a while, like the crash of a process. If it is nil
+	// the engine only aborts the response.
 	Crash func()
 }
 
-// Poison is what a prompt starts with that ends whoever runs it.
+// Poison is the prefix of prompts that crash the engine which executes them.
 const Poison = "poison"
 
 // Engine is the stand-in for a model engine.
@@ -46,7 +50,9 @@
 	mux   *http.ServeMux
 	slots chan struct{}
 
-	// The rest is guarded by counts.mu.
+	// The remaining fields are guarded by counters.mu. loadHistory is sorted by time, oldest
+	// first. cache holds the prefix hashes in the order in which they were added, cached the
+	// same hashes as a set.
 	running, waiting uint32
 	loadHistory      []timedLoad
 	cache            []uint64
@@ -65,7 +71,7 @@
 	event agent.CacheEventReport
 }
 
-// completionRequest is what the engine reads of a completion call.
+// completionRequest holds the fields of a completion request that the engine uses.
 type completionRequest struct {
 	Model    string `json:"model"`
 	Prompt   string `json:"prompt"`
@@ -77,9 +83,10 @@
 	MaxTokens int  `json:"max_tokens"`
 }
 
+// defaultTokens is the length of a response if the request has no max_tokens.
 const defaultTokens = 16
 
-// NewEngine returns an Engine that has cfg.Version loaded.
+// NewEngine returns an Engine that reports cfg.Version as loaded.
 func NewEngine(cfg EngineConfig) *Engine {
 	if cfg.Concurrency <= 0 {
 		cfg.Concurrency = 64
@@ -108,14 +115,15 @@
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.mux.ServeHTTP(w, r) }
 
-// Token returns token i of the answer to prompt.
+// Token returns token i of the response to prompt. It depends only on these two, so that tests
+// know the expected response.
 func Token(prompt string, i int) string {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(i))
 	return fmt.Sprintf("%08x ", uint32(xxhash.Sum64String(prompt+string(b[:]))))
 }
 
-// Text returns the whole answer of n tokens to prompt.
+// Text returns the complete response of n tokens to prompt.
 func Text(prompt string, n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -124,7 +132,8 @@
 	return b.String()
 }
 
-// Stream returns the body of a streamed answer: one event a token, and the end.
+// Stream returns the body of a streamed response as a list of server-sent events: one for each
+// of n tokens, and the end marker.
 func Stream(prompt string, n int) []string {
 	out := make([]string, 0, n+1)
 	for i := range n {
@@ -147,6 +156,7 @@
 	return completionResponse{Choices: []choice{{Text: text}}}
 }
 
+// text returns the prompt, or all messages of a chat request as one text.
 func (q *completionRequest) text() string {
 	if len(q.Messages) == 0 {
 		return q.Prompt
@@ -167,8 +177,8 @@
 	if q.MaxTokens <= 0 {
 		q.MaxTokens = defaultTokens
 	}
-	f := e.nextFailure()
-	if f.Mode == Refuse {
+	failure := e.nextFailure()
+	if failure.Mode == Refuse {
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
@@ -177,11 +187,11 @@
 	defer e.releaseSlot()
 	e.cachePrefixes(q.text())
 	if strings.HasPrefix(q.Prompt, Poison) {
-		e.waitStep(r, f)
+		e.waitStep(r, failure)
 		e.crash(q.Prompt)
 		panic(http.ErrAbortHandler)
 	}
-	if f.Mode == Hang || !e.writeResponse(w, r, &q, f) {
+	if failure.Mode == Hang || !e.writeResponse(w, r, &q, failure) {
 		<-r.Context().Done()
 		e.update(r, cancelled)
 		return
@@ -189,9 +199,10 @@
 	e.update(r, finished)
 }
 
-// writeResponse reports whether the work came to an end; false means that the caller left.
-func (e *Engine) writeResponse(w http.ResponseWriter, r *http.Request, q *completionRequest, f Failure) bool {
-	pieces := Stream(q.text(), q.MaxTokens)
+// writeResponse runs the decode steps and writes the response. If the request asks to resume,
+// it skips as many body bytes as the header says. It returns false if the caller cancelled.
+func (e *Engine) writeResponse(w http.ResponseWriter, r *http.Request, q *completionRequest, failure Failure) bool {
+	events := Stream(q.text(), q.MaxTokens)
 	offset, _ := strconv.Atoi(r.Header.Get(agent.ResumeHeader))
 	if offset > 0 {
 		w.Header().Set(agent.ResumeHeader, strconv.Itoa(offset))
@@ -200,24 +211,24 @@
 		w.Header().Set("Content-Type", "text/event-stream")
 	}
 	skipped := 0
-	for i, piece := range pieces {
-		if f.Mode == Die && i == f.After {
+	for i, event := range events {
+		if failure.Mode == Die && i == failure.After {
 			panic(http.ErrAbortHandler)
 		}
-		if f.Mode == Truncate && i == f.After {
+		if failure.Mode == Truncate && i == failure.After {
 			return true
 		}
-		whole := len(piece)
-		piece = piece[min(whole, max(0, offset-skipped)):]
-		skipped += whole
-		if piece == "" {
+		length := len(event)
+		event = event[min(length, max(0, offset-skipped)):]
+		skipped += length
+		if event == "" {
 			continue
 		}
-		if i < q.MaxTokens && !e.waitStep(r, f) {
+		if i < q.MaxTokens && !e.waitStep(r, failure) {
 			return false
 		}
 		if q.Stream {
-			_, _ = w.Write([]byte(piece))
+			_, _ = w.Write([]byte(event))
 			_ = http.NewResponseController(w).Flush()
 		}
 	}
@@ -227,7 +238,7 @@
 	return true
 }
 
-// crash ends the engine under a prompt, if it can end.
+// crash counts a crash caused by prompt and calls cfg.Crash, if set.
 func (e *Engine) crash(prompt string) {
 	if e.cfg.Crash != nil {
 		e.countCrash(prompt)
@@ -235,9 +246,10 @@
 	}
 }
 
-func (e *Engine) waitStep(r *http.Request, f Failure) bool {
+// waitStep waits for the duration of one step. It returns false if the caller cancelled.
+func (e *Engine) waitStep(r *http.Request, failure Failure) bool {
 	d := e.cfg.Step
-	if f.Mode == Slow {
+	if failure.Mode == Slow {
 		d *= SlowFactor
 	}
 	if d == 0 {
@@ -253,6 +265,7 @@
 	}
 }
 
+// acquireSlot queues the request until one of the engine's slots is free.
 func (e *Engine) acquireSlot() {
 	e.addLoad(0, 1)
 	e.slots <- struct{}{}
@@ -264,6 +277,8 @@
 	e.addLoad(-1, 0)
 }
 
+// addLoad changes the numbers of running and queued requests, and removes the load reports
+// that load no longer needs.
 func (e *Engine) addLoad(running, waiting int32) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -275,7 +290,7 @@
 	}
 }
 
-// load answers with the newest report that is at least Lag old.
+// load responds with the newest load report that is at least LoadReportAge old.
 func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	var out agent.LoadReport
@@ -293,7 +308,8 @@
 	writeJSON(w, out)
 }
 
-// cachePrefixes puts the prompt's prefixes into the cache, and the oldest out of it.
+// cachePrefixes adds the prompt's prefixes to the cache, and removes the oldest ones if the
+// cache is full.
 func (e *Engine) cachePrefixes(prompt string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -312,7 +328,8 @@
 	}
 }
 
-// addCacheEvent requires mu.
+// addCacheEvent appends a cache event, unless DropEvery drops it, and removes the oldest event
+// if there are too many. The caller holds mu.
 func (e *Engine) addCacheEvent(prefix uint64, stored bool) {
 	e.lastEvent++
 	if e.cfg.DropEvery > 0 && e.lastEvent%e.cfg.DropEvery == 0 {
@@ -325,6 +342,8 @@
 	}
 }
 
+// serveCacheEvents responds with the events after sequence number since that are at least
+// EventDelay old.
 func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	var out agent.CacheEventsReport
--- a/test/standin/ranks.go
+++ b/test/standin/ranks.go
@@ -15,39 +15,43 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
-// GroupConfig sets up a stand-in group.
+// GroupConfig configures a Group.
 type GroupConfig struct {
 	Ranks, Experts, Layers int
-	// Step is the time of one step.
+	// Step is the duration of one step, which is one forward pass of all ranks.
 	Step time.Duration
-	// LoadTime is how long the weights of a map take to load.
+	// LoadTime is how long a rank takes to load the expert weights of a staged map.
 	LoadTime time.Duration
-	// DriftSteps is how many steps the popularity of the experts holds still.
+	// DriftSteps is the number of steps after which the popularity of the experts changes. Zero
+	// keeps it constant.
 	DriftSteps uint64
 }
 
-// GroupReport is the answer to GET /group.
+// GroupReport is the response to GET /group.
 type GroupReport struct {
 	Steps uint64 `json:"steps"`
-	// MixedSteps counts the steps in which two ranks used different maps.
+	// MixedSteps counts the steps in which two ranks used different expert maps.
 	MixedSteps uint64 `json:"mixed"`
-	// PausedTicks counts the times that a step could not begin.
+	// PausedTicks counts how often a step was due and could not start, because a rank had no
+	// map or was paused.
 	PausedTicks uint64 `json:"held"`
-	// Maps counts the maps that were used in turn.
+	// Maps counts the maps that all ranks used, one after the other.
 	Maps int `json:"maps"`
-	// Armed tells by rank whether the rank is armed and not committed.
+	// Armed tells for each rank whether it is armed with a change that is not committed.
 	Armed []bool `json:"armed"`
-	// Skew is the mean of the highest over the mean number of tokens of a rank.
+	// Skew is the imbalance of the ranks: the tokens of the most loaded rank divided by the mean
+	// over all ranks, averaged over the steps.
 	Skew float64 `json:"skew"`
 }
 
-// Group is a stand-in for the engines of all ranks of a group, which run in
-// lock-step: a step begins on no rank before all can begin it.
+// Group is a stand-in for the engines of all ranks of a group. They run in lockstep: no rank
+// starts a step before all ranks can start it.
 type Group struct {
 	cfg GroupConfig
 	mux *http.ServeMux
 
-	// mu guards the rest.
+	// mu guards the fields below. popularity is the number of tokens of each expert in one step,
+	// by layer and expert. imbalanceSum is the sum of the imbalances of all steps.
 	mu           sync.Mutex
 	ranks        []*rankEngine
 	report       GroupReport
@@ -57,7 +61,8 @@
 	imbalanceSum float64
 }
 
-// rankEngine is the engine of one rank as expertmap.Engine describes it.
+// rankEngine is the engine of one rank; it behaves as expertmap.Engine specifies. tokens counts
+// the tokens by layer and slot since the last load report.
 type rankEngine struct {
 	status expertmap.Status
 	tokens [][]uint32
@@ -85,7 +90,7 @@
 // ServeHTTP implements http.Handler.
 func (g *Group) ServeHTTP(w http.ResponseWriter, r *http.Request) { g.mux.ServeHTTP(w, r) }
 
-// Report returns what the group has done.
+// Report returns the counts and the current state of the group.
 func (g *Group) Report() GroupReport {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -105,7 +110,7 @@
 	}
 }
 
-// runStep runs one step on all ranks, if none of them holds.
+// runStep runs one step on all ranks, unless one of them cannot start it.
 func (g *Group) runStep() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -126,27 +131,32 @@
 	}
 }
 
+// canStart reports whether the rank can start a step. It needs a map, and an armed change that
+// is not committed pauses it at the step of the change.
 func (e *rankEngine) canStart(step uint64) bool {
 	s := e.status
 	return s.HasMap() && !(s.HasUncommittedChange() && step >= s.Armed.Step)
 }
 
+// startStep starts a step, and activates the map of a committed change that is due.
 func (e *rankEngine) startStep(step uint64) {
 	e.status.Step = step
-	a := e.status.Armed
-	if a == nil || !a.Committed || step < a.Step {
+	armed := e.status.Armed
+	if armed == nil || !armed.Committed || step < armed.Step {
 		return
 	}
-	e.status.Active = expertmap.Installed{Version: a.Version, FromStep: a.Step}
+	e.status.Active = expertmap.Installed{Version: armed.Version, FromStep: armed.Step}
 	e.status.Armed = nil
-	e.removeMaps(func(v expertmap.Version) bool { return v != a.Version })
+	e.removeMaps(func(v expertmap.Version) bool { return v != armed.Version })
 	e.tokens = nil
 }
 
+// removeMaps unloads the maps for which isDropped returns true.
 func (e *rankEngine) removeMaps(isDropped func(expertmap.Version) bool) {
 	e.status.Maps = slices.DeleteFunc(slices.Clone(e.status.Maps), func(m expertmap.Map) bool { return isDropped(m.Version) })
 }
 
+// loadedMap returns the loaded map with a version, nil if there is none.
 func (e *rankEngine) loadedMap(v expertmap.Version) *expertmap.Map {
 	for i := range e.status.Maps {
 		if e.status.Maps[i].Version == v {
@@ -156,7 +166,8 @@
 	return nil
 }
 
-// checkActiveMaps notes mixed maps and counts the tokens of the step.
+// checkActiveMaps counts the step as mixed if the ranks use different maps, and otherwise counts
+// its tokens.
 func (g *Group) checkActiveMaps() {
 	version := g.ranks[0].status.Active.Version
 	for _, e := range g.ranks {
@@ -172,31 +183,32 @@
 	g.countTokens()
 }
 
-// countTokens spreads the tokens of a step over the replicas of each expert.
+// countTokens distributes the tokens of each expert evenly over its replicas, and adds the
+// imbalance of the ranks to imbalanceSum.
 func (g *Group) countTokens() {
-	m := g.ranks[0].loadedMap(g.lastMap)
-	if m == nil {
+	active := g.ranks[0].loadedMap(g.lastMap)
+	if active == nil {
 		return
 	}
 	byRank := make([]float64, len(g.ranks))
-	for l, layer := range m.Layers {
+	for layerIndex, layer := range active.Layers {
 		replicas := make([]int, g.cfg.Experts)
-		for _, x := range layer {
-			replicas[x]++
+		for _, expert := range layer {
+			replicas[expert]++
 		}
-		for s, x := range layer {
-			n := g.popularity[l][x] / float64(replicas[x])
-			rank := s / m.SlotsPerRank
-			byRank[rank] += n
-			g.ranks[rank].addTokens(l, s%m.SlotsPerRank, uint32(n), len(m.Layers), m.SlotsPerRank)
+		for slot, expert := range layer {
+			count := g.popularity[layerIndex][expert] / float64(replicas[expert])
+			rank := slot / active.SlotsPerRank
+			byRank[rank] += count
+			g.ranks[rank].addTokens(layerIndex, slot%active.SlotsPerRank, uint32(count), len(active.Layers), active.SlotsPerRank)
 		}
 	}
-	sum, top := 0.0, 0.0
-	for _, n := range byRank {
-		sum += n
-		top = math.Max(top, n)
+	sum, highest := 0.0, 0.0
+	for _, count := range byRank {
+		sum += count
+		highest = math.Max(highest, count)
 	}
-	g.imbalanceSum += top / (sum / float64(len(byRank)))
+	g.imbalanceSum += highest / (sum / float64(len(byRank)))
 }
 
 func (e *rankEngine) addTokens(layer, slot int, n uint32, layers, slots int) {
@@ -209,7 +221,8 @@
 	e.tokens[layer][slot] += n
 }
 
-// drawPopularity draws a new popularity: few experts get most of the tokens.
+// drawPopularity draws a new random popularity that follows Zipf's law, so that few experts get
+// most of the tokens.
 func (g *Group) drawPopularity() {
 	g.popularity = make([][]float64, g.cfg.Layers)
 	for l := range g.popularity {
@@ -222,7 +235,8 @@
 
 type rankHandler func(e *rankEngine, w http.ResponseWriter, r *http.Request)
 
-// serveRank finds the rank of a request and holds mu for the handler.
+// serveRank returns a handler that calls h with the rank in the path of the request, and with mu
+// locked.
 func (g *Group) serveRank(h rankHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		n, err := strconv.Atoi(r.PathValue("rank"))
@@ -240,6 +254,8 @@
 	writeJSON(w, e.status)
 }
 
+// serveLoad responds with the tokens since the last call. It reports one microsecond of step
+// time for each token.
 func (g *Group) serveLoad(e *rankEngine, w http.ResponseWriter, _ *http.Request) {
 	l := wire.RankLoad{Tokens: e.tokens}
 	for _, layer := range e.tokens {
@@ -251,7 +267,8 @@
 	writeJSON(w, l)
 }
 
-// serveStage loads weights beside the request; the map is listed once they are there.
+// serveStage starts to load the weights of a map in the background. The map appears in the
+// status when LoadTime has passed.
 func (g *Group) serveStage(e *rankEngine, w http.ResponseWriter, r *http.Request) {
 	var m expertmap.Map
 	if json.NewDecoder(r.Body).Decode(&m) != nil {
@@ -270,60 +287,67 @@
 	})
 }
 
+// serveArm arms the rank with a change. It responds with 409 if a change is committed or armed
+// with a higher ballot, if a map of the change is not loaded, or if the step or the version of
+// the change is not newer than the current one. A repeated change only updates the ballot.
 func (g *Group) serveArm(e *rankEngine, w http.ResponseWriter, r *http.Request) {
-	var c expertmap.Change
-	if json.NewDecoder(r.Body).Decode(&c) != nil {
+	var change expertmap.Change
+	if json.NewDecoder(r.Body).Decode(&change) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	a := e.status.Armed
+	armed := e.status.Armed
 	switch {
-	case a != nil && (a.Committed || c.Ballot.Less(a.Ballot)):
+	case armed != nil && (armed.Committed || change.Ballot.Less(armed.Ballot)):
 		w.WriteHeader(http.StatusConflict)
-	case a != nil && a.Version == c.Version && a.Step == c.Step:
-		a.Ballot = c.Ballot
-	case e.loadedMap(c.Version) == nil, !c.Base.IsZero() && e.loadedMap(c.Base) == nil:
+	case armed != nil && armed.Version == change.Version && armed.Step == change.Step:
+		armed.Ballot = change.Ballot
+	case e.loadedMap(change.Version) == nil, !change.Base.IsZero() && e.loadedMap(change.Base) == nil:
 		w.WriteHeader(http.StatusConflict)
-	case e.status.HasMap() && (c.Step <= e.status.Step || !e.status.Active.Version.Less(c.Version)):
+	case e.status.HasMap() && (change.Step <= e.status.Step || !e.status.Active.Version.Less(change.Version)):
 		w.WriteHeader(http.StatusConflict)
 	default:
-		e.status.Armed = &c
+		e.status.Armed = &change
 	}
 }
 
+// serveCommit commits the armed change with the ballot of the order. A rank that has no map
+// starts with the base map of the change, or with the new map if there is no base.
 func (g *Group) serveCommit(e *rankEngine, w http.ResponseWriter, r *http.Request) {
-	var o group.CommitOrder
-	a := e.status.Armed
-	if json.NewDecoder(r.Body).Decode(&o) != nil || a == nil || a.Ballot != o.Ballot {
+	var order group.CommitOrder
+	armed := e.status.Armed
+	if json.NewDecoder(r.Body).Decode(&order) != nil || armed == nil || armed.Ballot != order.Ballot {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
 	switch {
 	case e.status.HasMap():
-		a.Committed = true
-	case !a.Base.IsZero():
-		e.status.Active = expertmap.Installed{Version: a.Base}
-		a.Committed = true
+		armed.Committed = true
+	case !armed.Base.IsZero():
+		e.status.Active = expertmap.Installed{Version: armed.Base}
+		armed.Committed = true
 	default:
-		e.status.Active = expertmap.Installed{Version: a.Version, FromStep: a.Step}
+		e.status.Active = expertmap.Installed{Version: armed.Version, FromStep: armed.Step}
 		e.status.Armed = nil
 	}
 }
 
+// serveAbort drops an armed change that is not committed, and its map, unless the ballot of the
+// change is higher than that of the order.
 func (g *Group) serveAbort(e *rankEngine, w http.ResponseWriter, r *http.Request) {
-	var o group.CommitOrder
-	a := e.status.Armed
-	if json.NewDecoder(r.Body).Decode(&o) != nil {
+	var order group.CommitOrder
+	armed := e.status.Armed
+	if json.NewDecoder(r.Body).Decode(&order) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if a != nil && !a.Committed && !o.Ballot.Less(a.Ballot) {
-		e.removeMaps(func(v expertmap.Version) bool { return v == a.Version })
+	if armed != nil && !armed.Committed && !order.Ballot.Less(armed.Ballot) {
+		e.removeMaps(func(v expertmap.Version) bool { return v == armed.Version })
 		e.status.Armed = nil
 	}
 }
 
-// serveRestart loses what the engine of a rank knew, as a crash does.
+// serveRestart resets the state of a rank, as when its engine crashes and restarts.
 func (g *Group) serveRestart(e *rankEngine, _ http.ResponseWriter, _ *http.Request) {
 	*e = rankEngine{status: expertmap.Status{Step: g.report.Steps}}
 }
--- a/test/standin/standin.go
+++ b/test/standin/standin.go
@@ -1,6 +1,7 @@
-// Package standin holds a stand-in for a model engine and one for a plain service.
-// They do what the real ones do as far as tests and the local system need it, and
-// count what they carried out, so that tests can compare that with the verdicts.
+// Package standin provides stand-ins for a model engine, for the engines of a group of ranks,
+// and for a plain service. They implement as much of the real interfaces as tests and the local
+// system need. Engine and service count the requests they executed, so that tests can compare
+// these counts with the verdicts that callers got.
 package standin
 
 import (
@@ -14,12 +15,14 @@
 	"github.com/sassafraspost/sassafraspost/internal/entry"
 )
 
-// Mode is a way to fail.
+// Mode is a failure mode of a stand-in.
 type Mode string
 
-// The ways to fail. Die breaks the connection and Truncate ends the answer in good
-// form but too early, both After tokens; Refuse answers 503 and runs nothing; Hang
-// says nothing until the caller leaves; Slow makes a step SlowFactor times as long.
+// The failure modes. Die aborts the connection, and Truncate ends the response as if it were
+// complete; an engine does both after Failure.After tokens, and a service that fails with Die
+// does so after it has made the booking. Refuse responds with 503 and executes nothing. Hang
+// sends nothing until the caller cancels the request. Slow makes each step of an engine
+// SlowFactor times as long.
 const (
 	Die      Mode = "die"
 	Truncate Mode = "truncate"
@@ -28,7 +31,7 @@
 	Slow     Mode = "slow"
 )
 
-// SlowFactor is how much longer a step takes in mode Slow.
+// SlowFactor is the factor by which a step takes longer in mode Slow.
 const SlowFactor = 20
 
 // Failure makes the next Times requests fail.
@@ -38,25 +41,27 @@
 	Times int  `json:"times"`
 }
 
-// Executions counts what was done under one request id or key.
+// Executions counts how often the requests with one request ID or idempotency key were begun,
+// finished and cancelled.
 type Executions struct {
 	Begun     int `json:"begun"`
 	Finished  int `json:"finished"`
 	Cancelled int `json:"cancelled"`
 }
 
-// Report is the answer to GET /executions.
+// Report is the response to GET /executions.
 type Report struct {
 	ByRequest map[string]Executions `json:"by_request"`
 	ByKey     map[string]Executions `json:"by_key"`
-	// Crashes counts the stand-in's ends by the prompt that ended it.
+	// Crashes counts the crashes of the stand-in by the prompt that caused them.
 	Crashes map[string]int `json:"ends"`
-	// Orders counts the orders that were carried out; Order is the last one.
+	// Orders counts the orders that were executed; Order is the last of them.
 	Orders int               `json:"orders"`
 	Order  agent.EngineOrder `json:"order"`
 }
 
-// counters is shared by both stand-ins. mu guards the rest.
+// counters holds what Engine and Service have in common: execution counts and the failure
+// that is set. mu guards the other fields.
 type counters struct {
 	mu      sync.Mutex
 	report  Report
@@ -69,14 +74,14 @@
 	c.report.Crashes = make(map[string]int)
 }
 
-// countCrash counts an end under a prompt.
+// countCrash counts a crash caused by a prompt.
 func (c *counters) countCrash(prompt string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.report.Crashes[prompt]++
 }
 
-// Fail sets how the next requests fail.
+// Fail sets the failure of the next requests.
 func (c *counters) Fail(f Failure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,7 +105,8 @@
 	return out
 }
 
-// nextFailure returns the failure of the next request.
+// nextFailure returns the failure of the request that starts now, the zero Failure if it does
+// not fail.
 func (c *counters) nextFailure() Failure {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,7 +117,7 @@
 	return c.failure
 }
 
-// update changes the counts of a request's id and key.
+// update applies change to the counts of the request's ID and of its idempotency key.
 func (c *counters) update(r *http.Request, change func(*Executions)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,13 +125,14 @@
 	updateEntry(c.report.ByKey, r.Header.Get(entry.IdempotencyKeyHeader), change)
 }
 
-func updateEntry(m map[string]Executions, name string, change func(*Executions)) {
-	if name == "" {
+// updateEntry applies change to one entry of m. Requests without an ID or key are not counted.
+func updateEntry(m map[string]Executions, key string, change func(*Executions)) {
+	if key == "" {
 		return
 	}
-	e := m[name]
+	e := m[key]
 	change(&e)
-	m[name] = e
+	m[key] = e
 }
 
 func begun(e *Executions)     { e.Begun++ }
@@ -151,7 +158,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Service is the stand-in for a plain service that books start slots.
+// Service is the stand-in for a plain service: it books start slots for riders.
 type Service struct {
 	counters
 	delay time.Duration
@@ -160,7 +167,7 @@
 	bookings []Booking
 }
 
-// Booking is one booked slot.
+// Booking is one booked start slot.
 type Booking struct {
 	Slot   string `json:"slot"`
 	Rider  string `json:"rider"`
@@ -187,13 +194,13 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f := s.nextFailure()
-	if f.Mode == Refuse {
+	failure := s.nextFailure()
+	if failure.Mode == Refuse {
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
 	s.update(r, begun)
-	if f.Mode == Hang {
+	if failure.Mode == Hang {
 		<-r.Context().Done()
 		s.update(r, cancelled)
 		return
@@ -204,7 +211,7 @@
 	s.bookings = append(s.bookings, b)
 	s.mu.Unlock()
 	s.update(r, finished)
-	if f.Mode == Die {
+	if failure.Mode == Die {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(http.StatusCreated)
