--- a/test/cmd/capacity/main.go
+++ b/test/cmd/capacity/main.go
@@ -1,7 +1,7 @@
-// Command capacity measures what control costs with real processes: control hosts,
-// and entry hosts in several data centres, that hold the documents of many
-// workspaces. It prints bytes, messages, CPU and memory a node while idle, and how
-// long changes take until they are in force everywhere.
+// Command capacity measures the cost of the control plane with real processes: control
+// hosts, and entry hosts in several data centres, that store the documents of many
+// workspaces. It prints the bytes, messages, CPU and memory per host while nothing
+// changes, and how long changes take until they are in force everywhere.
 package main
 
 import (
@@ -78,6 +78,8 @@
 	options options
 }
 
+// submitAll submits the documents of all teams, and prints how long it takes until they are in
+// force.
 func (m measurement) submitAll(ctx context.Context) error {
 	begin := time.Now()
 	for team := range m.options.teams {
@@ -92,6 +94,8 @@
 	return err
 }
 
+// status holds the fields that are used of the output of the status command. InForce is the number
+// of entry hosts on which the document is in force.
 type status struct {
 	Revision uint64 `json:"revision"`
 	InForce  int    `json:"inForce"`
@@ -107,7 +111,7 @@
 	return st.Revision, err
 }
 
-// measureIdle measures what nodes spend while nothing changes.
+// measureIdle prints the usage per host while nothing changes.
 func (m measurement) measureIdle(ctx context.Context) error {
 	kinds := []struct {
 		name  string
@@ -134,7 +138,7 @@
 	return nil
 }
 
-// usage is what some hosts have spent, summed.
+// usage is the sum of the counters, CPU time and resident memory of some hosts.
 type usage struct {
 	counters map[string]int64
 	cpu      time.Duration
@@ -158,19 +162,22 @@
 	return out, nil
 }
 
-func (s usage) print(name string, before usage, per float64, hosts int) {
+// print prints the usage per host since before. hostSeconds is the number of hosts times the
+// seconds between the two readings.
+func (s usage) print(name string, before usage, hostSeconds float64, hosts int) {
 	rate := func(counter string) float64 {
 		key := "sassafraspost_peer_control_" + counter
-		return float64(s.counters[key]-before.counters[key]) / per
+		return float64(s.counters[key]-before.counters[key]) / hostSeconds
 	}
 	fmt.Printf("%s: sends %.1f messages/s, %.0f B/s; receives %.1f messages/s, %.0f B/s; %.3f%% of a core; %.1f MiB resident\n",
 		name, rate("sent_messages"), rate("sent_bytes"), rate("received_messages"), rate("received_bytes"),
-		100*(s.cpu-before.cpu).Seconds()/per, float64(s.resident)/float64(hosts)/(1<<20))
+		100*(s.cpu-before.cpu).Seconds()/hostSeconds, float64(s.resident)/float64(hosts)/(1<<20))
 }
 
-// measureChanges times changes from the answer to the submission until in force everywhere.
+// measureChanges prints the time from the response to a submission until the change is in force on
+// all entry hosts.
 func (m measurement) measureChanges(ctx context.Context) error {
-	var times []time.Duration
+	var durations []time.Duration
 	for i := range m.options.changes {
 		out, err := m.Tool(ctx, "status", "team-0", "-o", "json")
 		if err != nil {
@@ -188,10 +195,10 @@
 		if _, err := m.awaitInForce(ctx, 0); err != nil {
 			return err
 		}
-		times = append(times, time.Since(accepted))
+		durations = append(durations, time.Since(accepted))
 	}
-	slices.Sort(times)
+	slices.Sort(durations)
 	fmt.Printf("in force everywhere after the answer: p50 %v, max %v over %d changes\n",
-		times[len(times)/2].Round(time.Millisecond), times[len(times)-1].Round(time.Millisecond), len(times))
+		durations[len(durations)/2].Round(time.Millisecond), durations[len(durations)-1].Round(time.Millisecond), len(durations))
 	return nil
 }
--- a/test/cmd/demo/main.go
+++ b/test/cmd/demo/main.go
@@ -1,5 +1,5 @@
-// Command demo starts a whole system on loopback, with stand-in upstreams, submits
-// a service document, sends requests through it and shuts it down gracefully.
+// Command demo starts a whole system with stand-in upstreams on loopback, submits a
+// service document, sends requests through the system and shuts it down gracefully.
 package main
 
 import (
@@ -43,6 +43,8 @@
 	return shutDown(ctx, s)
 }
 
+// sendRequests prints the state of the cluster, sends some requests and prints the responses. The
+// second booking repeats the idempotency key of the first, so it gets the recorded response.
 func sendRequests(ctx context.Context, s *local.System) error {
 	for _, command := range []string{"cluster", "status local", "history"} {
 		out, err := s.Tool(ctx, strings.Fields(command)...)
@@ -68,6 +70,7 @@
 	return checkCompletion(ctx, s)
 }
 
+// checkCompletion sends a completion request and checks that the response is complete.
 func checkCompletion(ctx context.Context, s *local.System) error {
 	want := standin.Text("draft a confirmation", 8)
 	a := local.Do(ctx, s.Entries[0].Listen, local.Completion("draft a confirmation", 8, false))
@@ -78,6 +81,8 @@
 	return nil
 }
 
+// shutDown terminates the daemons one after the other, the control hosts last, and checks that each
+// exits without an error.
 func shutDown(ctx context.Context, s *local.System) error {
 	fmt.Println("shutting down")
 	all := append(append(append([]*local.Host{}, s.Entries...), s.Agents...), s.Control...)
--- a/test/cmd/emulate/main.go
+++ b/test/cmd/emulate/main.go
@@ -1,5 +1,6 @@
-// Command emulate asks a question of package emulator: what callers get of a deployment, over
-// many seeds, with intervals of 95 %; and, against an earlier answer, what has changed.
+// Command emulate simulates a deployment with package emulator over many seeds. It prints what
+// callers get, as means with 95 % confidence intervals, and optionally the differences to an
+// earlier output of the command.
 package main
 
 import (
@@ -33,7 +34,7 @@
 	}
 }
 
-// options are what the command line says.
+// options are the values of the flags.
 type options struct {
 	hosts, groups, ranks, slots int
 	target, gap, patience       time.Duration
@@ -101,7 +102,7 @@
 	return writeTable(cmd.OutOrStdout(), all, before)
 }
 
-// readBaseline reads the answer to compare with, nil if there is none.
+// readBaseline reads the earlier output to compare with. It returns nil if the flag is not set.
 func readBaseline(o *options) ([]outcome, error) {
 	if o.baselineFile == "" {
 		return nil, nil
@@ -120,34 +121,34 @@
 	return out, nil
 }
 
-// runSeeds plays all seeds.
+// runSeeds simulates all seeds, several of them in parallel, and returns their outcomes by seed.
 func runSeeds(ctx context.Context, o *options) ([]outcome, error) {
 	cfg, err := o.config()
 	if err != nil {
 		return nil, err
 	}
-	out := make([]outcome, o.seeds)
-	seeds, ctx := errgroup.WithContext(ctx)
-	seeds.SetLimit(o.jobs)
+	outcomes := make([]outcome, o.seeds)
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(o.jobs)
 	for n := range o.seeds {
-		seeds.Go(func() error {
+		group.Go(func() error {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			one := cfg
-			one.Seed = o.seed + uint64(n)
-			r, err := emulator.Run(one)
+			seedConfig := cfg
+			seedConfig.Seed = o.seed + uint64(n)
+			report, err := emulator.Run(seedConfig)
 			if err != nil {
 				return err
 			}
-			out[n] = outcomeOf(one.Seed, r)
+			outcomes[n] = outcomeOf(seedConfig.Seed, report)
 			return nil
 		})
 	}
-	return out, seeds.Wait()
+	return outcomes, group.Wait()
 }
 
-// config is the deployment that the command line describes.
+// config returns the deployment that the flags describe.
 func (o *options) config() (emulator.Config, error) {
 	cfg := emulator.Config{
 		Length: o.length, Hosts: o.hosts, Groups: o.groups, Ranks: o.ranks, Skew: o.skew,
@@ -159,8 +160,8 @@
 		Target: o.target, Gap: o.gap, Patience: o.patience,
 		Budget: retrybudget.Params{Ratio: 0.2, Extra: 10, Window: 10 * time.Second},
 	}
-	places := schedule.ConcurrencyLimit(&cfg.Engine, o.gap)
-	rate := o.callers * float64(o.groups*o.ranks*places) / schedule.ServiceTime(&cfg.Engine, places).Seconds()
+	concurrency := schedule.ConcurrencyLimit(&cfg.Engine, o.gap)
+	rate := o.callers * float64(o.groups*o.ranks*concurrency) / schedule.ServiceTime(&cfg.Engine, concurrency).Seconds()
 	cfg.Rate = func(time.Duration) float64 { return rate }
 	for _, text := range o.outages {
 		outage, err := parseOutage(text)
@@ -172,7 +173,7 @@
 	return cfg, nil
 }
 
-// parseOutage reads GROUP:FROM-TO.
+// parseOutage parses an outage of the form GROUP:FROM-TO.
 func parseOutage(text string) (emulator.Outage, error) {
 	group, span, _ := strings.Cut(text, ":")
 	from, to, _ := strings.Cut(span, "-")
--- a/test/cmd/emulate/main_test.go
+++ b/test/cmd/emulate/main_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// runCommand runs the command with three seeds and returns what it printed.
 func runCommand(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	cmd := command()
@@ -20,7 +21,8 @@
 	return out.String(), err
 }
 
-// The same seeds give the same answer, and no difference to it.
+// If two runs with the same seeds differed, a comparison with an earlier output would report
+// changes that no change of the product caused. An output of other seeds can't be compared.
 func TestSameSeedsGiveTheSameOutcome(t *testing.T) {
 	first, err := runCommand(t, "-o", "json", "--outage", "1:500ms-1s")
 	require.NoError(t, err)
@@ -37,6 +39,7 @@
 	require.ErrorContains(t, err, "not of the seeds")
 }
 
+// A wrong flag must give an error instead of a simulation of some other deployment.
 func TestInvalidFlagsAreRejected(t *testing.T) {
 	for _, args := range [][]string{
 		{"--outage", "1"}, {"--outage", "x:1s-2s"}, {"--outage", "7:1s-2s"}, {"--outage", "0:2s-1s"}, {"-o", "xml"},
@@ -47,10 +50,13 @@
 	}
 }
 
+// A wrong interval would present noise between seeds as a change, or hide a change. One value has
+// no interval.
 func TestIntervalOfMeanUsesStudentsDistribution(t *testing.T) {
 	require.Equal(t, interval{3, math.Inf(1)}, intervalOf([]float64{3}))
 	i := intervalOf([]float64{1, 2, 3, 4, 5})
 	require.InDelta(t, 3, i.mean, 1e-9)
-	// 2.776 is Student's t of four degrees of freedom, 1.581 the deviation.
+	// 2.776 is the 97.5 % quantile of Student's t-distribution with four degrees of freedom, 1.5811
+	// the standard deviation of the values.
 	require.InDelta(t, 2.776*1.5811/math.Sqrt(5), i.halfWidth, 1e-3)
 }
--- a/test/cmd/emulate/outcome.go
+++ b/test/cmd/emulate/outcome.go
@@ -12,20 +12,22 @@
 	"github.com/sassafraspost/sassafraspost/internal/emulator"
 )
 
-// outcome is what came of one seed. All but Asked, Held and Busiest are parts of those who
-// asked, without unit.
+// outcome is the result of one seed. Asked is the number of callers. InAim, Late, Refused, Cut and
+// Returned are fractions of the callers, from 0 to 1.
 type outcome struct {
 	Seed  uint64 `json:"seed"`
 	Asked int    `json:"asked"`
-	// InAim, Late, Refused and Cut are as in emulator.Report, Returned too.
+	// InAim is the fraction of callers with a complete response that was on time throughout, Late
+	// with a complete response that was not. Refused callers got no response, Cut callers only a
+	// part of one. Returned callers were refused and tried once more.
 	InAim    float64 `json:"inAim"`
 	Late     float64 `json:"late"`
 	Refused  float64 `json:"refused"`
 	Cut      float64 `json:"cut"`
 	Returned float64 `json:"returned"`
-	// LongestRefusalWait is the longest time from a try to its refusal, in seconds.
+	// LongestRefusalWait is the longest time from a request to its refusal, in seconds.
 	LongestRefusalWait float64 `json:"heldSeconds"`
-	// Busiest is how many requests the busiest engine was given, over the mean.
+	// Busiest is the number of requests of the busiest engine divided by the mean of all engines.
 	Busiest float64 `json:"busiest"`
 }
 
@@ -36,7 +38,7 @@
 	}
 }
 
-// metrics are what is told of outcomes.
+// metrics are the values that the command prints for all outcomes, one row each.
 var metrics = []struct {
 	name string
 	of   func(outcome) float64
@@ -51,13 +53,13 @@
 	{"busiest engine", func(o outcome) float64 { return o.Busiest }},
 }
 
-// interval is a mean, and by how much it may be off with 95 in 100; that is infinite for one
-// value.
+// interval is a mean and the half-width of its 95 % confidence interval. The half-width is
+// infinite if there is only one value.
 type interval struct{ mean, halfWidth float64 }
 
 func (i interval) String() string { return fmt.Sprintf("%.4g ± %.2g", i.mean, i.halfWidth) }
 
-// intervalOf returns the mean of values by Student's distribution.
+// intervalOf returns the mean of values and its confidence interval by Student's t-distribution.
 func intervalOf(values []float64) interval {
 	mean, deviation := stat.MeanStdDev(values, nil)
 	n := float64(len(values))
@@ -68,19 +70,19 @@
 	return interval{mean, t * deviation / math.Sqrt(n)}
 }
 
-// writeTable tells the means, and the differences to an earlier answer, seed by seed, if there is
-// one.
+// writeTable prints the mean of each metric over all seeds. If before is not nil it also prints
+// the means of before, and the means of the differences between the outcomes of the same seed.
 func writeTable(w io.Writer, all, before []outcome) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	head := "figure\tmean"
+	header := "figure\tmean"
 	if before != nil {
-		head += "\tbefore\tdifference"
+		header += "\tbefore\tdifference"
 	}
-	fmt.Fprintln(t, head)
-	for _, f := range metrics {
-		row := fmt.Sprintf("%s\t%s", f.name, intervalOf(values(all, f.of)))
+	fmt.Fprintln(t, header)
+	for _, metric := range metrics {
+		row := fmt.Sprintf("%s\t%s", metric.name, intervalOf(values(all, metric.of)))
 		if before != nil {
-			row += fmt.Sprintf("\t%s\t%s", intervalOf(values(before, f.of)), intervalOf(differences(all, before, f.of)))
+			row += fmt.Sprintf("\t%s\t%s", intervalOf(values(before, metric.of)), intervalOf(differences(all, before, metric.of)))
 		}
 		fmt.Fprintln(t, row)
 	}
@@ -95,6 +97,7 @@
 	return out
 }
 
+// differences returns, for each seed, the value of a metric minus its value in before.
 func differences(all, before []outcome, of func(outcome) float64) []float64 {
 	out := values(all, of)
 	for i, o := range before {
--- a/test/cmd/loadtool/load.go
+++ b/test/cmd/loadtool/load.go
@@ -18,30 +18,36 @@
 	"github.com/sassafraspost/sassafraspost/test/local"
 )
 
-// The load: engines run slots requests at once, each of answerTokens steps.
+// The load: each engine runs slotsPerEngine requests at once, and each request takes
+// responseTokens steps of stepTime.
 const (
 	engineCount    = 6
-	slotsPerEngine = 64 // the agents' default capacity
+	slotsPerEngine = 64 // the default capacity of agents
 	stepTime       = 50 * time.Millisecond
 	responseTokens = 10
 	deadline       = 2 * time.Second
 
+	// The numbers of large and small workspaces, and their shares in the service document.
 	largeCount, largeShare = 2, 10
 	smallCount, smallShare = 40, 1
-	// smallWorkspacesLoad is what all small workspaces together offer, as a part of the capacity:
-	// each three quarters of its share.
+	// smallWorkspacesLoad is the load of all small workspaces together, as a fraction of the
+	// capacity. Each of them then offers three quarters of the capacity that its share entitles
+	// it to.
 	smallWorkspacesLoad = 0.5
 
-	// limitRate is the limit of capped workspaces, cappedLoad what they offer of it.
+	// limitRate is the limit of limitedWorkspaces in requests per second. limitedLoad is their
+	// load as a multiple of the limit.
 	limitRate   = 100
 	limitedLoad = 2
 
+	// A phase lasts phaseTime; its first warmUp is not measured. maxPending is the maximum number
+	// of requests in progress. Requests above it are not sent.
 	phaseTime  = 6 * time.Second
 	warmUp     = 2 * time.Second
 	maxPending = 8192
 )
 
-// capacity is the rate of all engines, in requests a second.
+// capacity is the maximum rate of all engines together, in requests per second.
 const capacity = engineCount * slotsPerEngine / (float64(responseTokens*stepTime) / float64(time.Second))
 
 var loadLayout = local.Layout{
@@ -53,13 +59,13 @@
 	name, token string
 	share       int
 	isLarge     bool
-	// limit is in requests a second, zero for none; isOneSided callers all come by one
-	// entry host.
+	// limit is in requests per second; zero means no limit. usesOneEntry sends all requests to
+	// one entry host.
 	limit        int
 	usesOneEntry bool
 }
 
-// limitedWorkspaces are the workspaces of the scenario limits.
+// limitedWorkspaces are the workspaces of the scenario "limits".
 var limitedWorkspaces = []workspace{
 	{name: "capped-even", token: "load-token-capped-even", share: 1, limit: limitRate},
 	{name: "capped-one-sided", token: "load-token-capped-one-sided", share: 1, limit: limitRate, usesOneEntry: true},
@@ -76,6 +82,7 @@
 	return out
 }
 
+// document returns a service document with all workspaces.
 func document() string {
 	text := strings.Replace(local.Document("v1"), "deadline = 20s", "deadline = "+deadline.String(), 1)
 	for _, w := range append(workspaces(), limitedWorkspaces...) {
@@ -85,15 +92,16 @@
 	return text
 }
 
-// result is what one workspace got within the measured time of a phase.
+// result holds the outcomes of the requests of one workspace that were due in the measured time of
+// a phase.
 type result struct {
 	workspace workspace
 	offered   int
 	ok        int
 	refused   int
 	failed    int
-	latency   *hdrhistogram.Histogram // of whole answers, in microseconds
-	refusal   *hdrhistogram.Histogram
+	latency   *hdrhistogram.Histogram // time to a complete response, in microseconds
+	refusal   *hdrhistogram.Histogram // time to a refusal, in microseconds
 }
 
 func newResult(w workspace) *result {
@@ -104,17 +112,18 @@
 	}
 }
 
-// phase is an open load at fixed rates, whatever the answers.
+// phase is a period of open-loop load: requests are sent at fixed mean rates, however long the
+// responses take.
 type phase struct {
 	client  *http.Client
 	entries []string
 	pending chan struct{}
 	start   time.Time
 	length  time.Duration
-	// answered counts the answers that ended within the measured time.
+	// answered counts the successful responses that were complete within the measured time.
 	answered atomic.Int64
 
-	// mu guards the results.
+	// mu guards the contents of results, and notSent: the requests not sent because of maxPending.
 	mu      sync.Mutex
 	results []*result
 	notSent int
@@ -124,13 +133,14 @@
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxPending}}
 }
 
-// source is a workspace with the rate that it offers, in requests a second.
+// source is a workspace and the mean rate of its requests, in requests per second.
 type source struct {
 	workspace workspace
 	rate      float64
 }
 
-// mixedSources are the large and small workspaces, which offer factor times the capacity.
+// mixedSources returns all large and small workspaces with rates that sum up to factor times the
+// capacity.
 func mixedSources(factor float64) []source {
 	small := min(smallWorkspacesLoad, factor/2) * capacity / smallCount
 	large := (factor*capacity - small*smallCount) / largeCount
@@ -145,7 +155,7 @@
 	return out
 }
 
-// runPhase loads the system for phaseTime.
+// runPhase sends the requests of all sources for phaseTime and waits for the responses.
 func runPhase(ctx context.Context, s *local.System, client *http.Client, sources []source) *phase {
 	p := &phase{client: client, pending: make(chan struct{}, maxPending), start: time.Now(), length: phaseTime}
 	for _, h := range s.Entries {
@@ -165,7 +175,8 @@
 	return p
 }
 
-// sendAll sends at exponential distances until the phase ends.
+// sendAll sends the requests of one workspace until the phase ends. The times between them are
+// exponentially distributed.
 func (p *phase) sendAll(ctx context.Context, r *result, rate float64, rng *rand.Rand, wg *sync.WaitGroup) {
 	next := p.start
 	for n := 0; ; n++ {
@@ -192,15 +203,16 @@
 	}
 }
 
-// send counts times from when the request was due, not from when it was sent.
+// send sends one request and records its outcome. It measures times from when the request was due,
+// because a late send must not shorten the measured latency.
 func (p *phase) send(ctx context.Context, r *result, n int, due time.Time) {
 	entry := p.entries[n%len(p.entries)]
 	if r.workspace.usesOneEntry {
 		entry = p.entries[0]
 	}
-	status, v := call(ctx, p.client, entry, r.workspace.token, fmt.Sprintf("%s asks %d", r.workspace.name, n), responseTokens)
+	status, callVerdict := call(ctx, p.client, entry, r.workspace.token, fmt.Sprintf("%s asks %d", r.workspace.name, n), responseTokens)
 	done := time.Now()
-	took := done.Sub(due).Microseconds()
+	elapsedUS := done.Sub(due).Microseconds()
 	if since := done.Sub(p.start); status == http.StatusOK && since >= warmUp && since < p.length {
 		p.answered.Add(1)
 	}
@@ -213,17 +225,17 @@
 	switch {
 	case status == http.StatusOK:
 		r.ok++
-		_ = r.latency.RecordValue(took)
-	case v == verdict.NotRun:
+		_ = r.latency.RecordValue(elapsedUS)
+	case callVerdict == verdict.NotRun:
 		r.refused++
-		_ = r.refusal.RecordValue(took)
+		_ = r.refusal.RecordValue(elapsedUS)
 	default:
 		r.failed++
 	}
 }
 
-// call asks for a completion and reads the whole answer. A status of zero is a lost
-// connection.
+// call requests a completion and reads the complete response. It returns status zero if
+// the connection failed.
 func call(ctx context.Context, client *http.Client, address, token, prompt string, tokens int) (int, verdict.Verdict) {
 	q := local.Completion(prompt, tokens, false)
 	req, err := http.NewRequestWithContext(ctx, q.Method, "http://"+address+q.Path, strings.NewReader(q.Body))
--- a/test/cmd/loadtool/main.go
+++ b/test/cmd/loadtool/main.go
@@ -1,7 +1,7 @@
-// Command loadtool runs a whole system on loopback and measures it under load: an
-// overload by a few large and many small workspaces, failing upstreams, the latency
-// that the path adds, the rate of one entry host and the memory of idle processes.
-// It prints Markdown tables.
+// Command loadtool runs a whole system on loopback and measures it under load. It
+// measures an overload by a few large and many small workspaces, failing upstreams,
+// the latency that the system adds to a request, the request rate of one entry host,
+// and the memory of idle processes. It prints Markdown tables.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/sassafraspost/sassafraspost/test/local"
 )
 
-// scenario is one measurement on a system of its own.
+// scenario is one measurement. Each scenario starts a system of its own.
 type scenario struct {
 	name, short string
 	layout      local.Layout
--- a/test/cmd/loadtool/scenarios.go
+++ b/test/cmd/loadtool/scenarios.go
@@ -15,7 +15,7 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// total adds up the results of a phase.
+// total returns the sum of the results of all workspaces.
 func (p *phase) total() *result {
 	all := newResult(workspace{})
 	for _, r := range p.results {
@@ -29,28 +29,30 @@
 	return all
 }
 
+// rate returns n, a count over the measured time, as a rate per second.
 func (p *phase) rate(n int) float64 { return float64(n) / (p.length - warmUp).Seconds() }
 
+// ms returns a percentile of a histogram in milliseconds.
 func ms(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 
-// minLateRefusal is the time from which on a refusal counts as late.
+// minLateRefusal is the minimum time after which a refusal counts as late.
 const minLateRefusal = 100 * time.Millisecond
 
-// lateRefusals counts the refusals that did not come at once.
+// lateRefusals returns the number of refusals that took minLateRefusal or longer.
 func (p *phase) lateRefusals() int {
 	n := int64(0)
-	for _, bar := range p.total().refusal.Distribution() {
-		if bar.From >= minLateRefusal.Microseconds() {
-			n += bar.Count
+	for _, bucket := range p.total().refusal.Distribution() {
+		if bucket.From >= minLateRefusal.Microseconds() {
+			n += bucket.Count
 		}
 	}
 	return int(n)
 }
 
-// answeredFractions returns the part of their requests that the small and the large workspaces
-// got answered, and the least that a small one got.
-func (p *phase) answeredFractions() (least, small, large float64) {
-	least = 1
+// answeredFractions returns the fraction of the requests that succeeded: the lowest of any single
+// small workspace, and the totals of the small and of the large workspaces.
+func (p *phase) answeredFractions() (lowest, small, large float64) {
+	lowest = 1
 	var ok, offered, smallOK, smallOffered int
 	for _, r := range p.results {
 		if r.workspace.isLarge {
@@ -61,10 +63,10 @@
 		smallOK += r.ok
 		smallOffered += r.offered
 		if r.offered > 0 {
-			least = min(least, float64(r.ok)/float64(r.offered))
+			lowest = min(lowest, float64(r.ok)/float64(r.offered))
 		}
 	}
-	return least, float64(smallOK) / float64(max(smallOffered, 1)), float64(ok) / float64(max(offered, 1))
+	return lowest, float64(smallOK) / float64(max(smallOffered, 1)), float64(ok) / float64(max(offered, 1))
 }
 
 func measureOverload(ctx context.Context, s *local.System) error {
@@ -75,20 +77,21 @@
 	fmt.Println("|---|---|---|---|---|---|---|---|---|---|---|---|---|---|")
 	peak, last := 0.0, 0.0
 	for _, factor := range []float64{0.8, 1, 1.2, 3} {
-		p := runPhase(ctx, s, client, mixedSources(factor))
-		r := p.total()
-		least, small, large := p.answeredFractions()
-		last = p.rate(int(p.answered.Load()))
+		phase := runPhase(ctx, s, client, mixedSources(factor))
+		total := phase.total()
+		lowest, small, large := phase.answeredFractions()
+		last = phase.rate(int(phase.answered.Load()))
 		peak = max(peak, last)
 		fmt.Printf("| %.1f | %.0f | %.0f | %.0f | %d | %.0f | %.0f | %.1f | %.1f | %d | %.0f%% | %.0f%% | %.0f%% | %d |\n",
-			factor, p.rate(r.offered), last, p.rate(r.refused), r.failed, ms(r.latency, 50), ms(r.latency, 99),
-			ms(r.refusal, 50), ms(r.refusal, 99), p.lateRefusals(), 100*large, 100*small, 100*least, p.notSent)
+			factor, phase.rate(total.offered), last, phase.rate(total.refused), total.failed, ms(total.latency, 50), ms(total.latency, 99),
+			ms(total.refusal, 50), ms(total.refusal, 99), phase.lateRefusals(), 100*large, 100*small, 100*lowest, phase.notSent)
 	}
 	fmt.Printf("\nanswered at the last load over the most: %.3f\n", last/peak)
 	return nil
 }
 
-// failureModes are the ways in which a third of the upstreams fails.
+// failureModes are the ways in which measureFailures makes a third of the upstreams fail. set
+// starts and ends the failure of one upstream.
 var failureModes = []struct {
 	name string
 	set  func(ctx context.Context, h *local.Host, on bool) error
@@ -117,7 +120,8 @@
 	}},
 }
 
-// failingLoad is a part of the capacity that two thirds of it can carry.
+// failingLoad is the load of measureFailures as a fraction of the capacity. The two thirds of the
+// upstreams that do not fail can serve it.
 const failingLoad = 0.5
 
 func measureFailures(ctx context.Context, s *local.System) error {
@@ -155,8 +159,8 @@
 	return nil
 }
 
-// measureLimits offers more than their limits from two workspaces, twice: the second time
-// the hosts know the demand.
+// measureLimits loads the system with more than the limits of two workspaces, in two rounds. In
+// the second round the entry hosts know the demand from the first.
 func measureLimits(ctx context.Context, s *local.System) error {
 	client := newClient()
 	var sources []source
@@ -179,6 +183,8 @@
 
 var pathLayout = local.Layout{Control: 3, Entries: 1, Engines: 4, Services: 1, EngineArgs: []string{"--step", "0s"}}
 
+// pathCalls is the number of sequential requests to each target that measureAddedLatency compares.
+// callerCount callers load the entry host for callersRunTime in measureEntryRate.
 const (
 	pathCalls      = 3000
 	pathTokens     = 8
@@ -186,6 +192,8 @@
 	callersRunTime = 5 * time.Second
 )
 
+// measurePath prints the memory of idle processes, the latency that the system adds to direct
+// calls, and the request rate of one entry host.
 func measurePath(ctx context.Context, s *local.System) error {
 	if err := printIdleMemory(s); err != nil {
 		return err
@@ -196,6 +204,8 @@
 	return measureEntryRate(ctx, s)
 }
 
+// measureAddedLatency compares calls through the entry host with direct calls to an engine. The
+// calls alternate, so that both are measured under the same conditions.
 func measureAddedLatency(ctx context.Context, s *local.System) error {
 	client := newClient()
 	names := []string{"direct", "path"}
@@ -204,11 +214,11 @@
 	token := workspaces()[0].token
 	for n := range pathCalls {
 		for i, target := range targets {
-			began := time.Now()
+			start := time.Now()
 			if status, _ := call(ctx, client, target, token, fmt.Sprint("call ", n), pathTokens); status != http.StatusOK {
 				return errors.Errorf("%s: status %d", names[i], status)
 			}
-			_ = times[i].RecordValue(time.Since(began).Microseconds())
+			_ = times[i].RecordValue(time.Since(start).Microseconds())
 		}
 	}
 	fmt.Printf("\n| %d calls one after the other | p50 ms | p99 ms |\n|---|---|---|\n", pathCalls)
@@ -219,7 +229,8 @@
 	return nil
 }
 
-// measureEntryRate loads one entry host with callers that ask again at once.
+// measureEntryRate loads one entry host with callers that send the next request as soon as they
+// have a response.
 func measureEntryRate(ctx context.Context, s *local.System) error {
 	client := newClient()
 	token := workspaces()[0].token
@@ -228,13 +239,13 @@
 	if err != nil {
 		return err
 	}
-	began := time.Now()
+	start := time.Now()
 	var wg sync.WaitGroup
 	for c := range callerCount {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for n := 0; time.Since(began) < callersRunTime && ctx.Err() == nil; n++ {
+			for n := 0; time.Since(start) < callersRunTime && ctx.Err() == nil; n++ {
 				if status, _ := call(ctx, client, s.Entries[0].Listen, token, fmt.Sprint(c, " asks ", n), pathTokens); status == http.StatusOK {
 					ok.Add(1)
 				} else {
@@ -244,15 +255,15 @@
 		}()
 	}
 	wg.Wait()
-	took := time.Since(began)
+	elapsed := time.Since(start)
 	after, err := s.Entries[0].Usage()
 	if err != nil {
 		return err
 	}
-	used := (after.CPU - before.CPU).Seconds()
+	cpuSeconds := (after.CPU - before.CPU).Seconds()
 	fmt.Printf("\n| callers | answered/s | others | cores used by the entry process | answered per core and second | RSS after MiB |\n|---|---|---|---|---|---|\n")
-	fmt.Printf("| %d | %.0f | %d | %.2f | %.0f | %.1f |\n", callerCount, float64(ok.Load())/took.Seconds(), other.Load(),
-		used/took.Seconds(), float64(ok.Load())/used, mebibytes(after.Resident))
+	fmt.Printf("| %d | %.0f | %d | %.2f | %.0f | %.1f |\n", callerCount, float64(ok.Load())/elapsed.Seconds(), other.Load(),
+		cpuSeconds/elapsed.Seconds(), float64(ok.Load())/cpuSeconds, mebibytes(after.Resident))
 	return nil
 }
 
@@ -270,7 +281,7 @@
 
 func mebibytes(n int64) float64 { return float64(n) / (1 << 20) }
 
-// Names under which entry hosts publish their counters.
+// The names of the entry hosts' counters of requests and retries.
 const (
 	requestsMetric = "sassafraspost_entry_requests"
 	retriesMetric  = "sassafraspost_entry_retries"
--- a/test/cmd/members/main.go
+++ b/test/cmd/members/main.go
@@ -1,7 +1,7 @@
-// Command members measures what membership and load reports cost a node of one data
-// centre: it runs entry hosts and agents with their real sessions, tables and
+// Command members measures what membership and load reports cost a host of one data
+// centre. It runs entry hosts and agents with their real sessions, tables and
 // announcers on loopback, all in one process, and prints messages, bytes, CPU and
-// memory a node.
+// memory per host.
 package main
 
 import (
@@ -24,6 +24,7 @@
 	"github.com/sassafraspost/sassafraspost/internal/wire"
 )
 
+// discoveryTimeout is how long all entry hosts may take to learn of a change.
 const (
 	secret           = "secret of the measurement"
 	discoveryTimeout = time.Minute
@@ -56,22 +57,25 @@
 	}
 }
 
-// testHost is one host of the measured data centre.
+// testHost is one entry host or agent of the measured data centre.
 type testHost struct {
 	host     directory.Host
 	pool     *peer.Pool
 	registry metrics.Registry
 	service  *directory.Service
-	// state and stop belong to an agent: what it announces, and the end of announcing.
+	// These are set for agents only. state is the upstream state that the agent announces, stop
+	// ends its announcements.
 	state     atomic.Uint32
 	stop      context.CancelFunc
 	announcer *directory.Announcer
 }
 
+// startTime is the zero time of the clock that now returns.
 var startTime = time.Now()
 
 func now() time.Duration { return time.Since(startTime) }
 
+// run starts all hosts, measures their cost, and then measures how fast changes spread.
 func run(o options) error {
 	before := memoryInUse()
 	entries, err := startEntries(o)
@@ -94,13 +98,13 @@
 	return measureChanges(entries, agents)
 }
 
-// measureChanges measures how long it takes until all entry hosts know that an agent leaves,
-// and that another one has fallen silent.
+// measureChanges measures how long it takes until all entry hosts know that one agent is
+// draining, and that another agent has stopped sending announcements.
 func measureChanges(entries, agents []*testHost) error {
-	leaving, silent := agents[0], agents[1]
-	leaving.state.Store(uint32(wire.UpstreamLeaving))
-	leaving.announcer.AnnounceNow()
-	err := printTimeUntil("leaving agent", entries, leaving, func(e directory.Entry) bool {
+	draining, silent := agents[0], agents[1]
+	draining.state.Store(uint32(wire.UpstreamLeaving))
+	draining.announcer.AnnounceNow()
+	err := printTimeUntil("leaving agent", entries, draining, func(e directory.Entry) bool {
 		return e.Upstream.State == wire.UpstreamLeaving
 	})
 	if err != nil {
@@ -110,12 +114,14 @@
 	return printTimeUntil("silent agent", entries, silent, func(e directory.Entry) bool { return e.Suspect })
 }
 
+// printTimeUntil waits until ok holds for the agent's entry on all entry hosts, and prints how long
+// that took.
 func printTimeUntil(what string, entries []*testHost, agent *testHost, ok func(directory.Entry) bool) error {
 	begin := time.Now()
-	for _, n := range entries {
-		for !entryMatches(n, agent.host.Name, ok) {
+	for _, h := range entries {
+		for !entryMatches(h, agent.host.Name, ok) {
 			if time.Since(begin) > discoveryTimeout {
-				return fmt.Errorf("%s does not know of the %s", n.host.Name, what)
+				return fmt.Errorf("%s does not know of the %s", h.host.Name, what)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -124,8 +130,9 @@
 	return nil
 }
 
-func entryMatches(n *testHost, name string, ok func(directory.Entry) bool) bool {
-	for _, e := range n.service.Entries() {
+// entryMatches reports whether ok holds for the named agent's entry in the directory of a host.
+func entryMatches(h *testHost, name string, ok func(directory.Entry) bool) bool {
+	for _, e := range h.service.Entries() {
 		if e.Upstream.Name == name {
 			return ok(e)
 		}
@@ -133,29 +140,32 @@
 	return false
 }
 
+// newTestHost starts a peer listener and returns a host without a directory or announcer.
 func newTestHost(name string, handler peer.Handler) (*testHost, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	n := &testHost{host: directory.Host{Name: name, Address: l.Addr().String()}, registry: metrics.NewRegistry()}
-	n.pool = peer.NewPool(peer.Config{
-		Hello:   wire.Hello{Host: name, DataCentre: "centre-a", Address: n.host.Address},
+	h := &testHost{host: directory.Host{Name: name, Address: l.Addr().String()}, registry: metrics.NewRegistry()}
+	h.pool = peer.NewPool(peer.Config{
+		Hello:   wire.Hello{Host: name, DataCentre: "centre-a", Address: h.host.Address},
 		Secret:  secret,
 		Handler: handler,
-		Metrics: n.registry,
+		Metrics: h.registry,
 	})
 	mux := http.NewServeMux()
-	mux.Handle(peer.Path, peer.NewServer(n.pool))
+	mux.Handle(peer.Path, peer.NewServer(h.pool))
 	go func() { _ = http.Serve(l, mux) }()
-	return n, nil
+	return h, nil
 }
 
+// startEntries starts the entry hosts. Their addresses must be known before their directory
+// services are created, so a listener that is up already ignores messages until then.
 func startEntries(o options) ([]*testHost, error) {
-	var nodes []*testHost
+	var entries []*testHost
 	services := make([]atomic.Pointer[directory.Service], o.entries)
 	for i := range o.entries {
-		n, err := newTestHost(fmt.Sprintf("entry-%d", i), peer.HandlerFunc(func(s *peer.Session, call uint64, m wire.Message) {
+		h, err := newTestHost(fmt.Sprintf("entry-%d", i), peer.HandlerFunc(func(s *peer.Session, call uint64, m wire.Message) {
 			if d := services[i].Load(); d != nil {
 				d.HandlePeer(s, call, m)
 			}
@@ -163,62 +173,64 @@
 		if err != nil {
 			return nil, err
 		}
-		nodes = append(nodes, n)
+		entries = append(entries, h)
 	}
 	var hosts []directory.Host
-	for _, n := range nodes {
-		hosts = append(hosts, n.host)
+	for _, h := range entries {
+		hosts = append(hosts, h.host)
 	}
-	for i, n := range nodes {
-		n.service = directory.NewService(directory.ServiceConfig{
-			Self: n.host.Name, Hosts: hosts, Incarnation: 1, Pool: n.pool,
-			Now: now, Log: slog.New(slog.DiscardHandler), Metrics: n.registry,
+	for i, h := range entries {
+		h.service = directory.NewService(directory.ServiceConfig{
+			Self: h.host.Name, Hosts: hosts, Incarnation: 1, Pool: h.pool,
+			Now: now, Log: slog.New(slog.DiscardHandler), Metrics: h.registry,
 		})
-		services[i].Store(n.service)
-		go n.service.Run(context.Background())
+		services[i].Store(h.service)
+		go h.service.Run(context.Background())
 	}
-	return nodes, nil
+	return entries, nil
 }
 
+// startAgents starts agents that announce themselves, with changing load, to all entry hosts.
 func startAgents(o options, entries []*testHost) ([]*testHost, error) {
 	var hosts []directory.Host
-	for _, n := range entries {
-		hosts = append(hosts, n.host)
+	for _, h := range entries {
+		hosts = append(hosts, h.host)
 	}
-	var nodes []*testHost
+	var agents []*testHost
 	for i := range o.agents {
-		n, err := newTestHost(fmt.Sprintf("worker-a-%03d", i), peer.HandlerFunc(func(*peer.Session, uint64, wire.Message) {}))
+		h, err := newTestHost(fmt.Sprintf("worker-a-%03d", i), peer.HandlerFunc(func(*peer.Session, uint64, wire.Message) {}))
 		if err != nil {
 			return nil, err
 		}
-		n.state.Store(uint32(wire.UpstreamReady))
+		h.state.Store(uint32(wire.UpstreamReady))
 		var tick atomic.Uint32
-		n.announcer = directory.NewAnnouncer(directory.AnnouncerConfig{
-			Hosts: hosts, Pool: n.pool, Interval: o.interval, Now: now, Log: slog.New(slog.DiscardHandler),
+		h.announcer = directory.NewAnnouncer(directory.AnnouncerConfig{
+			Hosts: hosts, Pool: h.pool, Interval: o.interval, Now: now, Log: slog.New(slog.DiscardHandler),
 			Raise: func(uint64) {},
 			Record: func() (wire.Upstream, []wire.CacheEvent) {
 				t := tick.Add(1)
 				return wire.Upstream{
-					Name: n.host.Name, DataCentre: "centre-a", Address: n.host.Address, Incarnation: 1,
-					State: wire.UpstreamState(n.state.Load()), Pool: "drafter", Version: "v3", Role: "unified", Group: "drafter-a",
+					Name: h.host.Name, DataCentre: "centre-a", Address: h.host.Address, Incarnation: 1,
+					State: wire.UpstreamState(h.state.Load()), Pool: "drafter", Version: "v3", Role: "unified", Group: "drafter-a",
 					Load: wire.Load{Running: 30 + t%8, Queued: t % 4, Capacity: 64, FirstTokenUS: 180_000 + uint64(t%1000), Tokens: 3500, CacheFree: 0.25, StepUS: 30_000, AgeMS: 100 + t%900},
 				}, nil
 			},
 		})
 		var ctx context.Context
-		ctx, n.stop = context.WithCancel(context.Background())
-		go n.announcer.Run(ctx)
-		nodes = append(nodes, n)
+		ctx, h.stop = context.WithCancel(context.Background())
+		go h.announcer.Run(ctx)
+		agents = append(agents, h)
 	}
-	return nodes, nil
+	return agents, nil
 }
 
+// awaitKnown waits until all entry hosts know this number of agents.
 func awaitKnown(entries []*testHost, agents int) error {
 	begin := time.Now()
-	for _, n := range entries {
-		for len(n.service.Entries()) != agents {
+	for _, h := range entries {
+		for len(h.service.Entries()) != agents {
 			if time.Since(begin) > discoveryTimeout {
-				return fmt.Errorf("%s knows %d of %d agents", n.host.Name, len(n.service.Entries()), agents)
+				return fmt.Errorf("%s knows %d of %d agents", h.host.Name, len(h.service.Entries()), agents)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -227,6 +239,7 @@
 	return nil
 }
 
+// dialAgents opens a session from each entry host to each agent.
 func dialAgents(entries, agents []*testHost) error {
 	for _, e := range entries {
 		for _, a := range agents {
@@ -238,24 +251,26 @@
 	return nil
 }
 
-// traffic is what nodes spent, summed.
+// traffic is the sum of the messages and bytes that some hosts have sent and received.
 type traffic struct{ sentMessages, sentBytes, receivedMessages, receivedBytes int64 }
 
-func totalTraffic(nodes []*testHost) traffic {
-	var c traffic
-	for _, n := range nodes {
-		c.sentMessages += counterValue(n, "sent.messages")
-		c.sentBytes += counterValue(n, "sent.bytes")
-		c.receivedMessages += counterValue(n, "received.messages")
-		c.receivedBytes += counterValue(n, "received.bytes")
+func totalTraffic(hosts []*testHost) traffic {
+	var total traffic
+	for _, h := range hosts {
+		total.sentMessages += counterValue(h, "sent.messages")
+		total.sentBytes += counterValue(h, "sent.bytes")
+		total.receivedMessages += counterValue(h, "received.messages")
+		total.receivedBytes += counterValue(h, "received.bytes")
 	}
-	return c
+	return total
 }
 
-func counterValue(n *testHost, name string) int64 {
-	return metrics.GetOrRegisterCounter("peer.control."+name, n.registry).Count()
+func counterValue(h *testHost, name string) int64 {
+	return metrics.GetOrRegisterCounter("peer.control."+name, h.registry).Count()
 }
 
+// measureCost waits for the measured duration, and prints the traffic, CPU time and memory per host
+// in that time. before is the memory in use before the hosts were started.
 func measureCost(o options, entries, agents []*testHost, before uint64) {
 	e0, a0, cpu0 := totalTraffic(entries), totalTraffic(agents), cpuTime()
 	time.Sleep(o.duration)
@@ -263,15 +278,15 @@
 	seconds := o.duration.Seconds()
 	printTraffic("entry host", e0, e1, float64(o.entries)*seconds)
 	printTraffic("agent", a0, a1, float64(o.agents)*seconds)
-	nodes := float64(o.entries + o.agents)
-	fmt.Printf("cpu: %.3f%% of a core a node\n", 100*(cpu1-cpu0).Seconds()/seconds/nodes)
-	fmt.Printf("heap: %.1f KiB a node\n", float64(memoryInUse()-before)/1024/nodes)
+	hosts := float64(o.entries + o.agents)
+	fmt.Printf("cpu: %.3f%% of a core a node\n", 100*(cpu1-cpu0).Seconds()/seconds/hosts)
+	fmt.Printf("heap: %.1f KiB a node\n", float64(memoryInUse()-before)/1024/hosts)
 }
 
-func printTraffic(who string, a, b traffic, per float64) {
-	fmt.Printf("%s: sends %.1f messages/s, %.0f B/s; receives %.1f messages/s, %.0f B/s\n", who,
-		float64(b.sentMessages-a.sentMessages)/per, float64(b.sentBytes-a.sentBytes)/per,
-		float64(b.receivedMessages-a.receivedMessages)/per, float64(b.receivedBytes-a.receivedBytes)/per)
+func printTraffic(role string, before, after traffic, hostSeconds float64) {
+	fmt.Printf("%s: sends %.1f messages/s, %.0f B/s; receives %.1f messages/s, %.0f B/s\n", role,
+		float64(after.sentMessages-before.sentMessages)/hostSeconds, float64(after.sentBytes-before.sentBytes)/hostSeconds,
+		float64(after.receivedMessages-before.receivedMessages)/hostSeconds, float64(after.receivedBytes-before.receivedBytes)/hostSeconds)
 }
 
 func cpuTime() time.Duration {
@@ -280,6 +295,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
+// memoryInUse returns the heap and stack memory in use after a garbage collection.
 func memoryInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/test/cmd/soak/main.go
+++ b/test/cmd/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak plays seeded runs of faults against whole systems on loopback, one after the
-// other, and tells which promises were broken.
+// Command soak runs whole systems of real processes on loopback under seeded series of faults,
+// one run after the other, and prints which promises of the system were broken.
 package main
 
 import (
@@ -19,7 +19,8 @@
 	"github.com/sassafraspost/sassafraspost/test/soak"
 )
 
-// startStopTimeout bounds the start and the end of a run, beside its faults.
+// startStopTimeout is the time that a run may take in addition to its fault injection: to start
+// the system, to recover and to stop.
 const startStopTimeout = 3 * time.Minute
 
 func main() {
@@ -31,7 +32,7 @@
 	}
 }
 
-// options are what the command line says.
+// options are the values of the flags.
 type options struct {
 	seed      uint64
 	seeds     int
@@ -64,6 +65,7 @@
 	return cmd
 }
 
+// run plays one run for each seed. It returns an error if a promise was broken in any of them.
 func run(ctx context.Context, o options) error {
 	only, err := parseKinds(o.only)
 	if err != nil {
@@ -99,7 +101,8 @@
 	return nil
 }
 
-// runSeed plays a run in a folder of its own, which is kept only for its logs.
+// runSeed plays one run in a folder of its own. If the run failed and keep is set, it copies the
+// folder, which holds the logs, to keep. It removes the folder unless the run returned an error.
 func runSeed(ctx context.Context, dir string, cfg soak.Config, keep string) (*soak.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, cfg.FaultTime+startStopTimeout)
 	defer cancel()
@@ -109,8 +112,8 @@
 	}
 	r, err := soak.Run(ctx, cfg)
 	if keep != "" && (err != nil || len(r.Violations) > 0) {
-		if kept := os.CopyFS(filepath.Join(keep, fmt.Sprintf("%s-%d", filepath.Base(cfg.Dir), time.Now().Unix())), os.DirFS(cfg.Dir)); kept != nil {
-			fmt.Fprintln(os.Stderr, "the logs are not kept:", kept)
+		if copyErr := os.CopyFS(filepath.Join(keep, fmt.Sprintf("%s-%d", filepath.Base(cfg.Dir), time.Now().Unix())), os.DirFS(cfg.Dir)); copyErr != nil {
+			fmt.Fprintln(os.Stderr, "the logs are not kept:", copyErr)
 		}
 	}
 	if err != nil {
@@ -119,7 +122,7 @@
 	return r, os.RemoveAll(cfg.Dir)
 }
 
-// parseKinds reads the kinds of faults.
+// parseKinds returns the kinds of faults with these names.
 func parseKinds(names []string) ([]soak.Kind, error) {
 	var out []soak.Kind
 	for _, name := range names {
--- a/test/cmd/standin/main.go
+++ b/test/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs a stand-in for a model engine or a plain service.
+// Command standin runs a stand-in for a model engine, a plain service or a group of ranks.
 package main
 
 import (
@@ -71,16 +71,17 @@
 	return s.run()
 }
 
-// server serves a stand-in that may end and come back, with what it has counted.
+// server serves a stand-in over HTTP. The stand-in may crash and restart; its counts survive.
 type server struct {
 	*flags
 	handler http.Handler
 
-	// mu guards present, which is nil while the stand-in is away.
+	// mu guards current, which is nil after a crash until the restart.
 	mu      sync.Mutex
 	current *http.Server
 }
 
+// run serves until the listener fails. After a crash it serves again once downtime has passed.
 func (s *server) run() error {
 	for {
 		srv := &http.Server{Addr: s.listen, Handler: s.handler, ReadHeaderTimeout: 10 * time.Second}
@@ -94,7 +95,7 @@
 	}
 }
 
-// crash closes the listener and all connections, as the end of a process does.
+// crash closes the listener and all connections, as a crash of the process would.
 func (s *server) crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +105,7 @@
 	}
 }
 
-// newGroup serves the ranks of a group beside the interface of an engine.
+// newGroup returns a handler for the ranks of a group and, on the other paths, for one engine.
 func newGroup(f *flags) http.Handler {
 	f.group.Step = f.engine.Step
 	g := standin.NewGroup(f.group)
--- a/test/cmd/streams/main.go
+++ b/test/cmd/streams/main.go
@@ -1,6 +1,6 @@
-// Command streams measures what a streamed token costs an entry host and an agent: it
-// lets callers stream from one engine through one entry host, and prints processor
-// time and bytes a token and the time between tokens.
+// Command streams measures what a streamed token costs an entry host and an agent.
+// Callers stream from one engine, first directly and then through one entry host. It
+// prints the CPU time per token, the time to the first token and the time between tokens.
 package main
 
 import (
@@ -19,6 +19,8 @@
 	"github.com/sassafraspost/sassafraspost/test/local"
 )
 
+// maxRecordedUS is the longest time that the histograms record, in microseconds. tokenPrefix starts
+// each line of a stream that carries a token.
 const (
 	timeout           = 2 * time.Minute
 	maxRecordedUS     = 60_000_000
@@ -56,22 +58,22 @@
 	return local.With(layout, func(s *local.System) error { return measureBoth(ctx, s, o) })
 }
 
-// measureBoth streams past the system and through it.
+// measureBoth measures streams directly from the engine, and streams through the system.
 func measureBoth(ctx context.Context, s *local.System, o options) error {
 	if err := s.Prepare(ctx, local.Document("v1")); err != nil {
 		return err
 	}
-	for _, way := range []struct{ name, address string }{
+	for _, target := range []struct{ name, address string }{
 		{"direct", s.Agents[0].Upstream.Listen}, {"through the system", s.Entries[0].Listen},
 	} {
-		if err := measure(ctx, s, o, way.name, way.address); err != nil {
+		if err := measure(ctx, s, o, target.name, target.address); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// measure streams from an address and prints what that cost.
+// measure runs all streams from one address, and prints their latency and their cost per token.
 func measure(ctx context.Context, s *local.System, o options, name, address string) error {
 	entry, err := s.Entries[0].Usage()
 	if err != nil {
@@ -82,10 +84,10 @@
 		return err
 	}
 	begin := time.Now()
-	c := &streamStats{gaps: hdrhistogram.New(1, maxRecordedUS, significantDigits), first: hdrhistogram.New(1, maxRecordedUS, significantDigits)}
+	stats := &streamStats{gaps: hdrhistogram.New(1, maxRecordedUS, significantDigits), first: hdrhistogram.New(1, maxRecordedUS, significantDigits)}
 	var wg sync.WaitGroup
 	for i := range o.callers {
-		wg.Go(func() { c.stream(ctx, address, fmt.Sprint("caller ", i), o.tokens) })
+		wg.Go(func() { stats.stream(ctx, address, fmt.Sprint("caller ", i), o.tokens) })
 	}
 	wg.Wait()
 	seconds := time.Since(begin).Seconds()
@@ -97,11 +99,11 @@
 	if err != nil {
 		return err
 	}
-	perToken := func(spent time.Duration) float64 { return float64(spent.Microseconds()) / float64(c.tokens) }
+	perToken := func(cpu time.Duration) float64 { return float64(cpu.Microseconds()) / float64(stats.tokens) }
 	fmt.Printf("%s: %d tokens, %.0f/s; first token ms p50 %.1f p95 %.1f p99 %.1f; between tokens ms p50 %.1f p95 %.1f p99 %.1f; entry %.1f µs and agent %.1f µs a token; failed %d\n",
-		name, c.tokens, float64(c.tokens)/seconds, ms(c.first, 50), ms(c.first, 95), ms(c.first, 99),
-		ms(c.gaps, 50), ms(c.gaps, 95), ms(c.gaps, 99),
-		perToken(entryAfter.CPU-entry.CPU), perToken(agentAfter.CPU-agent.CPU), c.failed)
+		name, stats.tokens, float64(stats.tokens)/seconds, ms(stats.first, 50), ms(stats.first, 95), ms(stats.first, 99),
+		ms(stats.gaps, 50), ms(stats.gaps, 95), ms(stats.gaps, 99),
+		perToken(entryAfter.CPU-entry.CPU), perToken(agentAfter.CPU-agent.CPU), stats.failed)
 	return nil
 }
 
@@ -109,25 +111,26 @@
 	return float64(h.ValueAtPercentile(percentile)) / 1000
 }
 
-// streamStats counts over all callers.
+// streamStats collects the measurements of all callers. gaps holds the times between two tokens of
+// a stream, first the times from a request to its first token, both in microseconds.
 type streamStats struct {
 	mu             sync.Mutex
 	gaps, first    *hdrhistogram.Histogram
 	tokens, failed int
 }
 
-func (c *streamStats) stream(ctx context.Context, address, prompt string, tokens int) {
+func (s *streamStats) stream(ctx context.Context, address, prompt string, tokens int) {
 	q := local.Completion(prompt, tokens, true)
 	req, err := http.NewRequestWithContext(ctx, q.Method, "http://"+address+q.Path, strings.NewReader(q.Body))
 	if err != nil {
-		c.recordFailure()
+		s.recordFailure()
 		return
 	}
 	req.Header.Set("Authorization", "Bearer "+local.CallerToken)
-	asked := time.Now()
+	sentAt := time.Now()
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		c.recordFailure()
+		s.recordFailure()
 		return
 	}
 	defer resp.Body.Close()
@@ -135,30 +138,31 @@
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
 		if strings.HasPrefix(lines.Text(), tokenPrefix) {
-			last = c.recordToken(asked, last)
+			last = s.recordToken(sentAt, last)
 		}
 	}
 	if lines.Err() != nil {
-		c.recordFailure()
+		s.recordFailure()
 	}
 }
 
-// recordToken counts a token and returns when it came.
-func (c *streamStats) recordToken(asked, last time.Time) time.Time {
+// recordToken records that a token arrived now, and returns that time. last is the time of the
+// previous token, zero for the first.
+func (s *streamStats) recordToken(sentAt, last time.Time) time.Time {
 	now := time.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.tokens++
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.tokens++
 	if last.IsZero() {
-		_ = c.first.RecordValue(now.Sub(asked).Microseconds())
+		_ = s.first.RecordValue(now.Sub(sentAt).Microseconds())
 	} else {
-		_ = c.gaps.RecordValue(now.Sub(last).Microseconds())
+		_ = s.gaps.RecordValue(now.Sub(last).Microseconds())
 	}
 	return now
 }
 
-func (c *streamStats) recordFailure() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.failed++
+func (s *streamStats) recordFailure() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.failed++
 }
