--- a/test/soak/callers.go
+++ b/test/soak/callers.go
@@ -19,7 +19,7 @@
 	// requestTimeout is how long a caller waits for a response.
 	requestTimeout = 15 * time.Second
 	// faultEffectTime is how long after its end an unplanned fault may still interrupt requests.
-	// After that time the leases and calls from before the end of the fault are over.
+	// Leases and calls that were in progress during the fault have ended by then.
 	faultEffectTime = 5 * time.Second
 	// maxBookingAttempts is how often a caller sends a booking until it knows the outcome.
 	maxBookingAttempts = 20
@@ -186,8 +186,8 @@
 	c.addID(c.notRun, id)
 }
 
-// noteInterrupted records a request whose response broke off, did not arrive, or can never be
-// known, unless an unplanned fault may be the cause.
+// noteInterrupted records a request whose response broke off or did not arrive, or whose outcome can
+// never be known, unless an unplanned fault may be the cause.
 func (c *callerPool) noteInterrupted(id string, sent time.Time, answer local.Answer) {
 	if !c.r.isUndisturbed(sent, time.Now(), faultEffectTime) {
 		return
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -38,8 +38,8 @@
 const MaxSize = 10
 
 // Layout returns the processes of a system. Size 1 has 21 of them, stand-ins included. A larger
-// system has five control hosts, and size times as many processes of every other kind. From
-// size 4 on the group is so large that some of its hosts forward changes of the expert map, and
+// system has five control hosts, and size times as many processes of every other kind as size 1.
+// From size 4 on the group is so large that some of its hosts forward changes of the expert map, and
 // other messages to the whole group, to the others.
 func Layout(size int) local.Layout {
 	control := smallControlCount
