--- a/test/cmd/loadtool/scenarios.go
+++ b/test/cmd/loadtool/scenarios.go
@@ -91,7 +91,7 @@
 }
 
 // failureModes are the ways in which measureFailures makes a third of the upstreams fail. set
-// starts and ends the failure of one upstream.
+// starts and ends the failure of one upstream. The last one does not end, so it must stay last.
 var failureModes = []struct {
 	name string
 	set  func(ctx context.Context, h *local.Host, on bool) error
