--- a/test/cmd/capacity/main.go
+++ b/test/cmd/capacity/main.go
@@ -1,7 +1,7 @@
-// Command capacity measures what control costs with real processes: control hosts,
-// and entry hosts in several data centres, that hold the documents of many
-// workspaces. It prints bytes, messages, CPU and memory a node while idle, and how
-// long changes take until they are in force everywhere.
+// Command capacity measures the cost of the control plane with real processes: control
+// hosts, and entry hosts in several data centres, that store the documents of many
+// workspaces. It prints the bytes, messages, CPU and memory per host while nothing
+// changes, and how long changes take until they are in force everywhere.
 package main
 
 import (
@@ -23,7 +23,7 @@
 type options struct {
 	control, centres, entries, agents int
 	teams, workspaces, changes        int
-	span                              time.Duration
+	idleTime                          time.Duration
 }
 
 func main() {
@@ -43,7 +43,7 @@
 	fs.IntVar(&o.teams, "teams", 27, "documents")
 	fs.IntVar(&o.workspaces, "workspaces", 249, "workspaces in each document")
 	fs.IntVar(&o.changes, "changes", 20, "changes to time")
-	fs.DurationVar(&o.span, "span", 20*time.Second, "how long to measure idle cost")
+	fs.DurationVar(&o.idleTime, "span", 20*time.Second, "how long to measure idle cost")
 	if err := cmd.Execute(); err != nil {
 		os.Exit(1)
 	}
@@ -63,42 +63,46 @@
 	if err := s.Bootstrap(ctx); err != nil {
 		return err
 	}
-	m := measurement{System: s, o: o}
+	m := measurement{System: s, options: o}
 	if err := m.submitAll(ctx); err != nil {
 		return err
 	}
-	if err := m.idle(ctx); err != nil {
+	if err := m.measureIdle(ctx); err != nil {
 		return err
 	}
-	return m.change(ctx)
+	return m.measureChanges(ctx)
 }
 
 type measurement struct {
 	*local.System
-	o options
+	options options
 }
 
+// submitAll submits the documents of all teams, and prints how long it takes until they are in
+// force.
 func (m measurement) submitAll(ctx context.Context) error {
 	begin := time.Now()
-	for team := range m.o.teams {
-		if out, err := m.SubmitWithBase(ctx, 0, local.TeamDocument(team, m.o.workspaces, "v1")); err != nil {
+	for team := range m.options.teams {
+		if out, err := m.SubmitWithBase(ctx, 0, local.TeamDocument(team, m.options.workspaces, "v1")); err != nil {
 			return errors.Wrap(err, out)
 		}
 	}
-	revision, err := m.await(ctx, m.o.teams-1)
+	revision, err := m.awaitInForce(ctx, m.options.teams-1)
 	fmt.Printf("%d documents of %d workspaces, %d bytes each, in force on %d hosts after %v, revision %d\n",
-		m.o.teams, m.o.workspaces, len(local.TeamDocument(0, m.o.workspaces, "v1")), len(m.Entries),
+		m.options.teams, m.options.workspaces, len(local.TeamDocument(0, m.options.workspaces, "v1")), len(m.Entries),
 		time.Since(begin).Round(time.Millisecond), revision)
 	return err
 }
 
+// status holds the fields that are used of the output of the status command. InForce is the number
+// of entry hosts on which the document is in force.
 type status struct {
 	Revision uint64 `json:"revision"`
 	InForce  int    `json:"inForce"`
 }
 
-// await waits until the document of a team is in force on every entry host.
-func (m measurement) await(ctx context.Context, team int) (uint64, error) {
+// awaitInForce waits until the document of a team is in force on every entry host.
+func (m measurement) awaitInForce(ctx context.Context, team int) (uint64, error) {
 	var st status
 	err := local.Await(ctx, func() bool {
 		out, err := m.RunCLI(ctx, "status", fmt.Sprintf("team-%d", team), "-o", "json")
@@ -107,42 +111,42 @@
 	return st.Revision, err
 }
 
-// idle measures what nodes spend while nothing changes.
-func (m measurement) idle(ctx context.Context) error {
+// measureIdle prints the usage per host while nothing changes.
+func (m measurement) measureIdle(ctx context.Context) error {
 	kinds := []struct {
 		name  string
 		hosts []*local.Host
 	}{{"control host", m.Control}, {"entry host", m.Entries}, {"agent", m.Agents}}
-	before := make([]spent, len(kinds))
+	before := make([]usage, len(kinds))
 	for i, k := range kinds {
 		var err error
-		if before[i], err = read(ctx, k.hosts); err != nil {
+		if before[i], err = readUsage(ctx, k.hosts); err != nil {
 			return err
 		}
 	}
-	<-time.After(m.o.span)
+	<-time.After(m.options.idleTime)
 	for i, k := range kinds {
 		if len(k.hosts) == 0 {
 			continue
 		}
-		after, err := read(ctx, k.hosts)
+		after, err := readUsage(ctx, k.hosts)
 		if err != nil {
 			return err
 		}
-		after.show(k.name, before[i], m.o.span.Seconds()*float64(len(k.hosts)), len(k.hosts))
+		after.print(k.name, before[i], m.options.idleTime.Seconds()*float64(len(k.hosts)), len(k.hosts))
 	}
 	return nil
 }
 
-// spent is what some hosts have spent, summed.
-type spent struct {
+// usage is the sum of the counters, CPU time and resident memory of some hosts.
+type usage struct {
 	counters map[string]int64
 	cpu      time.Duration
 	resident int64
 }
 
-func read(ctx context.Context, hosts []*local.Host) (spent, error) {
-	var out spent
+func readUsage(ctx context.Context, hosts []*local.Host) (usage, error) {
+	var out usage
 	var err error
 	if out.counters, err = local.Counters(ctx, hosts); err != nil {
 		return out, err
@@ -158,20 +162,23 @@
 	return out, nil
 }
 
-func (s spent) show(name string, before spent, per float64, hosts int) {
+// print prints the usage per host since before. hostSeconds is the number of hosts times the
+// seconds between the two readings.
+func (s usage) print(name string, before usage, hostSeconds float64, hosts int) {
 	rate := func(counter string) float64 {
 		key := "sassafraspost_peer_control_" + counter
-		return float64(s.counters[key]-before.counters[key]) / per
+		return float64(s.counters[key]-before.counters[key]) / hostSeconds
 	}
 	fmt.Printf("%s: sends %.1f messages/s, %.0f B/s; receives %.1f messages/s, %.0f B/s; %.3f%% of a core; %.1f MiB resident\n",
 		name, rate("sent_messages"), rate("sent_bytes"), rate("received_messages"), rate("received_bytes"),
-		100*(s.cpu-before.cpu).Seconds()/per, float64(s.resident)/float64(hosts)/(1<<20))
+		100*(s.cpu-before.cpu).Seconds()/hostSeconds, float64(s.resident)/float64(hosts)/(1<<20))
 }
 
-// change times changes from the answer to the submission until in force everywhere.
-func (m measurement) change(ctx context.Context) error {
-	var times []time.Duration
-	for i := range m.o.changes {
+// measureChanges prints the time from the response to a submission until the change is in force on
+// all entry hosts.
+func (m measurement) measureChanges(ctx context.Context) error {
+	var durations []time.Duration
+	for i := range m.options.changes {
 		out, err := m.RunCLI(ctx, "status", "team-0", "-o", "json")
 		if err != nil {
 			return errors.Wrap(err, out)
@@ -180,18 +187,18 @@
 		if err := json.Unmarshal([]byte(out), &st); err != nil {
 			return err
 		}
-		text := local.TeamDocument(0, m.o.workspaces, fmt.Sprintf("v%d", i+2))
+		text := local.TeamDocument(0, m.options.workspaces, fmt.Sprintf("v%d", i+2))
 		if out, err := m.SubmitWithBase(ctx, st.Revision, text); err != nil {
 			return errors.Wrap(err, out)
 		}
 		accepted := time.Now()
-		if _, err := m.await(ctx, 0); err != nil {
+		if _, err := m.awaitInForce(ctx, 0); err != nil {
 			return err
 		}
-		times = append(times, time.Since(accepted))
+		durations = append(durations, time.Since(accepted))
 	}
-	slices.Sort(times)
+	slices.Sort(durations)
 	fmt.Printf("in force everywhere after the answer: p50 %v, max %v over %d changes\n",
-		times[len(times)/2].Round(time.Millisecond), times[len(times)-1].Round(time.Millisecond), len(times))
+		durations[len(durations)/2].Round(time.Millisecond), durations[len(durations)-1].Round(time.Millisecond), len(durations))
 	return nil
 }
--- a/test/cmd/loadtool/main.go
+++ b/test/cmd/loadtool/main.go
@@ -1,7 +1,7 @@
-// Command loadtool runs a whole system on loopback and measures it under load: an
-// overload by a few large and many small workspaces, failing upstreams, the latency
-// that the path adds, the rate of one entry host and the memory of idle processes.
-// It prints Markdown tables.
+// Command loadtool runs a whole system on loopback and measures it under load. It
+// measures an overload by a few large and many small workspaces, failing upstreams,
+// the latency that the system adds to a request, the request rate of one entry host,
+// and the memory of idle processes. It prints Markdown tables.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/sassafraspost/sassafraspost/test/local"
 )
 
-// scenario is one measurement on a system of its own.
+// scenario is one measurement. Each scenario starts a system of its own.
 type scenario struct {
 	name, short string
 	layout      local.Layout
@@ -23,10 +23,10 @@
 }
 
 var scenarios = []scenario{
-	{"overload", "Offer up to three times the capacity, from large and small workspaces", loadLayout, overload},
-	{"failing", "Let a third of the upstreams fail", loadLayout, failing},
-	{"limits", "Offer more than the limits of two workspaces", loadLayout, limits},
-	{"path", "Compare the path with direct calls and load one entry host", pathLayout, path},
+	{"overload", "Offer up to three times the capacity, from large and small workspaces", loadLayout, measureOverload},
+	{"failing", "Let a third of the upstreams fail", loadLayout, measureFailures},
+	{"limits", "Offer more than the limits of two workspaces", loadLayout, measureLimits},
+	{"path", "Compare the path with direct calls and load one entry host", pathLayout, measurePath},
 }
 
 func main() {
--- a/test/cmd/standin/main.go
+++ b/test/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs a stand-in for a model engine or a plain service.
+// Command standin runs a stand-in for a model engine, a plain service or a group of ranks.
 package main
 
 import (
@@ -14,10 +14,10 @@
 )
 
 type flags struct {
-	listen, kind string
-	delay, away  time.Duration
-	engine       standin.EngineConfig
-	group        standin.GroupConfig
+	listen, kind    string
+	delay, downtime time.Duration
+	engine          standin.EngineConfig
+	group           standin.GroupConfig
 }
 
 func main() {
@@ -33,18 +33,18 @@
 	fs.StringVar(&f.listen, "listen", "127.0.0.1:8000", "address to listen on")
 	fs.StringVar(&f.kind, "kind", "engine", "engine, service or group")
 	fs.DurationVar(&f.delay, "delay", 0, "time of one booking of a service")
-	fs.DurationVar(&f.away, "away", 0, "for how long an engine is away that a prompt has ended; zero lets none end it")
+	fs.DurationVar(&f.downtime, "away", 0, "for how long an engine is away that a prompt has ended; zero lets none end it")
 	fs.DurationVar(&f.engine.Step, "step", 5*time.Millisecond, "time of one engine step")
 	fs.IntVar(&f.engine.Concurrency, "concurrency", 64, "requests that an engine runs at once")
-	fs.DurationVar(&f.engine.Lag, "lag", 100*time.Millisecond, "age of load reports")
+	fs.DurationVar(&f.engine.LoadReportAge, "lag", 100*time.Millisecond, "age of load reports")
 	fs.DurationVar(&f.engine.EventDelay, "event-delay", 50*time.Millisecond, "lateness of cache events")
-	fs.Uint64Var(&f.engine.EventGap, "event-gap", 0, "drop each cache event whose number this divides")
+	fs.Uint64Var(&f.engine.DropEvery, "event-gap", 0, "drop each cache event whose number this divides")
 	fs.BoolVar(&f.engine.ChecksFencing, "checks-fencing", false, "refuse orders with an old fencing number")
 	fs.StringVar(&f.engine.Version, "version", "", "version that an engine has loaded at its start")
 	fs.IntVar(&f.group.Ranks, "ranks", 8, "ranks of a group")
 	fs.IntVar(&f.group.Experts, "experts", 64, "experts in each layer of a group")
 	fs.IntVar(&f.group.Layers, "layers", 4, "layers of a group")
-	fs.DurationVar(&f.group.Load, "load-time", 50*time.Millisecond, "time to load the weights of a map")
+	fs.DurationVar(&f.group.LoadTime, "load-time", 50*time.Millisecond, "time to load the weights of a map")
 	fs.Uint64Var(&f.group.DriftSteps, "drift-steps", 0, "steps between changes of the experts' popularity")
 	if err := cmd.Execute(); err != nil {
 		os.Exit(1)
@@ -53,8 +53,8 @@
 
 func (f *flags) run() error {
 	s := &server{flags: f}
-	if f.away > 0 {
-		f.engine.End = s.end
+	if f.downtime > 0 {
+		f.engine.Crash = s.crash
 	}
 	var h http.Handler
 	switch f.kind {
@@ -71,40 +71,41 @@
 	return s.run()
 }
 
-// server serves a stand-in that may end and come back, with what it has counted.
+// server serves a stand-in over HTTP. The stand-in may crash and restart; its counts survive.
 type server struct {
 	*flags
 	handler http.Handler
 
-	// mu guards present, which is nil while the stand-in is away.
+	// mu guards current, which is nil after a crash until the restart.
 	mu      sync.Mutex
-	present *http.Server
+	current *http.Server
 }
 
+// run serves until the listener fails. After a crash it serves again once downtime has passed.
 func (s *server) run() error {
 	for {
 		srv := &http.Server{Addr: s.listen, Handler: s.handler, ReadHeaderTimeout: 10 * time.Second}
 		s.mu.Lock()
-		s.present = srv
+		s.current = srv
 		s.mu.Unlock()
 		if err := srv.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
-		<-time.After(s.away)
+		<-time.After(s.downtime)
 	}
 }
 
-// end closes the listener and all connections, as the end of a process does.
-func (s *server) end() {
+// crash closes the listener and all connections, as a crash of the process would.
+func (s *server) crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.present != nil {
-		_ = s.present.Close()
-		s.present = nil
+	if s.current != nil {
+		_ = s.current.Close()
+		s.current = nil
 	}
 }
 
-// newGroup serves the ranks of a group beside the interface of an engine.
+// newGroup returns a handler for the ranks of a group and, on the other paths, for one engine.
 func newGroup(f *flags) http.Handler {
 	f.group.Step = f.engine.Step
 	g := standin.NewGroup(f.group)
--- a/test/integration/bookings_test.go
+++ b/test/integration/bookings_test.go
@@ -251,7 +251,7 @@
 
 	l.runSubtest(t, "the leader is killed between the claim and its reply", func(t *testing.T) {
 		leader := s.leader()
-		s.Link(entry1, leader).Set(faultproxy.Backward, faultproxy.Fault{Frozen: true})
+		s.Link(entry1, leader).SetFault(faultproxy.Backward, faultproxy.Fault{Frozen: true})
 		first := l.book(entry1, "reply-lost")
 		require.Equal(t, verdict.MayHaveRun, first.Verdict)
 		require.Contains(t, first.Body, "SAME key")
--- a/test/integration/experts_test.go
+++ b/test/integration/experts_test.go
@@ -80,7 +80,7 @@
 		}
 		s.await(fmt.Sprintf("steps and a change after %s of %s", fault, h.Name), func() bool {
 			r := s.groupReport()
-			require.Zero(t, r.Mixed, "steps with two maps after %s of %s", fault, h.Name)
+			require.Zero(t, r.MixedSteps, "steps with two maps after %s of %s", fault, h.Name)
 			return r.Steps > before.Steps+50 && r.Maps > before.Maps
 		})
 	}
@@ -91,9 +91,9 @@
 // that it has dialled and on those that the others have.
 func (s *system) delayOrders() {
 	delay := faultproxy.Fault{Delay: 300 * time.Millisecond}
-	s.Inbound(s.Agents[0]).Set(faultproxy.Backward, delay)
+	s.Inbound(s.Agents[0]).SetFault(faultproxy.Backward, delay)
 	for _, h := range s.Agents[1:] {
-		s.Inbound(h).Set(faultproxy.Forward, delay)
+		s.Inbound(h).SetFault(faultproxy.Forward, delay)
 	}
 }
 
--- a/test/local/faults.go
+++ b/test/local/faults.go
@@ -51,13 +51,13 @@
 	for link, p := range s.linkProxies {
 		switch h.Name {
 		case link.from:
-			p.Set(faultproxy.Forward, delayed)
+			p.SetFault(faultproxy.Forward, delayed)
 		case link.to:
-			p.Set(faultproxy.Backward, delayed)
+			p.SetFault(faultproxy.Backward, delayed)
 		}
 	}
 	if p := s.inboundProxies[h.Name]; p != nil {
-		p.Set(faultproxy.Backward, delayed)
+		p.SetFault(faultproxy.Backward, delayed)
 	}
 }
 
--- a/test/local/settings.go
+++ b/test/local/settings.go
@@ -102,7 +102,7 @@
 	if !s.Layout.HasMessageProxies {
 		return h.PeerAddress
 	}
-	m := faultproxy.NewMessages(h.PeerAddress)
+	m := faultproxy.NewWebSocket(h.PeerAddress)
 	s.messageProxies = append(s.messageProxies, m)
 	return m.Address()
 }
--- a/test/local/system.go
+++ b/test/local/system.go
@@ -74,7 +74,7 @@
 	linkProxies    map[linkKey]*faultproxy.TCP
 	inboundProxies map[string]*faultproxy.TCP
 	// messageProxies are on the links between agents and entry hosts, whichever of the two dials.
-	messageProxies []*faultproxy.Messages
+	messageProxies []*faultproxy.WebSocket
 	// secret is the peer secret, a different one for each system. A process that an earlier
 	// test left running can't join this system, even if it dials a port that has been reused.
 	secret string
--- a/test/soak/operator.go
+++ b/test/soak/operator.go
@@ -16,75 +16,79 @@
 )
 
 const (
-	// changePause is the pause between two changes of the configuration.
-	changePause = 300 * time.Millisecond
-	// lookPause is the pause between two looks at a host.
-	lookPause = 20 * time.Millisecond
-	// callTime bounds one call of the operators' tool.
-	callTime = 10 * time.Second
+	// changeInterval is the pause between two changes of the configuration by the operator.
+	changeInterval = 300 * time.Millisecond
+	// revisionPollInterval is the pause between two reads of the revision of a host.
+	revisionPollInterval = 20 * time.Millisecond
+	// toolTimeout is the timeout of one call of the operators' tool.
+	toolTimeout = 10 * time.Second
 )
 
 // operator changes the configuration with the operators' tool, one change after the other.
 type operator struct {
 	s *local.System
 	r *record
-	// size is that of the system.
+	// size is the size of the system.
 	size int
 	// base is the newest revision that is known to be accepted.
-	base uint64
-	n    int
+	base         uint64
+	changeNumber int
 }
 
 // run changes the configuration until ctx ends.
 func (o *operator) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		o.change(ctx)
-		pause(ctx, changePause)
+		o.submitChange(ctx)
+		sleep(ctx, changeInterval)
 	}
 }
 
-// document returns the nth one, for a system of this size. Its streams can't go on at another
-// upstream, so that one that is cut stays cut.
+// document returns version n of the service document for a system of this size. Its streams are
+// not resumable, so the system can't hide from the caller that a stream was interrupted.
 func document(n, size int) string {
-	ranks := fmt.Sprintf("ranks = %d\n", groupHosts*ranksPerHost*size)
+	ranks := fmt.Sprintf("ranks = %d\n", groupHostCount*ranksPerHost*size)
 	return strings.NewReplacer("resumable = true", "resumable = false", "ranks = 8\n", ranks).
 		Replace(local.Document(fmt.Sprintf("v%d", n)))
 }
 
-// change submits the next document, again under its own id until the outcome is known.
-func (o *operator) change(ctx context.Context) {
-	o.n++
-	id := fmt.Sprintf("soak-change-%05d", o.n)
-	text := document(o.n+1, o.size)
+// submitChange submits the next document. It repeats the submission with the same change ID until
+// the outcome is known.
+func (o *operator) submitChange(ctx context.Context) {
+	o.changeNumber++
+	id := fmt.Sprintf("soak-change-%05d", o.changeNumber)
+	text := document(o.changeNumber+1, o.size)
 	for ctx.Err() == nil {
-		call, cancel := context.WithTimeout(ctx, callTime)
+		call, cancel := context.WithTimeout(ctx, toolTimeout)
 		out, err := o.s.SubmitWithBase(call, o.base, text, "--change-id", id, "-o", "json")
 		cancel()
 		switch code := exitCode(err); {
 		case err == nil:
-			o.accepted(out)
+			o.noteAccepted(out)
 			return
 		case code == cli.ExitConflict:
-			// An attempt of this operator's own, whose outcome it never learnt, came first.
+			// Nobody else submits documents, so the conflict is with an earlier submission of this
+			// operator whose outcome it did not learn.
 			o.base = max(o.base, o.s.Revision(ctx))
 			o.r.count("changes in conflict")
 			return
 		case code == cli.ExitNotRun || code == cli.ExitUnknown:
 			o.r.count("changes asked again")
 		case ctx.Err() == nil && call.Err() == nil:
-			o.r.fail(Configuration, "change %s: %v: %.200s", id, err, out)
+			o.r.addViolation(Configuration, "change %s: %v: %.200s", id, err, out)
 			return
 		}
-		pause(ctx, breath)
+		sleep(ctx, retryPause)
 	}
 }
 
-func (o *operator) accepted(out string) {
+// noteAccepted reads the output of a successful submission, and checks that the revision is newer
+// than all before.
+func (o *operator) noteAccepted(out string) {
 	var a struct {
 		Revision uint64 `json:"revision"`
 	}
 	if err := json.Unmarshal([]byte(out), &a); err != nil || a.Revision <= o.base {
-		o.r.fail(Configuration, "accepted as revision %d after %d: %.200s", a.Revision, o.base, out)
+		o.r.addViolation(Configuration, "accepted as revision %d after %d: %.200s", a.Revision, o.base, out)
 		return
 	}
 	o.base = a.Revision
@@ -99,31 +103,32 @@
 	return cli.ExitCode(exit.ExitCode())
 }
 
-// watch notes each host that goes back to an older revision within one life of its process.
-func watch(ctx context.Context, s *local.System, r *record, wg *sync.WaitGroup) {
+// watchRevisions polls the revision in force on each entry host, and records a violation if it
+// decreases while the process runs. After a restart of the process it may be lower.
+func watchRevisions(ctx context.Context, s *local.System, r *record, wg *sync.WaitGroup) {
 	for _, h := range s.Entries {
 		wg.Go(func() {
-			newest, life := uint64(0), h.Done()
+			newest, watchedRun := uint64(0), h.Done()
 			for ctx.Err() == nil {
-				before := h.Done()
+				currentRun := h.Done()
 				revision, ok := local.RevisionInForce(ctx, h)
-				if before != life {
-					newest, life = 0, before
+				if currentRun != watchedRun {
+					newest, watchedRun = 0, currentRun
 				}
-				if ok && before == h.Done() {
+				if ok && currentRun == h.Done() {
 					if revision < newest {
-						r.fail(Configuration, "%s went from revision %d back to %d", h.Name, newest, revision)
+						r.addViolation(Configuration, "%s went from revision %d back to %d", h.Name, newest, revision)
 					}
 					newest = max(newest, revision)
 				}
-				pause(ctx, lookPause)
+				sleep(ctx, revisionPollInterval)
 			}
 		})
 	}
 }
 
-// pause waits, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d, or until ctx is done.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -14,54 +14,61 @@
 const (
 	// groupStandIn is the name of the stand-in that runs all ranks of the group.
 	groupStandIn = "upstream-group"
-	// recoveryTime is within what everything has to be served again after the last fault.
-	recoveryTime = 60 * time.Second
-	// grace is the shutdown grace of the daemons, endTime within what they have to be gone.
-	grace, endTime = 10 * time.Second, 15 * time.Second
-	// sendDelay is by how much Delay holds each piece.
+	// recoveryTimeout is the time after the last fault within which all requests must be served
+	// again.
+	recoveryTimeout = 60 * time.Second
+	// shutdownGrace is the grace period in the daemons' settings. shutdownTimeout is the time
+	// within which a daemon must exit after SIGTERM.
+	shutdownGrace, shutdownTimeout = 10 * time.Second, 15 * time.Second
+	// sendDelay is the delay of each block of bytes that a host with the fault Delay sends.
 	sendDelay = 250 * time.Millisecond
-	// brokenAnswers is how many answers each upstream breaks off after Reset.
-	brokenAnswers = 3
-	// streamCallers, bookCallers and racers are the callers by kind, at size 1.
-	streamCallers, bookCallers, racers = 8, 6, 3
-	// fewControl and manyControl are the control hosts at size 1 and above.
-	fewControl, manyControl = 3, 5
-	// groupHosts is the number of hosts of the group at size 1, with ranksPerHost ranks each.
-	groupHosts, ranksPerHost = 4, 2
+	// brokenResponses is the number of responses that each upstream aborts after the fault Reset.
+	brokenResponses = 3
+	// streamCallers, bookingCallers and racingCallers are the numbers of callers of each kind at
+	// size 1.
+	streamCallers, bookingCallers, racingCallers = 8, 6, 3
+	// smallControlCount is the number of control hosts at size 1, largeControlCount at all larger
+	// sizes.
+	smallControlCount, largeControlCount = 3, 5
+	// groupHostCount is the number of hosts of the group at size 1, with ranksPerHost ranks each.
+	groupHostCount, ranksPerHost = 4, 2
 )
 
-// MaxSize is the largest size: 176 processes with the stand-ins.
+// MaxSize is the largest size of a system. It has 176 processes, stand-ins included.
 const MaxSize = 10
 
-// Layout is what a run starts: 21 processes with the stand-ins at size 1. Above it there are
-// five control hosts, and of everything else size times as many: from size 4 on changes of
-// maps, and other messages to all of a group, are passed on by some of its hosts.
+// Layout returns the processes of a system. Size 1 has 21 of them, stand-ins included. A larger
+// system has five control hosts, and size times as many processes of every other kind as size 1.
+// From size 4 on the group is so large that some of its hosts forward changes of the expert map, and
+// other messages to the whole group, to the others.
 func Layout(size int) local.Layout {
-	control := fewControl
+	control := smallControlCount
 	if size > 1 {
-		control = manyControl
+		control = largeControlCount
 	}
 	return local.Layout{
 		Control: control, Entries: 3 * size, Engines: 3 * size, Services: 2 * size,
-		GroupHosts: groupHosts * size, RanksPerHost: ranksPerHost, HasProxies: true, ShutdownGrace: grace,
+		GroupHosts: groupHostCount * size, RanksPerHost: ranksPerHost, HasProxies: true, ShutdownGrace: shutdownGrace,
 		EngineArgs: []string{"--step", "10ms", "--away", "1s"}, ServiceArgs: []string{"--delay", "30ms"},
 		GroupArgs: []string{"--step", "5ms", "--drift-steps", "150", "--load-time", "100ms"},
 	}
 }
 
-// Config is one run.
+// Config configures one run. Runs with the same Seed inject the same faults. FaultTime is how long
+// faults are injected.
 type Config struct {
-	Seed   uint64
-	Length time.Duration
+	Seed      uint64
+	FaultTime time.Duration
 	// Size is the size of the system, from 1 to MaxSize; 1 if zero.
 	Size int
-	// Only are the kinds of faults to play; all if empty.
-	Only []Kind
-	// Dir is where logs and data go, Bin where local.Build put the programs.
+	// OnlyKinds are the kinds of faults to inject; all if empty.
+	OnlyKinds []Kind
+	// Dir is the folder for logs and data, Bin the folder to which local.Build wrote the programs.
 	Dir, Bin string
 }
 
-// Run plays one run. It returns an error where the system could not be run at all.
+// Run starts a system, injects the faults of cfg and checks the promises. Broken promises are in
+// the report; an error means that the run itself was not possible.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	cfg.Size = max(cfg.Size, 1)
 	s, err := local.New(cfg.Dir, cfg.Bin, Layout(cfg.Size))
@@ -76,37 +83,38 @@
 		return nil, errors.Wrap(err, "prepare")
 	}
 	r := newRecord()
-	if err := play(ctx, cfg, s, r); err != nil {
+	if err := runWithFaults(ctx, cfg, s, r); err != nil {
 		return nil, err
 	}
 	return newReport(cfg, r), nil
 }
 
-// play runs callers and operators beside the faults, and then checks what was done.
-func play(ctx context.Context, cfg Config, s *local.System, r *record) error {
-	beside, stop := context.WithCancel(ctx)
+// runWithFaults injects the faults while callers and an operator use the system. Afterwards it
+// checks that the system has recovered, and what the stand-ins executed.
+func runWithFaults(ctx context.Context, cfg Config, s *local.System, r *record) error {
+	background, stop := context.WithCancel(ctx)
 	defer stop()
 	var wg sync.WaitGroup
-	o := &operator{s: s, r: r, size: cfg.Size, base: s.Revision(ctx)}
-	wg.Go(func() { o.run(beside) })
-	watch(beside, s, r, &wg)
+	op := &operator{s: s, r: r, size: cfg.Size, base: s.Revision(ctx)}
+	wg.Go(func() { op.run(background) })
+	watchRevisions(background, s, r, &wg)
 	c := startCallers(ctx, cfg.Size, s, r)
-	playFaults(ctx, cfg, s, r)
+	injectFaults(ctx, cfg, s, r)
 	stop()
 	wg.Wait()
 	checkRecovery(ctx, s, r)
-	c.end()
-	done, err := executed(ctx, s)
+	c.stopAndWait()
+	executions, err := totalExecutions(ctx, s)
 	if err != nil {
 		return err
 	}
-	c.checkExecutions(done)
-	c.checkEnds(done)
-	return checkGroup(ctx, s, r)
+	c.checkExecutions(executions)
+	c.checkCrashes(executions)
+	return checkGroupMaps(ctx, s, r)
 }
 
-// playFaults plays the faults of the run and waits until all are over.
-func playFaults(ctx context.Context, cfg Config, s *local.System, r *record) {
+// injectFaults injects the faults of the run, and returns when the last one is over.
+func injectFaults(ctx context.Context, cfg Config, s *local.System, r *record) {
 	var control, others []string
 	for _, h := range s.Control {
 		control = append(control, h.Name)
@@ -114,79 +122,82 @@
 	for _, h := range append(append([]*local.Host{}, s.Entries...), s.Agents...) {
 		others = append(others, h.Name)
 	}
-	began := time.Now()
+	start := time.Now()
 	var wg sync.WaitGroup
-	kinds := cfg.Only
+	kinds := cfg.OnlyKinds
 	if len(kinds) == 0 {
 		kinds = Kinds
 	}
-	for _, f := range Plan(cfg.Seed, kinds, control, others, cfg.Length) {
-		pause(ctx, time.Until(began.Add(f.At)))
+	for _, f := range Plan(cfg.Seed, kinds, control, others, cfg.FaultTime) {
+		sleep(ctx, time.Until(start.Add(f.At)))
 		h, err := s.Find(f.Host)
 		if err != nil || ctx.Err() != nil {
 			break
 		}
-		wg.Go(func() { playFault(ctx, s, r, h, f) })
+		wg.Go(func() { injectFault(ctx, s, r, h, f) })
 	}
 	wg.Wait()
 }
 
-// playFault plays one fault to its end.
-func playFault(ctx context.Context, s *local.System, r *record, h *local.Host, f Fault) {
-	end := r.begin(f.String(), !f.Kind.IsPlanned())
+// injectFault injects one fault and returns when it is over.
+func injectFault(ctx context.Context, s *local.System, r *record, h *local.Host, f Fault) {
+	end := r.beginEvent(f.String(), !f.Kind.IsPlanned())
 	defer end()
 	switch f.Kind {
 	case Kill:
 		h.Kill()
-		pause(ctx, f.For)
+		sleep(ctx, f.For)
 		restart(r, h)
 	case Terminate:
-		terminate(r, h)
+		terminateAndCheck(r, h)
 		restart(r, h)
 	case Pause:
 		h.Freeze()
-		pause(ctx, f.For)
+		sleep(ctx, f.For)
 		h.Thaw()
 	case Cut:
 		s.Cut(h)
-		pause(ctx, f.For)
+		sleep(ctx, f.For)
 		s.Heal(h)
 	case Silence:
 		s.FreezeLinks(h)
-		pause(ctx, f.For)
+		sleep(ctx, f.For)
 		s.Heal(h)
 	case Reset:
-		reset(ctx, s, h)
+		resetConnections(ctx, s, h)
 	case Poison:
-		poison(ctx, s, r, f)
+		sendPoison(ctx, s, r, f)
 	case Delay:
 		s.DelayOutbound(h, sendDelay)
-		pause(ctx, f.For)
+		sleep(ctx, f.For)
 		s.Heal(h)
 	}
 }
 
-// terminate asks a process to end and checks how it does.
-func terminate(r *record, h *local.Host) {
+// terminateAndCheck sends SIGTERM to a process, and checks that it exits in time and without an
+// error.
+func terminateAndCheck(r *record, h *local.Host) {
 	h.Terminate()
 	select {
 	case <-h.Done():
 		if err := h.Err(); err != nil {
-			r.fail(Shutdown, "%s ended in failure: %v", h.Name, err)
+			r.addViolation(Shutdown, "%s ended in failure: %v", h.Name, err)
 		}
-	case <-time.After(endTime):
-		r.fail(Shutdown, "%s is still there %s after it was asked to end", h.Name, endTime)
+	case <-time.After(shutdownTimeout):
+		r.addViolation(Shutdown, "%s is still there %s after it was asked to end", h.Name, shutdownTimeout)
 		h.Kill()
 	}
 }
 
-// reset ends the connections of a host, and lets all upstreams break off their next answers.
-// It is over when the links are back; what it cost shows within the aftermath.
-func reset(ctx context.Context, s *local.System, h *local.Host) {
+// resetConnections closes the connections of a host, and makes all upstreams abort their next
+// responses. The fault is over once new connections are possible. Requests that it interrupts
+// fail within faultEffectTime after that.
+func resetConnections(ctx context.Context, s *local.System, h *local.Host) {
 	for _, up := range s.StandIns {
 		if up.Name != groupStandIn {
-			// A stand-in that can't be told just answers.
-			_ = local.InjectFailure(ctx, up, standin.Failure{Mode: standin.Die, After: tokens / 2, Times: brokenAnswers})
+			// A stand-in that can't be reached does not abort responses; that is no failure of the
+			// run.
+			_ = local.InjectFailure(ctx, up, standin.Failure{Mode: standin.Die, After: streamTokens / 2, Times: brokenResponses})
 		}
 	}
 	s.Cut(h)
@@ -195,6 +206,6 @@
 
 func restart(r *record, h *local.Host) {
 	if err := h.Start(); err != nil {
-		r.fail(Recovery, "%s does not start: %v", h.Name, err)
+		r.addViolation(Recovery, "%s does not start: %v", h.Name, err)
 	}
 }
--- a/test/standin/standin.go
+++ b/test/standin/standin.go
@@ -1,6 +1,7 @@
-// Package standin holds a stand-in for a model engine and one for a plain service.
-// They do what the real ones do as far as tests and the local system need it, and
-// count what they carried out, so that tests can compare that with the verdicts.
+// Package standin provides stand-ins for a model engine, for the engines of a group of ranks,
+// and for a plain service. They implement as much of the real interfaces as tests and the local
+// system need. Engine and service count the requests they executed, so that tests can compare
+// these counts with the verdicts that callers got.
 package standin
 
 import (
@@ -14,12 +15,14 @@
 	"github.com/sassafraspost/sassafraspost/internal/entry"
 )
 
-// Mode is a way to fail.
+// Mode is a failure mode of a stand-in.
 type Mode string
 
-// The ways to fail. Die breaks the connection and Truncate ends the answer in good
-// form but too early, both After tokens; Refuse answers 503 and runs nothing; Hang
-// says nothing until the caller leaves; Slow makes a step SlowFactor times as long.
+// The failure modes. Die aborts the connection, and Truncate ends the response as if it were
+// complete; an engine does both after Failure.After tokens, and a service that fails with Die
+// does so after it has made the booking. Refuse responds with 503 and executes nothing. Hang
+// sends nothing until the caller cancels the request. Slow makes each step of an engine
+// SlowFactor times as long.
 const (
 	Die      Mode = "die"
 	Truncate Mode = "truncate"
@@ -28,7 +31,7 @@
 	Slow     Mode = "slow"
 )
 
-// SlowFactor is how much longer a step takes in mode Slow.
+// SlowFactor is the factor by which a step takes longer in mode Slow.
 const SlowFactor = 20
 
 // Failure makes the next Times requests fail.
@@ -38,59 +41,61 @@
 	Times int  `json:"times"`
 }
 
-// Executions counts what was done under one request id or key.
+// Executions counts how often the requests with one request ID or idempotency key were begun,
+// finished and cancelled.
 type Executions struct {
 	Begun     int `json:"begun"`
 	Finished  int `json:"finished"`
 	Cancelled int `json:"cancelled"`
 }
 
-// Report is the answer to GET /executions.
+// Report is the response to GET /executions.
 type Report struct {
 	ByRequest map[string]Executions `json:"by_request"`
 	ByKey     map[string]Executions `json:"by_key"`
-	// Ends counts the stand-in's ends by the prompt that ended it.
-	Ends map[string]int `json:"ends"`
-	// Orders counts the orders that were carried out; Order is the last one.
+	// Crashes counts the crashes of the stand-in by the prompt that caused them.
+	Crashes map[string]int `json:"ends"`
+	// Orders counts the orders that were executed; Order is the last of them.
 	Orders int               `json:"orders"`
 	Order  agent.EngineOrder `json:"order"`
 }
 
-// counts is shared by both stand-ins. mu guards the rest.
-type counts struct {
+// counters holds what Engine and Service have in common: execution counts and the failure
+// that is set. mu guards the other fields.
+type counters struct {
 	mu      sync.Mutex
 	report  Report
 	failure Failure
 }
 
-func (c *counts) init() {
+func (c *counters) init() {
 	c.report.ByRequest = make(map[string]Executions)
 	c.report.ByKey = make(map[string]Executions)
-	c.report.Ends = make(map[string]int)
+	c.report.Crashes = make(map[string]int)
 }
 
-// countEnd counts an end under a prompt.
-func (c *counts) countEnd(prompt string) {
+// countCrash counts a crash caused by a prompt.
+func (c *counters) countCrash(prompt string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.report.Ends[prompt]++
+	c.report.Crashes[prompt]++
 }
 
-// Fail sets how the next requests fail.
-func (c *counts) Fail(f Failure) {
+// Fail sets the failure of the next requests.
+func (c *counters) Fail(f Failure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.failure = f
 }
 
 // Executions returns a copy of the counts.
-func (c *counts) Executions() Report {
+func (c *counters) Executions() Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := c.report
 	out.ByRequest = make(map[string]Executions, len(c.report.ByRequest))
 	out.ByKey = make(map[string]Executions, len(c.report.ByKey))
-	out.Ends = maps.Clone(c.report.Ends)
+	out.Crashes = maps.Clone(c.report.Crashes)
 	for k, v := range c.report.ByRequest {
 		out.ByRequest[k] = v
 	}
@@ -100,8 +105,9 @@
 	return out
 }
 
-// take returns the failure of the next request.
-func (c *counts) take() Failure {
+// nextFailure returns the failure of the request that starts now, the zero Failure if it does
+// not fail.
+func (c *counters) nextFailure() Failure {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.failure.Times == 0 {
@@ -111,32 +117,33 @@
 	return c.failure
 }
 
-// count changes the counts of a request's id and key.
-func (c *counts) count(r *http.Request, change func(*Executions)) {
+// update applies change to the counts of the request's ID and of its idempotency key.
+func (c *counters) update(r *http.Request, change func(*Executions)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	bump(c.report.ByRequest, r.Header.Get(agent.RequestIDHeader), change)
-	bump(c.report.ByKey, r.Header.Get(entry.IdempotencyKeyHeader), change)
+	updateEntry(c.report.ByRequest, r.Header.Get(agent.RequestIDHeader), change)
+	updateEntry(c.report.ByKey, r.Header.Get(entry.IdempotencyKeyHeader), change)
 }
 
-func bump(m map[string]Executions, name string, change func(*Executions)) {
-	if name == "" {
+// updateEntry applies change to one entry of m. Requests without an ID or key are not counted.
+func updateEntry(m map[string]Executions, key string, change func(*Executions)) {
+	if key == "" {
 		return
 	}
-	e := m[name]
+	e := m[key]
 	change(&e)
-	m[name] = e
+	m[key] = e
 }
 
 func begun(e *Executions)     { e.Begun++ }
 func finished(e *Executions)  { e.Finished++ }
 func cancelled(e *Executions) { e.Cancelled++ }
 
-func (c *counts) serveExecutions(w http.ResponseWriter, _ *http.Request) {
+func (c *counters) serveExecutions(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, c.Executions())
 }
 
-func (c *counts) serveFail(w http.ResponseWriter, r *http.Request) {
+func (c *counters) serveFail(w http.ResponseWriter, r *http.Request) {
 	var f Failure
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -151,16 +158,16 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Service is the stand-in for a plain service that books start slots.
+// Service is the stand-in for a plain service: it books start slots for riders.
 type Service struct {
-	counts
+	counters
 	delay time.Duration
 	mux   *http.ServeMux
 	// bookings is guarded by counts.mu.
 	bookings []Booking
 }
 
-// Booking is one booked slot.
+// Booking is one booked start slot.
 type Booking struct {
 	Slot   string `json:"slot"`
 	Rider  string `json:"rider"`
@@ -171,8 +178,8 @@
 func NewService(delay time.Duration) *Service {
 	s := &Service{delay: delay, mux: http.NewServeMux()}
 	s.init()
-	s.mux.HandleFunc("POST /slots/book", s.book)
-	s.mux.HandleFunc("GET /slots", s.list)
+	s.mux.HandleFunc("POST /slots/book", s.serveBook)
+	s.mux.HandleFunc("GET /slots", s.serveList)
 	s.mux.HandleFunc("GET /executions", s.serveExecutions)
 	s.mux.HandleFunc("POST /admin/fail", s.serveFail)
 	return s
@@ -181,21 +188,21 @@
 // ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-func (s *Service) book(w http.ResponseWriter, r *http.Request) {
+func (s *Service) serveBook(w http.ResponseWriter, r *http.Request) {
 	var b Booking
 	if err := json.NewDecoder(r.Body).Decode(&b); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f := s.take()
-	if f.Mode == Refuse {
+	failure := s.nextFailure()
+	if failure.Mode == Refuse {
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
-	s.count(r, begun)
-	if f.Mode == Hang {
+	s.update(r, begun)
+	if failure.Mode == Hang {
 		<-r.Context().Done()
-		s.count(r, cancelled)
+		s.update(r, cancelled)
 		return
 	}
 	<-time.After(s.delay)
@@ -203,15 +210,15 @@
 	b.Number = len(s.bookings) + 1
 	s.bookings = append(s.bookings, b)
 	s.mu.Unlock()
-	s.count(r, finished)
-	if f.Mode == Die {
+	s.update(r, finished)
+	if failure.Mode == Die {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(http.StatusCreated)
 	writeJSON(w, b)
 }
 
-func (s *Service) list(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) serveList(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	out := append([]Booking{}, s.bookings...)
 	s.mu.Unlock()
