--- a/internal/adminapi/quarantine.go
+++ b/internal/adminapi/quarantine.go
@@ -32,7 +32,7 @@
 		ForSeconds:  int64(e.Remaining.Seconds()),
 		Ends:        []oas.UpstreamEnd{},
 	}
-	for _, crash := range e.Crashes {
+	for _, crash := range e.Ends {
 		out.Ends = append(out.Ends, oas.UpstreamEnd{Upstream: crash.Upstream, Request: crash.Request, AgeSeconds: int64(crash.Age.Seconds())})
 	}
 	return out
--- a/internal/adminapi/quarantine_test.go
+++ b/internal/adminapi/quarantine_test.go
@@ -16,7 +16,7 @@
 func TestQuarantinePermissions(t *testing.T) {
 	f := &fakeBackend{quarantine: []quarantine.Entry{{
 		Fingerprint: quarantine.Fingerprint{1}, Workspace: "clubs", Verdict: quarantine.Suspect,
-		Crashes: []quarantine.EntryCrash{{Incarnation: quarantine.Incarnation{Upstream: "u"}, Request: "r", Age: 3 * time.Second}},
+		Ends: []quarantine.EntryCrash{{Incarnation: quarantine.Incarnation{Upstream: "u"}, Request: "r", Age: 3 * time.Second}},
 	}}}
 	url := serve(t, f, nil) + "/v1/quarantine"
 	require.Equal(t, string(verdict.CodeForbidden), get(t, url, "team").problem.Code)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -80,7 +80,7 @@
 func (c *fakeCluster) Quarantine(context.Context) ([]quarantine.Entry, error) {
 	return []quarantine.Entry{{
 		Fingerprint: quarantinedFingerprint, Workspace: "clubs", Verdict: quarantine.Quarantined, Remaining: time.Minute,
-		Crashes: []quarantine.EntryCrash{{Incarnation: quarantine.Incarnation{Upstream: "engine-1"}, Request: "r7", Age: 2 * time.Second}},
+		Ends: []quarantine.EntryCrash{{Incarnation: quarantine.Incarnation{Upstream: "engine-1"}, Request: "r7", Age: 2 * time.Second}},
 	}}, nil
 }
 
--- a/internal/dispatch/probe.go
+++ b/internal/dispatch/probe.go
@@ -17,8 +17,8 @@
 	Unknown ProbeResult = iota
 	// Alive means that a connection could be opened.
 	Alive
-	// Ended means that nothing listens at the address.
-	Ended
+	// UpstreamCrashed means that nothing listens at the address.
+	UpstreamCrashed
 )
 
 // String returns the name used in counters.
@@ -26,7 +26,7 @@
 	switch p {
 	case Alive:
 		return "present"
-	case Ended:
+	case UpstreamCrashed:
 		return "ended"
 	}
 	return "unknown"
@@ -55,7 +55,7 @@
 	if err != nil {
 		c.pool.release(t.Address)
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			return Ended
+			return UpstreamCrashed
 		}
 		return Unknown
 	}
--- a/internal/dispatch/probe_test.go
+++ b/internal/dispatch/probe_test.go
@@ -22,7 +22,7 @@
 	require.Equal(t, Unknown, c.Probe(target), "the probe's connection is the only one allowed")
 	up.Close()
 	c.pool.sweep(time.Now().Add(time.Hour))
-	require.Equal(t, Ended, c.Probe(target))
+	require.Equal(t, UpstreamCrashed, c.Probe(target))
 }
 
 // Guards against a timeout being taken for the end of an upstream: the network may be cut.
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -88,7 +88,7 @@
 		requireWholeStream(t, "innocent", tokens, p.complete("innocent", tokens, true))
 		list := p.keeper.List()
 		require.Len(t, list, 1)
-		require.Equal(t, standin.Poison, list[0].Crashes[0].Request, "the id that its caller gave it")
+		require.Equal(t, standin.Poison, list[0].Ends[0].Request, "the id that its caller gave it")
 		require.Equal(t, "velotrak", list[0].Workspace)
 	}
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -37,7 +37,7 @@
 		Fingerprint: c.fingerprint, Workspace: c.workspace, Request: c.attemptID,
 		Incarnation: quarantine.Incarnation{Upstream: reserved.ID(), Born: reserved.Born()}, Service: c.service.Name, Address: reserved.Address(), Ran: time.Since(c.sentAt),
 	}
-	if result != dispatch.Ended {
+	if result != dispatch.UpstreamCrashed {
 		c.g.cfg.Quarantine.AttemptFailed(run, result == dispatch.Alive)
 		return
 	}
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -135,7 +135,7 @@
 	list := env.gateway.cfg.Quarantine.List()
 	require.Len(t, list, 1)
 	require.Equal(t, quarantine.Suspect, list[0].Verdict)
-	require.Equal(t, "u1", list[0].Crashes[0].Upstream)
+	require.Equal(t, "u1", list[0].Ends[0].Upstream)
 }
 
 // Guards against a request that stays suspect after it got a complete response.
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -160,7 +160,7 @@
 	experts := service.Engine.Experts
 	return &wire.GroupShape{
 		Ranks: uint32(r.Size), Experts: uint32(experts.ExpertsPerSet), Layers: uint32(experts.Sets), SlotsPerRank: uint32(experts.Slots),
-		Spare: uint32(experts.Spare), CopyUS: uint32(experts.CopyTime.Microseconds()),
+		MaxNewPerSet: uint32(experts.MaxNewPerSet), CopyUS: uint32(experts.CopyTime.Microseconds()),
 	}
 }
 
--- a/internal/placement/balance.go
+++ b/internal/placement/balance.go
@@ -8,8 +8,8 @@
 // SetParams limit a change of one set of layers. The layers of a set share one assignment of
 // experts to ranks.
 type SetParams struct {
-	// SlotsPerRank is how many experts of the set a rank holds at most.
-	SlotsPerRank int
+	// Slots is how many experts of the set a rank holds at most.
+	Slots int
 	// MaxNewPerSet is how many experts of one set may be new to a rank in one change.
 	// MaxNewPerRank is how many of all sets together may be; 0 means no limit.
 	MaxNewPerSet, MaxNewPerRank int
@@ -228,7 +228,7 @@
 func (b *balancer) considerMoves(hot, r int, e uint16) {
 	share, extra := b.share(e), b.shareAmong(e, b.replicas[e]+1)
 	relief := share - extra
-	if len(b.held[r]) < b.params.SlotsPerRank && b.mayTake(r, e, absent) {
+	if len(b.held[r]) < b.params.Slots && b.mayTake(r, e, absent) {
 		b.consider(move{hot: hot, target: r, expert: e, displaced: absent, gain: b.gain(hot, r, relief, extra)})
 		b.consider(move{hot: hot, target: r, expert: e, displaced: absent, dropsFromHot: true, gain: b.gain(hot, r, share, share)})
 	}
--- a/internal/placement/balance_test.go
+++ b/internal/placement/balance_test.go
@@ -22,7 +22,7 @@
 func TestBalanceReplicatesAHotExpert(t *testing.T) {
 	held := roundRobin(4, 8)
 	load := []float64{100, 1, 1, 1, 1, 1, 1, 1}
-	next := Balance(held, load, SetParams{SlotsPerRank: 3, MaxNewPerSet: 1, MinGain: 0.01})
+	next := Balance(held, load, SetParams{Slots: 3, MaxNewPerSet: 1, MinGain: 0.01})
 	require.InDelta(t, 101, slices.Max(SetTimes(held, load, nil)), 1e-9)
 	require.Less(t, slices.Max(SetTimes(next, load, nil)), 35.0)
 	require.Equal(t, roundRobin(4, 8), held, "the input is not modified")
@@ -35,7 +35,7 @@
 		ranks := rapid.IntRange(2, 6).Draw(t, "ranks")
 		experts := rapid.IntRange(ranks, 4*ranks).Draw(t, "experts")
 		p := SetParams{
-			SlotsPerRank: (experts+ranks-1)/ranks + rapid.IntRange(0, 3).Draw(t, "free"),
+			Slots:        (experts+ranks-1)/ranks + rapid.IntRange(0, 3).Draw(t, "free"),
 			MaxNewPerSet: rapid.IntRange(0, 3).Draw(t, "spare"),
 			MinGain:      0.001,
 		}
@@ -62,7 +62,7 @@
 		ranks := rapid.IntRange(2, 6).Draw(t, "ranks")
 		experts := rapid.IntRange(ranks, 4*ranks).Draw(t, "experts")
 		p := SetParams{
-			SlotsPerRank: (experts+ranks-1)/ranks + rapid.IntRange(1, 3).Draw(t, "free"),
+			Slots:        (experts+ranks-1)/ranks + rapid.IntRange(1, 3).Draw(t, "free"),
 			MaxNewPerSet: 1, MaxNewPerRank: rapid.IntRange(1, 3).Draw(t, "rank"), MinGain: 0.001,
 		}
 		held := make([][][]uint16, 4)
@@ -99,7 +99,7 @@
 func TestBalanceSetsRelievesTheWorstSetFirst(t *testing.T) {
 	held := [][][]uint16{roundRobin(4, 8), roundRobin(4, 8)}
 	even, skewed := []float64{12, 10, 10, 10, 10, 10, 10, 10}, []float64{100, 1, 1, 1, 1, 1, 1, 1}
-	next := BalanceSets(held, [][]float64{even, skewed}, SetParams{SlotsPerRank: 3, MaxNewPerSet: 1, MaxNewPerRank: 1, MinGain: 0.01})
+	next := BalanceSets(held, [][]float64{even, skewed}, SetParams{Slots: 3, MaxNewPerSet: 1, MaxNewPerRank: 1, MinGain: 0.01})
 	require.Equal(t, held[0], next[0])
 	require.Less(t, slices.Max(SetTimes(next[1], skewed, nil)), 35.0)
 }
@@ -118,7 +118,7 @@
 				added++
 			}
 		}
-		if len(list) > p.SlotsPerRank || added > p.MaxNewPerSet {
+		if len(list) > p.Slots || added > p.MaxNewPerSet {
 			t.Fatalf("rank %d holds %d, %d of them new", r, len(list), added)
 		}
 	}
@@ -142,7 +142,7 @@
 	}
 	b.Run("one set", func(b *testing.B) {
 		for b.Loop() {
-			Balance(held, load, SetParams{SlotsPerRank: 8, MaxNewPerSet: 1, MinGain: 0.07})
+			Balance(held, load, SetParams{Slots: 8, MaxNewPerSet: 1, MinGain: 0.07})
 		}
 	})
 	for _, c := range []struct{ ranks, experts, sets, slots int }{
@@ -152,7 +152,7 @@
 		b.Run(name, func(b *testing.B) {
 			held, load := skewedSets(c.ranks, c.experts, c.sets)
 			for b.Loop() {
-				BalanceSets(held, load, SetParams{SlotsPerRank: c.slots, MaxNewPerSet: 1, MaxNewPerRank: 1, MinGain: 0.07})
+				BalanceSets(held, load, SetParams{Slots: c.slots, MaxNewPerSet: 1, MaxNewPerRank: 1, MinGain: 0.07})
 			}
 		})
 	}
@@ -184,7 +184,7 @@
 		load[e] = 10
 	}
 	slowdown := []float64{1, 3, 1, 1}
-	next := Balance(held, load, SetParams{SlotsPerRank: 6, MaxNewPerSet: 3, MinGain: 0.001, Slowdown: slowdown})
+	next := Balance(held, load, SetParams{Slots: 6, MaxNewPerSet: 3, MinGain: 0.001, Slowdown: slowdown})
 	require.InDelta(t, 120, slices.Max(SetTimes(held, load, slowdown)), 1e-9)
 	require.Less(t, slices.Max(SetTimes(next, load, slowdown)), 70.0)
 }
@@ -200,7 +200,7 @@
 		load[e] = 1
 	}
 	slowdown := []float64{4, 1, 1, 1, 1, 1, 1, 1}
-	p := SetParams{SlotsPerRank: slots, MaxNewPerSet: slots, MinGain: 0.02, Slowdown: slowdown}
+	p := SetParams{Slots: slots, MaxNewPerSet: slots, MinGain: 0.02, Slowdown: slowdown}
 	before := SetTimes(held, load, slowdown)
 	after := SetTimes(Balance(held, load, p), load, slowdown)
 	require.InDelta(t, 32, slices.Max(before), 0.01)
@@ -212,7 +212,7 @@
 func TestBalanceDropsARedundantReplica(t *testing.T) {
 	held := [][]uint16{{0, 1}, {0, 2}, {3}}
 	load := []float64{10, 10, 1, 10}
-	after := Balance(held, load, SetParams{SlotsPerRank: 1, MaxNewPerSet: 0, MinGain: 0.02})
+	after := Balance(held, load, SetParams{Slots: 1, MaxNewPerSet: 0, MinGain: 0.02})
 	require.Equal(t, []uint16{1}, after[0])
 	require.Equal(t, []uint16{0, 2}, after[1])
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -70,7 +70,7 @@
 }
 
 func shapeOf(ranks, spare uint32) *wire.GroupShape {
-	return &wire.GroupShape{Ranks: ranks, Experts: 72, Layers: 4, SlotsPerRank: 8, Spare: spare}
+	return &wire.GroupShape{Ranks: ranks, Experts: 72, Layers: 4, SlotsPerRank: 8, MaxNewPerSet: spare}
 }
 
 // After a jump of popularity, a change takes effect only when the slowest rank has copied its
--- a/internal/planner/selections.go
+++ b/internal/planner/selections.go
@@ -75,14 +75,14 @@
 	distance := p.observe(p.stats.takeMean(shape))
 	maxNew := maxNewExperts(shape)
 	params := placement.SetParams{
-		Slowdown: p.stats.slowdowns(), SlotsPerRank: int(shape.SlotsPerRank), MaxNewPerSet: maxNew, MaxNewPerRank: maxNew, MinGain: minStepGain,
+		Slowdown: p.stats.slowdowns(), Slots: int(shape.SlotsPerRank), MaxNewPerSet: maxNew, MaxNewPerRank: maxNew, MinGain: minStepGain,
 	}
-	if shape.Spare > 0 {
-		params.MaxNewPerSet = min(maxNew, int(shape.Spare))
+	if shape.MaxNewPerSet > 0 {
+		params.MaxNewPerSet = min(maxNew, int(shape.MaxNewPerSet))
 	}
 	held, base := p.stats.held()
 	next := placement.BalanceSets(held, p.load, params)
-	m := expertmap.Map{SlotsPerRank: params.SlotsPerRank}
+	m := expertmap.Map{SlotsPerRank: params.Slots}
 	f := Forecast{Distance: distance}
 	highest, highestAfter, mean := 0.0, 0.0, 0.0
 	for set := range next {
@@ -91,7 +91,7 @@
 		highestAfter += maxOf(placement.SetTimes(next[set], p.load[set], params.Slowdown))
 		mean += meanOf(before)
 		f.Copies += countNewExperts(held[set], next[set])
-		m.Layers = append(m.Layers, layerSlots(next[set], params.SlotsPerRank))
+		m.Layers = append(m.Layers, layerSlots(next[set], params.Slots))
 	}
 	if mean > 0 {
 		f.ImbalanceBefore, f.ImbalanceAfter = highest/mean, highestAfter/mean
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -16,8 +16,8 @@
 	Verdict     Verdict
 	// Remaining is how much longer the request stays in quarantine.
 	Remaining time.Duration
-	// Crashes are the uncleared crashes under the request, the oldest first.
-	Crashes []EntryCrash
+	// Ends are the uncleared crashes under the request, the oldest first.
+	Ends []EntryCrash
 }
 
 // EntryCrash is a crash of an upstream while it ran the request of an Entry.
@@ -30,7 +30,7 @@
 
 func (e *Entry) requests() []string {
 	var out []string
-	for _, c := range e.Crashes {
+	for _, c := range e.Ends {
 		out = append(out, c.Request)
 	}
 	return out
@@ -38,7 +38,7 @@
 
 func (e *Entry) upstreams() []string {
 	var out []string
-	for _, c := range e.Crashes {
+	for _, c := range e.Ends {
 		out = append(out, c.Upstream)
 	}
 	return out
@@ -56,10 +56,10 @@
 	}
 	for incarnation, s := range r.crashes {
 		if !s.isCleared {
-			e.Crashes = append(e.Crashes, EntryCrash{Incarnation: incarnation, Request: s.request, Age: now - s.at})
+			e.Ends = append(e.Ends, EntryCrash{Incarnation: incarnation, Request: s.request, Age: now - s.at})
 		}
 	}
-	slices.SortFunc(e.Crashes, func(a, b EntryCrash) int {
+	slices.SortFunc(e.Ends, func(a, b EntryCrash) int {
 		return cmp.Or(cmp.Compare(b.Age, a.Age), a.compare(b.Incarnation))
 	})
 	return e
@@ -87,7 +87,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b Entry) int {
-		return cmp.Or(cmp.Compare(b.Verdict, a.Verdict), cmp.Compare(len(b.Crashes), len(a.Crashes)), a.Fingerprint.compare(b.Fingerprint))
+		return cmp.Or(cmp.Compare(b.Verdict, a.Verdict), cmp.Compare(len(b.Ends), len(a.Ends)), a.Fingerprint.compare(b.Fingerprint))
 	})
 	return out
 }
--- a/internal/quarantine/handler.go
+++ b/internal/quarantine/handler.go
@@ -15,7 +15,7 @@
 	Workspace   string      `json:"workspace"`
 	Verdict     string      `json:"verdict"`
 	ForSeconds  int64       `json:"forSeconds"`
-	Crashes     []listCrash `json:"ends"`
+	Ends        []listCrash `json:"ends"`
 }
 
 type listCrash struct {
@@ -56,10 +56,10 @@
 	for _, e := range all {
 		p := listEntry{
 			Fingerprint: e.Fingerprint.String(), Workspace: e.Workspace, Verdict: e.Verdict.String(), ForSeconds: int64(e.Remaining.Seconds()),
-			Crashes: []listCrash{},
+			Ends: []listCrash{},
 		}
-		for _, c := range e.Crashes {
-			p.Crashes = append(p.Crashes, listCrash{Upstream: c.Upstream, Request: c.Request, AgeSeconds: int64(c.Age.Seconds())})
+		for _, c := range e.Ends {
+			p.Ends = append(p.Ends, listCrash{Upstream: c.Upstream, Request: c.Request, AgeSeconds: int64(c.Age.Seconds())})
 		}
 		out.Requests = append(out.Requests, p)
 	}
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -184,7 +184,7 @@
 		if !slices.Contains(k.lastQuarantined, f) {
 			e := k.table.Entry(f, now)
 			k.cfg.Log.Warn("request held: upstreams ended under it", "fingerprint", f.String(), "workspace", e.Workspace,
-				"ends", len(e.Crashes), "requests", e.requests(), "upstreams", e.upstreams(), "for_s", int64(e.Remaining.Seconds()))
+				"ends", len(e.Ends), "requests", e.requests(), "upstreams", e.upstreams(), "for_s", int64(e.Remaining.Seconds()))
 		}
 	}
 	for _, f := range k.lastQuarantined {
--- a/internal/quarantine/merge_test.go
+++ b/internal/quarantine/merge_test.go
@@ -92,8 +92,8 @@
 	table.Add(append(old, crashUnder("b", 1)...), 0)
 	require.Equal(t, Quarantined, table.Verdict(print(1), 0))
 	e := table.Entry(print(1), time.Second)
-	require.Equal(t, "a", e.Crashes[0].Upstream, "the oldest crash comes first")
-	require.Equal(t, minQuarantine, e.Crashes[0].Age)
+	require.Equal(t, "a", e.Ends[0].Upstream, "the oldest crash comes first")
+	require.Equal(t, minQuarantine, e.Ends[0].Age)
 	require.Equal(t, minQuarantine-time.Second, e.Remaining)
 }
 
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -121,7 +121,7 @@
 	// which assigns ExpertsPerSet experts to the ranks, with room for Slots experts at each
 	// rank. In one change of the map a rank may be assigned at most Spare experts of a set that
 	// it did not hold before.
-	Sets, ExpertsPerSet, Slots, Spare int
+	Sets, ExpertsPerSet, Slots, MaxNewPerSet int
 	// WorkShare is the fraction of a step's work that is done by the experts, in [0, 1].
 	WorkShare float64
 	// CopyTime is the time that a rank takes to copy an expert that it does not hold; 0 if
--- a/internal/schedule/limits_test.go
+++ b/internal/schedule/limits_test.go
@@ -13,7 +13,7 @@
 	e := &routetable.Engine{
 		Slots: 12, StepTime: 4840 * time.Microsecond, StepTimePerRequest: 362 * time.Microsecond, Stride: 6,
 		Prompt: 800, PrefillRate: 74800,
-		Experts: routetable.Experts{Sets: 4, ExpertsPerSet: 72, Slots: 8, Spare: 3, WorkShare: 0.85},
+		Experts: routetable.Experts{Sets: 4, ExpertsPerSet: 72, Slots: 8, MaxNewPerSet: 3, WorkShare: 0.85},
 	}
 	limit := ConcurrencyLimit(e, 120*time.Millisecond)
 	const slowdown = 6 * (1 - 0.85 + 0.85*maxExpectedSkew)
--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -221,9 +221,9 @@
 	// experts against each other.
 	SkewWeight      float64 `cbor:"5,keyasint"`
 	RebalanceWeight float64 `cbor:"6,keyasint"`
-	// Spare is the maximum number of experts of one layer that a single change may add to a
+	// MaxNewPerSet is the maximum number of experts of one layer that a single change may add to a
 	// rank; 0 means no limit.
-	Spare uint32 `cbor:"7,keyasint,omitempty"`
+	MaxNewPerSet uint32 `cbor:"7,keyasint,omitempty"`
 	// CopyUS is how long a rank takes to copy an expert, in microseconds; 0 if unknown.
 	CopyUS uint32 `cbor:"8,keyasint,omitempty"`
 }
