--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -50,8 +50,8 @@
 // SubmitRequest is a submission of a valid document.
 type SubmitRequest struct {
 	Name string
-	// Base is the revision that the change is based on; zero for a new document.
-	Base uint64
+	// BaseRevision is the revision that the change is based on; zero for a new document.
+	BaseRevision uint64
 	// ChangeID identifies the change. A retry has the same one, so that the change is made
 	// once.
 	ChangeID string
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -158,7 +158,7 @@
 	asJSON, err := (&oas.Text{Text: text}).MarshalJSON()
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, put(t, url, "team", "3", "application/json", string(asJSON)).status)
-	want := SubmitRequest{Name: "entries", Base: 3, ChangeID: "change-01", Author: "team", Text: []byte(text)}
+	want := SubmitRequest{Name: "entries", BaseRevision: 3, ChangeID: "change-01", Author: "team", Text: []byte(text)}
 	require.Equal(t, []SubmitRequest{want, want}, f.submitted)
 }
 
--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -47,11 +47,11 @@
 		return nil, err
 	}
 	result, err := h.commands.Submit(ctx, SubmitRequest{
-		Name:     params.Name,
-		Base:     base,
-		ChangeID: params.ChangeID,
-		Author:   identity.Name,
-		Text:     text,
+		Name:         params.Name,
+		BaseRevision: base,
+		ChangeID:     params.ChangeID,
+		Author:       identity.Name,
+		Text:         text,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/adminapi/problem.go
+++ b/internal/adminapi/problem.go
@@ -51,7 +51,7 @@
 	verdict.CodeLimited:        http.StatusTooManyRequests,
 	verdict.CodeOverloaded:     http.StatusServiceUnavailable,
 	verdict.CodeNoQuorum:       http.StatusServiceUnavailable,
-	verdict.CodeLeaving:        http.StatusServiceUnavailable,
+	verdict.CodeDraining:       http.StatusServiceUnavailable,
 	verdict.CodeNoUpstream:     http.StatusServiceUnavailable,
 	verdict.CodeUpstreamFailed: http.StatusBadGateway,
 	verdict.CodeDeadline:       http.StatusGatewayTimeout,
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -195,7 +195,7 @@
 	case d.Incarnation != id.Incarnation:
 		return notRun(verdict.CodeNoUpstream, "another start of the agent is meant")
 	case a.state == wire.UpstreamDraining:
-		return notRun(verdict.CodeLeaving, "upstream is leaving").WithRetryAfter(a.cfg.RetryAfter)
+		return notRun(verdict.CodeDraining, "upstream is leaving").WithRetryAfter(a.cfg.RetryAfter)
 	case a.state != wire.UpstreamReady:
 		return notRun(verdict.CodeNoUpstream, "upstream is not ready").WithRetryAfter(a.cfg.RetryAfter)
 	case a.running >= a.cfg.Capacity && len(a.waitQueue) >= a.cfg.QueueLength:
@@ -319,11 +319,11 @@
 	}
 }
 
-// Raise sets the agent's incarnation above known, the highest one that the directory has seen
+// RaiseIncarnation sets the agent's incarnation above known, the highest one that the directory has seen
 // for an upstream of this name. Incarnations are taken from the clock, so an agent that starts
 // after the clock was set back has a lower one than its predecessor. Dispatches that name the
 // lower incarnation are refused from now on.
-func (a *Agent) Raise(known uint64) {
+func (a *Agent) RaiseIncarnation(known uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cfg.Identity.Incarnation = max(a.cfg.Identity.Incarnation, known+1)
--- a/internal/agent/answer_filter_test.go
+++ b/internal/agent/answer_filter_test.go
@@ -19,11 +19,11 @@
 		after  time.Duration
 		want   error
 	}{
-		{"in time", 5, wire.OrderAnswer{Nonce: nonce, Fence: 5}, time.Second, nil},
-		{"higher fence", 5, wire.OrderAnswer{Nonce: nonce, Fence: 6}, time.Second, nil},
-		{"late", 5, wire.OrderAnswer{Nonce: nonce, Fence: 9}, 2 * time.Second, ErrOrderExpired},
-		{"lower fence", 5, wire.OrderAnswer{Nonce: nonce, Fence: 4}, 0, ErrStaleFencingToken},
-		{"answer to another query", 5, wire.OrderAnswer{Nonce: otherNonce, Fence: 9}, 0, ErrUnexpectedAnswer},
+		{"in time", 5, wire.OrderAnswer{Nonce: nonce, FencingToken: 5}, time.Second, nil},
+		{"higher fence", 5, wire.OrderAnswer{Nonce: nonce, FencingToken: 6}, time.Second, nil},
+		{"late", 5, wire.OrderAnswer{Nonce: nonce, FencingToken: 9}, 2 * time.Second, ErrOrderExpired},
+		{"lower fence", 5, wire.OrderAnswer{Nonce: nonce, FencingToken: 4}, 0, ErrStaleFencingToken},
+		{"answer to another query", 5, wire.OrderAnswer{Nonce: otherNonce, FencingToken: 9}, 0, ErrUnexpectedAnswer},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -54,15 +54,15 @@
 				continue
 			}
 			query := rapid.IntRange(1, len(asked)).Draw(t, "question")
-			answer := &wire.OrderAnswer{Nonce: [16]byte{byte(query)}, Fence: rapid.Uint64Range(0, 5).Draw(t, "fence")}
+			answer := &wire.OrderAnswer{Nonce: [16]byte{byte(query)}, FencingToken: rapid.Uint64Range(0, 5).Draw(t, "fence")}
 			if filter.accept(answer, now) != nil {
 				continue
 			}
 			require.Equal(t, len(asked), query, "accepted an answer to an older query")
 			require.Less(t, now-asked[query-1], maxAge, "accepted an expired answer")
 			require.False(t, taken[byte(query)], "accepted an answer twice")
-			require.GreaterOrEqual(t, answer.Fence, highestFence)
-			taken[byte(query)], highestFence = true, answer.Fence
+			require.GreaterOrEqual(t, answer.FencingToken, highestFence)
+			taken[byte(query)], highestFence = true, answer.FencingToken
 		}
 	})
 }
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -26,7 +26,7 @@
 
 func newAttempt(s *peer.Session, d *wire.Dispatch) *attempt {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(d.TimeoutMS)*time.Millisecond)
-	at := &attempt{session: s, dispatch: d, ctx: ctx, cancel: cancel, window: newCreditWindow(d.Window)}
+	at := &attempt{session: s, dispatch: d, ctx: ctx, cancel: cancel, window: newCreditWindow(d.FlowWindow)}
 	go at.watchSession()
 	return at
 }
--- a/internal/agent/engine_reports.go
+++ b/internal/agent/engine_reports.go
@@ -24,12 +24,12 @@
 
 // LoadReport is the body of an engine's response to GET /load.
 type LoadReport struct {
-	Running      uint32  `json:"running"`
-	Queued       uint32  `json:"queued"`
-	FirstTokenUS uint64  `json:"first_token_us"`
-	Tokens       float32 `json:"tokens_per_second"`
-	CacheFree    float32 `json:"cache_free"`
-	StepUS       uint64  `json:"step_us"`
+	Running         uint32  `json:"running"`
+	Queued          uint32  `json:"queued"`
+	FirstTokenUS    uint64  `json:"first_token_us"`
+	TokensPerSecond float32 `json:"tokens_per_second"`
+	CacheFree       float32 `json:"cache_free"`
+	StepUS          uint64  `json:"step_us"`
 	// AgeMS is the age of the report at the time of the response, in milliseconds.
 	AgeMS   uint32 `json:"age_ms"`
 	Version string `json:"version"`
@@ -78,13 +78,13 @@
 func (a *Agent) latestLoad() wire.Load {
 	report := a.reports.latestLoad
 	l := wire.Load{
-		Running:      uint32(a.running),
-		Queued:       uint32(len(a.waitQueue)) + report.Queued,
-		Capacity:     uint32(a.cfg.Capacity),
-		FirstTokenUS: report.FirstTokenUS,
-		Tokens:       report.Tokens,
-		CacheFree:    report.CacheFree,
-		StepUS:       report.StepUS,
+		Running:         uint32(a.running),
+		Queued:          uint32(len(a.waitQueue)) + report.Queued,
+		Capacity:        uint32(a.cfg.Capacity),
+		FirstTokenUS:    report.FirstTokenUS,
+		TokensPerSecond: report.TokensPerSecond,
+		CacheFree:       report.CacheFree,
+		StepUS:          report.StepUS,
 	}
 	if !a.reports.loadTime.IsZero() {
 		l.AgeMS = report.AgeMS + uint32(time.Since(a.reports.loadTime)/time.Millisecond)
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -31,16 +31,16 @@
 
 // Asker sends queries to the control hosts.
 type Asker interface {
-	Ask(ctx context.Context, q *wire.OrderQuery) (*wire.OrderAnswer, error)
+	QueryOrder(ctx context.Context, q *wire.OrderQuery) (*wire.OrderAnswer, error)
 }
 
 // EngineOrder is the body of POST /orders, which tells an engine what to serve.
 type EngineOrder struct {
-	Fence    uint64   `json:"fence"`
-	Model    string   `json:"model"`
-	Version  string   `json:"version"`
-	Adapters []string `json:"adapters,omitempty"`
-	Role     string   `json:"role,omitempty"`
+	FencingToken uint64   `json:"fence"`
+	Model        string   `json:"model"`
+	Version      string   `json:"version"`
+	Adapters     []string `json:"adapters,omitempty"`
+	Role         string   `json:"role,omitempty"`
 }
 
 // answerFilter decides whether the order in an answer may be sent to the engine. Times are
@@ -72,10 +72,10 @@
 	if f.timeLeft(now) <= 0 {
 		return ErrOrderExpired
 	}
-	if a.Fence < f.highestFence {
+	if a.FencingToken < f.highestFence {
 		return ErrStaleFencingToken
 	}
-	f.highestFence = a.Fence
+	f.highestFence = a.FencingToken
 	return nil
 }
 
@@ -164,7 +164,7 @@
 	o.filter.startQuery(query.Nonce, o.cfg.Clock())
 	askCtx, cancel := context.WithTimeout(ctx, o.cfg.MaxAge)
 	defer cancel()
-	answer, err := o.cfg.Asker.Ask(askCtx, query)
+	answer, err := o.cfg.Asker.QueryOrder(askCtx, query)
 	if err != nil {
 		return err
 	}
@@ -182,7 +182,7 @@
 }
 
 func (o *OrderPuller) isDelivered(a *wire.OrderAnswer) bool {
-	return o.delivered != nil && o.deliveredRestarts == o.cfg.Restarts() && o.delivered.Fence == a.Fence && reflect.DeepEqual(o.delivered.Order, a.Order)
+	return o.delivered != nil && o.deliveredRestarts == o.cfg.Restarts() && o.delivered.FencingToken == a.FencingToken && reflect.DeepEqual(o.delivered.Order, a.Order)
 }
 
 func (o *OrderPuller) deliver(ctx context.Context, a *wire.OrderAnswer) error {
@@ -195,11 +195,11 @@
 	ctx, cancel := context.WithTimeout(ctx, timeLeft)
 	defer cancel()
 	body, err := json.Marshal(EngineOrder{
-		Fence:    a.Fence,
-		Model:    a.Order.Model,
-		Version:  a.Order.Version,
-		Adapters: a.Order.Adapters,
-		Role:     a.Order.Role,
+		FencingToken: a.FencingToken,
+		Model:        a.Order.Model,
+		Version:      a.Order.Version,
+		Adapters:     a.Order.Adapters,
+		Role:         a.Order.Role,
 	})
 	if err != nil {
 		return errors.Wrap(err, "agent: encode order")
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -25,8 +25,8 @@
 	beforeAnswer func()
 }
 
-func (l *fakeLeader) Ask(_ context.Context, q *wire.OrderQuery) (*wire.OrderAnswer, error) {
-	a := &wire.OrderAnswer{Nonce: q.Nonce, Fence: l.fence, Order: l.order}
+func (l *fakeLeader) QueryOrder(_ context.Context, q *wire.OrderQuery) (*wire.OrderAnswer, error) {
+	a := &wire.OrderAnswer{Nonce: q.Nonce, FencingToken: l.fence, Order: l.order}
 	if l.beforeAnswer != nil {
 		l.beforeAnswer()
 	}
@@ -56,7 +56,7 @@
 
 	leader.fence, leader.order = 5, &wire.Order{Model: "m", Version: "v2"}
 	require.NoError(t, puller.Pull(ctx))
-	require.Equal(t, agent.EngineOrder{Fence: 5, Model: "m", Version: "v2"}, engine.Executions().Order)
+	require.Equal(t, agent.EngineOrder{FencingToken: 5, Model: "m", Version: "v2"}, engine.Executions().Order)
 }
 
 func TestFencingTokenReachesEngineThatChecksIt(t *testing.T) {
@@ -69,7 +69,7 @@
 	}
 	require.NoError(t, pull(4))
 	require.ErrorContains(t, pull(3), "409", "the engine must refuse an older fencing token from a restarted agent")
-	require.Equal(t, uint64(4), engine.Executions().Order.Fence)
+	require.Equal(t, uint64(4), engine.Executions().Order.FencingToken)
 }
 
 func TestRecordContainsEngineReport(t *testing.T) {
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -133,7 +133,7 @@
 }
 
 func TestRefusalAfterHeadMayHaveRun(t *testing.T) {
-	refused := &wire.Refused{Attempt: ownAttempt, Verdict: uint8(verdict.NotRun), Code: string(verdict.CodeLeaving)}
+	refused := &wire.Refused{Attempt: ownAttempt, Verdict: uint8(verdict.NotRun), Code: string(verdict.CodeDraining)}
 	r := New(ownAttempt, 3)
 	require.Equal(t, verdict.NotRun, verdict.FromError(r.Add(refused)).Verdict)
 	r = New(ownAttempt, 3)
--- a/internal/catalog/follower.go
+++ b/internal/catalog/follower.go
@@ -33,10 +33,10 @@
 type FollowerConfig struct {
 	Store *Store
 	Pool  *peer.Pool
-	// Control are the addresses of the control hosts, EntryPeers those of the other entry
+	// ControlHosts are the addresses of the control hosts, EntryPeers those of the other entry
 	// hosts of the data centre.
-	Control    []string
-	EntryPeers []string
+	ControlHosts []string
+	EntryPeers   []string
 	// Self describes this host in its reports to control hosts.
 	Self    wire.ActiveRevision
 	Log     *slog.Logger
@@ -95,12 +95,12 @@
 // followControl watches one control host as long as it is up to date, then the next one. It
 // begins with a random one.
 func (f *Follower) followControl(ctx context.Context) {
-	if len(f.cfg.Control) == 0 {
+	if len(f.cfg.ControlHosts) == 0 {
 		return
 	}
-	next := rand.IntN(len(f.cfg.Control))
+	next := rand.IntN(len(f.cfg.ControlHosts))
 	for ctx.Err() == nil {
-		address := f.cfg.Control[next%len(f.cfg.Control)]
+		address := f.cfg.ControlHosts[next%len(f.cfg.ControlHosts)]
 		next++
 		s, err := f.cfg.Pool.Get(ctx, address)
 		if err != nil {
--- a/internal/command/batcher.go
+++ b/internal/command/batcher.go
@@ -81,7 +81,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeLeaving, "service is closed")
+		return nil, verdict.New(verdict.NotRun, verdict.CodeDraining, "service is closed")
 	}
 	if len(b.pending) >= b.maxPending {
 		e := verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many requests wait for the log")
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -280,7 +280,7 @@
 	s.Close(cancelled)
 	requireCode(t, <-claimErr, verdict.NotRun, verdict.CodeCancelled)
 	_, err := s.Claim(t.Context(), claim("2", "a"))
-	requireCode(t, err, verdict.NotRun, verdict.CodeLeaving)
+	requireCode(t, err, verdict.NotRun, verdict.CodeDraining)
 }
 
 // Close must wait for the batch in flight. Otherwise its claims would fail although the log
@@ -302,7 +302,7 @@
 		return s.claims.closed
 	}, waitTimeout, time.Millisecond)
 	_, err := s.Claim(t.Context(), claim("2", "a"))
-	requireCode(t, err, verdict.NotRun, verdict.CodeLeaving)
+	requireCode(t, err, verdict.NotRun, verdict.CodeDraining)
 	close(a.gate)
 	require.NoError(t, <-claimErr)
 	<-closed
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -45,12 +45,12 @@
 		return adminapi.SubmitResult{}, err
 	}
 	r, err := a.h.commands.Submit(ctx, state.SubmitDocument{
-		Name:     req.Name,
-		Base:     req.Base,
-		ChangeID: req.ChangeID,
-		Author:   req.Author,
-		Text:     string(req.Text),
-		At:       time.Now().UnixMilli(),
+		Name:         req.Name,
+		BaseRevision: req.BaseRevision,
+		ChangeID:     req.ChangeID,
+		Author:       req.Author,
+		Text:         string(req.Text),
+		At:           time.Now().UnixMilli(),
 	})
 	var conflict *command.ConflictError
 	if errors.As(err, &conflict) && conflict.Winner != nil {
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -73,8 +73,8 @@
 	return err
 }
 
-// Ask returns the current order to an upstream: what its engine must serve.
-func (c *Client) Ask(ctx context.Context, m *wire.OrderQuery) (*wire.OrderAnswer, error) {
+// QueryOrder returns the current order to an upstream: what its engine must serve.
+func (c *Client) QueryOrder(ctx context.Context, m *wire.OrderQuery) (*wire.OrderAnswer, error) {
 	return ask[*wire.OrderAnswer](ctx, c, m, mayResend)
 }
 
@@ -160,7 +160,7 @@
 // is shutting down.
 func shouldAskAnotherHost(err error) bool {
 	e := verdict.FromError(err)
-	return e.Verdict == verdict.NotRun && (e.Code == verdict.CodeNoQuorum || e.Code == verdict.CodeLeaving)
+	return e.Verdict == verdict.NotRun && (e.Code == verdict.CodeNoQuorum || e.Code == verdict.CodeDraining)
 }
 
 // noLeaderError returns the error of a call that reached no leader. mayHaveSent tells
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -173,7 +173,7 @@
 	next := f.prepareLoads(f.engines.Flush(f.now()))
 	var all *peer.Prepared
 	if len(f.needAllLoads) > 0 {
-		all = f.prepareLoads(f.engines.All(f.now()))
+		all = f.prepareLoads(f.engines.FullRecords(f.now()))
 	}
 	for s, role := range f.attached {
 		if role != roleEntry || !s.Alive() {
@@ -287,7 +287,7 @@
 	f := h.fleet
 	isLeaving := u.State != registry.Ready
 	if isLeaving && f.now() < attachPeriod {
-		return verdict.New(verdict.NotRun, verdict.CodeLeaving, "this control host has just started")
+		return verdict.New(verdict.NotRun, verdict.CodeDraining, "this control host has just started")
 	}
 	f.mu.Lock()
 	known, changed := f.registry.Announce(u, f.now())
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -32,9 +32,9 @@
 var _ replica.SnapshotCapturer = (*state.Machine)(nil)
 
 const (
-	// ageInterval is how often the leader advances the age of the state machine, the
+	// clockInterval is how often the leader advances the age of the state machine, the
 	// replicated clock by which claims expire.
-	ageInterval = 5 * time.Second
+	clockInterval = 5 * time.Second
 	// serveTimeout bounds the time to answer one message of another host.
 	serveTimeout = 2 * time.Second
 )
@@ -160,7 +160,7 @@
 	go h.fleet.run(ctx)
 	go h.publishDocuments(ctx)
 	go h.confirmPeriodically(ctx)
-	go h.advanceAge(ctx)
+	go h.advanceClock(ctx)
 	go h.requestMembership(ctx)
 	select {
 	case <-ctx.Done():
@@ -224,12 +224,12 @@
 	h.watchers.sendAll(true)
 }
 
-// advanceAge regularly advances the age of the state machine by the time that passed on
+// advanceClock regularly advances the age of the state machine by the time that passed on
 // this host's monotonic clock, while this host leads.
-func (h *Host) advanceAge(ctx context.Context) {
+func (h *Host) advanceClock(ctx context.Context) {
 	last := time.Now()
 	for ctx.Err() == nil {
-		pause.For(ctx, ageInterval)
+		pause.For(ctx, clockInterval)
 		now := time.Now()
 		elapsed := now.Sub(last)
 		last = now
--- a/internal/control/restartcache_test.go
+++ b/internal/control/restartcache_test.go
@@ -18,7 +18,7 @@
 	_, err := r.LoadUpstreams()
 	require.Error(t, err, "nothing was saved")
 	require.NoError(t, r.SaveUpstreams([]registry.Upstream{{ID: "a"}}))
-	all := []registry.Upstream{{ID: "a", Service: "s", Address: "10.0.0.1:80", Sequence: 3, Born: 4}, {ID: "b", State: registry.Gone}}
+	all := []registry.Upstream{{ID: "a", Service: "s", Address: "10.0.0.1:80", Sequence: 3, StartedAt: 4}, {ID: "b", State: registry.Gone}}
 	require.NoError(t, r.SaveUpstreams(all))
 	got, err := NewRestartCache(journal.OS{}, dir).LoadUpstreams()
 	require.NoError(t, err)
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -132,7 +132,7 @@
 // claimSlackMS is added to the deadline of claims because the age of the state machine
 // increases in steps of ageInterval. Without it, the outcome of a call that was claimed just
 // before such a step would count as unknown while the call still runs.
-const claimSlackMS = uint64(ageInterval / time.Millisecond)
+const claimSlackMS = uint64(clockInterval / time.Millisecond)
 
 func (h *Host) handleClaim(ctx context.Context, s *peer.Session, m *wire.ClaimRequest) (wire.Message, error) {
 	if err := h.requireLeader(); err != nil {
@@ -171,8 +171,8 @@
 		reply.State = wire.ClaimUnknown
 		return reply
 	}
-	if a := r.Answer; a != nil {
-		reply.Answer = &wire.Answer{
+	if a := r.Response; a != nil {
+		reply.Response = &wire.Response{
 			Status: a.Status,
 			Header: []wire.Field{{Name: "Content-Type", Value: a.ContentType}},
 			Body:   a.Body,
@@ -191,11 +191,11 @@
 		Attempt:   hex.EncodeToString(m.Attempt[:]),
 		Verdict:   verdict.Verdict(m.Verdict),
 	}
-	if m.Answer != nil {
-		f.Answer = &state.RecordedResponse{
-			Status:      m.Answer.Status,
-			ContentType: contentType(m.Answer.Header),
-			Body:        m.Answer.Body,
+	if m.Response != nil {
+		f.Response = &state.RecordedResponse{
+			Status:      m.Response.Status,
+			ContentType: contentType(m.Response.Header),
+			Body:        m.Response.Body,
 		}
 	}
 	if _, err := h.commands.Finish(ctx, f); err != nil {
@@ -222,12 +222,12 @@
 		return nil, err
 	}
 	h.syncStore()
-	answer := &wire.OrderAnswer{Nonce: m.Nonce, Fence: h.tables.Fence()}
+	answer := &wire.OrderAnswer{Nonce: m.Nonce, FencingToken: h.tables.FencingToken()}
 	p, ok := h.store.Index().ByPool(m.Pool)
 	if !ok {
 		return answer, nil
 	}
-	answer.Fence = p.Revision
+	answer.FencingToken = p.Revision
 	answer.Order = &wire.Order{
 		Model:         p.Model.Name,
 		Version:       p.Model.Version,
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -51,7 +51,7 @@
 		URL:      set.UpstreamURL,
 		IsEngine: set.Kind == settings.UpstreamModel,
 		Capacity: set.Capacity,
-		Recorder: control.NewClient(d.pool, addresses(set.Control)),
+		Recorder: control.NewClient(d.pool, addresses(set.ControlHosts)),
 		Metrics:  d.metrics,
 	})
 	if err != nil {
@@ -67,13 +67,13 @@
 		r.group = d.newGroup(set, &shape)
 	}
 	r.announcer = directory.NewAnnouncer(directory.AnnouncerConfig{
-		Hosts:    hostsByAddress(set),
-		Pool:     d.pool,
-		Interval: set.AnnounceInterval,
-		Record:   a.Record,
-		Raise:    a.Raise,
-		Now:      d.now,
-		Log:      d.log,
+		Hosts:            hostsByAddress(set),
+		Pool:             d.pool,
+		Interval:         set.AnnounceInterval,
+		Record:           a.Record,
+		RaiseIncarnation: a.RaiseIncarnation,
+		Now:              d.now,
+		Log:              d.log,
 	})
 	if set.Kind == settings.UpstreamModel {
 		r.orders = agent.NewOrderPuller(agent.OrderPullerConfig{
@@ -83,7 +83,7 @@
 			Restarts: a.Restarts,
 			OnOrder:  func(o *wire.Order) { shape.Store(shapeOf(o)) },
 			URL:      set.UpstreamURL,
-			Asker:    control.NewClient(d.pool, addresses(set.Control)),
+			Asker:    control.NewClient(d.pool, addresses(set.ControlHosts)),
 			Clock:    d.now,
 			Metrics:  d.metrics,
 		})
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -36,8 +36,8 @@
 	admitter  *admitter
 	// quarantine tracks the requests during which upstreams crashed. otherEntryHosts are the peer
 	// addresses of the other entry hosts of the data centre, which receive its suspicions.
-	quarantine      *quarantine.Keeper
-	otherEntryHosts []string
+	quarantine *quarantine.Keeper
+	entryPeers []string
 }
 
 func (d *Daemon) buildEntry() (role, error) {
@@ -64,16 +64,16 @@
 		OnEvents:    router.ApplyCacheEvents,
 	})
 	r.follower = catalog.NewFollower(catalog.FollowerConfig{
-		Store:      store,
-		Pool:       d.pool,
-		Control:    addresses(set.Control),
-		EntryPeers: otherEntryHosts,
-		Self:       wire.ActiveRevision{Host: d.set.Host.Name, DataCentre: d.set.Host.DataCentre, Role: "entry"},
-		Log:        d.log,
-		Metrics:    d.metrics,
+		Store:        store,
+		Pool:         d.pool,
+		ControlHosts: addresses(set.ControlHosts),
+		EntryPeers:   otherEntryHosts,
+		Self:         wire.ActiveRevision{Host: d.set.Host.Name, DataCentre: d.set.Host.DataCentre, Role: "entry"},
+		Log:          d.log,
+		Metrics:      d.metrics,
 	})
 	r.admitter = d.newAdmitter(set, store, hosts, entries)
-	r.otherEntryHosts = otherEntryHosts
+	r.entryPeers = otherEntryHosts
 	r.quarantine = quarantine.NewKeeper(quarantine.Config{
 		Limits: quarantine.DefaultLimits, Now: d.now, Log: d.log, Metrics: d.metrics,
 		Publish: func(updates []quarantine.Suspicion) { r.sendSuspicions(d.pool.Sessions(), updates) },
@@ -82,7 +82,7 @@
 		Catalog:      resolver{store},
 		Admission:    r.admitter,
 		Router:       routerAdapter{router},
-		Claims:       control.NewClient(d.pool, addresses(set.Control)),
+		Claims:       control.NewClient(d.pool, addresses(set.ControlHosts)),
 		Sessions:     d.pool,
 		Quarantine:   r.quarantine,
 		Fingerprints: quarantine.NewHasher(string(d.set.Peer.Secret)),
@@ -128,7 +128,7 @@
 func (r *entryRole) sendSuspicions(sessions []*peer.Session, suspicions []quarantine.Suspicion) {
 	m := &wire.Suspicions{All: suspicions}
 	for _, s := range sessions {
-		if s.Remote().Replica != "" || slices.Contains(r.otherEntryHosts, s.Remote().Address) {
+		if s.Remote().Replica != "" || slices.Contains(r.entryPeers, s.Remote().Address) {
 			// An error is ignored: all suspicions are sent again when the next session
 			// with this host begins.
 			_ = s.Post(m)
--- a/internal/directory/announcer.go
+++ b/internal/directory/announcer.go
@@ -29,9 +29,9 @@
 	// Record returns the upstream's current record and the cache events that were not yet
 	// announced. The Announcer sets the record's Seq.
 	Record func() (wire.Upstream, []wire.CacheEvent)
-	// Raise makes the agent use an incarnation number above known, because an owner has a
+	// RaiseIncarnation makes the agent use an incarnation number above known, because an owner has a
 	// record with that higher number under the same name.
-	Raise func(known uint64)
+	RaiseIncarnation func(known uint64)
 	// Now returns the time on a monotonic clock.
 	Now func() time.Duration
 	Log *slog.Logger
@@ -156,7 +156,7 @@
 	}
 	ack, isAck := reply.(*wire.AnnounceAck)
 	if isAck && ack.Incarnation > m.Upstream.Incarnation {
-		a.cfg.Raise(ack.Incarnation)
+		a.cfg.RaiseIncarnation(ack.Incarnation)
 		a.AnnounceNow()
 	}
 	return isAck
--- a/internal/directory/service_test.go
+++ b/internal/directory/service_test.go
@@ -93,7 +93,7 @@
 		Record: func() (wire.Upstream, []wire.CacheEvent) {
 			return wire.Upstream{Name: name, Incarnation: number.Load(), State: wire.UpstreamState(state.Load())}, nil
 		},
-		Raise: func(known uint64) { number.Store(known + 1) },
+		RaiseIncarnation: func(known uint64) { number.Store(known + 1) },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() { cancel(); pool.Close() })
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -48,9 +48,9 @@
 	// An answer is on time if its first event arrives within Target and the time between two
 	// consecutive events never exceeds Gap; a Gap of 0 means no limit. CallerTimeout is the
 	// time limit that a caller sets for its whole request, including a retry.
-	Target, Gap, CallerTimeout time.Duration
-	// Budget limits the retries of all hosts together.
-	Budget retrybudget.Params
+	Target, MaxEventGap, CallerTimeout time.Duration
+	// RetryBudget limits the retries of all hosts together.
+	RetryBudget retrybudget.Params
 	// Outages lists the times at which groups are down.
 	Outages []Outage
 }
@@ -69,7 +69,7 @@
 		return errors.New("emulator: ArrivalPeriod must be positive and ArrivalRate must be set")
 	case c.Hosts <= 0 || c.Groups <= 0 || c.Ranks <= 0:
 		return errors.New("emulator: Hosts, Groups and Ranks must be positive")
-	case c.Engine.Slots <= 0 || c.Engine.StepTime <= 0 || c.Engine.Answer <= 0 || c.Engine.PrefillRate <= 0:
+	case c.Engine.Slots <= 0 || c.Engine.StepTime <= 0 || c.Engine.MeanAnswerTokens <= 0 || c.Engine.PrefillRate <= 0:
 		return errors.New("emulator: Engine.Slots, Step, Answer and ReadRate must be positive")
 	case c.Target <= 0 || c.CallerTimeout < c.Target:
 		return errors.New("emulator: Target must be positive and CallerTimeout not shorter")
@@ -139,8 +139,8 @@
 		}
 	}
 	for range s.cfg.Hosts {
-		h := &host{sim: s, scheduler: schedule.New(schedule.Config{Budget: s.cfg.Budget, Random: s.rng}), waiting: make(map[*schedule.Waiter]*call)}
-		h.scheduler.SetHosts(s.cfg.Hosts)
+		h := &host{sim: s, scheduler: schedule.New(schedule.Config{RetryBudget: s.cfg.RetryBudget, Random: s.rng}), waiting: make(map[*schedule.Waiter]*call)}
+		h.scheduler.SetHostCount(s.cfg.Hosts)
 		h.scheduler.SetUpstreams(map[string][]registry.Upstream{serviceName: all}, 0)
 		s.hosts = append(s.hosts, h)
 	}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -23,12 +23,12 @@
 	return Config{
 		Seed: seed, ArrivalPeriod: 20 * time.Second, Hosts: 9, Groups: 2, Ranks: 8,
 		Engine: routetable.Engine{
-			Slots: 20, StepTime: 5 * time.Millisecond, StepTimePerRequest: 500 * time.Microsecond, Stride: 4, Prompt: 200, Answer: 128, PrefillRate: 10_000,
-			Experts: routetable.Experts{Sets: 1, ExpertsPerSet: 16, Slots: 4, WorkShare: 0.5},
+			Slots: 20, StepTime: 5 * time.Millisecond, StepTimePerRequest: 500 * time.Microsecond, StepsPerPass: 4, MeanPromptTokens: 200, MeanAnswerTokens: 128, PrefillRate: 10_000,
+			Experts: routetable.Experts{LayerSetCount: 1, ExpertsPerSet: 16, Slots: 4, WorkShare: 0.5},
 		},
 		ArrivalRate: func(time.Duration) float64 { return rate },
-		Target:      500 * time.Millisecond, Gap: 80 * time.Millisecond, CallerTimeout: 7500 * time.Millisecond,
-		Budget: retrybudget.Params{Ratio: 0.2, Extra: 10, Window: 10 * time.Second},
+		Target:      500 * time.Millisecond, MaxEventGap: 80 * time.Millisecond, CallerTimeout: 7500 * time.Millisecond,
+		RetryBudget: retrybudget.Params{Ratio: 0.2, Extra: 10, Window: 10 * time.Second},
 	}
 }
 
@@ -36,7 +36,7 @@
 func mustRun(t require.TestingT, cfg Config) *Report {
 	r, err := Run(cfg)
 	require.NoError(t, err)
-	require.Equal(t, r.Asked, r.InAim+r.Late+r.Refused+r.Cut, "%+v", r)
+	require.Equal(t, r.Callers, r.OnTime+r.Late+r.Refused+r.Interrupted, "%+v", r)
 	return r
 }
 
@@ -54,8 +54,8 @@
 func TestAllCallersAreServedOnTimeBelowCapacity(t *testing.T) {
 	for seed := range uint64(5) {
 		r := mustRun(t, baseConfig(seed, capacity/2))
-		require.Equal(t, r.Asked, r.InAim, "%+v", r)
-		require.Less(t, r.Busiest, 1.5)
+		require.Equal(t, r.Callers, r.OnTime, "%+v", r)
+		require.Less(t, r.MaxLoadRatio, 1.5)
 	}
 }
 
@@ -81,7 +81,7 @@
 func requireThroughputUnderOverload(t *testing.T, cfg Config) {
 	t.Helper()
 	r := mustRun(t, cfg)
-	require.Greater(t, float64(r.InAim), 0.75*capacity*cfg.ArrivalPeriod.Seconds(), "%+v", r)
+	require.Greater(t, float64(r.OnTime), 0.75*capacity*cfg.ArrivalPeriod.Seconds(), "%+v", r)
 	require.LessOrEqual(t, r.LongestRefusalTime(0), schedule.MaxQueueWait)
 }
 
@@ -92,7 +92,7 @@
 	cfg.Outages = []Outage{{Group: 1, From: 5 * time.Second, To: 15 * time.Second}}
 	r := mustRun(t, cfg)
 	require.Zero(t, r.Refused, "%+v", r)
-	require.Greater(t, r.Fraction(r.InAim), 0.95, "%+v", r)
+	require.Greater(t, r.Fraction(r.OnTime), 0.95, "%+v", r)
 }
 
 // Guards against callers that are lost in an outage of all groups that is shorter than their
@@ -102,7 +102,7 @@
 	cfg.Outages = []Outage{{Group: 0, From: 5 * time.Second, To: 7 * time.Second}, {Group: 1, From: 5 * time.Second, To: 7 * time.Second}}
 	r := mustRun(t, cfg)
 	callersDuringOutage := 2 * capacity / 3
-	require.Greater(t, float64(r.Returned), 0.8*callersDuringOutage, "%+v", r)
+	require.Greater(t, float64(r.Retried), 0.8*callersDuringOutage, "%+v", r)
 	require.Less(t, float64(r.Refused), 0.1*callersDuringOutage, "%+v", r)
 	require.LessOrEqual(t, r.LongestRefusalTime(0), schedule.MaxQueueWait)
 }
@@ -113,7 +113,7 @@
 	cfg := baseConfig(1, capacity/3)
 	cfg.Outages = []Outage{{Group: 0, To: time.Minute}, {Group: 1, To: time.Minute}}
 	r := mustRun(t, cfg)
-	require.Equal(t, r.Asked, r.Refused, "%+v", r)
+	require.Equal(t, r.Callers, r.Refused, "%+v", r)
 	require.LessOrEqual(t, r.LongestRefusalTime(10*schedule.MaxQueueWait), 100*time.Millisecond)
 }
 
@@ -134,7 +134,7 @@
 			cfg.Outages = append(cfg.Outages, Outage{Group: rapid.IntRange(0, cfg.Groups-1).Draw(t, "group"), From: from, To: from + length})
 		}
 		r := mustRun(t, cfg)
-		require.LessOrEqual(t, r.Returned, r.Asked)
+		require.LessOrEqual(t, r.Retried, r.Callers)
 		require.Less(t, r.Ended, cfg.ArrivalPeriod+cfg.CallerTimeout+time.Minute)
 	})
 }
--- a/internal/emulator/group.go
+++ b/internal/emulator/group.go
@@ -77,14 +77,14 @@
 
 // promptTime is how long an engine takes to process a prompt.
 func (s *simulation) promptTime() time.Duration {
-	return time.Duration(s.cfg.Engine.Prompt / s.cfg.Engine.PrefillRate * float64(time.Second))
+	return time.Duration(s.cfg.Engine.MeanPromptTokens / s.cfg.Engine.PrefillRate * float64(time.Second))
 }
 
 // passes draws the number of passes that an answer takes, uniformly between half and one and a
 // half times the mean.
 func (s *simulation) passes() int {
-	tokens := s.cfg.Engine.Answer * (0.5 + s.rng.Float64())
-	return max(int(math.Ceil(tokens/float64(max(s.cfg.Engine.Stride, 1)))), 1)
+	tokens := s.cfg.Engine.MeanAnswerTokens * (0.5 + s.rng.Float64())
+	return max(int(math.Ceil(tokens/float64(max(s.cfg.Engine.StepsPerPass, 1)))), 1)
 }
 
 // startPass starts a pass if some rank has a running request and no pass is in progress.
@@ -113,7 +113,7 @@
 	e := g.sim.cfg.Engine
 	step := float64(e.StepTime) + float64(g.maxRunning())*float64(e.StepTimePerRequest)
 	skew := 1 - e.Experts.WorkShare + e.Experts.WorkShare*g.sim.cfg.Skew
-	return time.Duration(float64(max(e.Stride, 1)) * skew * step)
+	return time.Duration(float64(max(e.StepsPerPass, 1)) * skew * step)
 }
 
 // endPass ends a pass. Each request whose prompt had been processed before the pass started
--- a/internal/emulator/host.go
+++ b/internal/emulator/host.go
@@ -41,7 +41,7 @@
 func (h *host) admit(c *call) {
 	now := h.sim.clock.now
 	d := h.scheduler.Admit(&schedule.Request{
-		Service: serviceName, Engine: &h.sim.cfg.Engine, Gap: h.sim.cfg.Gap, OnTimeUntil: c.onTimeUntil(), Tried: c.triedUpstreams,
+		Service: serviceName, Engine: &h.sim.cfg.Engine, MaxEventGap: h.sim.cfg.MaxEventGap, OnTimeUntil: c.onTimeUntil(), Tried: c.triedUpstreams,
 		TimeLeft: c.deadline() - now, CanRetry: float64(c.deadline()-now) > minReturnShare*float64(h.sim.cfg.CallerTimeout),
 	}, now)
 	if d.Waiter == nil {
@@ -89,7 +89,7 @@
 // startCall starts the request of a new caller.
 func (s *simulation) startCall() {
 	s.activeCallers++
-	s.report.Asked++
+	s.report.Callers++
 	c := &call{sim: s, firstTry: s.clock.now}
 	c.try()
 }
@@ -154,7 +154,7 @@
 		c.end(&c.sim.report.Refused)
 		return
 	}
-	c.sim.report.Returned++
+	c.sim.report.Retried++
 	c.sim.clock.after(wait, c.try)
 }
 
@@ -164,7 +164,7 @@
 	isLate := now > c.firstTry+c.sim.cfg.Target
 	if c.eventCount > 0 {
 		c.host.scheduler.RecordEventGap(c.ticket, now-c.lastEvent, now)
-		isLate = c.sim.cfg.Gap > 0 && now-c.lastEvent > c.sim.cfg.Gap
+		isLate = c.sim.cfg.MaxEventGap > 0 && now-c.lastEvent > c.sim.cfg.MaxEventGap
 	} else {
 		c.host.scheduler.RecordFirstEvent(c.ticket, now)
 	}
@@ -181,7 +181,7 @@
 		c.end(&c.sim.report.Late)
 		return
 	}
-	c.end(&c.sim.report.InAim)
+	c.end(&c.sim.report.OnTime)
 }
 
 // onGroupFailure handles the failure of the group that runs the call. If no event has arrived
@@ -192,7 +192,7 @@
 		return
 	}
 	c.host.endAttempt(c.ticket, schedule.Failure)
-	c.end(&c.sim.report.Cut)
+	c.end(&c.sim.report.Interrupted)
 }
 
 // end ends the call and adds it to one of the report's counters.
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -5,25 +5,25 @@
 // Report is the result of a simulation. Each caller is counted in exactly one of InAim, Late,
 // Refused and Cut; Asked counts all of them.
 type Report struct {
-	Asked int
-	// InAim counts complete answers of which every event was on time, and Late complete answers
+	Callers int
+	// OnTime counts complete answers of which every event was on time, and Late complete answers
 	// with a late event. Refused counts callers that were refused on both tries; their requests
 	// never ran. Cut counts callers that lost the rest of a begun answer when the group failed.
-	InAim, Late, Refused, Cut int
-	// Returned counts callers that were refused once and then retried.
-	Returned int
+	OnTime, Late, Refused, Interrupted int
+	// Retried counts callers that were refused once and then retried.
+	Retried int
 	// RefusalTimes holds, for each second of the simulation, the longest time between a try in
 	// that second and its refusal.
 	RefusalTimes []time.Duration
-	// Busiest is the number of requests that the busiest engine has started, divided by the
+	// MaxLoadRatio is the number of requests that the busiest engine has started, divided by the
 	// mean over all engines.
-	Busiest float64
+	MaxLoadRatio float64
 	// Ended is the time at which the last caller left.
 	Ended time.Duration
 }
 
 // Fraction returns n divided by the number of callers.
-func (r *Report) Fraction(n int) float64 { return float64(n) / float64(max(r.Asked, 1)) }
+func (r *Report) Fraction(n int) float64 { return float64(n) / float64(max(r.Callers, 1)) }
 
 // LongestRefusalTime returns the longest time between a try and its refusal, over all tries
 // from the given second on.
@@ -52,6 +52,6 @@
 		sum += e.started
 	}
 	if sum > 0 {
-		r.Busiest = float64(highest) * float64(len(simulation.engines)) / float64(sum)
+		r.MaxLoadRatio = float64(highest) * float64(len(simulation.engines)) / float64(sum)
 	}
 }
--- a/internal/engineload/decoder.go
+++ b/internal/engineload/decoder.go
@@ -19,7 +19,7 @@
 	if v.records == nil {
 		v.records = make(map[uint64]wire.EngineLoad)
 	}
-	for _, l := range m.All {
+	for _, l := range m.FullRecords {
 		v.records[l.Number] = l
 		loads = append(loads, l)
 	}
@@ -36,7 +36,7 @@
 			unread++
 			continue
 		}
-		l.Running, l.Waiting, l.Pace = running, waiting, ratio
+		l.Running, l.Waiting, l.Slowdown = running, waiting, ratio
 		loads = append(loads, l)
 	}
 	return loads, unread
--- a/internal/engineload/engineload_test.go
+++ b/internal/engineload/engineload_test.go
@@ -13,7 +13,7 @@
 
 func newLoad(n, running int) wire.EngineLoad {
 	return wire.EngineLoad{
-		Address: fmt.Sprintf("10.0.0.%d:80", n), IsOpen: true, Group: "g", Epoch: 3, Rank: uint32(n), Born: int64(n), Running: running, Pace: 1,
+		Address: fmt.Sprintf("10.0.0.%d:80", n), IsOpen: true, Group: "g", Epoch: 3, Rank: uint32(n), StartedAt: int64(n), Running: running, Slowdown: 1,
 	}
 }
 
@@ -27,7 +27,7 @@
 		}
 		m := table.Flush(0)
 		if round == 0 {
-			require.Len(t, m.All, 129)
+			require.Len(t, m.FullRecords, 129)
 			continue
 		}
 		data, err := wire.Encode(0, false, m)
@@ -70,7 +70,7 @@
 			}
 			if len(decoders) == 1 && rapid.Bool().Draw(t, "comes") {
 				decoders, latest = append(decoders, &Decoder{}), append(latest, map[string]wire.EngineLoad{})
-				decode(1, table.All(0))
+				decode(1, table.FullRecords(0))
 			}
 		}
 		for i := range decoders {
@@ -92,7 +92,7 @@
 		require.Empty(t, all)
 	})
 	var decoder Decoder
-	all, unread := decoder.Decode(&wire.EngineLoads{All: []wire.EngineLoad{{Number: 1, Address: "a"}}, CompactLoads: []byte{1, 2, 3}})
+	all, unread := decoder.Decode(&wire.EngineLoads{FullRecords: []wire.EngineLoad{{Number: 1, Address: "a"}}, CompactLoads: []byte{1, 2, 3}})
 	require.Len(t, all, 1)
 	require.Equal(t, 1, unread)
 }
@@ -136,8 +136,8 @@
 func TestFullRecordIsSentAgainAfterASilence(t *testing.T) {
 	var table Table
 	table.Update(newLoad(1, 0), "h", 0)
-	require.Len(t, table.Flush(0).All, 1)
-	require.Nil(t, table.All(2*maxSnapshotAge))
+	require.Len(t, table.Flush(0).FullRecords, 1)
+	require.Nil(t, table.FullRecords(2*maxSnapshotAge))
 	table.Update(newLoad(1, 0), "h", 2*maxSnapshotAge)
-	require.Len(t, table.Flush(2*maxSnapshotAge).All, 1)
+	require.Len(t, table.Flush(2*maxSnapshotAge).FullRecords, 1)
 }
--- a/internal/engineload/table.go
+++ b/internal/engineload/table.go
@@ -69,7 +69,7 @@
 
 // withoutLoad returns a record without the fields that a compact load contains.
 func withoutLoad(l wire.EngineLoad) wire.EngineLoad {
-	l.Running, l.Waiting, l.Pace = 0, 0, 0
+	l.Running, l.Waiting, l.Slowdown = 0, 0, 0
 	return l
 }
 
@@ -81,7 +81,7 @@
 	for _, e := range t.sortedByNumber() {
 		switch {
 		case e.isUpdated && e.needsFullRecord:
-			m.All = append(m.All, e.load)
+			m.FullRecords = append(m.FullRecords, e.load)
 		case e.isUpdated:
 			m.CompactLoads = appendCompact(m.CompactLoads, e, previousNumber)
 			previousNumber = e.number
@@ -90,22 +90,22 @@
 		}
 		e.isUpdated, e.needsFullRecord = false, false
 	}
-	if len(m.All) == 0 && len(m.CompactLoads) == 0 {
+	if len(m.FullRecords) == 0 && len(m.CompactLoads) == 0 {
 		return nil
 	}
 	return m
 }
 
-// All returns the full records of all engines with a load no older than maxSnapshotAge, for a
+// FullRecords returns the full records of all engines with a load no older than maxSnapshotAge, for a
 // receiver that has just attached. It returns nil if there are none.
-func (t *Table) All(now time.Duration) *wire.EngineLoads {
+func (t *Table) FullRecords(now time.Duration) *wire.EngineLoads {
 	m := &wire.EngineLoads{}
 	for _, e := range t.sortedByNumber() {
 		if now-e.updatedAt <= maxSnapshotAge {
-			m.All = append(m.All, e.load)
+			m.FullRecords = append(m.FullRecords, e.load)
 		}
 	}
-	if len(m.All) == 0 {
+	if len(m.FullRecords) == 0 {
 		return nil
 	}
 	return m
@@ -141,7 +141,7 @@
 	b = binary.AppendUvarint(b, e.number-previousNumber)
 	b = binary.AppendUvarint(b, uint64(max(e.load.Running, 0)))
 	b = binary.AppendUvarint(b, uint64(max(e.load.Waiting, 0)))
-	return append(b, encodeStepRatio(e.load.Pace))
+	return append(b, encodeStepRatio(e.load.Slowdown))
 }
 
 // encodeStepRatio returns the one-byte code of a step-time ratio.
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -122,7 +122,7 @@
 	}
 	session.StartProbing()
 	defer session.StopProbing()
-	receiver := answer.New(a.id, s.cfg.Window)
+	receiver := answer.New(a.id, s.cfg.FlowWindow)
 	s.activeAttempts.add(a.id, &activeAttempt{session: session, receiver: receiver})
 	defer s.activeAttempts.remove(a.id)
 	if err := a.dispatch(ctx, session, out.offset()); err != nil {
@@ -183,7 +183,7 @@
 		Body:        c.req.body,
 		TimeoutMS:   millisecondsLeft(ctx),
 		Urgency:     c.req.urgency,
-		Window:      c.s.cfg.Window,
+		FlowWindow:  c.s.cfg.FlowWindow,
 		Offset:      offset,
 	}
 	if !c.plan.Idempotent {
@@ -246,7 +246,7 @@
 // response fails.
 func (a *attempt) sendCredit(ctx context.Context, session *peer.Session, n int) {
 	a.uncredited += uint64(n)
-	if a.uncredited < a.c.s.cfg.Window/4 {
+	if a.uncredited < a.c.s.cfg.FlowWindow/4 {
 		return
 	}
 	credit := &wire.Credit{Attempt: a.id, Bytes: a.uncredited}
--- a/internal/entry/bytebudget.go
+++ b/internal/entry/bytebudget.go
@@ -65,7 +65,7 @@
 	if body < 0 || body > c.s.cfg.MaxBody {
 		body = c.s.cfg.MaxBody
 	}
-	n := bodyCopies*body + int64(c.s.cfg.Window)
+	n := bodyCopies*body + int64(c.s.cfg.FlowWindow)
 	if c.isResolved && !c.plan.Idempotent {
 		n += int64(c.s.cfg.MaxResponse)
 	}
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -208,7 +208,7 @@
 func mayRetryLater(e *verdict.Error) bool {
 	switch e.Code {
 	case verdict.CodeOverloaded, verdict.CodeLimited, verdict.CodeNoUpstream, verdict.CodeNoQuorum,
-		verdict.CodeLeaving, verdict.CodeInProgress:
+		verdict.CodeDraining, verdict.CodeInProgress:
 		return true
 	case verdict.CodeDeadline, verdict.CodeUpstreamFailed, verdict.CodeInternal:
 		return e.Verdict != verdict.Ran
@@ -229,7 +229,7 @@
 	verdict.CodeOverloaded:     http.StatusServiceUnavailable,
 	verdict.CodeNoUpstream:     http.StatusServiceUnavailable,
 	verdict.CodeNoQuorum:       http.StatusServiceUnavailable,
-	verdict.CodeLeaving:        http.StatusServiceUnavailable,
+	verdict.CodeDraining:       http.StatusServiceUnavailable,
 	verdict.CodeDeadline:       http.StatusGatewayTimeout,
 	verdict.CodeUpstreamFailed: http.StatusBadGateway,
 	verdict.CodeQuarantined:    http.StatusServiceUnavailable,
--- a/internal/entry/claims_test.go
+++ b/internal/entry/claims_test.go
@@ -24,7 +24,7 @@
 func TestBytesOfAllRequestsAreBounded(t *testing.T) {
 	const answerBytes = 64 << 10
 	p := startTestProxy(t, func(c *entry.Config) {
-		c.MaxResponse, c.Window = answerBytes, 1<<10
+		c.MaxResponse, c.FlowWindow = answerBytes, 1<<10
 		c.MaxBuffered = answerBytes + 8<<10
 	})
 	s := standin.NewService(0)
@@ -46,7 +46,7 @@
 	unblock()
 	require.Equal(t, "ran", (<-first).verdict())
 	require.Eventually(t, func() bool { return p.book("k2", "ana").verdict() == "ran" }, testTimeout, time.Millisecond)
-	require.Equal(t, 1, s.Executions().ByKey["k2"].Begun)
+	require.Equal(t, 1, s.Executions().ByKey["k2"].Started)
 }
 
 // tokenCatalog accepts a single bearer token.
@@ -125,7 +125,7 @@
 	require.True(t, strings.Contains(r.body, "SAME key"), r.body)
 	claims.loseReply = false
 	require.Eventually(t, func() bool { return p.book("k", "ana").verdict() == "ran" }, testTimeout, 10*time.Millisecond)
-	require.Equal(t, 1, s.Executions().ByKey["k"].Begun)
+	require.Equal(t, 1, s.Executions().ByKey["k"].Started)
 }
 
 // delayedClaims commits the first claim only after the first Finish of its attempt, as happens
@@ -177,7 +177,7 @@
 		return claims.isCommitted
 	}, testTimeout, time.Millisecond, "the delayed claim is committed")
 	require.Eventually(t, func() bool { return p.book("k", "ana").verdict() == "ran" }, testTimeout, 10*time.Millisecond)
-	require.Equal(t, 1, s.Executions().ByKey["k"].Begun)
+	require.Equal(t, 1, s.Executions().ByKey["k"].Started)
 }
 
 // An outcome that could not be recorded at first must be recorded in the background. Without
@@ -193,7 +193,7 @@
 		again := p.book("k", "ana")
 		return again.body == first.body && again.header.Get(entry.ReplayedHeader) == "true"
 	}, testTimeout, 10*time.Millisecond)
-	require.Equal(t, 1, s.Executions().ByKey["k"].Begun)
+	require.Equal(t, 1, s.Executions().ByKey["k"].Started)
 }
 
 // refuseAll is an Admission that refuses every request.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -201,9 +201,9 @@
 	MaxRecorded int
 	// MaxDeadline bounds the time that one request may take.
 	MaxDeadline time.Duration
-	// Window is the flow control window of a response: how many bytes its agent may send that
+	// FlowWindow is the flow control window of a response: how many bytes its agent may send that
 	// the caller has not taken yet.
-	Window uint64
+	FlowWindow uint64
 	// MaxAttempts bounds the attempts of one idempotent request.
 	MaxAttempts int
 	// RetryAfter is the Retry-After time of errors that have no better estimate.
@@ -261,7 +261,7 @@
 	setDefault(&c.MaxResponse, DefaultMaxResponse)
 	setDefault(&c.MaxRecorded, DefaultMaxRecorded)
 	setDefault(&c.MaxDeadline, DefaultMaxDeadline)
-	setDefault(&c.Window, DefaultWindow)
+	setDefault(&c.FlowWindow, DefaultWindow)
 	setDefault(&c.MaxAttempts, DefaultMaxAttempts)
 	setDefault(&c.RetryAfter, DefaultRetryAfter)
 	setDefault(&c.RetryRatio, DefaultRetryRatio)
@@ -349,7 +349,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.draining {
-		return notRun(verdict.CodeLeaving, "entry host is shutting down").WithRetryAfter(s.cfg.RetryAfter)
+		return notRun(verdict.CodeDraining, "entry host is shutting down").WithRetryAfter(s.cfg.RetryAfter)
 	}
 	if s.running >= s.cfg.MaxInFlight {
 		return notRun(verdict.CodeOverloaded, "entry host is full").WithRetryAfter(s.cfg.RetryAfter)
--- a/internal/entry/finish.go
+++ b/internal/entry/finish.go
@@ -20,8 +20,8 @@
 		return
 	}
 	reservation := byteReservation{budget: &s.memory}
-	if f.Answer != nil && !reservation.grow(int64(len(f.Answer.Body))) {
-		f.Answer = nil
+	if f.Response != nil && !reservation.grow(int64(len(f.Response.Body))) {
+		f.Response = nil
 	}
 	go func() {
 		defer func() { <-s.backgroundFinishes }()
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -102,7 +102,7 @@
 	digest  [32]byte
 	attempt wire.AttemptID
 	state   wire.ClaimState
-	answer  *wire.Answer
+	answer  *wire.Response
 }
 
 func (c *testClaims) Claim(_ context.Context, r *wire.ClaimRequest) (*wire.ClaimReply, error) {
@@ -119,7 +119,7 @@
 	case claim.digest != r.Digest:
 		return &wire.ClaimReply{State: wire.ClaimKeyReused}, nil
 	}
-	return &wire.ClaimReply{State: claim.state, Answer: claim.answer}, nil
+	return &wire.ClaimReply{State: claim.state, Response: claim.answer}, nil
 }
 
 func (c *testClaims) Finish(_ context.Context, r *wire.FinishRequest) error {
@@ -133,7 +133,7 @@
 	case verdict.NotRun:
 		delete(c.byKey, r.Key)
 	case verdict.Ran:
-		claim.state, claim.answer = wire.ClaimFinished, r.Answer
+		claim.state, claim.answer = wire.ClaimFinished, r.Response
 	default:
 		claim.state = wire.ClaimUnknown
 	}
--- a/internal/entry/nonidempotent.go
+++ b/internal/entry/nonidempotent.go
@@ -98,7 +98,7 @@
 	case wire.ClaimInProgress:
 		c.fail(verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "another request with this key is in progress"))
 	case wire.ClaimFinished:
-		c.replay(reply.Answer)
+		c.replay(reply.Response)
 	case wire.ClaimKeyReused:
 		c.fail(notRun(verdict.CodeKeyReused, "this key belongs to another request"))
 	case wire.ClaimRefused:
@@ -110,7 +110,7 @@
 
 // replay sends the recorded response of an earlier request with the same key. The answer is nil
 // if it was too large to be recorded.
-func (c *call) replay(answer *wire.Answer) {
+func (c *call) replay(answer *wire.Response) {
 	if answer == nil {
 		c.fail(verdict.New(verdict.Ran, verdict.CodeConflict, "the call of this key has run; its answer was not kept"))
 		return
@@ -143,7 +143,7 @@
 		c.failClaimed(a, err)
 		return
 	}
-	c.finish(a, verdict.Ran, c.out.recordedAnswer(c.s.cfg.MaxRecorded))
+	c.finish(a, verdict.Ran, c.out.recordedResponse(c.s.cfg.MaxRecorded))
 	if c.out.finish() != nil {
 		c.s.counters.aborted.Inc(1)
 		panic(http.ErrAbortHandler)
@@ -159,7 +159,7 @@
 
 // finish records the outcome of a claimed call before the caller gets the response. If that fails,
 // recording is retried in the background; until it succeeds, the call counts as in progress.
-func (c *call) finish(a *attempt, v verdict.Verdict, answer *wire.Answer) {
+func (c *call) finish(a *attempt, v verdict.Verdict, answer *wire.Response) {
 	f := c.finishRequest(a, v, answer)
 	ctx, cancel := context.WithTimeout(context.Background(), c.s.cfg.FinishTimeout)
 	defer cancel()
@@ -169,16 +169,16 @@
 }
 
 // finishInBackground records the outcome of a claimed call without delaying the response.
-func (c *call) finishInBackground(a *attempt, v verdict.Verdict, answer *wire.Answer) {
+func (c *call) finishInBackground(a *attempt, v verdict.Verdict, answer *wire.Response) {
 	c.s.finishInBackground(c.finishRequest(a, v, answer))
 }
 
-func (c *call) finishRequest(a *attempt, v verdict.Verdict, answer *wire.Answer) *wire.FinishRequest {
+func (c *call) finishRequest(a *attempt, v verdict.Verdict, answer *wire.Response) *wire.FinishRequest {
 	return &wire.FinishRequest{
 		Workspace: c.plan.Workspace,
 		Key:       c.req.key,
 		Attempt:   a.id,
 		Verdict:   uint8(v),
-		Answer:    answer,
+		Response:  answer,
 	}
 }
--- a/internal/entry/output.go
+++ b/internal/entry/output.go
@@ -172,11 +172,11 @@
 	return nil
 }
 
-// recordedAnswer returns a complete response in the form in which it is recorded under its
+// recordedResponse returns a complete response in the form in which it is recorded under its
 // idempotency key, or nil if the body is larger than limit bytes.
-func (o *output) recordedAnswer(limit int) *wire.Answer {
+func (o *output) recordedResponse(limit int) *wire.Response {
 	if len(o.buffered) > limit {
 		return nil
 	}
-	return &wire.Answer{Status: o.head.Status, Header: o.head.Header, Body: slices.Clone(o.buffered)}
+	return &wire.Response{Status: o.head.Status, Header: o.head.Header, Body: slices.Clone(o.buffered)}
 }
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -48,7 +48,7 @@
 	case errors.As(err, &ended):
 		c.s.cfg.Quarantine.UpstreamCrashed(quarantine.Attempt{
 			Fingerprint: c.fingerprint, Workspace: c.plan.Workspace, Request: c.req.id,
-			Incarnation: quarantine.Incarnation{Upstream: a.upstream.Name, Born: ended.At}, Service: c.plan.Pool, Ran: time.Since(a.began),
+			Incarnation: quarantine.Incarnation{Upstream: a.upstream.Name, StartedAt: ended.At}, Service: c.plan.Pool, Ran: time.Since(a.began),
 		})
 	}
 }
--- a/internal/entry/server_test.go
+++ b/internal/entry/server_test.go
@@ -276,7 +276,7 @@
 
 func TestSlowCallerDoesNotDelayOthers(t *testing.T) {
 	const size = 24 << 20
-	p := startTestProxy(t, func(c *entry.Config) { c.Window = 64 << 10 })
+	p := startTestProxy(t, func(c *entry.Config) { c.FlowWindow = 64 << 10 })
 	p.addUpstream("u1", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n := 10
 		if r.Header.Get(entry.RequestIDHeader) == "slow" {
@@ -323,12 +323,12 @@
 	a, _ := p.addUpstream("u1", e, nil)
 	running := make(chan response, 1)
 	go func() { running <- p.complete("a", 100, true) }()
-	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Begun == 1 }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Started == 1 }, testTimeout, time.Millisecond)
 	a.StartDraining()
 	r := p.complete("b", tokens, true)
 	require.Equal(t, "not-run", r.verdict())
-	require.Contains(t, r.body, verdict.CodeLeaving)
-	require.Zero(t, e.Executions().ByRequest["b"].Begun)
+	require.Contains(t, r.body, verdict.CodeDraining)
+	require.Zero(t, e.Executions().ByRequest["b"].Started)
 	require.NoError(t, a.AwaitDrained(context.Background()))
 	requireWholeStream(t, "a", 100, <-running)
 }
@@ -348,12 +348,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _, _ = http.DefaultTransport.RoundTrip(p.newCompletion(ctx, "a", 1, true)) }()
-	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Begun == 1 }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Started == 1 }, testTimeout, time.Millisecond)
 	r := p.complete("b", tokens, true)
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.Equal(t, "not-run", r.verdict())
 	require.Equal(t, "1", r.header.Get("Retry-After"))
-	require.Zero(t, e.Executions().ByRequest["b"].Begun)
+	require.Zero(t, e.Executions().ByRequest["b"].Started)
 }
 
 func TestDrainWaitsForStreams(t *testing.T) {
@@ -362,7 +362,7 @@
 	p.addUpstream("u1", e, nil)
 	running := make(chan response, 1)
 	go func() { running <- p.complete("a", 100, true) }()
-	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Begun == 1 }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return e.Executions().ByRequest["a"].Started == 1 }, testTimeout, time.Millisecond)
 	drained := make(chan error, 1)
 	go func() { drained <- p.server.Drain(context.Background()) }()
 	ready := func() int {
@@ -372,7 +372,7 @@
 	r := p.complete("b", tokens, true)
 	require.Equal(t, "not-run", r.verdict())
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
-	require.Zero(t, e.Executions().ByRequest["b"].Begun)
+	require.Zero(t, e.Executions().ByRequest["b"].Started)
 	require.NoError(t, <-drained)
 	require.Equal(t, 1, e.Executions().ByRequest["a"].Finished, "Drain waits for the stream")
 	requireWholeStream(t, "a", 100, <-running)
@@ -464,7 +464,7 @@
 	p.router.mu.Unlock()
 	require.Equal(t, "ran", p.book("k4", "ana").verdict(), "the outcome not-run has released the key")
 
-	want := map[string]standin.Executions{"k1": {Begun: 1, Finished: 1}, "k3": {Begun: 1, Finished: 1}, "k4": {Begun: 1, Finished: 1}}
+	want := map[string]standin.Executions{"k1": {Started: 1, Finished: 1}, "k3": {Started: 1, Finished: 1}, "k4": {Started: 1, Finished: 1}}
 	require.Len(t, s.Executions().ByKey, 3, "k1, k3 and k4; the service refused k5")
 	require.Equal(t, want, s.Executions().ByKey)
 }
@@ -492,7 +492,7 @@
 	require.Eventually(t, func() bool { return len(pool.Sessions()) == 0 }, testTimeout, time.Millisecond)
 	close(release)
 	require.NoError(t, a.AwaitDrained(context.Background()))
-	require.Equal(t, standin.Executions{Begun: 1, Finished: 1}, s.Executions().ByKey["k"])
+	require.Equal(t, standin.Executions{Started: 1, Finished: 1}, s.Executions().ByKey["k"])
 	require.Zero(t, p.counter("agent.refused"), "a lost session does not cancel a non-idempotent call")
 }
 
@@ -524,7 +524,7 @@
 	require.Equal(t, http.StatusCreated, again.status)
 	require.Equal(t, "true", again.header.Get(entry.ReplayedHeader))
 	require.Contains(t, again.body, "ana")
-	require.Equal(t, 1, s.Executions().ByKey["k"].Begun)
+	require.Equal(t, 1, s.Executions().ByKey["k"].Started)
 }
 
 // The HTTP client of the standard library sends a request again if a kept-alive connection closes
@@ -623,7 +623,7 @@
 	d := wire.Dispatch{
 		Attempt: wire.AttemptID{1}, Upstream: "u1", Incarnation: incarnation, Method: http.MethodPost, Path: "/slots/book",
 		Header: []wire.Field{{Name: entry.IdempotencyKeyHeader, Value: "k"}}, Body: []byte(`{}`),
-		Claim: &wire.Claim{Workspace: "w", Key: "k"}, TimeoutMS: 10000, Window: 1000,
+		Claim: &wire.Claim{Workspace: "w", Key: "k"}, TimeoutMS: 10000, FlowWindow: 1000,
 	}
 	second := d
 	second.Attempt = wire.AttemptID{2}
@@ -636,7 +636,7 @@
 			require.Equal(t, verdict.MayHaveRun, verdict.Verdict(r.Verdict))
 		}
 	}
-	require.Equal(t, 1, s.Executions().ByKey["k"].Begun)
+	require.Equal(t, 1, s.Executions().ByKey["k"].Started)
 	require.Equal(t, int64(1), p.counter("agent.repeated"))
 }
 
@@ -673,7 +673,7 @@
 			name := fmt.Sprintf("r%d-%d", round, i)
 			g.Go(func() error {
 				r := p.complete(name, 5, i%2 == 0)
-				if r.verdict() == "not-run" && engine.Executions().ByRequest[name].Begun > 0 {
+				if r.verdict() == "not-run" && engine.Executions().ByRequest[name].Started > 0 {
 					return errors.Errorf("%s was called not run", name)
 				}
 				if r.status == http.StatusOK && r.err == nil && i%2 == 0 && r.body != expectedStream(name, 5) {
@@ -688,10 +688,10 @@
 				req.Header.Set(entry.RequestIDHeader, name)
 				r := p.do(req)
 				counts := service.Executions()
-				if counts.ByKey[key].Begun > 1 {
-					return errors.Errorf("%s was run %d times", key, counts.ByKey[key].Begun)
+				if counts.ByKey[key].Started > 1 {
+					return errors.Errorf("%s was run %d times", key, counts.ByKey[key].Started)
 				}
-				if r.verdict() == "not-run" && counts.ByRequest[name].Begun > 0 {
+				if r.verdict() == "not-run" && counts.ByRequest[name].Started > 0 {
 					return errors.Errorf("%s was called not run", name)
 				}
 				return nil
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -15,7 +15,7 @@
 type counters struct {
 	registry                                                     metrics.Registry
 	budgetEmpty, queued, streamsCut, streamsResumed, callersGone metrics.Counter
-	firstEvent, gap, responseTime, queueWait                     *telemetry.Latency
+	firstEvent, eventGap, responseTime, queueWait                *telemetry.Latency
 }
 
 func newCounters(reg metrics.Registry) counters {
@@ -25,7 +25,7 @@
 		registry:    reg,
 		budgetEmpty: counter("retries.budget-empty"), queued: counter("queue.entered"), queueWait: latency("queue"), streamsCut: counter("streams.cut"),
 		streamsResumed: counter("streams.resumed"), callersGone: counter("callers.gone"),
-		firstEvent: latency("first-event"), gap: latency("gap"), responseTime: latency("answer"),
+		firstEvent: latency("first-event"), eventGap: latency("gap"), responseTime: latency("answer"),
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -47,8 +47,8 @@
 	Client  *dispatch.Client
 	// DataCentre is the data centre of this host.
 	DataCentre string
-	// Budget limits the retries of all hosts together.
-	Budget retrybudget.Params
+	// RetryBudget limits the retries of all hosts together.
+	RetryBudget retrybudget.Params
 	// Fingerprints computes request fingerprints that are the same on all hosts.
 	Fingerprints quarantine.Hasher
 	// Quarantine tracks the requests during which upstreams ended.
@@ -93,7 +93,7 @@
 		cfg: cfg, counts: newCounters(cfg.Metrics), tableKnown: make(chan struct{}),
 		view: registry.NewView(),
 		scheduler: schedule.New(schedule.Config{
-			DataCentre: cfg.DataCentre, Budget: cfg.Budget, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+			DataCentre: cfg.DataCentre, RetryBudget: cfg.RetryBudget, Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 			StartupUntil: startupWait,
 		}),
 		upstreamsChanged: make(chan struct{}), waiters: map[*schedule.Waiter]chan schedule.Decision{}, cancels: map[*schedule.Ticket]context.CancelCauseFunc{},
@@ -140,11 +140,11 @@
 	}
 }
 
-// Lose records that a control host can't be reached any more.
-func (g *Gateway) Lose(source string) {
+// DropSource records that a control host can't be reached any more.
+func (g *Gateway) DropSource(source string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.view.Lose(source) {
+	if g.view.DropSource(source) {
 		g.updateUpstreams()
 	}
 }
@@ -156,7 +156,7 @@
 	g.deliver(g.scheduler.SetUpstreams(serving, g.now()))
 	for _, all := range serving {
 		for _, u := range all {
-			g.cfg.Quarantine.UpstreamStarted(quarantine.Incarnation{Upstream: u.ID, Born: u.Born}, u.Address)
+			g.cfg.Quarantine.UpstreamStarted(quarantine.Incarnation{Upstream: u.ID, StartedAt: u.StartedAt}, u.Address)
 		}
 	}
 	close(g.upstreamsChanged)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -63,8 +63,8 @@
 			Limits: quarantine.DefaultLimits, Now: now, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 		}),
 		Dialect: d, Client: dispatch.New(dispatch.Config{HeaderNames: d.UpstreamHeaders, DialTimeout: 5 * time.Second}),
-		Budget: retrybudget.Params{Ratio: 0.2, Extra: 100, Window: 10 * time.Second},
-		Now:    now, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
+		RetryBudget: retrybudget.Params{Ratio: 0.2, Extra: 100, Window: 10 * time.Second},
+		Now:         now, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 	})
 	env.gateway, env.front = g, httptest.NewServer(g)
 	t.Cleanup(env.front.Close)
@@ -80,7 +80,7 @@
 	route := func(name string, kind routetable.Kind, attempts int) routetable.Route {
 		return routetable.Route{
 			Name: name, HostName: "127.0.0.1", Prefix: "/" + name + "/", Kind: kind, Timeout: 20 * time.Second,
-			TargetLatency: time.Second, Gap: env.eventGap, Priority: testPriority, AttemptLimit: attempts, IsResumable: kind == routetable.Stream,
+			TargetLatency: time.Second, MaxEventGap: env.eventGap, Priority: testPriority, AttemptLimit: attempts, IsResumable: kind == routetable.Stream,
 			ServiceWeights: []routetable.ServiceWeight{{Service: "s", Weight: 1}},
 		}
 	}
@@ -288,7 +288,7 @@
 	require.Error(t, err)
 }
 
-var engine = &routetable.Engine{Slots: 2, Stride: 1, StepTime: time.Millisecond}
+var engine = &routetable.Engine{Slots: 2, StepsPerPass: 1, StepTime: time.Millisecond}
 
 func (env *testEnv) reportRunning(id string, total int, isOpen bool) {
 	env.reportLoad(id, wire.EngineLoad{IsOpen: isOpen, Running: total})
@@ -306,8 +306,8 @@
 	env := newTestEnv(t)
 	env.eventGap = 110 * time.Millisecond
 	env.setTable(&routetable.Engine{
-		Slots: 10, Stride: 5, StepTime: 5 * time.Millisecond, StepTimePerRequest: time.Millisecond,
-		Experts: routetable.Experts{Sets: 1, ExpertsPerSet: 8, Slots: 2, WorkShare: 0.85},
+		Slots: 10, StepsPerPass: 5, StepTime: 5 * time.Millisecond, StepTimePerRequest: time.Millisecond,
+		Experts: routetable.Experts{LayerSetCount: 1, ExpertsPerSet: 8, Slots: 2, WorkShare: 0.85},
 	})
 	env.addUpstream("u1", writeEvents(0))
 	capacity := func() float64 {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -35,7 +35,7 @@
 	c.g.counts.increment("upstreams-looked-at." + result.String())
 	run := quarantine.Attempt{
 		Fingerprint: c.fingerprint, Workspace: c.workspace, Request: c.attemptID,
-		Incarnation: quarantine.Incarnation{Upstream: reserved.ID(), Born: reserved.Born()}, Service: c.service.Name, Address: reserved.Address(), Ran: time.Since(c.sentAt),
+		Incarnation: quarantine.Incarnation{Upstream: reserved.ID(), StartedAt: reserved.StartedAt()}, Service: c.service.Name, Address: reserved.Address(), Ran: time.Since(c.sentAt),
 	}
 	if result != dispatch.UpstreamCrashed {
 		c.g.cfg.Quarantine.AttemptFailed(run, result == dispatch.Alive)
--- a/internal/gateway/slot.go
+++ b/internal/gateway/slot.go
@@ -35,7 +35,7 @@
 func (c *call) reserveSlot(ctx context.Context, e *routetable.Engine, isResumed bool) (registry.Upstream, *reservation, error) {
 	g := c.g
 	request := &schedule.Request{
-		Service: c.service.Name, Engine: e, Gap: c.route.Gap, OnTimeUntil: g.clockTime(c.onTimeUntil()),
+		Service: c.service.Name, Engine: e, MaxEventGap: c.route.MaxEventGap, OnTimeUntil: g.clockTime(c.onTimeUntil()),
 		Priority: c.priority, Tried: c.tried, TimeLeft: time.Until(c.deadline), CanRetry: c.callerCanRetry(), IsResumed: isResumed,
 	}
 	g.mu.Lock()
@@ -110,7 +110,7 @@
 func (c *call) logRefusal(reason schedule.Reason) {
 	c.g.counts.increment("refused." + reason.Name())
 	c.g.mu.Lock()
-	s, hosts := c.g.scheduler.State(c.service.Name, c.g.now()), c.g.scheduler.Hosts()
+	s, hosts := c.g.scheduler.State(c.service.Name, c.g.now()), c.g.scheduler.HostCount()
 	c.g.mu.Unlock()
 	c.warn("no place", "reason", reason.Name(), "upstreams", s.Upstreams, "loads_heard", s.Reporting, "serving", s.Serving,
 		"groups", s.Groups, "groups_closed", s.ClosedGroups, "load_age_ms", s.OldestReport.Milliseconds(), "places", s.Capacity,
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -33,8 +33,8 @@
 	buffer       []byte
 	// firstEventDelay is the time from the start of the request to its first event, and gap the
 	// longest gap between events after that. lastEventAt is when the last event was forwarded.
-	firstEventDelay, gap time.Duration
-	lastEventAt          time.Time
+	firstEventDelay, eventGap time.Duration
+	lastEventAt               time.Time
 }
 
 // errOutOfOrder reports that the events of an upstream do not follow the caller's last event.
@@ -57,7 +57,7 @@
 			c.g.cfg.Quarantine.Answered(c.fingerprint)
 			c.g.counts.recordResponse(resp.Status, time.Since(c.began))
 			c.log("request answered", "status", resp.Status, "sends", c.attempts, "elapsed_ms", time.Since(c.began).Milliseconds(),
-				"event", r.last, "first_ms", r.firstEventDelay.Milliseconds(), "gap_ms", r.gap.Milliseconds())
+				"event", r.last, "first_ms", r.firstEventDelay.Milliseconds(), "gap_ms", r.eventGap.Milliseconds())
 			return true
 		}
 		c.last = incompleteResponse(ctx, err)
@@ -175,8 +175,8 @@
 		r.reserved.recordFirstEvent()
 	} else {
 		interval := now.Sub(r.lastEventAt)
-		r.gap = max(r.gap, interval)
-		r.c.g.counts.gap.Add(interval)
+		r.eventGap = max(r.eventGap, interval)
+		r.c.g.counts.eventGap.Add(interval)
 		r.reserved.recordEventGap(interval)
 	}
 	r.lastEventAt = now
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -83,7 +83,7 @@
 	if isSuspected {
 		g.cfg.Log.Info("upstream suspected", "upstream", r.ID())
 	}
-	if o == outcomeMisdirected && g.view.Revoke(r.ID(), r.Born()) {
+	if o == outcomeMisdirected && g.view.Revoke(r.ID(), r.StartedAt()) {
 		g.cfg.Log.Info("upstream revoked: another upstream has its address", "upstream", r.ID())
 		g.updateUpstreams()
 	}
@@ -93,7 +93,7 @@
 func (g *Gateway) isDraining(r *reservation) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.view.IsLeaving(r.ID(), r.Born())
+	return g.view.IsDraining(r.ID(), r.StartedAt())
 }
 
 // countRequest counts a caller's request to a service for its retry budget.
@@ -111,11 +111,11 @@
 	return g.scheduler.TakeRetry(name, g.now())
 }
 
-// SetHosts sets how many hosts share the budgets and limits.
-func (g *Gateway) SetHosts(n int) {
+// SetHostCount sets how many hosts share the budgets and limits.
+func (g *Gateway) SetHostCount(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.scheduler.SetHosts(n)
+	g.scheduler.SetHostCount(n)
 }
 
 // SetLoads applies load reports of engines.
@@ -161,7 +161,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return max(s.MaxConnections/g.scheduler.Hosts(), 1)
+	return max(s.MaxConnections/g.scheduler.HostCount(), 1)
 }
 
 // awaitHeader registers an attempt to be cancelled if its group does not serve. The caller
--- a/internal/group/report.go
+++ b/internal/group/report.go
@@ -96,8 +96,8 @@
 		if shape == nil {
 			return false
 		}
-		l.Ranks[i].Picks = planner.Unpack(l.Ranks[i].PackedSelections, int(shape.Layers), int(shape.Experts))
-		if l.Ranks[i].Picks == nil {
+		l.Ranks[i].Selections = planner.Unpack(l.Ranks[i].PackedSelections, int(shape.Layers), int(shape.Experts))
+		if l.Ranks[i].Selections == nil {
 			return false
 		}
 	}
@@ -173,8 +173,8 @@
 func (r *Runner) postReport(s *peer.Session, m *wire.ExpertLoad) {
 	r.reporter.omitKnownExperts(s, m)
 	for i := range m.Ranks {
-		if m.Ranks[i].Picks != nil {
-			m.Ranks[i].PackedSelections, m.Ranks[i].Picks = planner.Pack(m.Ranks[i].Picks), nil
+		if m.Ranks[i].Selections != nil {
+			m.Ranks[i].PackedSelections, m.Ranks[i].Selections = planner.Pack(m.Ranks[i].Selections), nil
 		}
 	}
 	_ = s.Post(m)
--- a/internal/group/traffic_test.go
+++ b/internal/group/traffic_test.go
@@ -65,7 +65,7 @@
 func newEngineGroup(shape *wire.GroupShape) *engineGroup {
 	g := &engineGroup{shape: shape}
 	for r := range int(shape.Ranks) {
-		e := &simEngine{group: g, state: rank.Report{Group: "g", Epoch: 1, Rank: r, Size: int(shape.Ranks), IsOpen: true, Pace: 1}}
+		e := &simEngine{group: g, state: rank.Report{Group: "g", Epoch: 1, Rank: r, Size: int(shape.Ranks), IsOpen: true, Slowdown: 1}}
 		for range shape.Layers {
 			var list []uint16
 			for expert := r; expert < int(shape.Experts); expert += int(shape.Ranks) {
@@ -128,7 +128,7 @@
 	return e.state, nil
 }
 
-func (e *simEngine) Picks(context.Context) (uint64, []uint64, error) {
+func (e *simEngine) Selections(context.Context) (uint64, []uint64, error) {
 	e.group.mu.Lock()
 	defer e.group.mu.Unlock()
 	popularRank := e.group.shiftCount * 5 % int(e.group.shape.Ranks)
@@ -151,8 +151,8 @@
 	e.group.mu.Lock()
 	defer e.group.mu.Unlock()
 	s := &e.state
-	if o.Expect != s.Sequence {
-		return fmt.Errorf("expected order %d, have %d", o.Expect, s.Sequence)
+	if o.ExpectedSequence != s.Sequence {
+		return fmt.Errorf("expected order %d, have %d", o.ExpectedSequence, s.Sequence)
 	}
 	if o.Operation == rank.Prepare && o.Version <= e.highestPrepared {
 		return fmt.Errorf("version %d is not above %d", o.Version, e.highestPrepared)
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -154,12 +154,12 @@
 		return nil
 	}
 	service := t.Service(a.n.settings.Agent.Service)
-	if service == nil || service.Engine == nil || service.Engine.Experts.Sets == 0 {
+	if service == nil || service.Engine == nil || service.Engine.Experts.LayerSetCount == 0 {
 		return nil
 	}
 	experts := service.Engine.Experts
 	return &wire.GroupShape{
-		Ranks: uint32(r.Size), Experts: uint32(experts.ExpertsPerSet), Layers: uint32(experts.Sets), SlotsPerRank: uint32(experts.Slots),
+		Ranks: uint32(r.Size), Experts: uint32(experts.ExpertsPerSet), Layers: uint32(experts.LayerSetCount), SlotsPerRank: uint32(experts.Slots),
 		MaxNewPerSet: uint32(experts.MaxNewPerSet), CopyUS: uint32(experts.CopyTime.Microseconds()),
 	}
 }
@@ -211,7 +211,7 @@
 	for ctx.Err() == nil {
 		pause.For(ctx, pollInterval)
 		latest, err := a.pollEngine(ctx)
-		if err == nil && (latest.Group != r.Group || latest.Epoch != r.Epoch || latest.Rank != r.Rank || latest.Born != r.Born || !latest.IsOpen) {
+		if err == nil && (latest.Group != r.Group || latest.Epoch != r.Epoch || latest.Rank != r.Rank || latest.StartedAt != r.StartedAt || !latest.IsOpen) {
 			a.n.log.Info("group does not serve as it did", "group", name, "rank", r.Rank, "epoch_now", latest.Epoch,
 				"rank_now", latest.Rank, "open", latest.IsOpen, "step", latest.Step)
 			return
@@ -229,8 +229,8 @@
 	a.logSlowdown(r)
 	if s := a.n.controlSession(); s != nil {
 		_ = s.Post(&wire.EngineLoad{
-			Address: a.n.settings.Agent.Upstream.String(), Running: r.Running, Waiting: r.Waiting, Pace: r.Pace,
-			IsOpen: r.IsOpen, IsStalled: a.checkProgress(r, time.Now()), Group: r.Group, Epoch: r.Epoch, Born: r.Born,
+			Address: a.n.settings.Agent.Upstream.String(), Running: r.Running, Waiting: r.Waiting, Slowdown: r.Slowdown,
+			IsOpen: r.IsOpen, IsStalled: a.checkProgress(r, time.Now()), Group: r.Group, Epoch: r.Epoch, StartedAt: r.StartedAt,
 			Rank: uint32(r.Rank),
 		})
 	}
@@ -248,9 +248,9 @@
 		a.n.log.Warn("engine can't be reached", "upstream", a.n.settings.Agent.Upstream.String(), "born", a.born, "error", err.Error())
 		return
 	}
-	a.n.log.Info("engine is reached", "upstream", a.n.settings.Agent.Upstream.String(), "born", r.Born, "born_before", a.born,
+	a.n.log.Info("engine is reached", "upstream", a.n.settings.Agent.Upstream.String(), "born", r.StartedAt, "born_before", a.born,
 		"group", r.Group, "epoch", r.Epoch)
-	a.born = r.Born
+	a.born = r.StartedAt
 }
 
 // slowThreshold is the slowdown (step time divided by usual step time) above which an engine is
@@ -259,9 +259,9 @@
 
 // logSlowdown logs when the engine becomes slow and when it is no longer slow.
 func (a *agentRole) logSlowdown(r rank.Report) {
-	isSlow := r.Pace > slowThreshold
+	isSlow := r.Slowdown > slowThreshold
 	if isSlow != a.isSlow {
-		a.n.log.Warn("pace of the engine has changed", "rank", r.Rank, "pace", r.Pace, "slow", isSlow, "step", r.Step)
+		a.n.log.Warn("pace of the engine has changed", "rank", r.Rank, "pace", r.Slowdown, "slow", isSlow, "step", r.Step)
 	}
 	a.isSlow = isSlow
 }
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -52,11 +52,11 @@
 	client := dispatch.New(dispatch.Config{HeaderNames: n.platform.Dialect.UpstreamHeaders, DialTimeout: upstreamDialTimeout})
 	e := &entryRole{n: n, client: client, gateway: gateway.New(gateway.Config{
 		Dialect: n.platform.Dialect, Client: client, DataCentre: n.settings.DataCentre,
-		Budget: n.settings.Budget, Fingerprints: quarantine.NewHasher(peerSecret), Quarantine: keeper, Log: n.log, Metrics: n.metrics,
+		RetryBudget: n.settings.RetryBudget, Fingerprints: quarantine.NewHasher(peerSecret), Quarantine: keeper, Log: n.log, Metrics: n.metrics,
 	})}
 	n.openPool("")
 	f := newFollower(n, "entry")
-	f.mergeUpstreams, f.dropSource, f.setEntryHostCount, f.applyTable = e.gateway.Merge, e.gateway.Lose, e.gateway.SetHosts, e.gateway.SetTable
+	f.mergeUpstreams, f.dropSource, f.setEntryHostCount, f.applyTable = e.gateway.Merge, e.gateway.DropSource, e.gateway.SetHostCount, e.gateway.SetTable
 	f.setLoads, f.quarantine = e.gateway.SetLoads, keeper
 	e.follower = f
 	callers, err := net.Listen("tcp", n.settings.Entry.Listen.String())
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -32,8 +32,8 @@
 	GracePeriod time.Duration
 	// MaxControlHostFailures is how many control hosts may fail at the same time.
 	MaxControlHostFailures int
-	// Budget limits the retries of all hosts together.
-	Budget retrybudget.Params
+	// RetryBudget limits the retries of all hosts together.
+	RetryBudget retrybudget.Params
 
 	Entry   *EntrySettings
 	Control *ControlSettings
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -51,7 +51,7 @@
 
 // Add stores a report of one or more ranks.
 func (p *Planner) Add(l *wire.ExpertLoad) {
-	if len(l.Ranks) > 0 && l.Ranks[0].Picks != nil {
+	if len(l.Ranks) > 0 && l.Ranks[0].Selections != nil {
 		p.stats.add(l)
 		return
 	}
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -50,7 +50,7 @@
 // ranks in turn, and the hot ones were selected more often than the others.
 func report(r, ranks int, hot ...uint16) *wire.ExpertLoad {
 	const sets, experts = 4, 72
-	l := wire.RankLoad{Pace: 1}
+	l := wire.RankLoad{Slowdown: 1}
 	for range sets {
 		var held []uint16
 		for e := r % experts; e < experts; e += ranks {
@@ -64,7 +64,7 @@
 			counts[e] = 30
 		}
 		l.ExpertsByLayer = append(l.ExpertsByLayer, held)
-		l.Picks = append(l.Picks, counts)
+		l.Selections = append(l.Selections, counts)
 	}
 	return &wire.ExpertLoad{FirstRank: uint32(r), Ranks: []wire.RankLoad{l}}
 }
@@ -162,7 +162,7 @@
 			random := rand.New(rand.NewPCG(1, 2))
 			p := New(nil)
 			for r := range c.ranks {
-				l := wire.RankLoad{Pace: 1}
+				l := wire.RankLoad{Slowdown: 1}
 				for range c.sets {
 					var held []uint16
 					for s := range c.slots {
@@ -172,7 +172,7 @@
 					for e := range counts {
 						counts[e] = uint32(random.ExpFloat64() * random.ExpFloat64() * 100)
 					}
-					l.ExpertsByLayer, l.Picks = append(l.ExpertsByLayer, held), append(l.Picks, counts)
+					l.ExpertsByLayer, l.Selections = append(l.ExpertsByLayer, held), append(l.Selections, counts)
 				}
 				p.Add(&wire.ExpertLoad{FirstRank: uint32(r), Ranks: []wire.RankLoad{l}})
 			}
--- a/internal/planner/rankstats.go
+++ b/internal/planner/rankstats.go
@@ -47,7 +47,7 @@
 		number := l.FirstRank + uint32(i)
 		s := p.rank(number)
 		p.reported[number] = true
-		s.slowdown, s.counts = l.Ranks[i].Pace, l.Ranks[i].Picks
+		s.slowdown, s.counts = l.Ranks[i].Slowdown, l.Ranks[i].Selections
 		// A report that was sent before a change but arrives after it has the experts of an
 		// older map.
 		if l.Ranks[i].ExpertsByLayer != nil && l.Ranks[i].Version >= s.version {
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -94,7 +94,7 @@
 	}
 	k.update(func(now time.Duration) []Suspicion {
 		return k.addOwn(k.failed.take(now, func(r *Attempt) bool {
-			return r.Incarnation != current && (r.Address == address || r.Incarnation.Upstream == current.Upstream && r.Incarnation.Born < current.Born)
+			return r.Incarnation != current && (r.Address == address || r.Incarnation.Upstream == current.Upstream && r.Incarnation.StartedAt < current.StartedAt)
 		}), now)
 	})
 }
@@ -108,7 +108,7 @@
 	for _, s := range updates {
 		k.suspicions.Inc(1)
 		k.cfg.Log.Warn("request suspected: its upstream ended under it", "request", s.Request, "fingerprint", s.Fingerprint.String(),
-			"workspace", s.Workspace, "upstream", s.Incarnation.Upstream, "born", s.Incarnation.Born, "cleared", s.IsCleared)
+			"workspace", s.Workspace, "upstream", s.Incarnation.Upstream, "born", s.Incarnation.StartedAt, "cleared", s.IsCleared)
 	}
 	return updates
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -54,10 +54,10 @@
 // Incarnation identifies an upstream from one start of its process to the next.
 type Incarnation struct {
 	Upstream string `cbor:"1,keyasint"`
-	// Born tells the incarnations of an upstream apart, in Unix milliseconds: when the process
+	// StartedAt tells the incarnations of an upstream apart, in Unix milliseconds: when the process
 	// started or, where an agent reports a crash, when it crashed. It is 0 where neither is
 	// known.
-	Born int64 `cbor:"2,keyasint,omitempty"`
+	StartedAt int64 `cbor:"2,keyasint,omitempty"`
 }
 
 // Suspicion states that a request was running on an upstream when the upstream crashed. Hosts
@@ -225,7 +225,7 @@
 
 // compare orders incarnations by upstream, then by start.
 func (i Incarnation) compare(o Incarnation) int {
-	return cmp.Or(strings.Compare(i.Upstream, o.Upstream), cmp.Compare(i.Born, o.Born))
+	return cmp.Or(strings.Compare(i.Upstream, o.Upstream), cmp.Compare(i.StartedAt, o.StartedAt))
 }
 
 // lastCrash returns the time of the latest crash under the request.
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -25,7 +25,7 @@
 	Cluster() state.Cluster
 	AppliedIndex() uint64
 	LogicalTime() state.LogicalTime
-	Fence() uint64
+	FencingToken() uint64
 	ClaimCount() int
 }
 
@@ -51,9 +51,9 @@
 	Index uint64
 	// LogicalTime is the time of the tables' logical clock in milliseconds.
 	LogicalTime state.LogicalTime
-	// Fence is the fencing token for orders to engines.
-	Fence   uint64
-	Cluster state.Cluster
+	// FencingToken is the fencing token for orders to engines.
+	FencingToken uint64
+	Cluster      state.Cluster
 	// Claims is the number of claims, open or finished.
 	Claims int
 }
@@ -126,11 +126,11 @@
 // quorum and may be out of date.
 func (s *Service) LocalStatus() Status {
 	return Status{
-		Index:       s.tables.AppliedIndex(),
-		LogicalTime: s.tables.LogicalTime(),
-		Fence:       s.tables.Fence(),
-		Cluster:     s.tables.Cluster(),
-		Claims:      s.tables.ClaimCount(),
+		Index:        s.tables.AppliedIndex(),
+		LogicalTime:  s.tables.LogicalTime(),
+		FencingToken: s.tables.FencingToken(),
+		Cluster:      s.tables.Cluster(),
+		Claims:       s.tables.ClaimCount(),
 	}
 }
 
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -41,7 +41,7 @@
 }
 
 func submit(name string, base uint64, change string) state.SubmitDocument {
-	return state.SubmitDocument{Name: name, Base: base, ChangeID: change, Author: "ann", Text: change}
+	return state.SubmitDocument{Name: name, BaseRevision: base, ChangeID: change, Author: "ann", Text: change}
 }
 
 // Every read must pass the barrier first. Without it, a read at a replica that is behind would
@@ -68,7 +68,7 @@
 		"status": func(s *Service) (uint64, error) {
 			status, err := s.Status(t.Context())
 			require.Equal(t, "c1", status.Cluster.ID)
-			require.Equal(t, status.Index, status.Fence)
+			require.Equal(t, status.Index, status.FencingToken)
 			return status.Index, err
 		},
 	} {
--- a/internal/rank/load.go
+++ b/internal/rank/load.go
@@ -14,11 +14,11 @@
 		if err := e.readExperts(ctx, r.Map); err != nil {
 			return err
 		}
-		_, counts, err := e.client.Picks(ctx)
+		_, counts, err := e.client.Selections(ctx)
 		if err != nil {
 			return err
 		}
-		out = wire.RankLoad{Version: e.expertsVersion, ExpertsByLayer: e.experts, Pace: r.Pace, Picks: e.countsSinceLast(counts)}
+		out = wire.RankLoad{Version: e.expertsVersion, ExpertsByLayer: e.experts, Slowdown: r.Slowdown, Selections: e.countsSinceLast(counts)}
 		return nil
 	})
 	return out, err
--- a/internal/rank/rank.go
+++ b/internal/rank/rank.go
@@ -26,9 +26,9 @@
 	Epoch uint64
 	Rank  int
 	Size  int
-	// Born is the time at which the engine started, in Unix milliseconds; 0 if the engine doesn't
+	// StartedAt is the time at which the engine started, in Unix milliseconds; 0 if the engine doesn't
 	// report it.
-	Born int64
+	StartedAt int64
 	// IsOpen tells that the group accepts requests.
 	IsOpen bool
 	// Sequence counts the orders that the engine has started.
@@ -45,8 +45,8 @@
 	PauseStep uint64
 	// Running and Waiting count the requests that the engine runs and has queued.
 	Running, Waiting int
-	// Pace is the engine's time per step divided by its usual one; above 1 means slow.
-	Pace float64
+	// Slowdown is the engine's time per step divided by its usual one; above 1 means slow.
+	Slowdown float64
 }
 
 // Operation is the kind of an order.
@@ -70,10 +70,10 @@
 	Operation Operation
 	// Epoch is the epoch of the group for which the order is valid.
 	Epoch uint64
-	// Expect is the value that the engine's Sequence must have.
-	Expect uint64
-	// Fence is the fencing token. It never decreases from one order to the next.
-	Fence uint64
+	// ExpectedSequence is the value that the engine's Sequence must have.
+	ExpectedSequence uint64
+	// FencingCounter is the fencing token. It never decreases from one order to the next.
+	FencingCounter uint64
 	// Version is set for Prepare, Arm and Disarm; Step for Arm, Pause and Resume.
 	Version, Step uint64
 	// Experts is set for Prepare: the experts by layer set and rank. A layer set is a set of
@@ -84,9 +84,9 @@
 // Client gives access to an engine. Each call returns soon.
 type Client interface {
 	Report(ctx context.Context) (Report, error)
-	// Picks returns how often the rank's requests have chosen each expert since the engine
+	// Selections returns how often the rank's requests have chosen each expert since the engine
 	// started, one layer set after the other.
-	Picks(ctx context.Context) (epoch uint64, counts []uint64, err error)
+	Selections(ctx context.Context) (epoch uint64, counts []uint64, err error)
 	// Experts returns the version of the map in use and the rank's experts by layer set.
 	Experts(ctx context.Context) (version uint64, experts [][]uint16, err error)
 	// Order sends an order. If it returns an error, the order may have been executed or may still
@@ -246,15 +246,15 @@
 // holds mu.
 func (e *Engine) sendOrder(ctx context.Context, r Report, fence expertmap.Ballot, o Order) error {
 	o.Epoch = e.epoch
-	o.Expect = r.Sequence
-	o.Fence = fence.Counter
+	o.ExpectedSequence = r.Sequence
+	o.FencingCounter = fence.Counter
 	var err error
 	for range maxSends {
 		if err = e.sendOnce(ctx, o); !errors.Is(err, ErrUnanswered) {
 			return err
 		}
 		current, reportErr := e.checkedReport(ctx)
-		if reportErr != nil || current.Sequence != o.Expect {
+		if reportErr != nil || current.Sequence != o.ExpectedSequence {
 			return err
 		}
 	}
--- a/internal/rank/rank_test.go
+++ b/internal/rank/rank_test.go
@@ -269,7 +269,7 @@
 		sim.network = sim.network[1:]
 		sim.deliver(p)
 	}
-	lateResume := Order{Operation: Resume, Epoch: 1, Expect: first.state.Sequence, Step: first.state.PauseStep}
+	lateResume := Order{Operation: Resume, Epoch: 1, ExpectedSequence: first.state.Sequence, Step: first.state.PauseStep}
 	sim.network = nil
 	sim.restart(0)
 	sim.startCoordinator(1, false)
--- a/internal/rank/simulation_test.go
+++ b/internal/rank/simulation_test.go
@@ -56,7 +56,7 @@
 
 func (e *simEngine) Report(context.Context) (Report, error) { return e.state, nil }
 
-func (e *simEngine) Picks(context.Context) (uint64, []uint64, error) { return 1, nil, nil }
+func (e *simEngine) Selections(context.Context) (uint64, []uint64, error) { return 1, nil, nil }
 
 func (e *simEngine) Experts(context.Context) (uint64, [][]uint16, error) { return 0, nil, nil }
 
@@ -73,7 +73,7 @@
 // execute applies the engine's rules for each kind of order.
 func (e *simEngine) execute(o Order) error {
 	s := &e.state
-	if o.Epoch != s.Epoch || o.Expect != s.Sequence {
+	if o.Epoch != s.Epoch || o.ExpectedSequence != s.Sequence {
 		return errRefused
 	}
 	switch {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -43,18 +43,18 @@
 	ColdRemainingMS int64 `cbor:"8,keyasint,omitempty"`
 	// IsSilent is set by a control host if the upstream's announcements have stopped.
 	IsSilent bool `cbor:"9,keyasint,omitempty"`
-	// Born is the start time of the incarnation, in Unix milliseconds by the upstream's clock,
+	// StartedAt is the start time of the incarnation, in Unix milliseconds by the upstream's clock,
 	// or 0 if the upstream does not send it. The incarnation with the highest value is the
 	// current one. It takes over no state of earlier incarnations.
-	Born int64 `cbor:"10,keyasint,omitempty"`
+	StartedAt int64 `cbor:"10,keyasint,omitempty"`
 }
 
 // merge applies an announcement. One of a later incarnation replaces everything, and one of an
 // earlier incarnation is ignored. It reports whether anything changed that matters for
 // sending requests to the upstream.
 func (u *Upstream) merge(next Upstream) bool {
-	if next.Born != u.Born {
-		if next.Born > u.Born {
+	if next.StartedAt != u.StartedAt {
+		if next.StartedAt > u.StartedAt {
 			*u = next
 			return true
 		}
@@ -108,7 +108,7 @@
 		r.byID[u.ID] = &entry{Upstream: u, heardAt: now}
 		return u, true
 	}
-	if u.Born < e.Born || u.Born == e.Born && u.Sequence != 0 && u.Sequence <= e.Sequence && u.State <= e.State {
+	if u.StartedAt < e.StartedAt || u.StartedAt == e.StartedAt && u.Sequence != 0 && u.Sequence <= e.Sequence && u.State <= e.State {
 		return e.Upstream, false
 	}
 	wasSilent := e.IsSilent
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -64,7 +64,7 @@
 	u.IsSilent = true
 	v.Merge("c1", []Upstream{u})
 	require.False(t, v.Serving()["s"][0].IsSilent)
-	require.True(t, v.Lose("c2"))
+	require.True(t, v.DropSource("c2"))
 	require.True(t, v.Serving()["s"][0].IsSilent)
 }
 
@@ -122,7 +122,7 @@
 }
 
 func withBorn(u Upstream, at int64) Upstream {
-	u.Born = at
+	u.StartedAt = at
 	return u
 }
 
@@ -148,7 +148,7 @@
 		announce(withBorn(newUpstream("a", 1, Ready), 6))
 		require.Len(t, v.Serving()["s"], 1, name)
 		for _, delayed := range []Upstream{lastAnnouncement, withBorn(newUpstream("a", 901, Draining), 5), newUpstream("a", 999, Draining), {ID: "a", State: Gone}} {
-			require.Equal(t, int64(6), announce(delayed).Born, name)
+			require.Equal(t, int64(6), announce(delayed).StartedAt, name)
 			v.Merge("other", []Upstream{delayed})
 			require.Len(t, v.Serving()["s"], 1, name)
 			require.Equal(t, uint64(1), v.Serving()["s"][0].Sequence, name)
@@ -217,7 +217,7 @@
 
 	// Start times decide if they are known. Without them, upstreams that first appeared in the
 	// same Merge can't be ordered, so both are served.
-	v.Merge("c1", []Upstream{{ID: "b", Service: "s", Address: "10.0.0.2:80", Born: 7}, {ID: "c", Service: "s", Address: "10.0.0.2:80", Born: 6}})
+	v.Merge("c1", []Upstream{{ID: "b", Service: "s", Address: "10.0.0.2:80", StartedAt: 7}, {ID: "c", Service: "s", Address: "10.0.0.2:80", StartedAt: 6}})
 	require.Equal(t, []string{"a", "b"}, ids())
 	v = NewView()
 	v.Merge("c1", []Upstream{{ID: "p", Service: "s", Address: "10.0.0.1:80"}, {ID: "q", Service: "s", Address: "10.0.0.1:80"}})
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -49,14 +49,14 @@
 			v.byID[u.ID] = s
 			changed = true
 		} else {
-			born := s.Born
+			born := s.StartedAt
 			changed = s.merge(u) || changed
-			if s.Born != born {
+			if s.StartedAt != born {
 				v.resetIncarnation(s)
 			}
 		}
 		v.recordGone(s)
-		if u.Born == s.Born {
+		if u.StartedAt == s.StartedAt {
 			s.silentBy[source] = u.IsSilent
 		}
 		changed = s.updateSilence() || changed
@@ -89,9 +89,9 @@
 	}
 }
 
-// Lose drops what a control host reported about silence, because it is no longer connected.
+// DropSource drops what a control host reported about silence, because it is no longer connected.
 // It reports whether anything changed.
-func (v *View) Lose(source string) bool {
+func (v *View) DropSource(source string) bool {
 	changed := false
 	for _, s := range v.byID {
 		delete(s.silentBy, source)
@@ -128,7 +128,7 @@
 // isRevoked reports whether the incarnation, or a later one, was revoked.
 func (v *View) isRevoked(u *Upstream) bool {
 	born, ok := v.revoked[u.ID]
-	return ok && u.Born <= born
+	return ok && u.StartedAt <= born
 }
 
 // Serving returns the upstreams that may get new requests, by service and sorted by ID. Of
@@ -158,10 +158,10 @@
 	return out
 }
 
-// IsLeaving reports whether an incarnation is draining or gone.
-func (v *View) IsLeaving(id string, born int64) bool {
+// IsDraining reports whether an incarnation is draining or gone.
+func (v *View) IsDraining(id string, born int64) bool {
 	s := v.byID[id]
-	return s != nil && s.Born == born && s.State != Ready
+	return s != nil && s.StartedAt == born && s.State != Ready
 }
 
 // mayServe reports whether an upstream can get requests, apart from newer ones at its address.
@@ -173,8 +173,8 @@
 // compares start times, and if these are equal or missing, when each was first merged. If
 // both came with the same Merge, neither is newer.
 func (s *viewEntry) isNewerThan(o *viewEntry) bool {
-	if s.Born != o.Born {
-		return s.Born > o.Born
+	if s.StartedAt != o.StartedAt {
+		return s.StartedAt > o.StartedAt
 	}
 	return s.firstMerge > o.firstMerge
 }
--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -36,7 +36,7 @@
 // stoppedError is the error of a call to a stopped replica. The caller must have seen
 // r.done closed, since r.err may be read only after that.
 func (r *Replica) stoppedError() *verdict.Error {
-	return &verdict.Error{Verdict: verdict.NotRun, Code: verdict.CodeLeaving, Text: "the replica has stopped", Cause: r.err}
+	return &verdict.Error{Verdict: verdict.NotRun, Code: verdict.CodeDraining, Text: "the replica has stopped", Cause: r.err}
 }
 
 // refusalError converts an error of the core into a verdict.Error. The core has appended
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -41,9 +41,9 @@
 	Timeout time.Duration
 	// TargetLatency is the time within which an answer, or its first event, counts as on time.
 	TargetLatency time.Duration
-	// Gap is the longest interval between two events of a stream that counts as on time, 0 if
+	// MaxEventGap is the longest interval between two events of a stream that counts as on time, 0 if
 	// none is declared.
-	Gap time.Duration
+	MaxEventGap time.Duration
 	// Priority is the priority level of the requests; 0 is the most urgent.
 	Priority int
 	// AttemptLimit is the number of upstreams that one request may be sent to, at least 1.
@@ -103,12 +103,12 @@
 	StepTime, StepTimePerRequest, StepTimePerKToken time.Duration
 	// PrefillRate is the number of prompt tokens read per second. Chunk is the maximum number
 	// of prompt tokens read in one step.
-	PrefillRate float64
-	Chunk       int
-	// Stride is the number of decode steps in a pass. A stream gets one event per pass.
-	Stride int
-	// Prompt and Answer are the mean numbers of prompt and answer tokens of a request.
-	Prompt, Answer float64
+	PrefillRate  float64
+	PrefillChunk int
+	// StepsPerPass is the number of decode steps in a pass. A stream gets one event per pass.
+	StepsPerPass int
+	// MeanPromptTokens and Answer are the mean numbers of prompt and answer tokens of a request.
+	MeanPromptTokens, MeanAnswerTokens float64
 	// KVCacheTokens is the capacity of a rank's KV cache in tokens.
 	KVCacheTokens int
 	Experts       Experts
@@ -121,7 +121,7 @@
 	// which assigns ExpertsPerSet experts to the ranks, with room for Slots experts at each
 	// rank. In one change of the map a rank may be assigned at most Spare experts of a set that
 	// it did not hold before.
-	Sets, ExpertsPerSet, Slots, MaxNewPerSet int
+	LayerSetCount, ExpertsPerSet, Slots, MaxNewPerSet int
 	// WorkShare is the fraction of a step's work that is done by the experts, in [0, 1].
 	WorkShare float64
 	// CopyTime is the time that a rank takes to copy an expert that it does not hold; 0 if
@@ -276,7 +276,7 @@
 	for i := range t.Routes {
 		r := &t.Routes[i]
 		if slices.ContainsFunc(r.ServiceWeights, func(s ServiceWeight) bool { return s.Service == service }) {
-			longest = max(longest, r.Gap)
+			longest = max(longest, r.MaxEventGap)
 		}
 	}
 	return longest
--- a/internal/routetable/table_test.go
+++ b/internal/routetable/table_test.go
@@ -85,9 +85,9 @@
 
 func TestLongestGapUsesOnlyTheServicesOwnRoutes(t *testing.T) {
 	tb := newTable(func(t *Table) {
-		t.Routes[0].Gap = 100 * time.Millisecond
-		t.Routes[1].Gap = 50 * time.Millisecond
-		t.Routes[2].Gap = 120 * time.Millisecond
+		t.Routes[0].MaxEventGap = 100 * time.Millisecond
+		t.Routes[1].MaxEventGap = 50 * time.Millisecond
+		t.Routes[2].MaxEventGap = 120 * time.Millisecond
 		t.Routes[2].ServiceWeights = []ServiceWeight{{"t", 1}}
 	})
 	require.NoError(t, tb.Build())
--- a/internal/schedule/admit.go
+++ b/internal/schedule/admit.go
@@ -30,9 +30,9 @@
 	Service string
 	// Engine holds the performance parameters of the service's engines.
 	Engine *routetable.Engine
-	// Gap is the longest interval between two events of a stream that still counts as on time,
+	// MaxEventGap is the longest interval between two events of a stream that still counts as on time,
 	// 0 if none is declared.
-	Gap time.Duration
+	MaxEventGap time.Duration
 	// OnTimeUntil is the latest time for the first event to count as on time.
 	OnTimeUntil time.Duration
 	// Priority is the priority level of the request; 0 is the most urgent.
@@ -111,7 +111,7 @@
 // Admit decides on a new request: it reserves a slot, queues the request or refuses it.
 func (s *Scheduler) Admit(r *Request, now time.Duration) Decision {
 	sv := s.service(r.Service)
-	sv.setEngine(r.Engine, r.Gap, now)
+	sv.setEngine(r.Engine, r.MaxEventGap, now)
 	w := sv.newWaiter(r, now)
 	if w.canBeOnTime(now) && !r.IsResumed {
 		sv.demand.onTimeArrivals.add(now)
--- a/internal/schedule/goodput.go
+++ b/internal/schedule/goodput.go
@@ -30,7 +30,7 @@
 // known yet and while the newest passes would be too long at any limit.
 func (p *passHistory) limit(e *routetable.Engine, maxEventGap, now time.Duration) float64 {
 	minLimit := float64(ConcurrencyLimit(e, maxEventGap))
-	if maxEventGap <= 0 || e.Stride <= 0 || e.StepTimePerRequest <= 0 || !p.hasStarted || now-p.startedAt < minObservation {
+	if maxEventGap <= 0 || e.StepsPerPass <= 0 || e.StepTimePerRequest <= 0 || !p.hasStarted || now-p.startedAt < minObservation {
 		return minLimit
 	}
 	if p.engineSpec == e && p.cachedBucket == p.bucket {
@@ -46,7 +46,7 @@
 	bestGoodput := 0.0
 	for n := minLimit; n <= float64(e.Slots); n += limitStep {
 		passTime := float64(balancedPassTime(e, n))
-		serviceTime := prefillTime(e).Seconds() + (e.Answer/float64(e.Stride)+2)*meanSlowdown*passTime/float64(time.Second)
+		serviceTime := prefillTime(e).Seconds() + (e.MeanAnswerTokens/float64(e.StepsPerPass)+2)*meanSlowdown*passTime/float64(time.Second)
 		onTime := fractionOnTime(slowdowns, maxPassTime/passTime, int(serviceTime/bucketSpan.Seconds())+1)
 		if goodput := n / serviceTime * (onTime + lateAnswerValue*(1-onTime)); goodput > bestGoodput {
 			bestGoodput, p.cachedLimit = goodput, n
@@ -107,5 +107,5 @@
 	if e.PrefillRate <= 0 {
 		return 0
 	}
-	return time.Duration(e.Prompt / e.PrefillRate * float64(time.Second))
+	return time.Duration(e.MeanPromptTokens / e.PrefillRate * float64(time.Second))
 }
--- a/internal/schedule/limits.go
+++ b/internal/schedule/limits.go
@@ -27,14 +27,14 @@
 // rank adds to a pass delays all streams. Without a gap or the engine's performance parameters,
 // the limit is the number of slots.
 func ConcurrencyLimit(e *routetable.Engine, maxEventGap time.Duration) int {
-	if maxEventGap <= 0 || e.Stride <= 0 || e.StepTimePerRequest <= 0 {
+	if maxEventGap <= 0 || e.StepsPerPass <= 0 || e.StepTimePerRequest <= 0 {
 		return e.Slots
 	}
 	skew := 1.0
-	if e.Experts.Sets > 0 {
+	if e.Experts.LayerSetCount > 0 {
 		skew = 1 - e.Experts.WorkShare + e.Experts.WorkShare*maxExpectedSkew
 	}
-	maxStepTime := float64(maxEventGap) * maxGapFraction / float64(e.Stride) / skew
+	maxStepTime := float64(maxEventGap) * maxGapFraction / float64(e.StepsPerPass) / skew
 	limit := int((maxStepTime - float64(e.StepTime)) / float64(e.StepTimePerRequest))
 	return min(max(limit, int(minSlotFraction*float64(e.Slots)), 1), e.Slots)
 }
@@ -55,7 +55,7 @@
 // TimeToFirstEvent estimates how long an idle engine takes to the first event of an average
 // request: the time to read the prompt plus two passes.
 func TimeToFirstEvent(e *routetable.Engine, limit int) time.Duration {
-	passTime := time.Duration(max(e.Stride, 1)) * (e.StepTime + time.Duration(limit)*e.StepTimePerRequest)
+	passTime := time.Duration(max(e.StepsPerPass, 1)) * (e.StepTime + time.Duration(limit)*e.StepTimePerRequest)
 	return prefillTime(e) + 2*passTime
 }
 
@@ -66,11 +66,11 @@
 // ServiceTime estimates how long an average request holds its slot while the engine runs as
 // many requests as the limit allows.
 func ServiceTime(e *routetable.Engine, limit int) time.Duration {
-	passTime := time.Duration(max(e.Stride, 1)) * (e.StepTime + time.Duration(limit)*e.StepTimePerRequest)
+	passTime := time.Duration(max(e.StepsPerPass, 1)) * (e.StepTime + time.Duration(limit)*e.StepTimePerRequest)
 	skew := 1.0
-	if e.Experts.Sets > 0 {
+	if e.Experts.LayerSetCount > 0 {
 		skew = 1 - e.Experts.WorkShare + e.Experts.WorkShare*typicalSkew
 	}
-	passes := e.Answer / float64(max(e.Stride, 1))
+	passes := e.MeanAnswerTokens / float64(max(e.StepsPerPass, 1))
 	return TimeToFirstEvent(e, limit) + time.Duration(passes*skew*float64(passTime))
 }
--- a/internal/schedule/limits_test.go
+++ b/internal/schedule/limits_test.go
@@ -11,9 +11,9 @@
 
 func TestConcurrencyLimitKeepsPassesWithinMaxEventGap(t *testing.T) {
 	e := &routetable.Engine{
-		Slots: 12, StepTime: 4840 * time.Microsecond, StepTimePerRequest: 362 * time.Microsecond, Stride: 6,
-		Prompt: 800, PrefillRate: 74800,
-		Experts: routetable.Experts{Sets: 4, ExpertsPerSet: 72, Slots: 8, MaxNewPerSet: 3, WorkShare: 0.85},
+		Slots: 12, StepTime: 4840 * time.Microsecond, StepTimePerRequest: 362 * time.Microsecond, StepsPerPass: 6,
+		MeanPromptTokens: 800, PrefillRate: 74800,
+		Experts: routetable.Experts{LayerSetCount: 4, ExpertsPerSet: 72, Slots: 8, MaxNewPerSet: 3, WorkShare: 0.85},
 	}
 	limit := ConcurrencyLimit(e, 120*time.Millisecond)
 	const slowdown = 6 * (1 - 0.85 + 0.85*maxExpectedSkew)
@@ -22,7 +22,7 @@
 	require.Greater(t, limit, 6)
 	require.Equal(t, 12, ConcurrencyLimit(e, 0), "without a gap only the slots limit")
 	require.Equal(t, 6, ConcurrencyLimit(e, time.Millisecond), "at least half of the slots are used")
-	e.Experts.Sets = 0
+	e.Experts.LayerSetCount = 0
 	require.Equal(t, 12, ConcurrencyLimit(e, 120*time.Millisecond))
 	require.Less(t, TimeToFirstEvent(e, 10), 200*time.Millisecond)
 }
--- a/internal/schedule/loads.go
+++ b/internal/schedule/loads.go
@@ -98,7 +98,7 @@
 
 func (s *Scheduler) setLoad(l *wire.EngineLoad, now time.Duration) {
 	u := s.byAddress[l.Address]
-	if u == nil || l.Born != 0 && l.Born < u.Born {
+	if u == nil || l.StartedAt != 0 && l.StartedAt < u.StartedAt {
 		return
 	}
 	sv := u.service
@@ -107,7 +107,7 @@
 	}
 	u.load = load{
 		isKnown: true, isOpen: l.IsOpen, isStalled: l.IsStalled, epoch: l.Epoch, requests: l.Running + l.Waiting, receivedAt: now,
-		inflight: u.load.nextInflight, nextInflight: u.inflight, stepTimeRatio: l.Pace,
+		inflight: u.load.nextInflight, nextInflight: u.inflight, stepTimeRatio: l.Slowdown,
 	}
 	u.group.lastReport = now
 	sv.lastReport, sv.hasReported = now, true
@@ -209,7 +209,9 @@
 }
 
 // hasGroups reports whether the service's engines are ranks of groups.
-func (sv *service) hasGroups() bool { return sv.engineSpec != nil && sv.engineSpec.Experts.Sets > 0 }
+func (sv *service) hasGroups() bool {
+	return sv.engineSpec != nil && sv.engineSpec.Experts.LayerSetCount > 0
+}
 
 // hasRecentReports reports whether a recent load report of any engine of the service has
 // arrived.
--- a/internal/schedule/passtimes.go
+++ b/internal/schedule/passtimes.go
@@ -80,7 +80,7 @@
 // balancedPassTime returns the duration of a pass in which each rank generates tokens for n
 // requests.
 func balancedPassTime(e *routetable.Engine, n float64) time.Duration {
-	return time.Duration(float64(max(e.Stride, 1)) * (float64(e.StepTime) + n*float64(e.StepTimePerRequest)))
+	return time.Duration(float64(max(e.StepsPerPass, 1)) * (float64(e.StepTime) + n*float64(e.StepTimePerRequest)))
 }
 
 // RecordEventGap records the gap between two events in the stream of an attempt.
--- a/internal/schedule/passtimes_test.go
+++ b/internal/schedule/passtimes_test.go
@@ -54,7 +54,7 @@
 // limit tolerates, or at once when passes are too long at any limit.
 func TestLimitFollowsObservedPassTimes(t *testing.T) {
 	l := newSkewedCluster()
-	minCapacity := float64(60 * ConcurrencyLimit(l.engine, l.gapLimitedRequest().Gap))
+	minCapacity := float64(60 * ConcurrencyLimit(l.engine, l.gapLimitedRequest().MaxEventGap))
 	capacity := func() float64 { return l.State("s", l.now).Capacity }
 	l.runWithSlowdown(1.2, minObservation-time.Second)
 	require.Equal(t, minCapacity, capacity(), "pass times were not observed for long enough")
@@ -79,7 +79,7 @@
 // any stream on time.
 func TestJumpsThatNoLimitCanAbsorbDoNotLowerIt(t *testing.T) {
 	l := newSkewedCluster()
-	minCapacity := float64(60 * ConcurrencyLimit(l.engine, l.gapLimitedRequest().Gap))
+	minCapacity := float64(60 * ConcurrencyLimit(l.engine, l.gapLimitedRequest().MaxEventGap))
 	l.runWithJumps(2.6, 1.2, 2500*time.Millisecond, historySpan)
 	require.Greater(t, l.State("s", l.now).Capacity, 1.2*minCapacity)
 }
@@ -101,7 +101,7 @@
 	for slowdown := 1.0; slowdown < 2; slowdown += 0.1 {
 		l := newSkewedCluster()
 		l.runWithSlowdown(slowdown, minObservation+time.Second)
-		e, gap, limit := l.engine, l.gapLimitedRequest().Gap, l.service("s").groups["0"].limit
+		e, gap, limit := l.engine, l.gapLimitedRequest().MaxEventGap, l.service("s").groups["0"].limit
 		if limit > float64(ConcurrencyLimit(e, gap)) {
 			require.LessOrEqual(t, slowdown*float64(balancedPassTime(e, limit)), 1.01*maxPassFraction*float64(gap), "slowdown %v", slowdown)
 		}
@@ -134,7 +134,7 @@
 	p := &l.service("s").groups["0"].passTimes
 	for b.Loop() {
 		p.cachedBucket = -1
-		p.limit(l.engine, l.gapLimitedRequest().Gap, l.now)
+		p.limit(l.engine, l.gapLimitedRequest().MaxEventGap, l.now)
 	}
 }
 
--- a/internal/schedule/reserve.go
+++ b/internal/schedule/reserve.go
@@ -46,8 +46,8 @@
 // ID returns the id of the upstream.
 func (t *Ticket) ID() string { return t.upstream.ID }
 
-// Born returns when the upstream's process started.
-func (t *Ticket) Born() int64 { return t.born }
+// StartedAt returns when the upstream's process started.
+func (t *Ticket) StartedAt() int64 { return t.born }
 
 // Address returns the address of the upstream when the attempt began, as "ip:port".
 func (t *Ticket) Address() string { return t.address }
@@ -187,7 +187,7 @@
 
 // reserve counts an attempt at an upstream and returns its reservation.
 func (s *Scheduler) reserve(u *upstream, now time.Duration) *Ticket {
-	t := &Ticket{upstream: u, service: u.service, born: u.Born, address: u.Address, EstimatedLoad: s.estimatedLoad(u, now), LoadAge: -1, began: now}
+	t := &Ticket{upstream: u, service: u.service, born: u.StartedAt, address: u.Address, EstimatedLoad: s.estimatedLoad(u, now), LoadAge: -1, began: now}
 	if u.load.isKnown {
 		t.LoadAge = now - u.load.receivedAt
 	}
@@ -233,7 +233,7 @@
 		sv.late--
 	}
 	switch {
-	case t.born != u.Born:
+	case t.born != u.StartedAt:
 	case outcome == Success:
 		u.consecutiveFailures, u.suspectUntil = 0, 0
 		sv.demand.recordServiceTime(now - t.began)
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -25,8 +25,8 @@
 type Config struct {
 	// DataCentre is the data centre of this host.
 	DataCentre string
-	// Budget limits the retries of all hosts together.
-	Budget retrybudget.Params
+	// RetryBudget limits the retries of all hosts together.
+	RetryBudget retrybudget.Params
 	// Random is the source of all random choices.
 	Random *rand.Rand
 	// StartupUntil is when the start-up phase of this host ends. Until then its knowledge is
@@ -113,11 +113,11 @@
 	awaitingHeader map[*Ticket]headerWait
 }
 
-// SetHosts sets the number of hosts that share the upstreams and the retry budgets.
-func (s *Scheduler) SetHosts(n int) { s.hosts = max(n, 1) }
+// SetHostCount sets the number of hosts that share the upstreams and the retry budgets.
+func (s *Scheduler) SetHostCount(n int) { s.hosts = max(n, 1) }
 
-// Hosts returns the number of hosts that share the upstreams.
-func (s *Scheduler) Hosts() int { return s.hosts }
+// HostCount returns the number of hosts that share the upstreams.
+func (s *Scheduler) HostCount() int { return s.hosts }
 
 // SetUpstreams replaces the upstreams that serve, given by service and ordered by id. The state
 // of upstreams that stay is kept; an upstream that was restarted begins with a clean state. It
@@ -163,7 +163,7 @@
 	case u == nil:
 		u = &upstream{}
 		s.upstreams[announced.ID] = u
-	case u.Born != announced.Born:
+	case u.StartedAt != announced.StartedAt:
 		u.consecutiveFailures, u.suspectUntil, u.load = 0, 0, load{}
 	}
 	u.Upstream = announced
@@ -181,11 +181,11 @@
 
 // CountRequest counts a caller's request to a service for its retry budget.
 func (s *Scheduler) CountRequest(name string, now time.Duration) {
-	s.service(name).budget.AddRequest(s.cfg.Budget, now)
+	s.service(name).budget.AddRequest(s.cfg.RetryBudget, now)
 }
 
 // TakeRetry takes one retry from the service's budget, and reports whether the budget allows
 // it.
 func (s *Scheduler) TakeRetry(name string, now time.Duration) bool {
-	return s.service(name).budget.Take(s.cfg.Budget, s.hosts, now)
+	return s.service(name).budget.Take(s.cfg.RetryBudget, s.hosts, now)
 }
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -17,13 +17,13 @@
 // testEngine holds the parameters of an engine without groups. An average request takes 0.8 s
 // there: 26 passes of 30 ms.
 var testEngine = &routetable.Engine{
-	Slots: 4, StepTime: 5 * time.Millisecond, StepTimePerRequest: 250 * time.Microsecond, Stride: 5, Prompt: 100, Answer: 130, PrefillRate: 10_000,
+	Slots: 4, StepTime: 5 * time.Millisecond, StepTimePerRequest: 250 * time.Microsecond, StepsPerPass: 5, MeanPromptTokens: 100, MeanAnswerTokens: 130, PrefillRate: 10_000,
 }
 
 // groupedEngine returns the parameters of testEngine for engines that are ranks of a group.
 func groupedEngine() *routetable.Engine {
 	e := *testEngine
-	e.Experts = routetable.Experts{Sets: 1, ExpertsPerSet: 8, Slots: 2}
+	e.Experts = routetable.Experts{LayerSetCount: 1, ExpertsPerSet: 8, Slots: 2}
 	return &e
 }
 
@@ -41,7 +41,7 @@
 func newTestCluster(groups, size, hosts int) *testCluster {
 	l := &testCluster{
 		Scheduler: New(Config{
-			DataCentre: "near", Budget: retrybudget.Params{Ratio: 0.2, Extra: 10, Window: 10 * time.Second},
+			DataCentre: "near", RetryBudget: retrybudget.Params{Ratio: 0.2, Extra: 10, Window: 10 * time.Second},
 			Random: rand.New(rand.NewPCG(1, 2)), StartupUntil: 1500 * time.Millisecond,
 		}),
 		now: time.Hour, engine: groupedEngine(), loads: map[string]wire.EngineLoad{},
@@ -53,7 +53,7 @@
 			l.loads[id] = wire.EngineLoad{Address: id, IsOpen: true, Group: fmt.Sprint(g), Epoch: 1}
 		}
 	}
-	l.SetHosts(hosts)
+	l.SetHostCount(hosts)
 	l.announce(0)
 	return l
 }
@@ -62,7 +62,7 @@
 func (l *testCluster) announce(born int64) []Result {
 	var all []registry.Upstream
 	for _, id := range l.ids {
-		all = append(all, registry.Upstream{ID: id, Address: id, Service: "s", Slots: 4, Born: born})
+		all = append(all, registry.Upstream{ID: id, Address: id, Service: "s", Slots: 4, StartedAt: born})
 	}
 	return l.SetUpstreams(map[string][]registry.Upstream{"s": all}, l.now)
 }
@@ -215,8 +215,8 @@
 	admitted := func(slow, fast float64) map[string]int {
 		l := newTestCluster(1, 2, 1)
 		l.engine.Slots, l.engine.StepTimePerRequest = 10, 500*time.Microsecond
-		l.report("0/0", func(load *wire.EngineLoad) { load.Pace = slow })
-		l.report("0/1", func(load *wire.EngineLoad) { load.Pace = fast })
+		l.report("0/0", func(load *wire.EngineLoad) { load.Slowdown = slow })
+		l.report("0/1", func(load *wire.EngineLoad) { load.Slowdown = fast })
 		return l.admitUntilFull()
 	}
 	require.Equal(t, map[string]int{"0/0": 10, "0/1": 10}, admitted(1, 1))
@@ -453,7 +453,7 @@
 	l := newTestCluster(1, 1, 1)
 	l.reportLoads(4)
 	require.NotNil(t, l.Admit(l.onTimeRequest(), l.now).Waiter)
-	l.loads["0/0"] = wire.EngineLoad{Address: "0/0", IsOpen: true, Group: "0", Epoch: 1, Running: 4, Born: 1}
+	l.loads["0/0"] = wire.EngineLoad{Address: "0/0", IsOpen: true, Group: "0", Epoch: 1, Running: 4, StartedAt: 1}
 	results := l.announce(2)
 	require.Len(t, results, 1, "its slots are free")
 	l.report("", nil)
@@ -574,7 +574,7 @@
 // gapLimitedRequest returns a request with a maximum gap between events.
 func (l *testCluster) gapLimitedRequest() *Request {
 	r := l.onTimeRequest()
-	r.Gap = 110 * time.Millisecond
+	r.MaxEventGap = 110 * time.Millisecond
 	return r
 }
 
@@ -587,7 +587,7 @@
 	for h := range hosts {
 		l := newGapLimitedCluster(size, hosts)
 		l.cfg.Random = rand.New(rand.NewPCG(uint64(h), 11))
-		require.Equal(t, gapLimit, ConcurrencyLimit(l.engine, l.gapLimitedRequest().Gap))
+		require.Equal(t, gapLimit, ConcurrencyLimit(l.engine, l.gapLimitedRequest().MaxEventGap))
 		l.Admit(l.gapLimitedRequest(), l.now)
 		l.setLoads(gapLimit)
 		for range rounds {
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -179,7 +179,7 @@
 	return Entry{
 		Listen:          inifile.Required(s, "listen", inifile.AddrPort),
 		TLS:             parseTLS(s, "tls-certificate", "tls-key"),
-		Control:         requiredAddrs(s, "control"),
+		ControlHosts:    requiredAddrs(s, "control"),
 		Entries:         inifile.Required(s, "entries", parseEntryHosts),
 		MaxBody:         inifile.Optional(s, "max-body", inifile.MiB, inifile.Size),
 		MaxHeader:       inifile.Optional(s, "max-header", 32*inifile.KiB, inifile.Size),
@@ -233,7 +233,7 @@
 		Kind:             inifile.Required(s, "kind", inifile.OneOf(UpstreamModel, UpstreamService)),
 		Pool:             inifile.Required(s, "pool", inifile.Name),
 		Entries:          requiredAddrs(s, "entries"),
-		Control:          requiredAddrs(s, "control"),
+		ControlHosts:     requiredAddrs(s, "control"),
 		Capacity:         inifile.Optional(s, "capacity", 64, inifile.Int(1, maxCount)),
 		Group:            inifile.Optional(s, "group", "", inifile.Name),
 		FirstRank:        inifile.Optional(s, "first-rank", 0, inifile.Int(0, maxRanks-1)),
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -152,8 +152,8 @@
 	Listen netip.AddrPort
 	// TLS is used for connections of callers. Default: no TLS.
 	TLS TLS
-	// Control are the peer addresses of the control hosts. Required.
-	Control []netip.AddrPort
+	// ControlHosts are the peer addresses of the control hosts. Required.
+	ControlHosts []netip.AddrPort
 	// Entries are the entry hosts of the data centre, including this one. Required.
 	Entries []EntryHost
 	// MaxBody limits the body of a request. Default 1 MiB.
@@ -196,8 +196,8 @@
 	Pool string
 	// Entries are the peer addresses of the data centre's entry hosts. Required.
 	Entries []netip.AddrPort
-	// Control are the peer addresses of the control hosts. Required.
-	Control []netip.AddrPort
+	// ControlHosts are the peer addresses of the control hosts. Required.
+	ControlHosts []netip.AddrPort
 	// Capacity is how many requests the upstream runs at once. Default 64.
 	Capacity int
 	// Group is the group of ranks that the upstream belongs to. It is allowed only for the kind
--- a/internal/state/claims.go
+++ b/internal/state/claims.go
@@ -26,7 +26,7 @@
 	// finishedAt is the logical time at which the call finished.
 	finishedAt LogicalTime
 	verdict    verdict.Verdict
-	answer     *RecordedResponse
+	response   *RecordedResponse
 	// removed is set once the claim has left the table. The expiry queue may still
 	// refer to it.
 	removed bool
@@ -156,7 +156,7 @@
 	case c.digest != request.Digest:
 		return ClaimResult{Outcome: ClaimKeyReused, Verdict: verdict.NotRun}
 	case c.finished:
-		return ClaimResult{Outcome: ClaimFinished, Verdict: c.verdict, Answer: c.answer}
+		return ClaimResult{Outcome: ClaimFinished, Verdict: c.verdict, Response: c.response}
 	case now > c.deadline:
 		return ClaimResult{Outcome: ClaimUnknown, Verdict: verdict.MayHaveRun}
 	}
@@ -196,7 +196,7 @@
 	c.verdict = f.Verdict
 	c.expires = max(c.expires, now+t.retention)
 	if f.Verdict == verdict.Ran {
-		t.recordResponse(c, f.Answer)
+		t.recordResponse(c, f.Response)
 	}
 	return FinishRecorded
 }
@@ -210,7 +210,7 @@
 	if t.recordedBytes+len(a.Body) > t.maxRecordedBytes {
 		return
 	}
-	c.answer = a
+	c.response = a
 	t.recordedBytes += len(a.Body)
 }
 
@@ -232,8 +232,8 @@
 	}
 	ws.byKey[c.key] = c
 	t.count++
-	if c.answer != nil {
-		t.recordedBytes += len(c.answer.Body)
+	if c.response != nil {
+		t.recordedBytes += len(c.response.Body)
 	}
 	heap.Push(&t.expiryQueue, expiry{at: c.expires, workspace: ws, claim: c})
 }
@@ -247,9 +247,9 @@
 	if len(ws.byKey) == 0 {
 		delete(t.workspaces, workspace)
 	}
-	if c.answer != nil {
-		t.recordedBytes -= len(c.answer.Body)
-		c.answer = nil
+	if c.response != nil {
+		t.recordedBytes -= len(c.response.Body)
+		c.response = nil
 	}
 	c.removed = true
 }
@@ -322,7 +322,7 @@
 	Expires     LogicalTime
 	Finished    bool
 	Verdict     verdict.Verdict
-	Answer      *RecordedResponse
+	Response    *RecordedResponse
 	FinishedAt  LogicalTime
 }
 
@@ -359,7 +359,7 @@
 		Expires:     c.expires,
 		Finished:    c.finished,
 		Verdict:     c.verdict,
-		Answer:      c.answer,
+		Response:    c.response,
 		FinishedAt:  c.finishedAt,
 	}
 }
@@ -379,7 +379,7 @@
 			expires:     s.Expires,
 			finished:    s.Finished,
 			verdict:     s.Verdict,
-			answer:      s.Answer,
+			response:    s.Response,
 			finishedAt:  s.FinishedAt,
 		}
 		t.insert(s.Workspace, c)
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -61,9 +61,9 @@
 // SubmitDocument replaces the text of a document.
 type SubmitDocument struct {
 	Name string `cbor:"1,keyasint"`
-	// Base is the revision that the author has read; zero for a new document. The
+	// BaseRevision is the revision that the author has read; zero for a new document. The
 	// submission conflicts unless it is the document's current revision.
-	Base uint64 `cbor:"2,keyasint,omitempty"`
+	BaseRevision uint64 `cbor:"2,keyasint,omitempty"`
 	// ChangeID identifies the change. The author resends it under the same id.
 	ChangeID string `cbor:"3,keyasint"`
 	Author   string `cbor:"4,keyasint"`
@@ -109,8 +109,8 @@
 	Key       string          `cbor:"2,keyasint"`
 	Attempt   string          `cbor:"3,keyasint"`
 	Verdict   verdict.Verdict `cbor:"4,keyasint,omitempty"`
-	// Answer is recorded only with the verdict Ran.
-	Answer *RecordedResponse `cbor:"5,keyasint,omitempty"`
+	// Response is recorded only with the verdict Ran.
+	Response *RecordedResponse `cbor:"5,keyasint,omitempty"`
 }
 
 // FinishClaims carries the outcomes of many attempts in one log entry.
--- a/internal/state/compact_test.go
+++ b/internal/state/compact_test.go
@@ -19,13 +19,13 @@
 		require.Equal(t, FinishRecorded, l.finish(key, "1", verdict.Ran, &RecordedResponse{Status: 201, Body: []byte("slot")}))
 	}
 	require.Equal(t, ClaimRefused, l.claim("d", "1", 7).Outcome, "the limit of uncompacted claims is reached")
-	require.NotNil(t, l.claim("a", "2", 7).Answer)
+	require.NotNil(t, l.claim("a", "2", 7).Response)
 	l.apply(AdvanceClock{Elapsed: 1000})
 
 	require.Equal(t, 3, l.machine.ClaimCount())
 	require.Equal(t, ClaimResult{Outcome: ClaimFinished, Verdict: verdict.Ran}, l.claim("a", "2", 7))
 	require.Equal(t, ClaimKeyReused, l.claim("b", "2", 8).Outcome)
-	require.NotNil(t, l.claim("c", "2", 7).Answer, "the limit of compact claims is reached, so the third stays uncompacted")
+	require.NotNil(t, l.claim("c", "2", 7).Response, "the limit of compact claims is reached, so the third stays uncompacted")
 	require.Equal(t, FinishIgnored, l.finish("a", "1", verdict.NotRun, nil))
 	require.Equal(t, ClaimGranted, l.claim("d", "1", 7).Outcome, "compaction made room")
 
--- a/internal/state/documents.go
+++ b/internal/state/documents.go
@@ -99,7 +99,7 @@
 // The caller holds mu.
 func (d *documents) submitNew(index uint64, now LogicalTime, c SubmitDocument) SubmitResult {
 	current, exists := d.byName[c.Name]
-	if c.Base != current.Revision {
+	if c.BaseRevision != current.Revision {
 		result := SubmitResult{Outcome: SubmitConflict, Revision: current.Revision}
 		if exists {
 			result.Winner = &Winner{Revision: current.Revision, Author: current.Author, ChangeID: current.ChangeID}
@@ -208,9 +208,9 @@
 	return m.documents.changed
 }
 
-// Fence returns the fencing token for orders to engines: the newest revision of any
+// FencingToken returns the fencing token for orders to engines: the newest revision of any
 // document. It never decreases.
-func (m *Machine) Fence() uint64 {
+func (m *Machine) FencingToken() uint64 {
 	m.documents.mu.RLock()
 	defer m.documents.mu.RUnlock()
 	return m.documents.latestRevision
--- a/internal/state/result.go
+++ b/internal/state/result.go
@@ -116,9 +116,9 @@
 	Outcome ClaimOutcome
 	// Verdict states whether the call of the claim ran.
 	Verdict verdict.Verdict
-	// Answer is the response to the call of a finished claim, if it was recorded. It is
+	// Response is the response to the call of a finished claim, if it was recorded. It is
 	// shared and must not be changed.
-	Answer *RecordedResponse
+	Response *RecordedResponse
 	// Remaining is the time in milliseconds until the deadline of a claim in progress,
 	// after which the outcome is ClaimUnknown.
 	Remaining uint64
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -15,7 +15,7 @@
 	Version      uint8                `cbor:"1,keyasint"`
 	AppliedIndex uint64               `cbor:"2,keyasint"`
 	LogicalTime  LogicalTime          `cbor:"3,keyasint"`
-	Fence        uint64               `cbor:"4,keyasint"`
+	FencingToken uint64               `cbor:"4,keyasint"`
 	Documents    []Document           `cbor:"5,keyasint"`
 	Outcomes     []outcome            `cbor:"6,keyasint"`
 	Claims       []claimSnapshot      `cbor:"7,keyasint"`
@@ -64,7 +64,7 @@
 func (d *documents) capture(s *snapshot) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	s.Fence = d.latestRevision
+	s.FencingToken = d.latestRevision
 	s.Documents = d.sorted(compareByName)
 	s.Outcomes = make([]outcome, 0, len(d.outcomeQueue))
 	for _, o := range d.outcomeQueue {
@@ -106,7 +106,7 @@
 	}
 	m.lockTables()
 	defer m.unlockTables()
-	m.documents.restore(s.Documents, s.Outcomes, s.Fence)
+	m.documents.restore(s.Documents, s.Outcomes, s.FencingToken)
 	if s.Retention > 0 {
 		m.claims.retention = s.Retention
 	}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -49,7 +49,7 @@
 }
 
 func (l *testLog) finish(key, attempt string, v verdict.Verdict, a *RecordedResponse) FinishOutcome {
-	f := Finish{Workspace: "w", Key: key, Attempt: attempt, Verdict: v, Answer: a}
+	f := Finish{Workspace: "w", Key: key, Attempt: attempt, Verdict: v, Response: a}
 	return l.apply(FinishClaims{Finishes: []Finish{f}}).(FinishResult).Finishes[0]
 }
 
@@ -69,11 +69,11 @@
 		}
 	case 4, 5:
 		return SubmitDocument{
-			Name:     draw("name", "d1", "d2"),
-			Base:     rapid.SampledFrom(revisions[max(0, len(revisions)-3):]).Draw(t, "base"),
-			ChangeID: draw("change", "x", "y", "z"),
-			Author:   draw("author", "ann", "bob"),
-			Text:     draw("text", "", "one", "two"),
+			Name:         draw("name", "d1", "d2"),
+			BaseRevision: rapid.SampledFrom(revisions[max(0, len(revisions)-3):]).Draw(t, "base"),
+			ChangeID:     draw("change", "x", "y", "z"),
+			Author:       draw("author", "ann", "bob"),
+			Text:         draw("text", "", "one", "two"),
 		}
 	case 6, 7:
 		var b ClaimBatch
@@ -95,7 +95,7 @@
 		Verdict:   verdict.Verdict(rapid.IntRange(0, 3).Draw(t, "verdict")),
 	}
 	if rapid.Bool().Draw(t, "answered") {
-		f.Answer = &RecordedResponse{Status: 200, Body: make([]byte, rapid.IntRange(0, 30).Draw(t, "body"))}
+		f.Response = &RecordedResponse{Status: 200, Body: make([]byte, rapid.IntRange(0, 30).Draw(t, "body"))}
 	}
 	return FinishClaims{Finishes: []Finish{f}}
 }
@@ -123,7 +123,7 @@
 			if rapid.IntRange(0, 3).Draw(t, "split") == 0 {
 				restored = New(smallOptions)
 				require.NoError(t, restored.Restore(other))
-				require.Equal(t, reference.Fence(), restored.Fence())
+				require.Equal(t, reference.FencingToken(), restored.FencingToken())
 			}
 		}
 	})
@@ -182,7 +182,7 @@
 			}
 			for _, doc := range m.Documents() {
 				require.GreaterOrEqual(t, doc.Revision, lastRevision[doc.Name], "revision decreased")
-				require.LessOrEqual(t, doc.Revision, m.Fence())
+				require.LessOrEqual(t, doc.Revision, m.FencingToken())
 				lastRevision[doc.Name] = doc.Revision
 			}
 			snapshot, err := m.Snapshot()
@@ -243,7 +243,7 @@
 	conflict := SubmitResult{Outcome: SubmitConflict, Revision: 1, Winner: &Winner{Revision: 1, Author: "ann", ChangeID: "x"}}
 	require.Equal(t, conflict, l.apply(bob))
 	changed := l.machine.DocumentsChanged()
-	carl := SubmitDocument{Name: "d", Base: 1, ChangeID: "z", Author: "carl", Text: "three"}
+	carl := SubmitDocument{Name: "d", BaseRevision: 1, ChangeID: "z", Author: "carl", Text: "three"}
 	require.Equal(t, SubmitResult{Outcome: SubmitAccepted, Revision: 3}, l.apply(carl))
 	<-changed
 	// A resend gets the result of the first submission, although the document has changed.
@@ -255,7 +255,7 @@
 	doc, ok := l.machine.Document("d")
 	require.True(t, ok)
 	require.Equal(t, "three", doc.Text)
-	require.Equal(t, uint64(3), l.machine.Fence())
+	require.Equal(t, uint64(3), l.machine.FencingToken())
 	require.Empty(t, l.machine.DocumentsSince(3))
 	l.apply(SubmitDocument{Name: "c", ChangeID: "x", Author: "ann"})
 	c, d := "c", "d"
@@ -302,7 +302,7 @@
 	require.Equal(t, FinishIgnored, l.finish("k", "a", verdict.NotRun, nil))
 	require.Equal(t, FinishRecorded, l.finish("k", "a", verdict.Ran, answer))
 	require.Equal(t, FinishIgnored, l.finish("k", "a", verdict.MayHaveRun, nil))
-	require.Equal(t, ClaimResult{Outcome: ClaimFinished, Verdict: verdict.Ran, Answer: answer}, l.claim("k", "b", 1))
+	require.Equal(t, ClaimResult{Outcome: ClaimFinished, Verdict: verdict.Ran, Response: answer}, l.claim("k", "b", 1))
 	l.apply(AdvanceClock{Elapsed: uint64(smallOptions.ClaimRetention)})
 	require.Zero(t, l.machine.ClaimCount())
 	require.Equal(t, ClaimGranted, l.claim("k", "b", 1).Outcome)
@@ -364,7 +364,7 @@
 	body := make([]byte, smallOptions.RecordedBytes-10)
 	require.Equal(t, FinishRecorded, l.finish("0", "a", verdict.Ran, &RecordedResponse{Body: body}))
 	require.Equal(t, FinishRecorded, l.finish("1", "a", verdict.Ran, &RecordedResponse{Body: body}))
-	require.NotNil(t, l.claim("0", "b", 1).Answer)
+	require.NotNil(t, l.claim("0", "b", 1).Response)
 	require.Equal(t, ClaimResult{Outcome: ClaimFinished, Verdict: verdict.Ran}, l.claim("1", "b", 1))
 	other := ClaimBatch{}
 	for i := range 3 {
@@ -416,7 +416,7 @@
 	a := SubmitDocument{Name: "a", ChangeID: "x", Author: "ann", Text: "one", At: 7}
 	l.apply(a)
 	for i := range 3 {
-		l.apply(SubmitDocument{Name: "b", Base: l.index * uint64(min(i, 1)), ChangeID: fmt.Sprint(i), Author: "bob"})
+		l.apply(SubmitDocument{Name: "b", BaseRevision: l.index * uint64(min(i, 1)), ChangeID: fmt.Sprint(i), Author: "bob"})
 	}
 	l.apply(SubmitDocument{Name: "a", ChangeID: "y", Author: "bob", Text: "two"})
 	l.apply(a)
@@ -465,7 +465,7 @@
 	l.apply(SubmitDocument{Name: "d", ChangeID: "x", Author: "ann"})
 	require.ErrorContains(t, l.machine.Restore(old), "older")
 	require.Error(t, l.machine.Restore([]byte{1, 2}))
-	require.Equal(t, uint64(1), l.machine.Fence())
+	require.Equal(t, uint64(1), l.machine.FencingToken())
 }
 
 // Readers run concurrently with changes, snapshots and restores. The race detector reports
@@ -483,7 +483,7 @@
 		}
 	}()
 	for i := range 200 {
-		l.apply(SubmitDocument{Name: "d", Base: l.machine.Fence(), ChangeID: fmt.Sprint(i), Author: "ann"})
+		l.apply(SubmitDocument{Name: "d", BaseRevision: l.machine.FencingToken(), ChangeID: fmt.Sprint(i), Author: "ann"})
 		l.claim(fmt.Sprint(i), "a", 1)
 		snapshot, err := l.machine.Snapshot()
 		require.NoError(t, err)
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -57,7 +57,7 @@
 	CodeDeadline       Code = "deadline"
 	CodeNoUpstream     Code = "no-upstream"
 	CodeNoQuorum       Code = "no-quorum"
-	CodeLeaving        Code = "leaving"
+	CodeDraining       Code = "leaving"
 	CodeUpstreamFailed Code = "upstream-failed"
 	CodeQuarantined    Code = "quarantined"
 	CodeCancelled      Code = "cancelled"
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -9,7 +9,7 @@
 
 func TestFromErrorOfUnknownErrorMayHaveRun(t *testing.T) {
 	require.Equal(t, MayHaveRun, FromError(errors.New("broken pipe")).Verdict)
-	wrapped := errors.Wrap(New(NotRun, CodeLeaving, "agent is leaving"), "dispatch")
+	wrapped := errors.Wrap(New(NotRun, CodeDraining, "agent is leaving"), "dispatch")
 	require.Equal(t, NotRun, FromError(wrapped).Verdict)
 }
 
--- a/internal/wire/attempt.go
+++ b/internal/wire/attempt.go
@@ -49,8 +49,8 @@
 	TimeoutMS uint64 `cbor:"11,keyasint"`
 	// Urgency is the priority as defined by RFC 9218: 0 is the most urgent, 7 the least.
 	Urgency uint8 `cbor:"12,keyasint"`
-	// Window is how many body bytes the agent may send before the first Credit.
-	Window uint64 `cbor:"13,keyasint"`
+	// FlowWindow is how many body bytes the agent may send before the first Credit.
+	FlowWindow uint64 `cbor:"13,keyasint"`
 	// Offset asks a resumable engine to continue after that many body bytes.
 	Offset uint64 `cbor:"14,keyasint,omitempty"`
 }
--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -147,8 +147,8 @@
 // Kind implements Message.
 func (*ClaimRequest) Kind() Kind { return KindClaimRequest }
 
-// Answer is the recorded response of a non-idempotent call.
-type Answer struct {
+// Response is the recorded response of a non-idempotent call.
+type Response struct {
 	Status int     `cbor:"1,keyasint"`
 	Header []Field `cbor:"2,keyasint,omitempty"`
 	Body   []byte  `cbor:"3,keyasint,omitempty"`
@@ -157,8 +157,8 @@
 // ClaimReply is the reply to ClaimRequest.
 type ClaimReply struct {
 	State ClaimState `cbor:"1,keyasint"`
-	// Answer is the recorded response of a finished call, or nil if none was stored.
-	Answer *Answer `cbor:"2,keyasint,omitempty"`
+	// Response is the recorded response of a finished call, or nil if none was stored.
+	Response *Response `cbor:"2,keyasint,omitempty"`
 }
 
 // Kind implements Message.
@@ -171,7 +171,7 @@
 	Key       string    `cbor:"2,keyasint"`
 	Attempt   AttemptID `cbor:"3,keyasint"`
 	Verdict   uint8     `cbor:"4,keyasint"`
-	Answer    *Answer   `cbor:"5,keyasint,omitempty"`
+	Response  *Response `cbor:"5,keyasint,omitempty"`
 }
 
 // Kind implements Message.
@@ -232,8 +232,8 @@
 // leadership in a round that started after the query arrived.
 type OrderAnswer struct {
 	Nonce [16]byte `cbor:"1,keyasint"`
-	// Fence is the fencing token. It never decreases.
-	Fence uint64 `cbor:"2,keyasint"`
+	// FencingToken is the fencing token. It never decreases.
+	FencingToken uint64 `cbor:"2,keyasint"`
 	// Order is nil if no service document contains the pool.
 	Order *Order `cbor:"3,keyasint,omitempty"`
 }
--- a/internal/wire/fleet.go
+++ b/internal/wire/fleet.go
@@ -78,14 +78,14 @@
 	// Running and Waiting are the numbers of running and queued requests at the engine.
 	Running int `cbor:"3,keyasint,omitempty"`
 	Waiting int `cbor:"4,keyasint,omitempty"`
-	// Pace is the slowdown of the engine: its step time divided by its usual step time, or 0
+	// Slowdown is the slowdown of the engine: its step time divided by its usual step time, or 0
 	// if unknown.
-	Pace float64 `cbor:"5,keyasint,omitempty"`
+	Slowdown float64 `cbor:"5,keyasint,omitempty"`
 	// Group and Epoch identify the group of ranks that the engine belongs to; empty if none.
 	Group string `cbor:"6,keyasint,omitempty"`
 	Epoch uint64 `cbor:"7,keyasint,omitempty"`
-	// Born is the start time of the incarnation in Unix milliseconds, 0 if unknown.
-	Born int64 `cbor:"8,keyasint,omitempty"`
+	// StartedAt is the start time of the incarnation in Unix milliseconds, 0 if unknown.
+	StartedAt int64 `cbor:"8,keyasint,omitempty"`
 	// Rank is the engine's rank in the group.
 	Rank uint32 `cbor:"9,keyasint,omitempty"`
 	// IsStalled is set if the group makes no steps although it has work. The engine still
@@ -101,9 +101,9 @@
 
 // EngineLoads forwards the loads that arrived since the previous EngineLoads.
 type EngineLoads struct {
-	// All contains full records. CompactLoads contains the loads of engines whose full record
+	// FullRecords contains full records. CompactLoads contains the loads of engines whose full record
 	// the receiver already has, in the encoding of package engineload.
-	All          []EngineLoad `cbor:"1,keyasint,omitempty"`
+	FullRecords  []EngineLoad `cbor:"1,keyasint,omitempty"`
 	CompactLoads []byte       `cbor:"2,keyasint,omitempty"`
 }
 
--- a/internal/wire/group.go
+++ b/internal/wire/group.go
@@ -99,16 +99,16 @@
 	StepUS uint64 `cbor:"1,keyasint"`
 	// Tokens is the number of tokens by layer and expert slot of the rank.
 	Tokens [][]uint32 `cbor:"2,keyasint"`
-	// Picks is how often the rank's own requests selected each expert, by layer and expert.
+	// Selections is how often the rank's own requests selected each expert, by layer and expert.
 	// Engines that count selections set it instead of Tokens.
-	Picks [][]uint32 `cbor:"3,keyasint,omitempty"`
+	Selections [][]uint32 `cbor:"3,keyasint,omitempty"`
 	// ExpertsByLayer lists the experts on the rank, as of map version Version. It is only
 	// set together with Picks.
 	ExpertsByLayer [][]uint16 `cbor:"4,keyasint,omitempty"`
 	Version        uint64     `cbor:"5,keyasint,omitempty"`
-	// Pace is the slowdown of the rank: its step time divided by its usual step time, or 0 if
+	// Slowdown is the slowdown of the rank: its step time divided by its usual step time, or 0 if
 	// unknown.
-	Pace float64 `cbor:"6,keyasint,omitempty"`
+	Slowdown float64 `cbor:"6,keyasint,omitempty"`
 	// PackedSelections is a compact encoding of Picks. The rounding error of each count is
 	// smaller than its random variation.
 	PackedSelections []byte `cbor:"7,keyasint,omitempty"`
--- a/internal/wire/membership.go
+++ b/internal/wire/membership.go
@@ -32,8 +32,8 @@
 	Capacity uint32 `cbor:"3,keyasint"`
 	// FirstTokenUS is the recent mean time to the first token, in microseconds.
 	FirstTokenUS uint64 `cbor:"4,keyasint,omitempty"`
-	// Tokens is the recent number of tokens per second.
-	Tokens float32 `cbor:"5,keyasint,omitempty"`
+	// TokensPerSecond is the recent number of tokens per second.
+	TokensPerSecond float32 `cbor:"5,keyasint,omitempty"`
 	// CacheFree is the free fraction of the prefix cache, 0 to 1.
 	CacheFree float32 `cbor:"6,keyasint,omitempty"`
 	// StepUS is the recent mean step time, in microseconds.
--- a/test/cmd/demo/main.go
+++ b/test/cmd/demo/main.go
@@ -52,10 +52,10 @@
 		}
 	}
 	requests := []local.Request{
-		local.Completion("draft a confirmation", 8, false),
-		local.Completion("draft a confirmation", 8, true),
-		local.Booking("club-7-rider-1", "Elena"),
-		local.Booking("club-7-rider-1", "Elena"),
+		local.CompletionRequest("draft a confirmation", 8, false),
+		local.CompletionRequest("draft a confirmation", 8, true),
+		local.BookingRequest("club-7-rider-1", "Elena"),
+		local.BookingRequest("club-7-rider-1", "Elena"),
 	}
 	for i, q := range requests {
 		a := local.Do(ctx, s.Entries[i%len(s.Entries)].ListenAddress, q)
@@ -70,7 +70,7 @@
 
 func check(ctx context.Context, s *local.System) error {
 	want := standin.Text("draft a confirmation", 8)
-	a := local.Do(ctx, s.Entries[0].ListenAddress, local.Completion("draft a confirmation", 8, false))
+	a := local.Do(ctx, s.Entries[0].ListenAddress, local.CompletionRequest("draft a confirmation", 8, false))
 	if a.Status != http.StatusOK || !strings.Contains(a.Body, want) {
 		return errors.Errorf("answer %d %q is not whole", a.Status, a.Body)
 	}
--- a/test/cmd/emulate/main.go
+++ b/test/cmd/emulate/main.go
@@ -152,12 +152,12 @@
 	cfg := emulator.Config{
 		ArrivalPeriod: o.length, Hosts: o.hosts, Groups: o.groups, Ranks: o.ranks, Skew: o.skew,
 		Engine: routetable.Engine{
-			Slots: o.slots, StepTime: 5 * time.Millisecond, StepTimePerRequest: 500 * time.Microsecond, Stride: 4,
-			Prompt: 200, Answer: 128, PrefillRate: 10_000,
-			Experts: routetable.Experts{Sets: 1, ExpertsPerSet: 16, Slots: 4, WorkShare: 0.5},
+			Slots: o.slots, StepTime: 5 * time.Millisecond, StepTimePerRequest: 500 * time.Microsecond, StepsPerPass: 4,
+			MeanPromptTokens: 200, MeanAnswerTokens: 128, PrefillRate: 10_000,
+			Experts: routetable.Experts{LayerSetCount: 1, ExpertsPerSet: 16, Slots: 4, WorkShare: 0.5},
 		},
-		Target: o.target, Gap: o.gap, CallerTimeout: o.patience,
-		Budget: retrybudget.Params{Ratio: 0.2, Extra: 10, Window: 10 * time.Second},
+		Target: o.target, MaxEventGap: o.gap, CallerTimeout: o.patience,
+		RetryBudget: retrybudget.Params{Ratio: 0.2, Extra: 10, Window: 10 * time.Second},
 	}
 	places := schedule.ConcurrencyLimit(&cfg.Engine, o.gap)
 	rate := o.callers * float64(o.groups*o.ranks*places) / schedule.ServiceTime(&cfg.Engine, places).Seconds()
--- a/test/cmd/emulate/outcome.go
+++ b/test/cmd/emulate/outcome.go
@@ -15,24 +15,24 @@
 // outcome is what came of one seed. All but Asked, Held and Busiest are parts of those who
 // asked, without unit.
 type outcome struct {
-	Seed  uint64 `json:"seed"`
-	Asked int    `json:"asked"`
+	Seed    uint64 `json:"seed"`
+	Callers int    `json:"asked"`
 	// InAim, Late, Refused and Cut are as in emulator.Report, Returned too.
-	InAim    float64 `json:"inAim"`
-	Late     float64 `json:"late"`
-	Refused  float64 `json:"refused"`
-	Cut      float64 `json:"cut"`
-	Returned float64 `json:"returned"`
-	// Held is the longest time from a try to its refusal, in seconds.
-	Held float64 `json:"heldSeconds"`
-	// Busiest is how many requests the busiest engine was given, over the mean.
-	Busiest float64 `json:"busiest"`
+	OnTime      float64 `json:"inAim"`
+	Late        float64 `json:"late"`
+	Refused     float64 `json:"refused"`
+	Interrupted float64 `json:"cut"`
+	Retried     float64 `json:"returned"`
+	// LongestRefusalSeconds is the longest time from a try to its refusal, in seconds.
+	LongestRefusalSeconds float64 `json:"heldSeconds"`
+	// MaxLoadRatio is how many requests the busiest engine was given, over the mean.
+	MaxLoadRatio float64 `json:"busiest"`
 }
 
 func outcomeOf(seed uint64, r *emulator.Report) outcome {
 	return outcome{
-		Seed: seed, Asked: r.Asked, InAim: r.Fraction(r.InAim), Late: r.Fraction(r.Late), Refused: r.Fraction(r.Refused),
-		Cut: r.Fraction(r.Cut), Returned: r.Fraction(r.Returned), Held: r.LongestRefusalTime(0).Seconds(), Busiest: r.Busiest,
+		Seed: seed, Callers: r.Callers, OnTime: r.Fraction(r.OnTime), Late: r.Fraction(r.Late), Refused: r.Fraction(r.Refused),
+		Interrupted: r.Fraction(r.Interrupted), Retried: r.Fraction(r.Retried), LongestRefusalSeconds: r.LongestRefusalTime(0).Seconds(), MaxLoadRatio: r.MaxLoadRatio,
 	}
 }
 
@@ -41,14 +41,14 @@
 	name string
 	of   func(outcome) float64
 }{
-	{"asked", func(o outcome) float64 { return float64(o.Asked) }},
-	{"in aim", func(o outcome) float64 { return o.InAim }},
+	{"asked", func(o outcome) float64 { return float64(o.Callers) }},
+	{"in aim", func(o outcome) float64 { return o.OnTime }},
 	{"late", func(o outcome) float64 { return o.Late }},
 	{"refused", func(o outcome) float64 { return o.Refused }},
-	{"cut", func(o outcome) float64 { return o.Cut }},
-	{"returned", func(o outcome) float64 { return o.Returned }},
-	{"longest held, s", func(o outcome) float64 { return o.Held }},
-	{"busiest engine", func(o outcome) float64 { return o.Busiest }},
+	{"cut", func(o outcome) float64 { return o.Interrupted }},
+	{"returned", func(o outcome) float64 { return o.Retried }},
+	{"longest held, s", func(o outcome) float64 { return o.LongestRefusalSeconds }},
+	{"busiest engine", func(o outcome) float64 { return o.MaxLoadRatio }},
 }
 
 // interval is a mean, and by how much it may be off with 95 in 100; that is infinite for one
--- a/test/cmd/loadtool/load.go
+++ b/test/cmd/loadtool/load.go
@@ -225,7 +225,7 @@
 // call asks for a completion and reads the whole answer. A status of zero is a lost
 // connection.
 func call(ctx context.Context, client *http.Client, address, token, prompt string, tokens int) (int, verdict.Verdict) {
-	q := local.Completion(prompt, tokens, false)
+	q := local.CompletionRequest(prompt, tokens, false)
 	req, err := http.NewRequestWithContext(ctx, q.Method, "http://"+address+q.Path, strings.NewReader(q.Body))
 	if err != nil {
 		return 0, verdict.MayHaveRun
--- a/test/cmd/members/main.go
+++ b/test/cmd/members/main.go
@@ -195,13 +195,13 @@
 		var tick atomic.Uint32
 		n.announcer = directory.NewAnnouncer(directory.AnnouncerConfig{
 			Hosts: hosts, Pool: n.pool, Interval: o.interval, Now: now, Log: slog.New(slog.DiscardHandler),
-			Raise: func(uint64) {},
+			RaiseIncarnation: func(uint64) {},
 			Record: func() (wire.Upstream, []wire.CacheEvent) {
 				t := tick.Add(1)
 				return wire.Upstream{
 					Name: n.host.Name, DataCentre: "centre-a", Address: n.host.Address, Incarnation: 1,
 					State: wire.UpstreamState(n.state.Load()), Pool: "drafter", Version: "v3", Role: "unified", Group: "drafter-a",
-					Load: wire.Load{Running: 30 + t%8, Queued: t % 4, Capacity: 64, FirstTokenUS: 180_000 + uint64(t%1000), Tokens: 3500, CacheFree: 0.25, StepUS: 30_000, AgeMS: 100 + t%900},
+					Load: wire.Load{Running: 30 + t%8, Queued: t % 4, Capacity: 64, FirstTokenUS: 180_000 + uint64(t%1000), TokensPerSecond: 3500, CacheFree: 0.25, StepUS: 30_000, AgeMS: 100 + t%900},
 				}, nil
 			},
 		})
--- a/test/cmd/streams/main.go
+++ b/test/cmd/streams/main.go
@@ -117,7 +117,7 @@
 }
 
 func (c *crowd) stream(ctx context.Context, address, prompt string, tokens int) {
-	q := local.Completion(prompt, tokens, true)
+	q := local.CompletionRequest(prompt, tokens, true)
 	req, err := http.NewRequestWithContext(ctx, q.Method, "http://"+address+q.Path, strings.NewReader(q.Body))
 	if err != nil {
 		c.fail()
--- a/test/integration/bookings_test.go
+++ b/test/integration/bookings_test.go
@@ -51,13 +51,13 @@
 
 // book sends one booking through an entry host.
 func (l *requestLog) book(e *local.Host, key string) local.Response {
-	return l.send(e.ListenAddress, local.Booking(key, "rider of "+key))
+	return l.send(e.ListenAddress, local.BookingRequest(key, "rider of "+key))
 }
 
 // bookAsync sends one booking and returns a channel that receives the response.
 func (l *requestLog) bookAsync(address, key string) <-chan local.Response {
 	out := make(chan local.Response, 1)
-	go func() { out <- l.send(address, local.Booking(key, "rider of "+key)) }()
+	go func() { out <- l.send(address, local.BookingRequest(key, "rider of "+key)) }()
 	return out
 }
 
@@ -103,13 +103,13 @@
 // awaitStarted waits until a stand-in has started to execute a key.
 func (l *requestLog) awaitStarted(key string) {
 	l.s.t.Helper()
-	l.s.await("the execution of "+key, func() bool { return l.s.executions().ByKey[key].Begun > 0 })
+	l.s.await("the execution of "+key, func() bool { return l.s.executions().ByKey[key].Started > 0 })
 }
 
 // requireExecutions requires that the stand-ins have started to execute a key so many times.
 func (l *requestLog) requireExecutions(times int, key string) {
 	l.s.t.Helper()
-	require.Equal(l.s.t, times, l.s.executions().ByKey[key].Begun, "executions of %s", key)
+	require.Equal(l.s.t, times, l.s.executions().ByKey[key].Started, "executions of %s", key)
 }
 
 // restart starts a process that was killed. If it is an entry host, it waits until bookings
@@ -152,7 +152,7 @@
 		l.requireExecutions(1, "at-once")
 	})
 	l.runSubtest(t, "the same key with another body", func(t *testing.T) {
-		a := l.send(entry2.ListenAddress, local.Booking("at-once", "somebody else"))
+		a := l.send(entry2.ListenAddress, local.BookingRequest("at-once", "somebody else"))
 		require.Equal(t, http.StatusUnprocessableEntity, a.Status)
 		require.Equal(t, verdict.NotRun, a.Verdict)
 	})
@@ -236,7 +236,7 @@
 		entry1.Thaw()
 		<-first
 		l.awaitBooking("after-woke-late")
-		require.LessOrEqual(t, s.executions().ByKey["woke-late"].Begun, 1)
+		require.LessOrEqual(t, s.executions().ByKey["woke-late"].Started, 1)
 	})
 	t.Logf("%d requests: %+v", len(l.requests), l.checkVerdicts())
 }
@@ -359,11 +359,11 @@
 	defer cancel()
 	if r.IntN(3) == 0 {
 		c.wg.Go(func() {
-			c.l.sendWithContext(ctx, c.l.s.Entries[order[1]].ListenAddress, local.Booking(key, "rider of "+key))
+			c.l.sendWithContext(ctx, c.l.s.Entries[order[1]].ListenAddress, local.BookingRequest(key, "rider of "+key))
 			<-ctx.Done()
 		})
 	}
-	a := c.l.sendWithContext(ctx, c.l.s.Entries[order[0]].ListenAddress, local.Booking(key, "rider of "+key))
+	a := c.l.sendWithContext(ctx, c.l.s.Entries[order[0]].ListenAddress, local.BookingRequest(key, "rider of "+key))
 	switch {
 	case a.Status == http.StatusCreated && a.Err == nil:
 		c.complete.Add(1)
--- a/test/integration/data_centres_test.go
+++ b/test/integration/data_centres_test.go
@@ -28,18 +28,18 @@
 	isolatedEntry := s.Entries[1]
 	require.Equal(t, "centre-b", isolatedEntry.DataCentre)
 	s.await("a booking in the data centre", func() bool {
-		return s.sendRequest(isolatedEntry, local.Booking("before", "Elena")).Status == http.StatusCreated
+		return s.sendRequest(isolatedEntry, local.BookingRequest("before", "Elena")).Status == http.StatusCreated
 	})
 
 	s.CutDataCentre("centre-b")
 	for n := range 20 {
 		prompt := fmt.Sprint("cut off ", n)
-		a := s.sendRequest(isolatedEntry, local.Completion(prompt, 5, false))
+		a := s.sendRequest(isolatedEntry, local.CompletionRequest(prompt, 5, false))
 		require.Equal(t, http.StatusOK, a.Status, a.Body)
 		require.Contains(t, a.Body, standin.Text(prompt, 5))
 	}
 	sentAt := time.Now()
-	a := s.sendRequest(isolatedEntry, local.Booking("during", "Elena"))
+	a := s.sendRequest(isolatedEntry, local.BookingRequest("during", "Elena"))
 	require.Equal(t, http.StatusServiceUnavailable, a.Status, a.Body)
 	require.NotEqual(t, verdict.Ran, a.Verdict)
 	require.NotEmpty(t, a.Header.Get("Retry-After"))
@@ -55,11 +55,11 @@
 	require.NoError(t, s.AwaitInForce(s.ctx))
 	t.Logf("in force everywhere %v after the heal", time.Since(healedAt).Round(time.Millisecond))
 	s.await("the same booking after the heal", func() bool {
-		return s.sendRequest(isolatedEntry, local.Booking("during", "Elena")).Status == http.StatusCreated
+		return s.sendRequest(isolatedEntry, local.BookingRequest("during", "Elena")).Status == http.StatusCreated
 	})
 	for _, h := range s.Agents {
 		r, err := local.Executions(s.ctx, h.Upstream)
 		require.NoError(t, err)
-		require.LessOrEqual(t, r.ByKey["during"].Begun, 1)
+		require.LessOrEqual(t, r.ByKey["during"].Started, 1)
 	}
 }
--- a/test/integration/documents_test.go
+++ b/test/integration/documents_test.go
@@ -394,7 +394,7 @@
 	r, ok := s.revisionInForce(restarted)
 	require.True(t, ok)
 	require.Equal(t, newer, r)
-	response := s.sendRequest(restarted, local.Completion("who am I", 1, false))
+	response := s.sendRequest(restarted, local.CompletionRequest("who am I", 1, false))
 	require.Equal(t, http.StatusUnauthorized, response.Status, "the newer document binds another token: %s", response.Body)
 	s.HealDataCentre("centre-b")
 	last := s.mustPut(change{base: newer, id: "change-after", text: local.Document("v3")})
--- a/test/integration/load_test.go
+++ b/test/integration/load_test.go
@@ -55,7 +55,7 @@
 			continue
 		}
 		prompt := fmt.Sprintf("caller %d asks %d", caller, n)
-		l.check(prompt, tokens, s.sendRequest(e, local.Completion(prompt, tokens, true)))
+		l.check(prompt, tokens, s.sendRequest(e, local.CompletionRequest(prompt, tokens, true)))
 	}
 }
 
--- a/test/integration/orders_test.go
+++ b/test/integration/orders_test.go
@@ -59,7 +59,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	list := w.orders[name]
-	if len(list) == 0 || list[len(list)-1].Fence != o.Fence {
+	if len(list) == 0 || list[len(list)-1].FencingToken != o.FencingToken {
 		w.orders[name] = append(list, o)
 	}
 }
@@ -78,7 +78,7 @@
 		var versions []string
 		for i, o := range list {
 			versions = append(versions, o.Version)
-			require.True(t, i == 0 || o.Fence > list[i-1].Fence, "%s: fencing token did not increase: %+v", name, list)
+			require.True(t, i == 0 || o.FencingToken > list[i-1].FencingToken, "%s: fencing token did not increase: %+v", name, list)
 		}
 		require.Equal(t, want, versions, name)
 	}
@@ -190,7 +190,7 @@
 		before[a] = s.startedRequests(a)
 	}
 	s.await("answers of the new agents", func() bool {
-		s.sendRequest(s.Entries[0], local.Completion("a while", 20, false))
+		s.sendRequest(s.Entries[0], local.CompletionRequest("a while", 20, false))
 		return !slices.ContainsFunc(s.Agents, func(a *local.Host) bool { return s.startedRequests(a) < before[a]+20 })
 	})
 }
--- a/test/integration/responses_test.go
+++ b/test/integration/responses_test.go
@@ -61,7 +61,7 @@
 		ctx, cancel := context.WithTimeout(c.s.ctx, requestTimeout)
 		e := c.s.Entries[(caller+n)%len(c.s.Entries)]
 		isStream := n%3 != 0
-		c.check(prompt, isStream, local.Do(ctx, e.ListenAddress, local.Completion(prompt, completionTokens, isStream)))
+		c.check(prompt, isStream, local.Do(ctx, e.ListenAddress, local.CompletionRequest(prompt, completionTokens, isStream)))
 		cancel()
 	}
 }
@@ -203,7 +203,7 @@
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
-			request := local.Completion(fmt.Sprint("leaver ", i), streamTokens, true)
+			request := local.CompletionRequest(fmt.Sprint("leaver ", i), streamTokens, true)
 			request.ID = fmt.Sprint("leaver-", i)
 			local.Do(ctx, s.Entries[0].ListenAddress, request)
 		})
@@ -218,7 +218,7 @@
 		return n
 	}
 	s.await("the streams", func() bool {
-		return sumExecutions(func(e standin.Executions) int { return e.Begun }) == callers
+		return sumExecutions(func(e standin.Executions) int { return e.Started }) == callers
 	})
 	disconnect()
 	wg.Wait()
@@ -265,13 +265,13 @@
 	before := s.executions()
 	for i := range streams {
 		wg.Go(func() {
-			local.Do(ctx, frozen.ListenAddress, local.Completion(fmt.Sprint("held ", i), longStreamTokens, true))
+			local.Do(ctx, frozen.ListenAddress, local.CompletionRequest(fmt.Sprint("held ", i), longStreamTokens, true))
 		})
 	}
 	measureLatency := func(n int) time.Duration {
 		began := time.Now()
 		prompt := fmt.Sprint("other ", n)
-		a := s.sendRequest(other, local.Completion(prompt, 4, true))
+		a := s.sendRequest(other, local.CompletionRequest(prompt, 4, true))
 		require.Equal(t, strings.Join(standin.Stream(prompt, 4), ""), a.Body)
 		return time.Since(began)
 	}
@@ -299,7 +299,7 @@
 func startedSince(before, now standin.Report) int {
 	n := 0
 	for id, e := range now.ByRequest {
-		n += e.Begun - before.ByRequest[id].Begun
+		n += e.Started - before.ByRequest[id].Started
 	}
 	return n
 }
--- a/test/integration/shutdown_test.go
+++ b/test/integration/shutdown_test.go
@@ -46,7 +46,7 @@
 			// The agent does not exit while long streams are running.
 			longResponses := make(chan local.Response, 4)
 			for range cap(longResponses) {
-				go func() { longResponses <- s.sendRequest(others[0], local.Completion("long", 800, true)) }()
+				go func() { longResponses <- s.sendRequest(others[0], local.CompletionRequest("long", 800, true)) }()
 			}
 			s.await("the long streams", func() bool { return s.startedRequests(draining) >= 1 })
 			l := s.startLoad(8, 4, others...)
@@ -96,7 +96,7 @@
 	require.NoError(s.t, err)
 	n := 0
 	for _, e := range r.ByRequest {
-		n += e.Begun
+		n += e.Started
 	}
 	return n
 }
@@ -123,7 +123,7 @@
 					return
 				default:
 				}
-				a := s.sendRequest(s.Entries[c%2], local.Booking(fmt.Sprintf("caller-%d-%d", c, n), "Elena"))
+				a := s.sendRequest(s.Entries[c%2], local.BookingRequest(fmt.Sprintf("caller-%d-%d", c, n), "Elena"))
 				mu.Lock()
 				switch {
 				case a.Status == http.StatusCreated:
@@ -151,6 +151,6 @@
 	r, err := local.Executions(s.ctx, s.Agents[1].Upstream)
 	require.NoError(t, err)
 	for key, e := range r.ByKey {
-		require.LessOrEqual(t, e.Begun, 1, key)
+		require.LessOrEqual(t, e.Started, 1, key)
 	}
 }
--- a/test/integration/tls_test.go
+++ b/test/integration/tls_test.go
@@ -23,7 +23,7 @@
 	require.NoError(t, err)
 	url := "https://" + s.Entries[0].ListenAddress + "/v1/completions"
 	s.await("an answer by TLS", func() bool {
-		request := local.Completion("by TLS", 5, false)
+		request := local.CompletionRequest("by TLS", 5, false)
 		req, err := http.NewRequestWithContext(s.ctx, request.Method, url, strings.NewReader(request.Body))
 		require.NoError(t, err)
 		req.Header.Set("Authorization", "Bearer "+local.CallerToken)
@@ -36,6 +36,6 @@
 		require.NoError(t, resp.Write(body))
 		return resp.StatusCode == http.StatusOK && strings.Contains(body.String(), standin.Text("by TLS", 5))
 	})
-	plain := s.sendRequest(s.Entries[0], local.Completion("in the clear", 5, false))
+	plain := s.sendRequest(s.Entries[0], local.CompletionRequest("in the clear", 5, false))
 	require.NotEqual(t, http.StatusOK, plain.Status)
 }
--- a/test/integration/verdicts_test.go
+++ b/test/integration/verdicts_test.go
@@ -75,7 +75,7 @@
 func add(sum, more map[string]standin.Executions) {
 	for name, e := range more {
 		t := sum[name]
-		t.Begun += e.Begun
+		t.Started += e.Started
 		t.Finished += e.Finished
 		t.Cancelled += e.Cancelled
 		sum[name] = t
@@ -93,21 +93,21 @@
 	executed := l.s.executions()
 	var counts verdictCounts
 	for key, e := range executed.ByKey {
-		require.LessOrEqual(l.s.t, e.Begun, 1, "key %s ran more than once", key)
+		require.LessOrEqual(l.s.t, e.Started, 1, "key %s ran more than once", key)
 	}
 	for _, sent := range l.requests {
-		started := executed.ByRequest[sent.id].Begun
+		started := executed.ByRequest[sent.id].Started
 		switch {
 		case sent.response.Status == 0:
 			counts.noResponse++
 		case sent.replayed:
 			counts.replayed++
-			require.Equal(l.s.t, 1, executed.ByKey[sent.key].Begun, "%s was replayed", sent.key)
+			require.Equal(l.s.t, 1, executed.ByKey[sent.key].Started, "%s was replayed", sent.key)
 		case sent.response.Verdict == verdict.NotRun:
 			counts.notRun++
 			require.Zero(l.s.t, started, "%s of key %q has the verdict not-run", sent.id, sent.key)
 		case sent.response.Verdict == verdict.Ran && sent.isKeyed && sent.response.Status >= http.StatusBadRequest:
-			require.Equal(l.s.t, 1, executed.ByKey[sent.key].Begun)
+			require.Equal(l.s.t, 1, executed.ByKey[sent.key].Started)
 		case sent.response.Verdict == verdict.Ran:
 			counts.ran++
 			require.Positive(l.s.t, started, "%s has the verdict ran", sent.id)
@@ -150,17 +150,17 @@
 		for i := range n {
 			wg.Go(func() {
 				e := s.Entries[i%len(s.Entries)]
-				l.send(e.ListenAddress, local.Completion(fmt.Sprintf("crowd of %d, caller %d", n, i), tokens, i%2 == 0))
+				l.send(e.ListenAddress, local.CompletionRequest(fmt.Sprintf("crowd of %d, caller %d", n, i), tokens, i%2 == 0))
 			})
 			wg.Go(func() {
-				q := local.Booking(fmt.Sprintf("crowd-%d-%d-%d", n, tokens, i/2), fmt.Sprint("rider ", i/2))
+				q := local.BookingRequest(fmt.Sprintf("crowd-%d-%d-%d", n, tokens, i/2), fmt.Sprint("rider ", i/2))
 				l.send(s.Entries[i%len(s.Entries)].ListenAddress, q)
 			})
 		}
 		return &wg
 	}
 	for _, e := range s.Entries {
-		l.send(e.ListenAddress, local.Booking("sent-twice", "one rider"))
+		l.send(e.ListenAddress, local.BookingRequest("sent-twice", "one rider"))
 	}
 	// More requests than slots and queues take, so that some are refused.
 	startCallers(300, 20).Wait()
@@ -186,7 +186,7 @@
 	}
 	// Agents shut down until no upstream is left.
 	s.await("links", func() bool {
-		return local.Do(s.ctx, s.Entries[0].ListenAddress, local.Completion("links", 1, false)).Status == http.StatusOK
+		return local.Do(s.ctx, s.Entries[0].ListenAddress, local.CompletionRequest("links", 1, false)).Status == http.StatusOK
 	})
 	wg = startCallers(60, 30)
 	for _, a := range s.Agents {
--- a/test/local/client.go
+++ b/test/local/client.go
@@ -109,16 +109,16 @@
 // killed would fail the next request, which would look like a fault of the system.
 var freshClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Completion returns a completion request with max_tokens set to tokens.
-func Completion(prompt string, tokens int, isStream bool) Request {
+// CompletionRequest returns a completion request with max_tokens set to tokens.
+func CompletionRequest(prompt string, tokens int, isStream bool) Request {
 	body, _ := json.Marshal(map[string]any{
 		"model": "drafter", "prompt": prompt, "max_tokens": tokens, "stream": isStream,
 	})
 	return Request{Method: http.MethodPost, Path: "/v1/completions", Body: string(body)}
 }
 
-// Booking returns a booking request, a call that is not idempotent: it must not run twice.
-func Booking(key, rider string) Request {
+// BookingRequest returns a booking request, a call that is not idempotent: it must not run twice.
+func BookingRequest(key, rider string) Request {
 	body, _ := json.Marshal(standin.Booking{Slot: "dawn", Rider: rider})
 	return Request{Method: http.MethodPost, Path: "/slots/book", Key: key, Body: string(body)}
 }
--- a/test/local/prepare.go
+++ b/test/local/prepare.go
@@ -116,7 +116,7 @@
 		}
 		entry := s.entriesIn(a.DataCentre)[0]
 		err := Await(ctx, func() bool {
-			Do(ctx, entry.ListenAddress, Completion("are you there", 1, false))
+			Do(ctx, entry.ListenAddress, CompletionRequest("are you there", 1, false))
 			r, err := Executions(ctx, a.Upstream)
 			return err == nil && len(r.ByRequest) > 0
 		})
@@ -134,7 +134,7 @@
 		if !IsReady(ctx, h) {
 			return false
 		}
-		last = Do(ctx, h.ListenAddress, Completion("are you there", 1, false))
+		last = Do(ctx, h.ListenAddress, CompletionRequest("are you there", 1, false))
 		return last.Status == http.StatusOK
 	})
 	return errors.Wrapf(err, "%s does not serve: %d %s %v", h.Name, last.Status, last.Body, last.Err)
--- a/test/soak/callers.go
+++ b/test/soak/callers.go
@@ -106,7 +106,7 @@
 
 // stream asks for a streamed completion. It returns whether it was answered whole.
 func (c *callers) stream(ctx context.Context, me *caller, id string) bool {
-	q := local.Completion(id, tokens, true)
+	q := local.CompletionRequest(id, tokens, true)
 	q.ID = id
 	sent := time.Now()
 	a := c.do(ctx, me, q)
@@ -137,7 +137,7 @@
 
 // book makes a booking, and asks for its outcome until that is known.
 func (c *callers) book(ctx context.Context, me *caller, key string) bool {
-	q := local.Booking(key, "rider of "+key)
+	q := local.BookingRequest(key, "rider of "+key)
 	began := time.Now()
 	for try := range resends {
 		a := c.do(ctx, me, q)
--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -35,7 +35,7 @@
 func add(to, from map[string]standin.Executions) {
 	for id, e := range from {
 		sum := to[id]
-		sum.Begun += e.Begun
+		sum.Started += e.Started
 		sum.Finished += e.Finished
 		to[id] = sum
 	}
@@ -44,8 +44,8 @@
 // checkExecutions compares what callers were told with what was carried out.
 func (c *callers) checkExecutions(done standin.Report) {
 	for key, e := range done.ByKey {
-		if e.Begun > 1 {
-			c.r.fail(Once, "booking %s ran %d times", key, e.Begun)
+		if e.Started > 1 {
+			c.r.fail(Once, "booking %s ran %d times", key, e.Started)
 		}
 	}
 	for key := range c.booked {
@@ -54,13 +54,13 @@
 		}
 	}
 	for id := range c.refused {
-		if done.ByRequest[id].Begun > 0 || done.ByKey[id].Begun > 0 {
+		if done.ByRequest[id].Started > 0 || done.ByKey[id].Started > 0 {
 			c.r.fail(NotRun, "%s was told not to have run, and ran", id)
 		}
 	}
 	for id, how := range c.lost {
 		// One that crossed the close of its connection was not taken.
-		if done.ByRequest[id].Begun > 0 || done.ByKey[id].Begun > 0 {
+		if done.ByRequest[id].Started > 0 || done.ByKey[id].Started > 0 {
 			c.r.fail(Shutdown, "%s was cut without an unplanned fault, %s", id, how)
 		}
 	}
--- a/test/soak/poison.go
+++ b/test/soak/poison.go
@@ -29,7 +29,7 @@
 	defer cancel()
 	prompt := fmt.Sprintf("%s %d", standin.Poison, int(f.At/time.Millisecond)%poisons)
 	for n := int(f.At); ctx.Err() == nil; n++ {
-		a := local.Do(ctx, s.Entries[n%len(s.Entries)].ListenAddress, local.Completion(prompt, tokens, true))
+		a := local.Do(ctx, s.Entries[n%len(s.Entries)].ListenAddress, local.CompletionRequest(prompt, tokens, true))
 		switch {
 		case strings.Contains(a.Body, string(verdict.CodeQuarantined)):
 			r.count("poison held")
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -46,7 +46,7 @@
 // Each way to break a promise that only shows in what was carried out is seen.
 func TestWhatWasCarriedOutIsComparedWithWhatCallersWereTold(t *testing.T) {
 	ran := func(begun, finished int) standin.Executions {
-		return standin.Executions{Begun: begun, Finished: finished}
+		return standin.Executions{Started: begun, Finished: finished}
 	}
 	for name, c := range map[string]struct {
 		told func(*callers)
--- a/test/standin/engine.go
+++ b/test/standin/engine.go
@@ -347,7 +347,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.cfg.ChecksFencing && o.Fence < e.report.Order.Fence {
+	if e.cfg.ChecksFencing && o.FencingToken < e.report.Order.FencingToken {
 		http.Error(w, "old fencing number", http.StatusConflict)
 		return
 	}
--- a/test/standin/standin.go
+++ b/test/standin/standin.go
@@ -40,7 +40,7 @@
 
 // Executions counts what was done under one request id or key.
 type Executions struct {
-	Begun     int `json:"begun"`
+	Started   int `json:"begun"`
 	Finished  int `json:"finished"`
 	Cancelled int `json:"cancelled"`
 }
@@ -128,7 +128,7 @@
 	m[name] = e
 }
 
-func begun(e *Executions)     { e.Begun++ }
+func begun(e *Executions)     { e.Started++ }
 func finished(e *Executions)  { e.Finished++ }
 func cancelled(e *Executions) { e.Cancelled++ }
 
