--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -29,8 +29,8 @@
 	ErrStaleFencingToken = errors.New("agent: fencing token is lower than the highest one seen")
 )
 
-// Asker sends queries to the control hosts.
-type Asker interface {
+// OrderQuerier sends queries to the control hosts.
+type OrderQuerier interface {
 	QueryOrder(ctx context.Context, q *wire.OrderQuery) (*wire.OrderAnswer, error)
 }
 
@@ -91,8 +91,8 @@
 	// none.
 	OnOrder func(*wire.Order)
 	// URL is the base URL of the engine.
-	URL   string
-	Asker Asker
+	URL          string
+	OrderQuerier OrderQuerier
 	// Restarts returns how many restarts of the engine have been observed; nil means that
 	// restarts are not observed. A restarted engine has lost its order and must get it again.
 	Restarts func() int
@@ -164,7 +164,7 @@
 	o.filter.startQuery(query.Nonce, o.cfg.Clock())
 	askCtx, cancel := context.WithTimeout(ctx, o.cfg.MaxAge)
 	defer cancel()
-	answer, err := o.cfg.Asker.QueryOrder(askCtx, query)
+	answer, err := o.cfg.OrderQuerier.QueryOrder(askCtx, query)
 	if err != nil {
 		return err
 	}
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -39,7 +39,7 @@
 	defer srv.Close()
 	var now time.Duration
 	leader := &fakeLeader{fence: 4, order: &wire.Order{Model: "m", Version: "v1"}}
-	puller := agent.NewOrderPuller(agent.OrderPullerConfig{Upstream: "u", Pool: "p", URL: srv.URL, Asker: leader, Clock: func() time.Duration { return now }})
+	puller := agent.NewOrderPuller(agent.OrderPullerConfig{Upstream: "u", Pool: "p", URL: srv.URL, OrderQuerier: leader, Clock: func() time.Duration { return now }})
 	ctx := context.Background()
 
 	require.NoError(t, puller.Pull(ctx))
@@ -65,7 +65,7 @@
 	defer srv.Close()
 	pull := func(fence uint64) error {
 		leader := &fakeLeader{fence: fence, order: &wire.Order{Version: "v"}}
-		return agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, Asker: leader}).Pull(context.Background())
+		return agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, OrderQuerier: leader}).Pull(context.Background())
 	}
 	require.NoError(t, pull(4))
 	require.ErrorContains(t, pull(3), "409", "the engine must refuse an older fencing token from a restarted agent")
@@ -116,7 +116,7 @@
 	a, err := agent.New(agent.Config{Identity: wire.Upstream{Name: "u"}, URL: srv.URL, IsEngine: true})
 	require.NoError(t, err)
 	leader := &fakeLeader{fence: 4, order: &wire.Order{Model: "m", Version: "v1"}}
-	puller := agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, Asker: leader, Restarts: a.Restarts})
+	puller := agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, OrderQuerier: leader, Restarts: a.Restarts})
 	require.NoError(t, a.PollOnce(t.Context()))
 	require.NoError(t, puller.Pull(t.Context()))
 	require.NoError(t, puller.Pull(t.Context()))
--- a/internal/control/bootstrap.go
+++ b/internal/control/bootstrap.go
@@ -49,7 +49,7 @@
 		if address == h.cfg.Address {
 			continue
 		}
-		s := h.cfg.Pool.Live(address)
+		s := h.cfg.Pool.LiveSession(address)
 		if s == nil || s.Remote().Replica == "" {
 			return nil, false
 		}
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -138,7 +138,7 @@
 // hostsMessage returns the addresses of the control hosts and the number of attached entry
 // hosts. The caller holds mu.
 func (f *fleet) hostsMessage() *wire.Hosts {
-	m := &wire.Hosts{Control: append(f.h.addressBook.List(), f.h.cfg.Address)}
+	m := &wire.Hosts{ControlHosts: append(f.h.addressBook.List(), f.h.cfg.Address)}
 	for s, role := range f.attached {
 		if role == roleEntry && s.Alive() && s.SilentFor() < quietTimeout {
 			m.EntryHosts++
@@ -339,7 +339,7 @@
 func (h *Host) ControlHostConnected(s *peer.Session) {
 	h.AddControlHosts(s.Remote().Address)
 	_ = s.Post(&wire.Suspicions{All: h.fleet.quarantine.All()})
-	m := &wire.Hosts{Control: append(h.addressBook.List(), h.cfg.Address)}
+	m := &wire.Hosts{ControlHosts: append(h.addressBook.List(), h.cfg.Address)}
 	for _, other := range h.cfg.Transport.Sessions() {
 		// If the queue is full, the host gets the addresses with the next session.
 		_ = other.Post(m)
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -27,7 +27,7 @@
 			h.handleConsensus(&wire.Consensus{To: m.To, Data: data})
 		}
 	case *wire.Hosts:
-		h.AddControlHosts(m.Control...)
+		h.AddControlHosts(m.ControlHosts...)
 	case *wire.Attach:
 		h.fleet.attach(s, m)
 	case *wire.Suspicions:
--- a/internal/control/startup_test.go
+++ b/internal/control/startup_test.go
@@ -135,7 +135,7 @@
 	require.Eventually(t, func() bool {
 		for _, h := range control {
 			for _, address := range seeds {
-				if address != h.address && h.pool.Live(address) == nil {
+				if address != h.address && h.pool.LiveSession(address) == nil {
 					return false
 				}
 			}
--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -105,7 +105,7 @@
 }
 
 func (a *admitter) isLive(h directory.Host) bool {
-	return h.Name == a.self || a.pool.Live(h.Address) != nil
+	return h.Name == a.self || a.pool.LiveSession(h.Address) != nil
 }
 
 // liveEntryHosts returns the number of entry hosts that are connected, including this one.
@@ -155,7 +155,7 @@
 			continue
 		}
 		d.Seq = a.recordDemand(now)
-		if s := a.pool.Live(owner.Address); s != nil {
+		if s := a.pool.LiveSession(owner.Address); s != nil {
 			_ = s.Post(d)
 		}
 	}
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -77,15 +77,15 @@
 	})
 	if set.Kind == settings.UpstreamModel {
 		r.orders = agent.NewOrderPuller(agent.OrderPullerConfig{
-			Upstream: d.set.Host.Name,
-			Pool:     set.Pool,
-			Group:    set.Group,
-			Restarts: a.Restarts,
-			OnOrder:  func(o *wire.Order) { shape.Store(shapeOf(o)) },
-			URL:      set.UpstreamURL,
-			Asker:    control.NewClient(d.pool, addresses(set.ControlHosts)),
-			Clock:    d.now,
-			Metrics:  d.metrics,
+			Upstream:     d.set.Host.Name,
+			Pool:         set.Pool,
+			Group:        set.Group,
+			Restarts:     a.Restarts,
+			OnOrder:      func(o *wire.Order) { shape.Store(shapeOf(o)) },
+			URL:          set.UpstreamURL,
+			OrderQuerier: control.NewClient(d.pool, addresses(set.ControlHosts)),
+			Clock:        d.now,
+			Metrics:      d.metrics,
 		})
 	}
 	return r, nil
--- a/internal/directory/service.go
+++ b/internal/directory/service.go
@@ -303,7 +303,7 @@
 // awaitIncomingSession waits up to incomingSessionWait for the other host to dial.
 func (d *Service) awaitIncomingSession(ctx context.Context, h Host) {
 	deadline := d.cfg.Now() + incomingSessionWait
-	for ctx.Err() == nil && d.cfg.Now() < deadline && d.cfg.Pool.Live(h.Address) == nil {
+	for ctx.Err() == nil && d.cfg.Now() < deadline && d.cfg.Pool.LiveSession(h.Address) == nil {
 		pause.For(ctx, flushInterval)
 	}
 }
--- a/internal/group/relay.go
+++ b/internal/group/relay.go
@@ -148,7 +148,7 @@
 // deliver sends a message over the session with a host. If there is no session, it dials the
 // host in a goroutine.
 func (r *Runner) deliver(address string, m wire.Message, send func(*peer.Session, wire.Message) error) {
-	if s := r.cfg.Pool.Live(address); s != nil && send(s, m) == nil {
+	if s := r.cfg.Pool.LiveSession(address); s != nil && send(s, m) == nil {
 		return
 	}
 	go r.dialAndSend(address, m, send)
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -171,7 +171,7 @@
 	if t == nil {
 		return 0
 	}
-	return t.LongestGap(a.n.settings.Agent.Service)
+	return t.LongestEventGap(a.n.settings.Agent.Service)
 }
 
 // serveEpoch takes part in one epoch of a group. It returns when the engine has restarted, has
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -127,7 +127,7 @@
 		f.mu.Lock()
 		delete(f.loadDecoders, s)
 		f.mu.Unlock()
-		if f.dropSource != nil && f.n.pool.Live(s.Remote().Address) == nil {
+		if f.dropSource != nil && f.n.pool.LiveSession(s.Remote().Address) == nil {
 			f.dropSource(s.Remote().Host)
 		}
 	}()
@@ -142,7 +142,7 @@
 			_ = s.Reply(call, &wire.Ack{})
 		}
 	case *wire.Hosts:
-		f.controlHosts.Add(m.Control...)
+		f.controlHosts.Add(m.ControlHosts...)
 		if f.setEntryHostCount != nil {
 			f.setEntryHostCount(m.EntryHosts)
 		}
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -123,7 +123,7 @@
 // Get returns the live session with the host at address. It dials if there is none. If it
 // returns an error, nothing was sent.
 func (p *Pool) Get(ctx context.Context, address string) (*Session, error) {
-	if s := p.Live(address); s != nil {
+	if s := p.LiveSession(address); s != nil {
 		return s, nil
 	}
 	d, err := p.sharedDial(address)
@@ -138,8 +138,8 @@
 	}
 }
 
-// Live returns the live session with the host at address, or nil.
-func (p *Pool) Live(address string) *Session {
+// LiveSession returns the live session with the host at address, or nil.
+func (p *Pool) LiveSession(address string) *Session {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.sessionsByAddress[address]
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -270,8 +270,8 @@
 // NeedsKey reports whether requests of the route must carry the API key of a workspace.
 func (t *Table) NeedsKey(r *Route) bool { return len(t.Workspaces) > 0 && !r.IsPublic }
 
-// LongestGap returns the longest Gap of all routes to a service, 0 if none declares one.
-func (t *Table) LongestGap(service string) time.Duration {
+// LongestEventGap returns the longest Gap of all routes to a service, 0 if none declares one.
+func (t *Table) LongestEventGap(service string) time.Duration {
 	longest := time.Duration(0)
 	for i := range t.Routes {
 		r := &t.Routes[i]
--- a/internal/routetable/table_test.go
+++ b/internal/routetable/table_test.go
@@ -91,7 +91,7 @@
 		t.Routes[2].ServiceWeights = []ServiceWeight{{"t", 1}}
 	})
 	require.NoError(t, tb.Build())
-	require.Equal(t, 100*time.Millisecond, tb.LongestGap("s"))
-	require.Equal(t, 120*time.Millisecond, tb.LongestGap("t"))
-	require.Zero(t, tb.LongestGap("u"))
+	require.Equal(t, 100*time.Millisecond, tb.LongestEventGap("s"))
+	require.Equal(t, 120*time.Millisecond, tb.LongestEventGap("t"))
+	require.Zero(t, tb.LongestEventGap("u"))
 }
--- a/internal/wire/fleet.go
+++ b/internal/wire/fleet.go
@@ -112,8 +112,8 @@
 
 // Hosts announces the hosts of the system that the sender knows.
 type Hosts struct {
-	// Control contains the peer addresses of control hosts.
-	Control []string `cbor:"1,keyasint,omitempty"`
+	// ControlHosts contains the peer addresses of control hosts.
+	ControlHosts []string `cbor:"1,keyasint,omitempty"`
 	// EntryHosts is the number of entry hosts attached to the sender.
 	EntryHosts int `cbor:"2,keyasint,omitempty"`
 }
