--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -67,7 +67,7 @@
 	Revision uint64
 	// Repeated is set if an earlier submission with the same ChangeID has been accepted.
 	Repeated bool
-	// Conflict is set if another change has replaced the Base revision. It is nil if the
+	// Conflict is set if another change has replaced the base revision. It is nil if the
 	// submission is accepted.
 	Conflict *Conflict
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -319,10 +319,10 @@
 	}
 }
 
-// RaiseIncarnation sets the agent's incarnation above known, the highest one that the directory has seen
-// for an upstream of this name. Incarnations are taken from the clock, so an agent that starts
-// after the clock was set back has a lower one than its predecessor. Dispatches that name the
-// lower incarnation are refused from now on.
+// RaiseIncarnation sets the agent's incarnation above known, the highest one that the directory
+// has seen for an upstream of this name. Incarnations are taken from the clock, so an agent that
+// starts after the clock was set back has a lower one than its predecessor. Dispatches that name
+// the lower incarnation are refused from now on.
 func (a *Agent) RaiseIncarnation(known uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -17,7 +17,7 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// fakeLeader is an Asker that returns its order and fencing token. It calls beforeAnswer, if
+// fakeLeader is an OrderQuerier that returns its order and fencing token. It calls beforeAnswer, if
 // set, before it answers.
 type fakeLeader struct {
 	fence        uint64
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -32,8 +32,8 @@
 var _ replica.SnapshotCapturer = (*state.Machine)(nil)
 
 const (
-	// clockInterval is how often the leader advances the age of the state machine, the
-	// replicated clock by which claims expire.
+	// clockInterval is how often the leader advances the logical clock of the state machine,
+	// by which claims expire.
 	clockInterval = 5 * time.Second
 	// serveTimeout bounds the time to answer one message of another host.
 	serveTimeout = 2 * time.Second
@@ -224,8 +224,8 @@
 	h.watchers.sendAll(true)
 }
 
-// advanceClock regularly advances the age of the state machine by the time that passed on
-// this host's monotonic clock, while this host leads.
+// advanceClock regularly advances the logical clock of the state machine by the time that
+// passed on this host's monotonic clock, while this host leads.
 func (h *Host) advanceClock(ctx context.Context) {
 	last := time.Now()
 	for ctx.Err() == nil {
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -129,8 +129,8 @@
 	return e
 }
 
-// claimSlackMS is added to the deadline of claims because the age of the state machine
-// increases in steps of ageInterval. Without it, the outcome of a call that was claimed just
+// claimSlackMS is added to the deadline of claims because the logical clock of the state machine
+// advances in steps of clockInterval. Without it, the outcome of a call that was claimed just
 // before such a step would count as unknown while the call still runs.
 const claimSlackMS = uint64(clockInterval / time.Millisecond)
 
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -34,7 +34,7 @@
 	directory *directory.Service
 	follower  *catalog.Follower
 	admitter  *admitter
-	// quarantine tracks the requests during which upstreams crashed. otherEntryHosts are the peer
+	// quarantine tracks the requests during which upstreams crashed. entryPeers are the peer
 	// addresses of the other entry hosts of the data centre, which receive its suspicions.
 	quarantine *quarantine.Keeper
 	entryPeers []string
--- a/internal/directory/announcer.go
+++ b/internal/directory/announcer.go
@@ -29,8 +29,8 @@
 	// Record returns the upstream's current record and the cache events that were not yet
 	// announced. The Announcer sets the record's Seq.
 	Record func() (wire.Upstream, []wire.CacheEvent)
-	// RaiseIncarnation makes the agent use an incarnation number above known, because an owner has a
-	// record with that higher number under the same name.
+	// RaiseIncarnation makes the agent use an incarnation number above known, because an owner
+	// has a record with that higher number under the same name.
 	RaiseIncarnation func(known uint64)
 	// Now returns the time on a monotonic clock.
 	Now func() time.Duration
--- a/internal/dispatch/probe.go
+++ b/internal/dispatch/probe.go
@@ -17,7 +17,7 @@
 	Unknown ProbeResult = iota
 	// Alive means that a connection could be opened.
 	Alive
-	// UpstreamCrashed means that nothing listens at the address.
+	// UpstreamCrashed means that nothing listens at the address, so the process has ended.
 	UpstreamCrashed
 )
 
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -4,8 +4,8 @@
 // run each forward pass together, load reports that arrive late, and callers with a latency
 // target and a timeout that retry once.
 //
-// A pass is one forward pass of a whole group. It consists of Engine.Stride token steps and
-// yields one event of the answer for each running request.
+// A pass is one forward pass of a whole group. It consists of Engine.StepsPerPass token steps
+// and yields one event of the answer for each running request.
 //
 // The simulation is deterministic: the same configuration and seed always give the same report.
 // It starts no goroutine, reads no clock and does no I/O.
@@ -46,8 +46,8 @@
 	// ArrivalRate is how many callers arrive per second, at a given time since the start.
 	ArrivalRate func(at time.Duration) float64
 	// An answer is on time if its first event arrives within Target and the time between two
-	// consecutive events never exceeds Gap; a Gap of 0 means no limit. CallerTimeout is the
-	// time limit that a caller sets for its whole request, including a retry.
+	// consecutive events never exceeds MaxEventGap; 0 means no limit. CallerTimeout is the time
+	// limit that a caller sets for its whole request, including a retry.
 	Target, MaxEventGap, CallerTimeout time.Duration
 	// RetryBudget limits the retries of all hosts together.
 	RetryBudget retrybudget.Params
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -17,8 +17,8 @@
 const capacity = 2 * 8 * 12 / (32 * 0.044)
 
 // baseConfig is a deployment of two groups with the given number of callers per second. The
-// scheduler allows twelve requests per rank: with more, events could come later than Gap if the
-// most loaded rank had 2.4 times the mean load.
+// scheduler allows twelve requests per rank: with more, the time between events could exceed
+// MaxEventGap if the most loaded rank had 2.4 times the mean load.
 func baseConfig(seed uint64, rate float64) Config {
 	return Config{
 		Seed: seed, ArrivalPeriod: 20 * time.Second, Hosts: 9, Groups: 2, Ranks: 8,
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Report is the result of a simulation. Each caller is counted in exactly one of InAim, Late,
-// Refused and Cut; Asked counts all of them.
+// Report is the result of a simulation. Each caller is counted in exactly one of OnTime, Late,
+// Refused and Interrupted; Callers counts all of them.
 type Report struct {
 	Callers int
 	// OnTime counts complete answers of which every event was on time, and Late complete answers
 	// with a late event. Refused counts callers that were refused on both tries; their requests
-	// never ran. Cut counts callers that lost the rest of a begun answer when the group failed.
+	// never ran. Interrupted counts callers that lost the rest of a begun answer when the group
+	// failed.
 	OnTime, Late, Refused, Interrupted int
 	// Retried counts callers that were refused once and then retried.
 	Retried int
--- a/internal/engineload/engineload_test.go
+++ b/internal/engineload/engineload_test.go
@@ -38,7 +38,7 @@
 }
 
 // For arbitrary loads in any order, a receiver that gets every message must have the latest
-// record of every engine. So must a receiver that attaches later and starts with All.
+// record of every engine. So must a receiver that attaches later and starts with FullRecords.
 func TestDecodersHaveTheLatestRecordOfEveryEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
--- a/internal/engineload/table.go
+++ b/internal/engineload/table.go
@@ -20,8 +20,8 @@
 const (
 	// forgetTimeout is how long an engine is kept after its last load.
 	forgetTimeout = time.Minute
-	// maxSnapshotAge is the maximum age of the records that a new receiver gets from All, and
-	// of the engines that Members returns.
+	// maxSnapshotAge is the maximum age of the records that a new receiver gets from
+	// FullRecords, and of the engines that Members returns.
 	maxSnapshotAge = 2 * time.Second
 	// A step-time ratio is an engine's current step time divided by its usual one. It is
 	// encoded in one byte on a logarithmic scale. codesPerDoubling is the number of codes per
@@ -96,8 +96,8 @@
 	return m
 }
 
-// FullRecords returns the full records of all engines with a load no older than maxSnapshotAge, for a
-// receiver that has just attached. It returns nil if there are none.
+// FullRecords returns the full records of all engines with a load no older than maxSnapshotAge,
+// for a receiver that has just attached. It returns nil if there are none.
 func (t *Table) FullRecords(now time.Duration) *wire.EngineLoads {
 	m := &wire.EngineLoads{}
 	for _, e := range t.sortedByNumber() {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -31,8 +31,8 @@
 	// isHeaderSent is set once the response header was sent to the caller.
 	isHeaderSent bool
 	buffer       []byte
-	// firstEventDelay is the time from the start of the request to its first event, and gap the
-	// longest gap between events after that. lastEventAt is when the last event was forwarded.
+	// firstEventDelay is the time from the start of the request to its first event, and eventGap
+	// the longest gap between events after that. lastEventAt is when the last event was forwarded.
 	firstEventDelay, eventGap time.Duration
 	lastEventAt               time.Time
 }
--- a/internal/rank/rank.go
+++ b/internal/rank/rank.go
@@ -26,8 +26,8 @@
 	Epoch uint64
 	Rank  int
 	Size  int
-	// StartedAt is the time at which the engine started, in Unix milliseconds; 0 if the engine doesn't
-	// report it.
+	// StartedAt is the time at which the engine started, in Unix milliseconds; 0 if the engine
+	// doesn't report it.
 	StartedAt int64
 	// IsOpen tells that the group accepts requests.
 	IsOpen bool
@@ -72,7 +72,8 @@
 	Epoch uint64
 	// ExpectedSequence is the value that the engine's Sequence must have.
 	ExpectedSequence uint64
-	// FencingCounter is the fencing token. It never decreases from one order to the next.
+	// FencingCounter is the counter of the ballot under which the order is sent. It serves as a
+	// fencing token, so it never decreases from one order to the next.
 	FencingCounter uint64
 	// Version is set for Prepare, Arm and Disarm; Step for Arm, Pause and Resume.
 	Version, Step uint64
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -26,7 +26,7 @@
 )
 
 // Upstream describes one incarnation of an upstream, that is, one run of it from start to
-// shutdown. ID and Born together identify the incarnation.
+// shutdown. ID and StartedAt together identify the incarnation.
 type Upstream struct {
 	// ID identifies the upstream. It may stay the same over a restart.
 	ID      string `cbor:"1,keyasint"`
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -7,8 +7,8 @@
 // announcements to one control host at a time.
 type View struct {
 	byID map[string]*viewEntry
-	// revoked holds, by ID, the Born value of the latest incarnation that was found to have
-	// lost its address to another one.
+	// revoked holds, by ID, the StartedAt value of the latest incarnation that was found to
+	// have lost its address to another one.
 	revoked map[string]int64
 	// gone lists the IDs of the upstreams that are gone, the first to leave first.
 	gone []string
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -41,8 +41,8 @@
 	Timeout time.Duration
 	// TargetLatency is the time within which an answer, or its first event, counts as on time.
 	TargetLatency time.Duration
-	// MaxEventGap is the longest interval between two events of a stream that counts as on time, 0 if
-	// none is declared.
+	// MaxEventGap is the longest interval between two events of a stream that counts as on
+	// time, 0 if none is declared.
 	MaxEventGap time.Duration
 	// Priority is the priority level of the requests; 0 is the most urgent.
 	Priority int
@@ -101,26 +101,27 @@
 	// for each request that generates tokens, and StepTimePerKToken for each 1,000 tokens of
 	// its context.
 	StepTime, StepTimePerRequest, StepTimePerKToken time.Duration
-	// PrefillRate is the number of prompt tokens read per second. Chunk is the maximum number
-	// of prompt tokens read in one step.
+	// PrefillRate is the number of prompt tokens read per second. PrefillChunk is the maximum
+	// number of prompt tokens read in one step.
 	PrefillRate  float64
 	PrefillChunk int
 	// StepsPerPass is the number of decode steps in a pass. A stream gets one event per pass.
 	StepsPerPass int
-	// MeanPromptTokens and Answer are the mean numbers of prompt and answer tokens of a request.
+	// MeanPromptTokens and MeanAnswerTokens are the mean numbers of prompt and answer tokens of
+	// a request.
 	MeanPromptTokens, MeanAnswerTokens float64
 	// KVCacheTokens is the capacity of a rank's KV cache in tokens.
 	KVCacheTokens int
 	Experts       Experts
 }
 
-// Experts describes how the experts of a model are spread over the ranks of a group. Sets is 0
-// if the engines don't form groups.
+// Experts describes how the experts of a model are spread over the ranks of a group.
+// LayerSetCount is 0 if the engines don't form groups.
 type Experts struct {
-	// The model's layers are divided into Sets sets. Each set has an expert map of its own,
-	// which assigns ExpertsPerSet experts to the ranks, with room for Slots experts at each
-	// rank. In one change of the map a rank may be assigned at most Spare experts of a set that
-	// it did not hold before.
+	// The model's layers are divided into LayerSetCount sets. Each set has an expert map of its
+	// own, which assigns ExpertsPerSet experts to the ranks, with room for Slots experts at each
+	// rank. In one change of the map a rank may be assigned at most MaxNewPerSet experts of a
+	// set that it did not hold before.
 	LayerSetCount, ExpertsPerSet, Slots, MaxNewPerSet int
 	// WorkShare is the fraction of a step's work that is done by the experts, in [0, 1].
 	WorkShare float64
@@ -270,7 +271,8 @@
 // NeedsKey reports whether requests of the route must carry the API key of a workspace.
 func (t *Table) NeedsKey(r *Route) bool { return len(t.Workspaces) > 0 && !r.IsPublic }
 
-// LongestEventGap returns the longest Gap of all routes to a service, 0 if none declares one.
+// LongestEventGap returns the longest MaxEventGap of all routes to a service, 0 if none
+// declares one.
 func (t *Table) LongestEventGap(service string) time.Duration {
 	longest := time.Duration(0)
 	for i := range t.Routes {
--- a/internal/schedule/admit.go
+++ b/internal/schedule/admit.go
@@ -30,8 +30,8 @@
 	Service string
 	// Engine holds the performance parameters of the service's engines.
 	Engine *routetable.Engine
-	// MaxEventGap is the longest interval between two events of a stream that still counts as on time,
-	// 0 if none is declared.
+	// MaxEventGap is the longest interval between two events of a stream that still counts as on
+	// time, 0 if none is declared.
 	MaxEventGap time.Duration
 	// OnTimeUntil is the latest time for the first event to count as on time.
 	OnTimeUntil time.Duration
--- a/internal/state/result.go
+++ b/internal/state/result.go
@@ -87,7 +87,7 @@
 	ClaimGranted ClaimOutcome = iota + 1
 	// ClaimInProgress: another attempt holds the claim and its deadline has not passed.
 	ClaimInProgress
-	// ClaimFinished: an earlier attempt has finished; see Verdict and Answer.
+	// ClaimFinished: an earlier attempt has finished; see Verdict and Response.
 	ClaimFinished
 	// ClaimUnknown: the attempt that holds the claim did not finish by its deadline.
 	// The call may have run.
--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -122,7 +122,7 @@
 	ClaimGranted ClaimState = iota + 1
 	// ClaimInProgress means that another attempt holds the claim.
 	ClaimInProgress
-	// ClaimFinished means that the call has run; Answer is its response, if recorded.
+	// ClaimFinished means that the call has run; Response is its response, if recorded.
 	ClaimFinished
 	// ClaimUnknown means that the call may have run and must not run again.
 	ClaimUnknown
--- a/internal/wire/fleet.go
+++ b/internal/wire/fleet.go
@@ -101,8 +101,8 @@
 
 // EngineLoads forwards the loads that arrived since the previous EngineLoads.
 type EngineLoads struct {
-	// FullRecords contains full records. CompactLoads contains the loads of engines whose full record
-	// the receiver already has, in the encoding of package engineload.
+	// FullRecords contains full records. CompactLoads contains the loads of engines whose full
+	// record the receiver already has, in the encoding of package engineload.
 	FullRecords  []EngineLoad `cbor:"1,keyasint,omitempty"`
 	CompactLoads []byte       `cbor:"2,keyasint,omitempty"`
 }
--- a/internal/wire/group.go
+++ b/internal/wire/group.go
@@ -103,14 +103,14 @@
 	// Engines that count selections set it instead of Tokens.
 	Selections [][]uint32 `cbor:"3,keyasint,omitempty"`
 	// ExpertsByLayer lists the experts on the rank, as of map version Version. It is only
-	// set together with Picks.
+	// set together with Selections.
 	ExpertsByLayer [][]uint16 `cbor:"4,keyasint,omitempty"`
 	Version        uint64     `cbor:"5,keyasint,omitempty"`
 	// Slowdown is the slowdown of the rank: its step time divided by its usual step time, or 0 if
 	// unknown.
 	Slowdown float64 `cbor:"6,keyasint,omitempty"`
-	// PackedSelections is a compact encoding of Picks. The rounding error of each count is
-	// smaller than its random variation.
+	// PackedSelections is a compact encoding of Selections. The rounding error of each count
+	// is smaller than its random variation.
 	PackedSelections []byte `cbor:"7,keyasint,omitempty"`
 }
 
--- a/test/cmd/emulate/outcome.go
+++ b/test/cmd/emulate/outcome.go
@@ -12,12 +12,12 @@
 	"github.com/sassafraspost/sassafraspost/internal/emulator"
 )
 
-// outcome is what came of one seed. All but Asked, Held and Busiest are parts of those who
-// asked, without unit.
+// outcome is what came of one seed. All but Callers, LongestRefusalSeconds and
+// MaxLoadRatio are fractions of the callers.
 type outcome struct {
 	Seed    uint64 `json:"seed"`
 	Callers int    `json:"asked"`
-	// InAim, Late, Refused and Cut are as in emulator.Report, Returned too.
+	// OnTime, Late, Refused, Interrupted and Retried are as in emulator.Report.
 	OnTime      float64 `json:"inAim"`
 	Late        float64 `json:"late"`
 	Refused     float64 `json:"refused"`
