--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -17,7 +17,7 @@
 	"github.com/sassafraspost/sassafraspost/test/standin"
 )
 
-// fakeLeader is an Asker that returns its order and fencing token. It calls beforeAnswer, if
+// fakeLeader is an OrderQuerier that returns its order and fencing token. It calls beforeAnswer, if
 // set, before it answers.
 type fakeLeader struct {
 	fence        uint64
@@ -25,8 +25,8 @@
 	beforeAnswer func()
 }
 
-func (l *fakeLeader) Ask(_ context.Context, q *wire.OrderQuery) (*wire.OrderAnswer, error) {
-	a := &wire.OrderAnswer{Nonce: q.Nonce, Fence: l.fence, Order: l.order}
+func (l *fakeLeader) QueryOrder(_ context.Context, q *wire.OrderQuery) (*wire.OrderAnswer, error) {
+	a := &wire.OrderAnswer{Nonce: q.Nonce, FencingToken: l.fence, Order: l.order}
 	if l.beforeAnswer != nil {
 		l.beforeAnswer()
 	}
@@ -39,7 +39,7 @@
 	defer srv.Close()
 	var now time.Duration
 	leader := &fakeLeader{fence: 4, order: &wire.Order{Model: "m", Version: "v1"}}
-	puller := agent.NewOrderPuller(agent.OrderPullerConfig{Upstream: "u", Pool: "p", URL: srv.URL, Asker: leader, Clock: func() time.Duration { return now }})
+	puller := agent.NewOrderPuller(agent.OrderPullerConfig{Upstream: "u", Pool: "p", URL: srv.URL, OrderQuerier: leader, Clock: func() time.Duration { return now }})
 	ctx := context.Background()
 
 	require.NoError(t, puller.Pull(ctx))
@@ -56,7 +56,7 @@
 
 	leader.fence, leader.order = 5, &wire.Order{Model: "m", Version: "v2"}
 	require.NoError(t, puller.Pull(ctx))
-	require.Equal(t, agent.EngineOrder{Fence: 5, Model: "m", Version: "v2"}, engine.Executions().Order)
+	require.Equal(t, agent.EngineOrder{FencingToken: 5, Model: "m", Version: "v2"}, engine.Executions().Order)
 }
 
 func TestFencingTokenReachesEngineThatChecksIt(t *testing.T) {
@@ -65,11 +65,11 @@
 	defer srv.Close()
 	pull := func(fence uint64) error {
 		leader := &fakeLeader{fence: fence, order: &wire.Order{Version: "v"}}
-		return agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, Asker: leader}).Pull(context.Background())
+		return agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, OrderQuerier: leader}).Pull(context.Background())
 	}
 	require.NoError(t, pull(4))
 	require.ErrorContains(t, pull(3), "409", "the engine must refuse an older fencing token from a restarted agent")
-	require.Equal(t, uint64(4), engine.Executions().Order.Fence)
+	require.Equal(t, uint64(4), engine.Executions().Order.FencingToken)
 }
 
 func TestRecordContainsEngineReport(t *testing.T) {
@@ -116,7 +116,7 @@
 	a, err := agent.New(agent.Config{Identity: wire.Upstream{Name: "u"}, URL: srv.URL, IsEngine: true})
 	require.NoError(t, err)
 	leader := &fakeLeader{fence: 4, order: &wire.Order{Model: "m", Version: "v1"}}
-	puller := agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, Asker: leader, Restarts: a.Restarts})
+	puller := agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, OrderQuerier: leader, Restarts: a.Restarts})
 	require.NoError(t, a.PollOnce(t.Context()))
 	require.NoError(t, puller.Pull(t.Context()))
 	require.NoError(t, puller.Pull(t.Context()))
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -41,9 +41,9 @@
 	Timeout time.Duration
 	// TargetLatency is the time within which an answer, or its first event, counts as on time.
 	TargetLatency time.Duration
-	// Gap is the longest interval between two events of a stream that counts as on time, 0 if
-	// none is declared.
-	Gap time.Duration
+	// MaxEventGap is the longest interval between two events of a stream that counts as on
+	// time, 0 if none is declared.
+	MaxEventGap time.Duration
 	// Priority is the priority level of the requests; 0 is the most urgent.
 	Priority int
 	// AttemptLimit is the number of upstreams that one request may be sent to, at least 1.
@@ -101,27 +101,28 @@
 	// for each request that generates tokens, and StepTimePerKToken for each 1,000 tokens of
 	// its context.
 	StepTime, StepTimePerRequest, StepTimePerKToken time.Duration
-	// PrefillRate is the number of prompt tokens read per second. Chunk is the maximum number
-	// of prompt tokens read in one step.
-	PrefillRate float64
-	Chunk       int
-	// Stride is the number of decode steps in a pass. A stream gets one event per pass.
-	Stride int
-	// Prompt and Answer are the mean numbers of prompt and answer tokens of a request.
-	Prompt, Answer float64
+	// PrefillRate is the number of prompt tokens read per second. PrefillChunk is the maximum
+	// number of prompt tokens read in one step.
+	PrefillRate  float64
+	PrefillChunk int
+	// StepsPerPass is the number of decode steps in a pass. A stream gets one event per pass.
+	StepsPerPass int
+	// MeanPromptTokens and MeanAnswerTokens are the mean numbers of prompt and answer tokens of
+	// a request.
+	MeanPromptTokens, MeanAnswerTokens float64
 	// KVCacheTokens is the capacity of a rank's KV cache in tokens.
 	KVCacheTokens int
 	Experts       Experts
 }
 
-// Experts describes how the experts of a model are spread over the ranks of a group. Sets is 0
-// if the engines don't form groups.
+// Experts describes how the experts of a model are spread over the ranks of a group.
+// LayerSetCount is 0 if the engines don't form groups.
 type Experts struct {
-	// The model's layers are divided into Sets sets. Each set has an expert map of its own,
-	// which assigns ExpertsPerSet experts to the ranks, with room for Slots experts at each
-	// rank. In one change of the map a rank may be assigned at most Spare experts of a set that
-	// it did not hold before.
-	Sets, ExpertsPerSet, Slots, Spare int
+	// The model's layers are divided into LayerSetCount sets. Each set has an expert map of its
+	// own, which assigns ExpertsPerSet experts to the ranks, with room for Slots experts at each
+	// rank. In one change of the map a rank may be assigned at most MaxNewPerSet experts of a
+	// set that it did not hold before.
+	LayerSetCount, ExpertsPerSet, Slots, MaxNewPerSet int
 	// WorkShare is the fraction of a step's work that is done by the experts, in [0, 1].
 	WorkShare float64
 	// CopyTime is the time that a rank takes to copy an expert that it does not hold; 0 if
@@ -270,13 +271,14 @@
 // NeedsKey reports whether requests of the route must carry the API key of a workspace.
 func (t *Table) NeedsKey(r *Route) bool { return len(t.Workspaces) > 0 && !r.IsPublic }
 
-// LongestGap returns the longest Gap of all routes to a service, 0 if none declares one.
-func (t *Table) LongestGap(service string) time.Duration {
+// LongestEventGap returns the longest MaxEventGap of all routes to a service, 0 if none
+// declares one.
+func (t *Table) LongestEventGap(service string) time.Duration {
 	longest := time.Duration(0)
 	for i := range t.Routes {
 		r := &t.Routes[i]
 		if slices.ContainsFunc(r.ServiceWeights, func(s ServiceWeight) bool { return s.Service == service }) {
-			longest = max(longest, r.Gap)
+			longest = max(longest, r.MaxEventGap)
 		}
 	}
 	return longest
--- a/internal/state/result.go
+++ b/internal/state/result.go
@@ -87,7 +87,7 @@
 	ClaimGranted ClaimOutcome = iota + 1
 	// ClaimInProgress: another attempt holds the claim and its deadline has not passed.
 	ClaimInProgress
-	// ClaimFinished: an earlier attempt has finished; see Verdict and Answer.
+	// ClaimFinished: an earlier attempt has finished; see Verdict and Response.
 	ClaimFinished
 	// ClaimUnknown: the attempt that holds the claim did not finish by its deadline.
 	// The call may have run.
@@ -116,9 +116,9 @@
 	Outcome ClaimOutcome
 	// Verdict states whether the call of the claim ran.
 	Verdict verdict.Verdict
-	// Answer is the response to the call of a finished claim, if it was recorded. It is
+	// Response is the response to the call of a finished claim, if it was recorded. It is
 	// shared and must not be changed.
-	Answer *RecordedResponse
+	Response *RecordedResponse
 	// Remaining is the time in milliseconds until the deadline of a claim in progress,
 	// after which the outcome is ClaimUnknown.
 	Remaining uint64
--- a/test/cmd/emulate/outcome.go
+++ b/test/cmd/emulate/outcome.go
@@ -15,26 +15,26 @@
 // outcome is the result of one seed. Asked is the number of callers. InAim, Late, Refused, Cut and
 // Returned are fractions of the callers, from 0 to 1.
 type outcome struct {
-	Seed  uint64 `json:"seed"`
-	Asked int    `json:"asked"`
-	// InAim is the fraction of callers with a complete response that was on time throughout, Late
+	Seed    uint64 `json:"seed"`
+	Callers int    `json:"asked"`
+	// OnTime is the fraction of callers with a complete response that was on time throughout, Late
 	// with a complete response that was not. Refused callers got no response, Cut callers only a
 	// part of one. Returned callers were refused and tried once more.
-	InAim    float64 `json:"inAim"`
-	Late     float64 `json:"late"`
-	Refused  float64 `json:"refused"`
-	Cut      float64 `json:"cut"`
-	Returned float64 `json:"returned"`
-	// LongestRefusalWait is the longest time from a request to its refusal, in seconds.
-	LongestRefusalWait float64 `json:"heldSeconds"`
-	// Busiest is the number of requests of the busiest engine divided by the mean of all engines.
-	Busiest float64 `json:"busiest"`
+	OnTime      float64 `json:"inAim"`
+	Late        float64 `json:"late"`
+	Refused     float64 `json:"refused"`
+	Interrupted float64 `json:"cut"`
+	Retried     float64 `json:"returned"`
+	// LongestRefusalSeconds is the longest time from a request to its refusal, in seconds.
+	LongestRefusalSeconds float64 `json:"heldSeconds"`
+	// MaxLoadRatio is the number of requests of the busiest engine divided by the mean of all engines.
+	MaxLoadRatio float64 `json:"busiest"`
 }
 
 func outcomeOf(seed uint64, r *emulator.Report) outcome {
 	return outcome{
-		Seed: seed, Asked: r.Asked, InAim: r.Fraction(r.InAim), Late: r.Fraction(r.Late), Refused: r.Fraction(r.Refused),
-		Cut: r.Fraction(r.Cut), Returned: r.Fraction(r.Returned), LongestRefusalWait: r.LongestRefusalTime(0).Seconds(), Busiest: r.Busiest,
+		Seed: seed, Callers: r.Callers, OnTime: r.Fraction(r.OnTime), Late: r.Fraction(r.Late), Refused: r.Fraction(r.Refused),
+		Interrupted: r.Fraction(r.Interrupted), Retried: r.Fraction(r.Retried), LongestRefusalSeconds: r.LongestRefusalTime(0).Seconds(), MaxLoadRatio: r.MaxLoadRatio,
 	}
 }
 
@@ -43,14 +43,14 @@
 	name string
 	of   func(outcome) float64
 }{
-	{"asked", func(o outcome) float64 { return float64(o.Asked) }},
-	{"in aim", func(o outcome) float64 { return o.InAim }},
+	{"asked", func(o outcome) float64 { return float64(o.Callers) }},
+	{"in aim", func(o outcome) float64 { return o.OnTime }},
 	{"late", func(o outcome) float64 { return o.Late }},
 	{"refused", func(o outcome) float64 { return o.Refused }},
-	{"cut", func(o outcome) float64 { return o.Cut }},
-	{"returned", func(o outcome) float64 { return o.Returned }},
-	{"longest held, s", func(o outcome) float64 { return o.LongestRefusalWait }},
-	{"busiest engine", func(o outcome) float64 { return o.Busiest }},
+	{"cut", func(o outcome) float64 { return o.Interrupted }},
+	{"returned", func(o outcome) float64 { return o.Retried }},
+	{"longest held, s", func(o outcome) float64 { return o.LongestRefusalSeconds }},
+	{"busiest engine", func(o outcome) float64 { return o.MaxLoadRatio }},
 }
 
 // interval is a mean and the half-width of its 95 % confidence interval. The half-width is
--- a/test/cmd/loadtool/load.go
+++ b/test/cmd/loadtool/load.go
@@ -237,7 +237,7 @@
 // call requests a completion and reads the complete response. It returns status zero if
 // the connection failed.
 func call(ctx context.Context, client *http.Client, address, token, prompt string, tokens int) (int, verdict.Verdict) {
-	q := local.Completion(prompt, tokens, false)
+	q := local.CompletionRequest(prompt, tokens, false)
 	req, err := http.NewRequestWithContext(ctx, q.Method, "http://"+address+q.Path, strings.NewReader(q.Body))
 	if err != nil {
 		return 0, verdict.MayHaveRun
--- a/test/cmd/streams/main.go
+++ b/test/cmd/streams/main.go
@@ -120,7 +120,7 @@
 }
 
 func (s *streamStats) stream(ctx context.Context, address, prompt string, tokens int) {
-	q := local.Completion(prompt, tokens, true)
+	q := local.CompletionRequest(prompt, tokens, true)
 	req, err := http.NewRequestWithContext(ctx, q.Method, "http://"+address+q.Path, strings.NewReader(q.Body))
 	if err != nil {
 		s.recordFailure()
--- a/test/soak/callers.go
+++ b/test/soak/callers.go
@@ -111,7 +111,7 @@
 
 // stream requests a streamed completion. It returns whether the response was complete.
 func (c *callerPool) stream(ctx context.Context, cl *caller, id string) bool {
-	q := local.Completion(id, streamTokens, true)
+	q := local.CompletionRequest(id, streamTokens, true)
 	q.ID = id
 	sent := time.Now()
 	answer := c.send(ctx, cl, q)
@@ -142,7 +142,7 @@
 
 // book sends a booking, and repeats the request with the same key until the outcome is known.
 func (c *callerPool) book(ctx context.Context, cl *caller, key string) bool {
-	q := local.Booking(key, "rider of "+key)
+	q := local.BookingRequest(key, "rider of "+key)
 	start := time.Now()
 	for attempt := range maxBookingAttempts {
 		answer := c.send(ctx, cl, q)
--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -36,7 +36,7 @@
 func addExecutions(to, from map[string]standin.Executions) {
 	for id, e := range from {
 		sum := to[id]
-		sum.Begun += e.Begun
+		sum.Started += e.Started
 		sum.Finished += e.Finished
 		to[id] = sum
 	}
@@ -45,8 +45,8 @@
 // checkExecutions compares the responses that callers got with what the upstreams executed.
 func (c *callerPool) checkExecutions(executions standin.Report) {
 	for key, e := range executions.ByKey {
-		if e.Begun > 1 {
-			c.r.addViolation(AtMostOnce, "booking %s ran %d times", key, e.Begun)
+		if e.Started > 1 {
+			c.r.addViolation(AtMostOnce, "booking %s ran %d times", key, e.Started)
 		}
 	}
 	for key := range c.confirmed {
@@ -55,14 +55,14 @@
 		}
 	}
 	for id := range c.notRun {
-		if executions.ByRequest[id].Begun > 0 || executions.ByKey[id].Begun > 0 {
+		if executions.ByRequest[id].Started > 0 || executions.ByKey[id].Started > 0 {
 			c.r.addViolation(NotRun, "%s was told not to have run, and ran", id)
 		}
 	}
 	for id, description := range c.interrupted {
 		// The request does not count if no upstream began to execute it: it was sent while the
 		// process closed the connection, and was never accepted.
-		if executions.ByRequest[id].Begun > 0 || executions.ByKey[id].Begun > 0 {
+		if executions.ByRequest[id].Started > 0 || executions.ByKey[id].Started > 0 {
 			c.r.addViolation(Shutdown, "%s was cut without an unplanned fault, %s", id, description)
 		}
 	}
--- a/test/soak/poison.go
+++ b/test/soak/poison.go
@@ -29,7 +29,7 @@
 	defer cancel()
 	prompt := fmt.Sprintf("%s %d", standin.Poison, int(f.At/time.Millisecond)%poisonPrompts)
 	for n := int(f.At); ctx.Err() == nil; n++ {
-		answer := local.Do(ctx, s.Entries[n%len(s.Entries)].ListenAddress, local.Completion(prompt, streamTokens, true))
+		answer := local.Do(ctx, s.Entries[n%len(s.Entries)].ListenAddress, local.CompletionRequest(prompt, streamTokens, true))
 		switch {
 		case strings.Contains(answer.Body, string(verdict.CodeQuarantined)):
 			r.count("poison held")
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -51,7 +51,7 @@
 // interrupted. Each of them must be recorded.
 func TestExecutionsAreComparedWithResponses(t *testing.T) {
 	ran := func(begun, finished int) standin.Executions {
-		return standin.Executions{Begun: begun, Finished: finished}
+		return standin.Executions{Started: begun, Finished: finished}
 	}
 	for name, c := range map[string]struct {
 		setUp      func(*callerPool)
--- a/test/standin/standin.go
+++ b/test/standin/standin.go
@@ -44,7 +44,7 @@
 // Executions counts how often the requests with one request ID or idempotency key were begun,
 // finished and cancelled.
 type Executions struct {
-	Begun     int `json:"begun"`
+	Started   int `json:"begun"`
 	Finished  int `json:"finished"`
 	Cancelled int `json:"cancelled"`
 }
@@ -135,7 +135,7 @@
 	m[key] = e
 }
 
-func begun(e *Executions)     { e.Begun++ }
+func begun(e *Executions)     { e.Started++ }
 func finished(e *Executions)  { e.Finished++ }
 func cancelled(e *Executions) { e.Cancelled++ }
 
