--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -70,9 +70,9 @@
 	case c.Hosts <= 0 || c.Groups <= 0 || c.Ranks <= 0:
 		return errors.New("emulator: Hosts, Groups and Ranks must be positive")
 	case c.Engine.Slots <= 0 || c.Engine.StepTime <= 0 || c.Engine.MeanAnswerTokens <= 0 || c.Engine.PrefillRate <= 0:
-		return errors.New("emulator: Engine.Slots, Step, Answer and ReadRate must be positive")
+		return errors.New("emulator: Engine.Slots, StepTime, MeanAnswerTokens and PrefillRate must be positive")
 	case c.Target <= 0 || c.CallerTimeout < c.Target:
-		return errors.New("emulator: Target must be positive and CallerTimeout not shorter")
+		return errors.New("emulator: Target must be positive and CallerTimeout must not be shorter than Target")
 	}
 	for _, o := range c.Outages {
 		if o.Group < 0 || o.Group >= c.Groups || o.To <= o.From {
--- a/internal/emulator/host.go
+++ b/internal/emulator/host.go
@@ -37,7 +37,7 @@
 }
 
 // admit asks the scheduler for an engine. If the scheduler queues the call, its wait is limited
-// to schedule.LongestWait.
+// to schedule.MaxQueueWait.
 func (h *host) admit(c *call) {
 	now := h.sim.clock.now
 	d := h.scheduler.Admit(&schedule.Request{
