--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -54,9 +54,10 @@
 // Incarnation identifies an upstream from one start of its process to the next.
 type Incarnation struct {
 	Upstream string `cbor:"1,keyasint"`
-	// StartedAt tells the incarnations of an upstream apart, in Unix milliseconds: when the process
-	// started or, where an agent reports a crash, when it crashed. It is 0 where neither is
-	// known.
+	// StartedAt tells the incarnations of an upstream apart. It is a time in Unix milliseconds.
+	// For an upstream that announces itself, it is the start time that the upstream sends, or 0
+	// if it sends none. For an upstream behind an agent, whose start time is not known, it is
+	// when the agent detected the crash; all reports of the same crash have the same value.
 	StartedAt int64 `cbor:"2,keyasint,omitempty"`
 }
 
