--- a/internal/control/suspicions_test.go
+++ b/internal/control/suspicions_test.go
@@ -146,7 +146,7 @@
 }
 
 // After a network partition, each side must learn the suspicions that the other side
-// collected meanwhile. Each side alone has too few of them to hold the request.
+// collected meanwhile. Each side alone has too few of them to quarantine the request.
 func TestSuspicionsAreMergedAfterPartition(t *testing.T) {
 	one, two := startTestHost(t, "c1", newControlHost(nil)), startTestHost(t, "c2", newControlHost(nil))
 	a, b := startTestHost(t, "e1", nil), startTestHost(t, "e2", nil)
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -28,7 +28,7 @@
 	api  *server
 }
 
-// openJournal opens the data folder. It is called before any session begins, because the greeting
+// openJournal opens the data folder. It is called before any session begins, because the handshake
 // of a session identifies the host's disk.
 func (d *Daemon) openJournal() error {
 	j, recovered, err := journal.Open(journal.Options{Dir: d.set.Control.DataFolder, Logger: d.log})
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -284,7 +284,7 @@
 
 // shouldRetry decides whether an idempotent call gets another attempt after one that failed with
 // err. A request that may have run is not sent to a second upstream if the first one crashed or
-// if crashes are suspected to be caused by it. Attempts that did not run take nothing from the
+// if crashes are suspected to be caused by it. An attempt that did not run takes nothing from the
 // retry budget.
 func (c *call) shouldRetry(ctx context.Context, err error, name string, attempts int) bool {
 	if name == "" || ctx.Err() != nil || attempts >= c.s.cfg.MaxAttempts || !c.out.canContinue() {
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -58,7 +58,7 @@
 }
 
 // Guards against load on the planning host that grows with the group: per interval, at most
-// planner.ReportsAtOnce ranks may report, and each rank has to get its turn.
+// planner.ReportsPerInterval ranks may report, and each rank has to get its turn.
 func TestRanksOfLargeGroupsReportInTurns(t *testing.T) {
 	for _, ranks := range []uint32{8, 12, 32, 63, 128} {
 		turns := (ranks + planner.ReportsPerInterval - 1) / planner.ReportsPerInterval
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -37,7 +37,7 @@
 	// readHeaderTimeout bounds the time to read the headers of a request from another host, an
 	// upstream or an operator.
 	readHeaderTimeout = 3 * time.Second
-	// peerSecret is the secret with which hosts greet each other. The platform doesn't provide one.
+	// peerSecret authenticates hosts to each other. The platform doesn't provide one.
 	// Its private networks keep strangers out; this constant only rejects processes that have
 	// dialled the wrong port.
 	peerSecret = "sassafraspost-node"
--- a/internal/routing/scorers.go
+++ b/internal/routing/scorers.go
@@ -25,10 +25,10 @@
 // which counts less the older it is.
 type WaitScorer struct{}
 
-// Name implements Score.
+// Name implements Scorer.
 func (WaitScorer) Name() string { return "wait" }
 
-// Cost implements Score.
+// Cost implements Scorer.
 func (WaitScorer) Cost(_ *Request, c *Candidate) float64 {
 	discount := math.Exp2(-c.ReportAge.Seconds() / reportHalfLife.Seconds())
 	expected := float64(c.InFlight) + float64(c.OtherHostsLoad)*discount + 1
@@ -40,10 +40,10 @@
 // upstream's prefix cache.
 type PrefillScorer struct{}
 
-// Name implements Score.
+// Name implements Scorer.
 func (PrefillScorer) Name() string { return "prefill" }
 
-// Cost implements Score.
+// Cost implements Scorer.
 func (PrefillScorer) Cost(_ *Request, c *Candidate) float64 {
 	return uncachedPromptCost * (1 - c.CachedFraction)
 }
--- a/test/cmd/emulate/outcome.go
+++ b/test/cmd/emulate/outcome.go
@@ -12,20 +12,20 @@
 	"github.com/sassafraspost/sassafraspost/internal/emulator"
 )
 
-// outcome is the result of one seed. Asked is the number of callers. InAim, Late, Refused, Cut and
-// Returned are fractions of the callers, from 0 to 1.
+// outcome is the result of one seed. OnTime, Late, Refused, Interrupted and Retried are fractions
+// of the callers, from 0 to 1.
 type outcome struct {
 	Seed    uint64 `json:"seed"`
 	Callers int    `json:"asked"`
 	// OnTime is the fraction of callers with a complete response that was on time throughout, Late
-	// with a complete response that was not. Refused callers got no response, Cut callers only a
-	// part of one. Returned callers were refused and tried once more.
+	// with a complete response that was not. Refused callers got no response, Interrupted callers
+	// only a part of one. Retried callers were refused and sent the request once more.
 	OnTime      float64 `json:"inAim"`
 	Late        float64 `json:"late"`
 	Refused     float64 `json:"refused"`
 	Interrupted float64 `json:"cut"`
 	Retried     float64 `json:"returned"`
-	// LongestRefusalSeconds is the longest time from a request to its refusal, in seconds.
+	// LongestRefusalSeconds is the longest time from a try to its refusal, in seconds.
 	LongestRefusalSeconds float64 `json:"heldSeconds"`
 	// MaxLoadRatio is the number of requests of the busiest engine divided by the mean of all engines.
 	MaxLoadRatio float64 `json:"busiest"`
--- a/test/integration/shutdown_test.go
+++ b/test/integration/shutdown_test.go
@@ -16,7 +16,7 @@
 
 // An agent or entry host that shuts down gracefully must complete its running streams. Resumption
 // is turned off, so that a stream that breaks off can't be continued. If the agent did not wait in
-// Drained while it drains, streams would break off.
+// AwaitDrained before it stops, streams would break off.
 func TestGracefulShutdownCutsNoStream(t *testing.T) {
 	t.Parallel()
 	s := start(t, local.Layout{Control: 1, Entries: 3, Engines: 3, EngineArgs: []string{"--step", "10ms"}})
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -67,8 +67,8 @@
 	Dir, Bin string
 }
 
-// Run starts a system, injects the faults of cfg and checks the promises. Broken promises are in
-// the report; an error means that the run itself was not possible.
+// Run starts a system, injects the faults of cfg and checks the promises. The report lists the
+// promises that were broken; an error means that the run itself was not possible.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	cfg.Size = max(cfg.Size, 1)
 	s, err := local.New(cfg.Dir, cfg.Bin, Layout(cfg.Size))
