--- a/internal/agent/answer_filter_test.go
+++ b/internal/agent/answer_filter_test.go
@@ -20,14 +20,14 @@
 		want   error
 	}{
 		{"in time", 5, wire.OrderAnswer{Nonce: nonce, FencingToken: 5}, time.Second, nil},
-		{"higher fence", 5, wire.OrderAnswer{Nonce: nonce, FencingToken: 6}, time.Second, nil},
+		{"higher fencing token", 5, wire.OrderAnswer{Nonce: nonce, FencingToken: 6}, time.Second, nil},
 		{"late", 5, wire.OrderAnswer{Nonce: nonce, FencingToken: 9}, 2 * time.Second, ErrOrderExpired},
-		{"lower fence", 5, wire.OrderAnswer{Nonce: nonce, FencingToken: 4}, 0, ErrStaleFencingToken},
+		{"lower fencing token", 5, wire.OrderAnswer{Nonce: nonce, FencingToken: 4}, 0, ErrStaleFencingToken},
 		{"answer to another query", 5, wire.OrderAnswer{Nonce: otherNonce, FencingToken: 9}, 0, ErrUnexpectedAnswer},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			filter := answerFilter{maxAge: 2 * time.Second, highestFence: c.seen}
+			filter := answerFilter{maxAge: 2 * time.Second, highestFencingToken: c.seen}
 			filter.startQuery(nonce, time.Hour)
 			require.Equal(t, c.want, filter.accept(&c.answer, time.Hour+c.after))
 			require.Equal(t, ErrUnexpectedAnswer, filter.accept(&c.answer, time.Hour+c.after), "a replayed answer must be refused")
@@ -45,7 +45,7 @@
 		var now time.Duration
 		var asked []time.Duration
 		taken := make(map[byte]bool)
-		var highestFence uint64
+		var highestToken uint64
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 15).Draw(t, "ms")) * time.Millisecond
 			if len(asked) == 0 || rapid.Bool().Draw(t, "ask") {
@@ -61,8 +61,8 @@
 			require.Equal(t, len(asked), query, "accepted an answer to an older query")
 			require.Less(t, now-asked[query-1], maxAge, "accepted an expired answer")
 			require.False(t, taken[byte(query)], "accepted an answer twice")
-			require.GreaterOrEqual(t, answer.FencingToken, highestFence)
-			taken[byte(query)], highestFence = true, answer.FencingToken
+			require.GreaterOrEqual(t, answer.FencingToken, highestToken)
+			taken[byte(query)], highestToken = true, answer.FencingToken
 		}
 	})
 }
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -47,8 +47,8 @@
 // durations since an arbitrary fixed point on a monotonic clock. It is not safe for concurrent
 // use.
 type answerFilter struct {
-	maxAge       time.Duration
-	highestFence uint64
+	maxAge              time.Duration
+	highestFencingToken uint64
 	// isOutstanding is set while the query with nonce, sent at askedAt, has no answer.
 	isOutstanding bool
 	nonce         [16]byte
@@ -72,10 +72,10 @@
 	if f.timeLeft(now) <= 0 {
 		return ErrOrderExpired
 	}
-	if a.FencingToken < f.highestFence {
+	if a.FencingToken < f.highestFencingToken {
 		return ErrStaleFencingToken
 	}
-	f.highestFence = a.FencingToken
+	f.highestFencingToken = a.FencingToken
 	return nil
 }
 
@@ -157,7 +157,7 @@
 // Pull sends one query and sends the returned order to the engine, unless the engine has
 // already accepted it.
 func (o *OrderPuller) Pull(ctx context.Context) error {
-	query := &wire.OrderQuery{Upstream: o.cfg.Upstream, Pool: o.cfg.Pool, Group: o.cfg.Group, HighestFencingToken: o.filter.highestFence}
+	query := &wire.OrderQuery{Upstream: o.cfg.Upstream, Pool: o.cfg.Pool, Group: o.cfg.Group, HighestFencingToken: o.filter.highestFencingToken}
 	if _, err := rand.Read(query.Nonce[:]); err != nil {
 		return errors.Wrap(err, "agent: make nonce")
 	}
--- a/internal/agent/orders_test.go
+++ b/internal/agent/orders_test.go
@@ -20,13 +20,13 @@
 // fakeLeader is an OrderQuerier that returns its order and fencing token. It calls beforeAnswer, if
 // set, before it answers.
 type fakeLeader struct {
-	fence        uint64
+	fencingToken uint64
 	order        *wire.Order
 	beforeAnswer func()
 }
 
 func (l *fakeLeader) QueryOrder(_ context.Context, q *wire.OrderQuery) (*wire.OrderAnswer, error) {
-	a := &wire.OrderAnswer{Nonce: q.Nonce, FencingToken: l.fence, Order: l.order}
+	a := &wire.OrderAnswer{Nonce: q.Nonce, FencingToken: l.fencingToken, Order: l.order}
 	if l.beforeAnswer != nil {
 		l.beforeAnswer()
 	}
@@ -38,7 +38,7 @@
 	srv := httptest.NewServer(engine)
 	defer srv.Close()
 	var now time.Duration
-	leader := &fakeLeader{fence: 4, order: &wire.Order{Model: "m", Version: "v1"}}
+	leader := &fakeLeader{fencingToken: 4, order: &wire.Order{Model: "m", Version: "v1"}}
 	puller := agent.NewOrderPuller(agent.OrderPullerConfig{Upstream: "u", Pool: "p", URL: srv.URL, OrderQuerier: leader, Clock: func() time.Duration { return now }})
 	ctx := context.Background()
 
@@ -50,11 +50,11 @@
 	leader.beforeAnswer = func() { now += agent.DefaultMaxOrderAge }
 	require.ErrorIs(t, puller.Pull(ctx), agent.ErrOrderExpired)
 	leader.beforeAnswer = nil
-	leader.fence = 3
+	leader.fencingToken = 3
 	require.ErrorIs(t, puller.Pull(ctx), agent.ErrStaleFencingToken)
 	require.Equal(t, "v1", engine.Executions().Order.Version)
 
-	leader.fence, leader.order = 5, &wire.Order{Model: "m", Version: "v2"}
+	leader.fencingToken, leader.order = 5, &wire.Order{Model: "m", Version: "v2"}
 	require.NoError(t, puller.Pull(ctx))
 	require.Equal(t, agent.EngineOrder{FencingToken: 5, Model: "m", Version: "v2"}, engine.Executions().Order)
 }
@@ -63,8 +63,8 @@
 	engine := standin.NewEngine(standin.EngineConfig{ChecksFencing: true})
 	srv := httptest.NewServer(engine)
 	defer srv.Close()
-	pull := func(fence uint64) error {
-		leader := &fakeLeader{fence: fence, order: &wire.Order{Version: "v"}}
+	pull := func(fencingToken uint64) error {
+		leader := &fakeLeader{fencingToken: fencingToken, order: &wire.Order{Version: "v"}}
 		return agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, OrderQuerier: leader}).Pull(context.Background())
 	}
 	require.NoError(t, pull(4))
@@ -115,7 +115,7 @@
 	address := srv.Listener.Addr().String()
 	a, err := agent.New(agent.Config{Identity: wire.Upstream{Name: "u"}, URL: srv.URL, IsEngine: true})
 	require.NoError(t, err)
-	leader := &fakeLeader{fence: 4, order: &wire.Order{Model: "m", Version: "v1"}}
+	leader := &fakeLeader{fencingToken: 4, order: &wire.Order{Model: "m", Version: "v1"}}
 	puller := agent.NewOrderPuller(agent.OrderPullerConfig{URL: srv.URL, OrderQuerier: leader, Restarts: a.Restarts})
 	require.NoError(t, a.PollOnce(t.Context()))
 	require.NoError(t, puller.Pull(t.Context()))
--- a/internal/agent/upstream_monitor.go
+++ b/internal/agent/upstream_monitor.go
@@ -70,9 +70,9 @@
 // the upstream is then shut down on purpose.
 func (a *Agent) probeEnd() int64 {
 	a.mu.Lock()
-	isLeaving := a.state == wire.UpstreamDraining
+	isDraining := a.state == wire.UpstreamDraining
 	a.mu.Unlock()
-	if isLeaving {
+	if isDraining {
 		return 0
 	}
 	endedAt := a.monitor.probe(a.baseURL.Host)
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -285,13 +285,13 @@
 // host.
 func (h *Host) Announce(ctx context.Context, u registry.Upstream) error {
 	f := h.fleet
-	isLeaving := u.State != registry.Ready
-	if isLeaving && f.now() < attachPeriod {
+	isDrainingOrGone := u.State != registry.Ready
+	if isDrainingOrGone && f.now() < attachPeriod {
 		return verdict.New(verdict.NotRun, verdict.CodeDraining, "this control host has just started")
 	}
 	f.mu.Lock()
 	known, changed := f.registry.Announce(u, f.now())
-	if !changed && !isLeaving {
+	if !changed && !isDrainingOrGone {
 		f.mu.Unlock()
 		return nil
 	}
@@ -300,7 +300,7 @@
 	h.cfg.Log.Info("upstream announced", "upstream", known.ID, "service", known.Service,
 		"address", known.Address, "state", known.State, "sequence", known.Sequence)
 	m := &wire.Upstreams{All: []registry.Upstream{known}}
-	if !isLeaving {
+	if !isDrainingOrGone {
 		f.broadcast(m)
 		f.mu.Unlock()
 		return nil
--- a/internal/control/restartcache_test.go
+++ b/internal/control/restartcache_test.go
@@ -31,9 +31,9 @@
 	r := NewRestartCache(journal.OS{}, dir)
 	require.NoError(t, r.SaveUpstreams([]registry.Upstream{{ID: "a", Service: "s"}}))
 	name := filepath.Join(dir, upstreamsFile)
-	whole, err := os.ReadFile(name)
+	complete, err := os.ReadFile(name)
 	require.NoError(t, err)
-	for _, data := range [][]byte{nil, whole[:3], whole[:len(whole)-1], append([]byte{whole[0] ^ 1}, whole[1:]...)} {
+	for _, data := range [][]byte{nil, complete[:3], complete[:len(complete)-1], append([]byte{complete[0] ^ 1}, complete[1:]...)} {
 		require.NoError(t, os.WriteFile(name, data, 0o600))
 		_, err := r.LoadUpstreams()
 		require.ErrorIs(t, err, errDamaged)
--- a/internal/control/serve.go
+++ b/internal/control/serve.go
@@ -23,7 +23,7 @@
 	case *wire.Consensus:
 		h.handleConsensus(m)
 	case *wire.ConsensusPart:
-		if data, isWhole := h.cfg.Transport.reassemble(consensus.ReplicaID(s.Remote().Replica), m); isWhole {
+		if data, isComplete := h.cfg.Transport.reassemble(consensus.ReplicaID(s.Remote().Replica), m); isComplete {
 			h.handleConsensus(&wire.Consensus{To: m.To, Data: data})
 		}
 	case *wire.Hosts:
--- a/internal/control/startup_test.go
+++ b/internal/control/startup_test.go
@@ -20,10 +20,10 @@
 const (
 	// followerHosts hosts start at the same time and dial controlHosts control hosts.
 	followerHosts, controlHosts = 279, 5
-	// greetingCost is the processor time that a control host needs for a greeting, the
-	// handshake of a new session. It is spent even if the dialling host no longer waits.
-	// 279 greetings take more than half a second.
-	greetingCost = 2500 * time.Microsecond
+	// handshakeCost is the processor time that a control host needs for the handshake of a new
+	// session. It is spent even if the dialling host no longer waits. 279 handshakes take more
+	// than half a second.
+	handshakeCost = 2500 * time.Microsecond
 	// dialTimeout is how long a dialling host waits for its connection to be accepted.
 	dialTimeout = 400 * time.Millisecond
 	// connectTimeout bounds the wait for all sessions. It is reached only in tests that fail.
@@ -52,7 +52,7 @@
 		Hello:  wire.Hello{Host: fmt.Sprint("c", n), Address: h.address, Replica: fmt.Sprint("c", n, "/1")},
 		Secret: "s", Metrics: h.metrics, DialTimeout: dialTimeout,
 		Handler:         peer.HandlerFunc(func(*peer.Session, uint64, wire.Message) {}),
-		BeforeHandshake: h.greet,
+		BeforeHandshake: h.handshake,
 	})
 	t.Cleanup(h.pool.Close)
 	server := peer.NewServer(h.pool)
@@ -85,12 +85,12 @@
 	return n
 }
 
-// greet keeps the host's processor busy for greetingCost. The sleep simulates processor time;
+// handshake keeps the host's processor busy for handshakeCost. The sleep simulates processor time;
 // it does not wait for an event.
-func (h *slowHost) greet() {
+func (h *slowHost) handshake() {
 	h.processor.Lock()
 	defer h.processor.Unlock()
-	time.Sleep(greetingCost)
+	time.Sleep(handshakeCost)
 }
 
 // addOpen adds n to the number of open connections.
@@ -102,7 +102,7 @@
 }
 
 // Guards against a flood of dials when hundreds of hosts start at the same time. No host may
-// dial again while its greeting is in progress. The sessions between control hosts must not
+// dial again while its handshake is in progress. The sessions between control hosts must not
 // be delayed by those of other hosts.
 func TestHostsStartingTogetherDialOnceAndControlHostsConnectFirst(t *testing.T) {
 	control := make([]*slowHost, controlHosts)
--- a/internal/directory/service_test.go
+++ b/internal/directory/service_test.go
@@ -137,8 +137,8 @@
 
 	state.Store(uint32(wire.UpstreamDraining))
 	a.AnnounceNow()
-	leaving := func(e Entry) bool { return e.Upstream.State == wire.UpstreamDraining }
-	require.Eventually(t, allSee(rest, leaving), conditionTimeout, 5*time.Millisecond)
+	isDraining := func(e Entry) bool { return e.Upstream.State == wire.UpstreamDraining }
+	require.Eventually(t, allSee(rest, isDraining), conditionTimeout, 5*time.Millisecond)
 }
 
 // After a restart the clock of an agent may be behind, so that it chooses a lower incarnation
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -279,7 +279,7 @@
 	return strings.Join(standin.Stream(prompt, tokens), "")
 }
 
-func requireWholeStream(t testing.TB, prompt string, tokens int, r response) {
+func requireCompleteStream(t testing.TB, prompt string, tokens int, r response) {
 	require.NoError(t, r.err)
 	require.Equal(t, http.StatusOK, r.status, r.body)
 	require.Equal(t, expectedStream(prompt, tokens), r.body)
--- a/internal/entry/output.go
+++ b/internal/entry/output.go
@@ -22,8 +22,8 @@
 	// bufferLimit is how many body bytes may be buffered before the response begins. It is zero
 	// for streams.
 	bufferLimit int
-	// mustBeWhole is set if the response must not begin before it is complete.
-	mustBeWhole bool
+	// mustBeComplete is set if the response must not begin before it is complete.
+	mustBeComplete bool
 
 	head     *wire.Head
 	buffered []byte
@@ -36,7 +36,7 @@
 }
 
 func newOutput(c *call) *output {
-	o := &output{c: c, bufferLimit: c.s.cfg.MaxResponse, mustBeWhole: !c.plan.Idempotent}
+	o := &output{c: c, bufferLimit: c.s.cfg.MaxResponse, mustBeComplete: !c.plan.Idempotent}
 	if c.plan.Idempotent && c.req.completion.Stream {
 		o.bufferLimit = 0
 	}
@@ -70,7 +70,7 @@
 		o.buffered = append(o.buffered, data...)
 		return nil
 	}
-	if o.mustBeWhole {
+	if o.mustBeComplete {
 		return errTooLarge
 	}
 	o.beginResponse()
@@ -83,7 +83,7 @@
 // mayBuffer reports whether the memory budget allows buffering n more bytes. For a response that
 // must be complete before it begins, the memory was reserved before the body was read.
 func (o *output) mayBuffer(n int) bool {
-	return o.mustBeWhole || o.c.reservation.grow(int64(n))
+	return o.mustBeComplete || o.c.reservation.grow(int64(n))
 }
 
 func (o *output) flushBuffered() error {
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -85,7 +85,7 @@
 			require.Contains(t, r.body, string(verdict.CodeQuarantined))
 		}
 		require.EqualValues(t, 2, p.crashes.Load())
-		requireWholeStream(t, "innocent", tokens, p.complete("innocent", tokens, true))
+		requireCompleteStream(t, "innocent", tokens, p.complete("innocent", tokens, true))
 		list := p.keeper.List()
 		require.Len(t, list, 1)
 		require.Equal(t, standin.Poison, list[0].Ends[0].Request, "the id that its caller gave it")
--- a/internal/entry/server_test.go
+++ b/internal/entry/server_test.go
@@ -34,7 +34,7 @@
 	for i := range 40 {
 		g.Go(func() error {
 			prompt := fmt.Sprintf("prompt-%d", i)
-			requireWholeStream(t, prompt, tokens, p.complete(prompt, tokens, true))
+			requireCompleteStream(t, prompt, tokens, p.complete(prompt, tokens, true))
 			r := p.complete(prompt, tokens, false)
 			require.Equal(t, http.StatusOK, r.status)
 			require.Contains(t, r.body, standin.Text(prompt, tokens))
@@ -239,7 +239,7 @@
 	p.addUpstream("u1", e, nil)
 	p.addUpstream("u2", standin.NewEngine(standin.EngineConfig{}), nil)
 	e.Fail(standin.Failure{Mode: standin.Die, After: 5, Times: 1})
-	requireWholeStream(t, "a", tokens, p.complete("a", tokens, true))
+	requireCompleteStream(t, "a", tokens, p.complete("a", tokens, true))
 	require.Equal(t, int64(1), p.counter("entry.resumed"))
 }
 
@@ -330,7 +330,7 @@
 	require.Contains(t, r.body, verdict.CodeDraining)
 	require.Zero(t, e.Executions().ByRequest["b"].Started)
 	require.NoError(t, a.AwaitDrained(context.Background()))
-	requireWholeStream(t, "a", 100, <-running)
+	requireCompleteStream(t, "a", 100, <-running)
 }
 
 func TestRestartedAgentRefusesRequestsForItsPreviousIncarnation(t *testing.T) {
@@ -375,7 +375,7 @@
 	require.Zero(t, e.Executions().ByRequest["b"].Started)
 	require.NoError(t, <-drained)
 	require.Equal(t, 1, e.Executions().ByRequest["a"].Finished, "Drain waits for the stream")
-	requireWholeStream(t, "a", 100, <-running)
+	requireCompleteStream(t, "a", 100, <-running)
 }
 
 func TestInvalidRequestsAreRefusedBeforeDispatch(t *testing.T) {
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -13,9 +13,9 @@
 // counters are the gateway's metrics. The number of their names does not grow with callers or
 // requests.
 type counters struct {
-	registry                                                     metrics.Registry
-	budgetEmpty, queued, streamsCut, streamsResumed, callersGone metrics.Counter
-	firstEvent, eventGap, responseTime, queueWait                *telemetry.Latency
+	registry                                                             metrics.Registry
+	budgetEmpty, queued, streamsInterrupted, streamsResumed, callersGone metrics.Counter
+	firstEvent, eventGap, responseTime, queueWait                        *telemetry.Latency
 }
 
 func newCounters(reg metrics.Registry) counters {
@@ -23,7 +23,7 @@
 	latency := func(name string) *telemetry.Latency { return telemetry.GetOrRegisterLatency("gateway."+name, reg) }
 	return counters{
 		registry:    reg,
-		budgetEmpty: counter("retries.budget-empty"), queued: counter("queue.entered"), queueWait: latency("queue"), streamsCut: counter("streams.cut"),
+		budgetEmpty: counter("retries.budget-empty"), queued: counter("queue.entered"), queueWait: latency("queue"), streamsInterrupted: counter("streams.cut"),
 		streamsResumed: counter("streams.resumed"), callersGone: counter("callers.gone"),
 		firstEvent: latency("first-event"), eventGap: latency("gap"), responseTime: latency("answer"),
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -75,7 +75,7 @@
 		if resp, reserved, ok = r.resume(ctx); !ok {
 			// The connection is aborted so that the caller does not take a truncated stream for
 			// a complete one.
-			c.g.counts.streamsCut.Inc(1)
+			c.g.counts.streamsInterrupted.Inc(1)
 			c.warn("stream cut", "send", c.attempts, "event", r.last, "reason", c.last.Error())
 			panic(http.ErrAbortHandler)
 		}
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -71,7 +71,7 @@
 	ownAddress := n.settings.peerAddress(n.settings.IP)
 	host, err := control.Open(control.Config{
 		Name: n.settings.Host, Journal: j, Recovered: recovered, Transport: transport, Pool: n.pool,
-		Peers: excluding(n.settings.seedPeers(), ownAddress), Address: ownAddress, InitialVoters: n.founders(ownAddress),
+		Peers: excluding(n.settings.seedPeers(), ownAddress), Address: ownAddress, InitialVoters: n.initialVoters(ownAddress),
 		Voters: n.settings.voters(), ReplicaSilenceTimeout: replicaSilenceLimit, ElectionTicks: electionTicks, SnapshotEntries: snapshotEntries,
 		Registry: registry.Limits{
 			SilenceTimeout: time.Duration(silenceIntervals * float64(n.settings.AnnounceInterval)), ForgetTimeout: forgetTimeout,
@@ -98,9 +98,9 @@
 	return &controlRole{n: n, host: host, controlHosts: host.AddressBook(), api: api}, nil
 }
 
-// founders returns the addresses of the hosts that found the cluster together. It returns none
-// if a cluster may already exist.
-func (n *Node) founders(ownAddress string) []string {
+// initialVoters returns the addresses of the hosts that bootstrap the cluster together. It returns
+// none if a cluster may already exist.
+func (n *Node) initialVoters(ownAddress string) []string {
 	seeds := n.settings.seedPeers()
 	if n.settings.FirstStart && slices.Contains(seeds, ownAddress) {
 		return seeds
--- a/internal/placement/balance.go
+++ b/internal/placement/balance.go
@@ -25,23 +25,23 @@
 const maxMovesPerSet = 400
 
 // Balance reassigns the experts of one set of layers to reduce the load of the most loaded
-// rank, since all ranks wait for it in every forward pass. Held lists the experts by rank, load
-// the tokens by expert. Each expert stays on at least one rank. An expert's tokens are split
-// evenly among the ranks that hold it.
-func Balance(held [][]uint16, load []float64, p SetParams) [][]uint16 {
-	return BalanceSets([][][]uint16{held}, [][]float64{load}, p)[0]
+// rank, since all ranks wait for it in every forward pass. The parameter load lists the tokens by
+// expert. Each expert stays on at least one rank. An expert's tokens are split evenly among the
+// ranks that hold it.
+func Balance(expertsByRank [][]uint16, load []float64, p SetParams) [][]uint16 {
+	return BalanceSets([][][]uint16{expertsByRank}, [][]float64{load}, p)[0]
 }
 
 // BalanceSets is Balance for several sets of layers on the same ranks. The limit of
 // MaxNewPerRank is spent on the moves with the highest gain in any set.
-func BalanceSets(held [][][]uint16, load [][]float64, p SetParams) [][][]uint16 {
-	if len(held) == 0 {
+func BalanceSets(expertsBySet [][][]uint16, load [][]float64, p SetParams) [][][]uint16 {
+	if len(expertsBySet) == 0 {
 		return nil
 	}
-	budget := newBudget(len(held[0]), p.MaxNewPerRank)
-	sets := make([]*balancer, len(held))
-	for i := range held {
-		sets[i] = newBalancer(held[i], load[i], p)
+	budget := newBudget(len(expertsBySet[0]), p.MaxNewPerRank)
+	sets := make([]*balancer, len(expertsBySet))
+	for i := range expertsBySet {
+		sets[i] = newBalancer(expertsBySet[i], load[i], p)
 		sets[i].budget = budget
 		sets[i].findMove()
 	}
@@ -60,7 +60,7 @@
 	}
 	out := make([][][]uint16, len(sets))
 	for i := range sets {
-		out[i] = sets[i].held
+		out[i] = sets[i].expertsByRank
 	}
 	return out
 }
@@ -91,15 +91,15 @@
 
 // SetTimes returns each rank's time for a set of layers. The unit is the time that a rank
 // takes for one token at its usual speed.
-func SetTimes(held [][]uint16, load, slowdown []float64) []float64 {
-	return newBalancer(held, load, SetParams{Slowdown: slowdown}).times
+func SetTimes(expertsByRank [][]uint16, load, slowdown []float64) []float64 {
+	return newBalancer(expertsByRank, load, SetParams{Slowdown: slowdown}).times
 }
 
 // balancer is the working state while one set of layers is balanced.
 type balancer struct {
-	params SetParams
-	load   []float64
-	held   [][]uint16
+	params        SetParams
+	load          []float64
+	expertsByRank [][]uint16
 	// initial tells, by rank and expert, what the ranks held before the change.
 	initial [][]bool
 	// has tells, by rank and expert, what the ranks hold now.
@@ -117,12 +117,12 @@
 	hasMove  bool
 }
 
-func newBalancer(held [][]uint16, load []float64, p SetParams) *balancer {
+func newBalancer(expertsByRank [][]uint16, load []float64, p SetParams) *balancer {
 	b := &balancer{
-		params: p, load: load, added: make([]int, len(held)), replicas: make([]int, len(load)),
-		times: make([]float64, len(held)), budget: newBudget(len(held), 0),
+		params: p, load: load, added: make([]int, len(expertsByRank)), replicas: make([]int, len(load)),
+		times: make([]float64, len(expertsByRank)), budget: newBudget(len(expertsByRank), 0),
 	}
-	for _, list := range held {
+	for _, list := range expertsByRank {
 		has := make([]bool, len(load))
 		for _, e := range list {
 			has[e] = true
@@ -130,18 +130,18 @@
 		}
 		b.initial = append(b.initial, has)
 		b.has = append(b.has, slices.Clone(has))
-		b.held = append(b.held, slices.Clone(list))
+		b.expertsByRank = append(b.expertsByRank, slices.Clone(list))
 	}
 	b.updateTimes()
 	for _, time := range b.times {
-		b.mean += time / float64(len(held))
+		b.mean += time / float64(len(expertsByRank))
 	}
 	return b
 }
 
 // updateTimes computes the ranks' times from the experts that they hold.
 func (b *balancer) updateTimes() {
-	for r, list := range b.held {
+	for r, list := range b.expertsByRank {
 		tokens := 0.0
 		for _, e := range list {
 			tokens += b.share(e)
@@ -192,13 +192,13 @@
 		}
 	}
 	b.bestMove, b.hasMove = move{gain: b.params.MinGain * b.mean}, false
-	for _, e := range b.held[hot] {
+	for _, e := range b.expertsByRank[hot] {
 		if b.share(e)*b.slowdown(hot) <= b.bestMove.gain {
 			// A move of e can't gain more than the time that hot spends on e.
 			continue
 		}
 		b.considerDrop(hot, e)
-		for r := range b.held {
+		for r := range b.expertsByRank {
 			if r != hot && !b.has[r][e] {
 				b.considerMoves(hot, r, e)
 			}
@@ -228,11 +228,11 @@
 func (b *balancer) considerMoves(hot, r int, e uint16) {
 	share, extra := b.share(e), b.shareAmong(e, b.replicas[e]+1)
 	relief := share - extra
-	if len(b.held[r]) < b.params.Slots && b.mayTake(r, e, absent) {
+	if len(b.expertsByRank[r]) < b.params.Slots && b.mayTake(r, e, absent) {
 		b.consider(move{hot: hot, target: r, expert: e, displaced: absent, gain: b.gain(hot, r, relief, extra)})
 		b.consider(move{hot: hot, target: r, expert: e, displaced: absent, dropsFromHot: true, gain: b.gain(hot, r, share, share)})
 	}
-	for _, f := range b.held[r] {
+	for _, f := range b.expertsByRank[r] {
 		if !b.mayTake(r, e, int(f)) {
 			continue
 		}
@@ -272,7 +272,7 @@
 	}
 	extra, relief := b.shareAmong(e, n-1)-b.share(e), b.share(e)
 	top := b.times[hot] - relief*b.slowdown(hot)
-	for h := range b.held {
+	for h := range b.expertsByRank {
 		if h != hot && b.has[h][e] {
 			top = max(top, b.times[h]+extra*b.slowdown(h))
 		}
@@ -289,7 +289,7 @@
 // holdersStayBelow reports whether the other ranks with a replica of f, which get extra tokens
 // each, stay below the time of hot after the move.
 func (b *balancer) holdersStayBelow(f uint16, r, hot int, extra, relief float64) bool {
-	for h := range b.held {
+	for h := range b.expertsByRank {
 		if h != r && h != hot && b.has[h][f] && b.times[h]+extra*b.slowdown(h) > b.times[hot]-relief*b.slowdown(hot) {
 			return false
 		}
@@ -328,7 +328,7 @@
 }
 
 func (b *balancer) add(r int, e uint16) {
-	b.held[r] = append(b.held[r], e)
+	b.expertsByRank[r] = append(b.expertsByRank[r], e)
 	b.has[r][e] = true
 	b.replicas[e]++
 	if !b.initial[r][e] {
@@ -338,8 +338,8 @@
 }
 
 func (b *balancer) remove(r int, e uint16) {
-	i := slices.Index(b.held[r], e)
-	b.held[r] = slices.Delete(b.held[r], i, i+1)
+	i := slices.Index(b.expertsByRank[r], e)
+	b.expertsByRank[r] = slices.Delete(b.expertsByRank[r], i, i+1)
 	b.has[r][e] = false
 	b.replicas[e]--
 	if !b.initial[r][e] {
--- a/internal/placement/balance_test.go
+++ b/internal/placement/balance_test.go
@@ -11,21 +11,21 @@
 
 // roundRobin assigns each expert to one rank in turn, as in the first map of a group.
 func roundRobin(ranks, experts int) [][]uint16 {
-	held := make([][]uint16, ranks)
+	current := make([][]uint16, ranks)
 	for e := range experts {
-		held[e%ranks] = append(held[e%ranks], uint16(e))
+		current[e%ranks] = append(current[e%ranks], uint16(e))
 	}
-	return held
+	return current
 }
 
 // An expert with most of the load must get replicas on other ranks.
 func TestBalanceReplicatesAHotExpert(t *testing.T) {
-	held := roundRobin(4, 8)
+	current := roundRobin(4, 8)
 	load := []float64{100, 1, 1, 1, 1, 1, 1, 1}
-	next := Balance(held, load, SetParams{Slots: 3, MaxNewPerSet: 1, MinGain: 0.01})
-	require.InDelta(t, 101, slices.Max(SetTimes(held, load, nil)), 1e-9)
+	next := Balance(current, load, SetParams{Slots: 3, MaxNewPerSet: 1, MinGain: 0.01})
+	require.InDelta(t, 101, slices.Max(SetTimes(current, load, nil)), 1e-9)
 	require.Less(t, slices.Max(SetTimes(next, load, nil)), 35.0)
-	require.Equal(t, roundRobin(4, 8), held, "the input is not modified")
+	require.Equal(t, roundRobin(4, 8), current, "the input is not modified")
 }
 
 // Balance must never raise the highest load, exceed the slots or the new experts of a rank, or
@@ -39,18 +39,18 @@
 			MaxNewPerSet: rapid.IntRange(0, 3).Draw(t, "spare"),
 			MinGain:      0.001,
 		}
-		held := roundRobin(ranks, experts)
+		current := roundRobin(ranks, experts)
 		for round := range 3 {
 			load := make([]float64, experts)
 			for e := range load {
 				load[e] = rapid.Float64Range(0, 100).Draw(t, "load")
 			}
-			next := Balance(held, load, p)
-			if slices.Max(SetTimes(next, load, nil)) > slices.Max(SetTimes(held, load, nil))+1e-6 {
+			next := Balance(current, load, p)
+			if slices.Max(SetTimes(next, load, nil)) > slices.Max(SetTimes(current, load, nil))+1e-6 {
 				t.Fatalf("round %d: the most loaded rank has more to do", round)
 			}
-			checkSet(t, held, next, experts, p)
-			held = next
+			checkSet(t, current, next, experts, p)
+			current = next
 		}
 	})
 }
@@ -65,21 +65,21 @@
 			Slots:        (experts+ranks-1)/ranks + rapid.IntRange(1, 3).Draw(t, "free"),
 			MaxNewPerSet: 1, MaxNewPerRank: rapid.IntRange(1, 3).Draw(t, "rank"), MinGain: 0.001,
 		}
-		held := make([][][]uint16, 4)
-		load := make([][]float64, len(held))
-		for set := range held {
-			held[set] = roundRobin(ranks, experts)
+		current := make([][][]uint16, 4)
+		load := make([][]float64, len(current))
+		for set := range current {
+			current[set] = roundRobin(ranks, experts)
 			load[set] = make([]float64, experts)
 			for e := range load[set] {
 				load[set][e] = rapid.Float64Range(0, 100).Draw(t, "load")
 			}
 		}
-		next := BalanceSets(held, load, p)
+		next := BalanceSets(current, load, p)
 		for r := range ranks {
 			added := 0
 			for set := range next {
 				for _, e := range next[set][r] {
-					if !slices.Contains(held[set][r], e) {
+					if !slices.Contains(current[set][r], e) {
 						added++
 					}
 				}
@@ -89,7 +89,7 @@
 			}
 		}
 		for set := range next {
-			checkSet(t, held[set], next[set], experts, p)
+			checkSet(t, current[set], next[set], experts, p)
 		}
 	})
 }
@@ -97,10 +97,10 @@
 // The limit on new experts per rank must be spent on the set with the worst imbalance. Guards
 // against a first set that uses it up for small gains.
 func TestBalanceSetsRelievesTheWorstSetFirst(t *testing.T) {
-	held := [][][]uint16{roundRobin(4, 8), roundRobin(4, 8)}
+	current := [][][]uint16{roundRobin(4, 8), roundRobin(4, 8)}
 	even, skewed := []float64{12, 10, 10, 10, 10, 10, 10, 10}, []float64{100, 1, 1, 1, 1, 1, 1, 1}
-	next := BalanceSets(held, [][]float64{even, skewed}, SetParams{Slots: 3, MaxNewPerSet: 1, MaxNewPerRank: 1, MinGain: 0.01})
-	require.Equal(t, held[0], next[0])
+	next := BalanceSets(current, [][]float64{even, skewed}, SetParams{Slots: 3, MaxNewPerSet: 1, MaxNewPerRank: 1, MinGain: 0.01})
+	require.Equal(t, current[0], next[0])
 	require.Less(t, slices.Max(SetTimes(next[1], skewed, nil)), 35.0)
 }
 
@@ -135,14 +135,14 @@
 }
 
 func BenchmarkBalance(b *testing.B) {
-	held := roundRobin(12, 72)
+	current := roundRobin(12, 72)
 	load := make([]float64, 72)
 	for e := range load {
 		load[e] = 1 + float64((e*37)%72)*float64((e*37)%72)
 	}
 	b.Run("one set", func(b *testing.B) {
 		for b.Loop() {
-			Balance(held, load, SetParams{Slots: 8, MaxNewPerSet: 1, MinGain: 0.07})
+			Balance(current, load, SetParams{Slots: 8, MaxNewPerSet: 1, MinGain: 0.07})
 		}
 	})
 	for _, c := range []struct{ ranks, experts, sets, slots int }{
@@ -150,9 +150,9 @@
 	} {
 		name := fmt.Sprintf("%d ranks, %d experts in %d sets", c.ranks, c.experts, c.sets)
 		b.Run(name, func(b *testing.B) {
-			held, load := skewedSets(c.ranks, c.experts, c.sets)
+			current, load := skewedSets(c.ranks, c.experts, c.sets)
 			for b.Loop() {
-				BalanceSets(held, load, SetParams{Slots: c.slots, MaxNewPerSet: 1, MaxNewPerRank: 1, MinGain: 0.07})
+				BalanceSets(current, load, SetParams{Slots: c.slots, MaxNewPerSet: 1, MaxNewPerRank: 1, MinGain: 0.07})
 			}
 		})
 	}
@@ -161,11 +161,11 @@
 // skewedSets assigns the experts of each set to the ranks in turn, repeatedly if there are more
 // ranks than experts, and returns loads that differ strongly.
 func skewedSets(ranks, experts, sets int) ([][][]uint16, [][]float64) {
-	held, load := make([][][]uint16, sets), make([][]float64, sets)
-	for set := range held {
-		held[set] = make([][]uint16, ranks)
+	current, load := make([][][]uint16, sets), make([][]float64, sets)
+	for set := range current {
+		current[set] = make([][]uint16, ranks)
 		for i := range max(ranks, experts) {
-			held[set][i%ranks] = append(held[set][i%ranks], uint16(i%experts))
+			current[set][i%ranks] = append(current[set][i%ranks], uint16(i%experts))
 		}
 		load[set] = make([]float64, experts)
 		for e := range load[set] {
@@ -173,19 +173,19 @@
 			load[set][e] = 1 + x*x
 		}
 	}
-	return held, load
+	return current, load
 }
 
 // Guards against balancing by tokens alone, which leaves a slow rank as the bottleneck.
 func TestBalanceGivesASlowRankLess(t *testing.T) {
-	held := roundRobin(4, 16)
+	current := roundRobin(4, 16)
 	load := make([]float64, 16)
 	for e := range load {
 		load[e] = 10
 	}
 	slowdown := []float64{1, 3, 1, 1}
-	next := Balance(held, load, SetParams{Slots: 6, MaxNewPerSet: 3, MinGain: 0.001, Slowdown: slowdown})
-	require.InDelta(t, 120, slices.Max(SetTimes(held, load, slowdown)), 1e-9)
+	next := Balance(current, load, SetParams{Slots: 6, MaxNewPerSet: 3, MinGain: 0.001, Slowdown: slowdown})
+	require.InDelta(t, 120, slices.Max(SetTimes(current, load, slowdown)), 1e-9)
 	require.Less(t, slices.Max(SetTimes(next, load, slowdown)), 70.0)
 }
 
@@ -193,16 +193,16 @@
 // has the only replica. The slow rank may end up without experts.
 func TestSlowRankIsRelievedOfItsExperts(t *testing.T) {
 	const ranks, experts, slots = 8, 64, 11
-	held := make([][]uint16, ranks)
+	current := make([][]uint16, ranks)
 	load := make([]float64, experts)
 	for e := range load {
-		held[e%ranks] = append(held[e%ranks], uint16(e))
+		current[e%ranks] = append(current[e%ranks], uint16(e))
 		load[e] = 1
 	}
 	slowdown := []float64{4, 1, 1, 1, 1, 1, 1, 1}
 	p := SetParams{Slots: slots, MaxNewPerSet: slots, MinGain: 0.02, Slowdown: slowdown}
-	before := SetTimes(held, load, slowdown)
-	after := SetTimes(Balance(held, load, p), load, slowdown)
+	before := SetTimes(current, load, slowdown)
+	after := SetTimes(Balance(current, load, p), load, slowdown)
 	require.InDelta(t, 32, slices.Max(before), 0.01)
 	require.Less(t, slices.Max(after), 11.0, "seven ranks alone would have 9.1 each")
 }
@@ -210,9 +210,9 @@
 // An overloaded rank must be able to drop a replica of an expert that another rank holds too,
 // even if no expert may be copied.
 func TestBalanceDropsARedundantReplica(t *testing.T) {
-	held := [][]uint16{{0, 1}, {0, 2}, {3}}
+	current := [][]uint16{{0, 1}, {0, 2}, {3}}
 	load := []float64{10, 10, 1, 10}
-	after := Balance(held, load, SetParams{Slots: 1, MaxNewPerSet: 0, MinGain: 0.02})
+	after := Balance(current, load, SetParams{Slots: 1, MaxNewPerSet: 0, MinGain: 0.02})
 	require.Equal(t, []uint16{1}, after[0])
 	require.Equal(t, []uint16{0, 2}, after[1])
 }
--- a/internal/planner/pack_test.go
+++ b/internal/planner/pack_test.go
@@ -13,10 +13,10 @@
 // is its square root.
 func TestPackedCountsAreRoundedByLessThanChance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		picks := rapid.SliceOfN(rapid.SliceOfN(rapid.Uint32Range(0, 225), 5, 5), 1, 4).Draw(t, "picks")
-		got := Unpack(Pack(picks), len(picks), 5)
-		for set := range picks {
-			for e, n := range picks[set] {
+		selections := rapid.SliceOfN(rapid.SliceOfN(rapid.Uint32Range(0, 225), 5, 5), 1, 4).Draw(t, "selections")
+		got := Unpack(Pack(selections), len(selections), 5)
+		for set := range selections {
+			for e, n := range selections[set] {
 				require.InDelta(t, n, got[set][e], math.Sqrt(float64(n))+1)
 			}
 		}
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -52,9 +52,9 @@
 	const sets, experts = 4, 72
 	l := wire.RankLoad{Slowdown: 1}
 	for range sets {
-		var held []uint16
+		var assigned []uint16
 		for e := r % experts; e < experts; e += ranks {
-			held = append(held, uint16(e))
+			assigned = append(assigned, uint16(e))
 		}
 		counts := make([]uint32, experts)
 		for e := range counts {
@@ -63,37 +63,37 @@
 		for _, e := range hot {
 			counts[e] = 30
 		}
-		l.ExpertsByLayer = append(l.ExpertsByLayer, held)
+		l.ExpertsByLayer = append(l.ExpertsByLayer, assigned)
 		l.Selections = append(l.Selections, counts)
 	}
 	return &wire.ExpertLoad{FirstRank: uint32(r), Ranks: []wire.RankLoad{l}}
 }
 
-func shapeOf(ranks, spare uint32) *wire.GroupShape {
-	return &wire.GroupShape{Ranks: ranks, Experts: 72, Layers: 4, SlotsPerRank: 8, MaxNewPerSet: spare}
+func shapeOf(ranks, maxNewPerSet uint32) *wire.GroupShape {
+	return &wire.GroupShape{Ranks: ranks, Experts: 72, Layers: 4, SlotsPerRank: 8, MaxNewPerSet: maxNewPerSet}
 }
 
-// After a jump of popularity, a change takes effect only when the slowest rank has copied its
+// After a popularity shift, a change takes effect only when the slowest rank has copied its
 // new experts. So a change must give each rank at most one new expert over all sets, also if
 // the settings set no limit.
 func TestChangeAfterAJumpCopiesOneExpertPerRank(t *testing.T) {
-	for _, spare := range []uint32{0, 3} {
-		shape := shapeOf(12, spare)
+	for _, maxNewPerSet := range []uint32{0, 3} {
+		shape := shapeOf(12, maxNewPerSet)
 		p := New(nil)
 		for r := range 12 {
 			require.False(t, p.stats.isComplete(shape))
 			p.Add(report(r, 12, 0, 12, 1))
 		}
 		require.True(t, p.stats.isComplete(shape))
-		held, _ := p.stats.held()
+		current, _ := p.stats.expertsBySet()
 		next, _, f := p.NextBySelections(shape, 1)
-		require.True(t, f.IsWorthwhile, "spare %d", spare)
+		require.True(t, f.IsWorthwhile, "maxNewPerSet %d", maxNewPerSet)
 		require.Less(t, f.ImbalanceAfter, f.ImbalanceBefore)
 		for r := range 12 {
 			added := 0
 			for set, slots := range next.Layers {
 				for _, e := range slots[r*8 : (r+1)*8] {
-					if e != rank.NoExpert && !slices.Contains(held[set][r], e) {
+					if e != rank.NoExpert && !slices.Contains(current[set][r], e) {
 						added++
 					}
 				}
@@ -147,10 +147,10 @@
 		p.Add(stale)
 	}
 	require.True(t, p.stats.isComplete(shape))
-	held, version := p.stats.held()
+	current, version := p.stats.expertsBySet()
 	require.Equal(t, uint64(7), version)
-	for set := range held {
-		require.Equal(t, next.Layers[set], layerSlots(held[set], 8))
+	for set := range current {
+		require.Equal(t, next.Layers[set], layerSlots(current[set], 8))
 	}
 }
 
@@ -164,15 +164,15 @@
 			for r := range c.ranks {
 				l := wire.RankLoad{Slowdown: 1}
 				for range c.sets {
-					var held []uint16
+					var assigned []uint16
 					for s := range c.slots {
-						held = append(held, uint16((r*c.slots+s)%c.experts))
+						assigned = append(assigned, uint16((r*c.slots+s)%c.experts))
 					}
 					counts := make([]uint32, c.experts)
 					for e := range counts {
 						counts[e] = uint32(random.ExpFloat64() * random.ExpFloat64() * 100)
 					}
-					l.ExpertsByLayer, l.Selections = append(l.ExpertsByLayer, held), append(l.Selections, counts)
+					l.ExpertsByLayer, l.Selections = append(l.ExpertsByLayer, assigned), append(l.Selections, counts)
 				}
 				p.Add(&wire.ExpertLoad{FirstRank: uint32(r), Ranks: []wire.RankLoad{l}})
 			}
--- a/internal/planner/rankstats.go
+++ b/internal/planner/rankstats.go
@@ -23,9 +23,9 @@
 	// reports, by set and expert.
 	counts  [][]uint32
 	version uint64
-	// held are the experts of the rank by set, under the map with that version. It is nil if
-	// they are not known.
-	held [][]uint16
+	// expertsBySet lists the experts of the rank by set, under the map with that version. It is
+	// nil if they are not known.
+	expertsBySet [][]uint16
 }
 
 // rank returns the entry of a rank, and adds it if necessary.
@@ -51,7 +51,7 @@
 		// A report that was sent before a change but arrives after it has the experts of an
 		// older map.
 		if l.Ranks[i].ExpertsByLayer != nil && l.Ranks[i].Version >= s.version {
-			s.version, s.held = l.Ranks[i].Version, l.Ranks[i].ExpertsByLayer
+			s.version, s.expertsBySet = l.Ranks[i].Version, l.Ranks[i].ExpertsByLayer
 		}
 	}
 }
@@ -61,7 +61,7 @@
 func (p *rankStats) isMissingExperts(l *wire.ExpertLoad) bool {
 	for i := range l.Ranks {
 		s := p.ranks[l.FirstRank+uint32(i)]
-		if s != nil && l.Ranks[i].ExpertsByLayer == nil && (s.held == nil || s.version < l.Ranks[i].Version) {
+		if s != nil && l.Ranks[i].ExpertsByLayer == nil && (s.expertsBySet == nil || s.version < l.Ranks[i].Version) {
 			return true
 		}
 	}
@@ -74,7 +74,7 @@
 	if len(p.reported) == 0 {
 		return
 	}
-	if s := p.ranks[0]; s != nil && len(p.ranks) == int(shape.Ranks) && s.held != nil && s.version >= rank.Version(active) {
+	if s := p.ranks[0]; s != nil && len(p.ranks) == int(shape.Ranks) && s.expertsBySet != nil && s.version >= rank.Version(active) {
 		return
 	}
 	m, ok := find(active)
@@ -90,7 +90,7 @@
 // setMap sets the experts of all known ranks from a map that has taken effect.
 func (p *rankStats) setMap(version uint64, m expertmap.Map) {
 	for number, s := range p.ranks {
-		held := make([][]uint16, len(m.Layers))
+		expertsBySet := make([][]uint16, len(m.Layers))
 		for set, slots := range m.Layers {
 			first := int(number) * m.SlotsPerRank
 			if first+m.SlotsPerRank > len(slots) {
@@ -98,11 +98,11 @@
 			}
 			for _, e := range slots[first : first+m.SlotsPerRank] {
 				if e != rank.NoExpert {
-					held[set] = append(held[set], e)
+					expertsBySet[set] = append(expertsBySet[set], e)
 				}
 			}
 		}
-		s.version, s.held = version, held
+		s.version, s.expertsBySet = version, expertsBySet
 	}
 }
 
@@ -114,7 +114,7 @@
 	}
 	for r := range shape.Ranks {
 		s := p.ranks[r]
-		if s == nil || len(s.held) != int(shape.Layers) || s.version != p.ranks[0].version {
+		if s == nil || len(s.expertsBySet) != int(shape.Layers) || s.version != p.ranks[0].version {
 			return false
 		}
 		if p.reported[r] && !hasShape(s.counts, shape) {
@@ -156,12 +156,12 @@
 	return mean
 }
 
-// held returns the experts of the ranks, by set and rank, and the version of their map.
-func (p *rankStats) held() ([][][]uint16, uint64) {
-	out := make([][][]uint16, len(p.ranks[0].held))
+// expertsBySet returns the experts of the ranks, by set and rank, and the version of their map.
+func (p *rankStats) expertsBySet() ([][][]uint16, uint64) {
+	out := make([][][]uint16, len(p.ranks[0].expertsBySet))
 	for set := range out {
 		for r := range uint32(len(p.ranks)) {
-			out[set] = append(out[set], p.ranks[r].held[set])
+			out[set] = append(out[set], p.ranks[r].expertsBySet[set])
 		}
 	}
 	return out, p.ranks[0].version
--- a/internal/planner/selections.go
+++ b/internal/planner/selections.go
@@ -14,13 +14,13 @@
 	// selectionsWeight is the weight of a new interval in the moving average of the load while
 	// the popularity of experts only drifts.
 	selectionsWeight = 0.25
-	// jumpDistance is the distance of a new interval from the load (see
+	// shiftDistance is the distance of a new interval from the load (see
 	// placement.Load.Distance) above which popularity has changed abruptly. The load before is
 	// discarded then. Random differences between intervals of 0.1 s stay below it.
-	jumpDistance = 0.13
+	shiftDistance = 0.13
 	// copyTimeLimit is how long a rank may copy experts in one change, over all sets. A rank
 	// copies them one after the other, and all ranks wait for the last. Several small changes
-	// in quick succession adapt to a jump of popularity sooner than one large change.
+	// in quick succession adapt to a popularity shift sooner than one large change.
 	copyTimeLimit = 100 * time.Millisecond
 	// minStepGain is the fraction of the mean load of a rank that one copied expert must save,
 	// since forward passes are slower while experts are copied.
@@ -80,17 +80,17 @@
 	if shape.MaxNewPerSet > 0 {
 		params.MaxNewPerSet = min(maxNew, int(shape.MaxNewPerSet))
 	}
-	held, base := p.stats.held()
-	next := placement.BalanceSets(held, p.load, params)
+	current, base := p.stats.expertsBySet()
+	next := placement.BalanceSets(current, p.load, params)
 	m := expertmap.Map{SlotsPerRank: params.Slots}
 	f := Forecast{Distance: distance}
 	highest, highestAfter, mean := 0.0, 0.0, 0.0
 	for set := range next {
-		before := placement.SetTimes(held[set], p.load[set], params.Slowdown)
+		before := placement.SetTimes(current[set], p.load[set], params.Slowdown)
 		highest += maxOf(before)
 		highestAfter += maxOf(placement.SetTimes(next[set], p.load[set], params.Slowdown))
 		mean += meanOf(before)
-		f.Copies += countNewExperts(held[set], next[set])
+		f.Copies += countNewExperts(current[set], next[set])
 		m.Layers = append(m.Layers, layerSlots(next[set], params.Slots))
 	}
 	if mean > 0 {
@@ -121,7 +121,7 @@
 		return 0
 	}
 	weight, distance := selectionsWeight, p.load.Distance(tokens)
-	if distance > jumpDistance {
+	if distance > shiftDistance {
 		weight = 1
 	}
 	p.load = p.load.Observe(tokens, weight)
@@ -143,9 +143,9 @@
 
 // layerSlots returns the slots of a layer, given the experts of each rank. Free slots hold
 // NoExpert.
-func layerSlots(held [][]uint16, slots int) []uint16 {
-	out := make([]uint16, 0, len(held)*slots)
-	for _, list := range held {
+func layerSlots(expertsByRank [][]uint16, slots int) []uint16 {
+	out := make([]uint16, 0, len(expertsByRank)*slots)
+	for _, list := range expertsByRank {
 		out = append(out, list...)
 		for range slots - len(list) {
 			out = append(out, rank.NoExpert)
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -11,9 +11,9 @@
 // the next.
 func TestFingerprintDiffersByRequestField(t *testing.T) {
 	base := Request{Workspace: "w", Method: "POST", Host: "h", Target: "/a?b", Body: []byte("body")}
-	one := NewHasher("secret").Of(&base)
-	require.Equal(t, one, NewHasher("secret").Of(&base))
-	require.NotEqual(t, one, NewHasher("other").Of(&base))
+	fingerprint := NewHasher("secret").Of(&base)
+	require.Equal(t, fingerprint, NewHasher("secret").Of(&base))
+	require.NotEqual(t, fingerprint, NewHasher("other").Of(&base))
 	for name, change := range map[string]func(*Request){
 		"workspace":                func(r *Request) { r.Workspace = "v" },
 		"method":                   func(r *Request) { r.Method = "PUT" },
@@ -25,6 +25,6 @@
 	} {
 		changed := base
 		change(&changed)
-		require.NotEqual(t, one, NewHasher("secret").Of(&changed), name)
+		require.NotEqual(t, fingerprint, NewHasher("secret").Of(&changed), name)
 	}
 }
--- a/internal/rank/rank.go
+++ b/internal/rank/rank.go
@@ -245,10 +245,10 @@
 // sendOrder sends an order that is based on the report r. While it gets no answer and the engine
 // hasn't started any order since r, it sends the order again, up to maxSends times. The caller
 // holds mu.
-func (e *Engine) sendOrder(ctx context.Context, r Report, fence expertmap.Ballot, o Order) error {
+func (e *Engine) sendOrder(ctx context.Context, r Report, ballot expertmap.Ballot, o Order) error {
 	o.Epoch = e.epoch
 	o.ExpectedSequence = r.Sequence
-	o.FencingCounter = fence.Counter
+	o.FencingCounter = ballot.Counter
 	var err error
 	for range maxSends {
 		if err = e.sendOnce(ctx, o); !errors.Is(err, ErrUnanswered) {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -28,7 +28,7 @@
 
 func TestFilters(t *testing.T) {
 	other := modifiedCandidate("other", func(c *Candidate) { c.Upstream.Pool = "q" })
-	leaving := modifiedCandidate("leaving", func(c *Candidate) { c.Upstream.State = wire.UpstreamDraining })
+	draining := modifiedCandidate("draining", func(c *Candidate) { c.Upstream.State = wire.UpstreamDraining })
 	starting := modifiedCandidate("starting", func(c *Candidate) { c.Upstream.State = wire.UpstreamStarting })
 	suspect := modifiedCandidate("suspect", func(c *Candidate) { c.Suspect = true })
 	failing := modifiedCandidate("failing", func(c *Candidate) { c.Failing = true })
@@ -41,14 +41,14 @@
 		want       []string
 	}{
 		{"another pool", Request{}, []Candidate{other, good}, []string{"good"}},
-		{"leaving", Request{}, []Candidate{leaving, good}, []string{"good"}},
-		{"only one that leaves", Request{}, []Candidate{leaving}, nil},
-		{"only one that starts", Request{}, []Candidate{starting}, nil},
+		{"draining", Request{}, []Candidate{draining, good}, []string{"good"}},
+		{"only one that is draining", Request{}, []Candidate{draining}, nil},
+		{"only one that is starting", Request{}, []Candidate{starting}, nil},
 		{"only one of another pool", Request{}, []Candidate{other}, nil},
 		{"tried", Request{Tried: []string{"good"}}, []Candidate{good, suspect}, []string{"suspect"}},
 		{"all tried", Request{Tried: []string{"good"}}, []Candidate{good}, nil},
 		{"suspect", Request{}, []Candidate{suspect, good}, []string{"good"}},
-		{"only a suspect", Request{}, []Candidate{suspect, leaving}, []string{"suspect"}},
+		{"only a suspect", Request{}, []Candidate{suspect, draining}, []string{"suspect"}},
 		{"failing", Request{}, []Candidate{failing, good}, []string{"good"}},
 		{"all failing", Request{}, []Candidate{failing, suspect}, []string{"failing", "suspect"}},
 		{"version", Request{Version: "v2"}, []Candidate{good, newer}, []string{"newer"}},
--- a/internal/schedule/passtimes_test.go
+++ b/internal/schedule/passtimes_test.go
@@ -36,14 +36,14 @@
 	return l
 }
 
-// runWithJumps simulates expert popularity that shifts once per interval. Passes have
-// jumpSlowdown for half a second after each shift and usualSlowdown for the rest of the
+// runWithShifts simulates expert popularity that shifts once per interval. Passes have
+// shiftSlowdown for half a second after each shift and usualSlowdown for the rest of the
 // interval.
-func (l *testCluster) runWithJumps(jumpSlowdown, usualSlowdown float64, interval, duration time.Duration) {
-	const jumpDuration = 500 * time.Millisecond
+func (l *testCluster) runWithShifts(shiftSlowdown, usualSlowdown float64, interval, duration time.Duration) {
+	const shiftDuration = 500 * time.Millisecond
 	for end := l.now + duration; l.now < end; {
-		l.runWithSlowdown(jumpSlowdown, jumpDuration)
-		l.runWithSlowdown(usualSlowdown, interval-jumpDuration)
+		l.runWithSlowdown(shiftSlowdown, shiftDuration)
+		l.runWithSlowdown(usualSlowdown, interval-shiftDuration)
 	}
 }
 
@@ -68,7 +68,7 @@
 	require.Equal(t, minCapacity, capacity(), "passes are too long at any limit")
 	l.runWithSlowdown(1.2, time.Second)
 	require.Equal(t, usual, capacity(), "passes that are too long at any limit are ignored")
-	l.runWithJumps(1.9, 1.2, 2*time.Second, historySpan)
+	l.runWithShifts(1.9, 1.2, 2*time.Second, historySpan)
 	require.LessOrEqual(t, capacity(), 1.1*minCapacity, "most streams meet a shift that only about the lowest limit tolerates")
 	l.runWithSlowdown(1.2, historySpan+time.Second)
 	require.InDelta(t, usual, capacity(), 1)
@@ -80,7 +80,7 @@
 func TestJumpsThatNoLimitCanAbsorbDoNotLowerIt(t *testing.T) {
 	l := newSkewedCluster()
 	minCapacity := float64(60 * ConcurrencyLimit(l.engine, l.gapLimitedRequest().MaxEventGap))
-	l.runWithJumps(2.6, 1.2, 2500*time.Millisecond, historySpan)
+	l.runWithShifts(2.6, 1.2, 2500*time.Millisecond, historySpan)
 	require.Greater(t, l.State("s", l.now).Capacity, 1.2*minCapacity)
 }
 
@@ -130,7 +130,7 @@
 // BenchmarkLimit computes the limit of a group, as happens once per history bucket.
 func BenchmarkLimit(b *testing.B) {
 	l := newSkewedCluster()
-	l.runWithJumps(1.9, 1.2, 2*time.Second, historySpan)
+	l.runWithShifts(1.9, 1.2, 2*time.Second, historySpan)
 	p := &l.service("s").groups["0"].passTimes
 	for b.Loop() {
 		p.cachedBucket = -1
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -656,31 +656,31 @@
 // report.
 func TestHostReusesSlotItReleased(t *testing.T) {
 	l := newGapLimitedCluster(4, 44)
-	held := l.Admit(l.gapLimitedRequest(), l.now).Ticket
-	require.NotNil(t, held)
+	ticket := l.Admit(l.gapLimitedRequest(), l.now).Ticket
+	require.NotNil(t, ticket)
 	for range 2 {
 		l.now += 100 * time.Millisecond
 		l.reportLoads(gapLimit)
 	}
 	waiting := l.Admit(l.gapLimitedRequest(), l.now)
 	require.NotNil(t, waiting.Waiter)
-	results, _ := l.Release(held, Success, l.now)
+	results, _ := l.Release(ticket, Success, l.now)
 	require.Len(t, results, 1)
-	require.Equal(t, held.ID(), results[0].Ticket.ID())
+	require.Equal(t, ticket.ID(), results[0].Ticket.ID())
 }
 
 // An engine that runs more requests than its limit frees no slot when one of them ends.
 // Otherwise each would be replaced and the overload would never end.
 func TestOverloadedEngineFreesNoSlot(t *testing.T) {
 	l := newGapLimitedCluster(4, 44)
-	held := l.Admit(l.gapLimitedRequest(), l.now).Ticket
-	require.NotNil(t, held)
+	ticket := l.Admit(l.gapLimitedRequest(), l.now).Ticket
+	require.NotNil(t, ticket)
 	for range 2 {
 		l.now += 100 * time.Millisecond
 		l.setLoads(gapLimit + 2)
 		l.report("0/3", func(load *wire.EngineLoad) { load.Running = gapLimit - 1 })
 	}
-	l.Release(held, Success, l.now)
+	l.Release(ticket, Success, l.now)
 	require.Nil(t, l.Admit(l.gapLimitedRequest(), l.now).Ticket)
 }
 
--- a/test/cmd/emulate/main.go
+++ b/test/cmd/emulate/main.go
@@ -37,7 +37,7 @@
 // options are the values of the flags.
 type options struct {
 	hosts, groups, ranks, slots int
-	target, gap, patience       time.Duration
+	target, gap, callerTimeout  time.Duration
 	callers, skew               float64
 	length                      time.Duration
 	outages                     []string
@@ -68,7 +68,7 @@
 	fs.IntVar(&o.slots, "slots", 20, "requests that a rank works on at most")
 	fs.DurationVar(&o.target, "target", 500*time.Millisecond, "within what the first event is on time")
 	fs.DurationVar(&o.gap, "gap", 80*time.Millisecond, "longest pause between events that is on time")
-	fs.DurationVar(&o.patience, "patience", 7500*time.Millisecond, "time that a caller has")
+	fs.DurationVar(&o.callerTimeout, "patience", 7500*time.Millisecond, "time that a caller has")
 	fs.Float64Var(&o.callers, "callers", 1, "callers, as a part of those that can be served with all places taken")
 	fs.Float64Var(&o.skew, "skew", 1, "load of the most loaded rank over the mean one")
 	fs.DurationVar(&o.length, "for", 20*time.Second, "for how long callers come")
@@ -157,7 +157,7 @@
 			MeanPromptTokens: 200, MeanAnswerTokens: 128, PrefillRate: 10_000,
 			Experts: routetable.Experts{LayerSetCount: 1, ExpertsPerSet: 16, Slots: 4, WorkShare: 0.5},
 		},
-		Target: o.target, MaxEventGap: o.gap, CallerTimeout: o.patience,
+		Target: o.target, MaxEventGap: o.gap, CallerTimeout: o.callerTimeout,
 		RetryBudget: retrybudget.Params{Ratio: 0.2, Extra: 10, Window: 10 * time.Second},
 	}
 	concurrency := schedule.ConcurrencyLimit(&cfg.Engine, o.gap)
