--- a/Makefile
+++ b/Makefile
@@ -25,6 +25,7 @@
 	$(GO) vet ./...
 	$(GO) tool staticcheck ./...
 
-# Installs gopls, for renames over packages. Later versions don't build with the Go of go.mod.
+# Installs gopls, for renames over packages. 0.23 doesn't build beside this staticcheck, and 0.24
+# needs a newer Go.
 tools:
 	$(GO) install golang.org/x/tools/gopls@v0.21.1
